--- /dev/null
+++ b/crates/cli/tests/stored_data.rs
@@ -0,0 +1,333 @@
+//! Stored data of an earlier build is read by this one: the files under `stored/` (its README says how they were
+//! written) are never written again to make a test pass.
+
+mod common;
+
+use common::publisher::{Heard, Watch, put_route, remove_route, start as start_publisher, version_of};
+use common::{PROGRAM, Proxy, world};
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
+use rustix::process::{Signal, kill_process};
+use serde_json::{Value, json};
+use std::io::{BufRead, BufReader, IoSlice, Read, Write};
+use std::mem::MaybeUninit;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsFd;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+use violetseam_controller::journal::Folder;
+use violetseam_daemon::Store;
+use violetseam_distribution::Message;
+use violetseam_recorder::{Interest, replay};
+
+const PATIENCE: Duration = Duration::from_secs(20);
+/// The version that the stored configuration and the publisher's store end with.
+const STORED_VERSION: &str = "1796219051902.2";
+/// The boot number in the stored daemon state.
+const STORED_BOOT: u64 = 2;
+
+fn stored(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
+}
+
+/// An empty folder for copies of stored files, at a path short enough for a Unix socket.
+fn scratch(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("vs-stored-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn copy_to(folder: &Path, name: &str) {
+    std::fs::copy(stored(name), folder.join(name)).unwrap();
+}
+
+/// Compares a value with the JSON that the build which wrote the stored data made of it.
+fn assert_as_before(name: &str, value: &Value) {
+    let path = stored("expected").join(name);
+    let expected: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
+    assert_eq!(value, &expected, "{name}");
+}
+
+fn wait_for(what: &str, mut is: impl FnMut() -> bool) {
+    let until = Instant::now() + PATIENCE;
+    while !is() {
+        assert!(Instant::now() < until, "waited in vain for: {what}");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+#[test]
+fn a_stored_publisher_goes_on_with_its_configuration_and_its_log() {
+    let state = scratch("publisher");
+    copy_to(&state, "publisher.redb");
+    let publisher = start_publisher(&state, &[]);
+    let last = version_of(STORED_VERSION);
+    assert_eq!(publisher.started_from, last);
+    let mut watch = Watch::open(publisher.address, "fresh", None);
+    let Message::SnapshotPart(part) = watch.next_news() else { panic!("no snapshot") };
+    assert_eq!((part.version, part.parts), (last, 1));
+    assert_as_before("resources.json", &serde_json::to_value(&part.resources).unwrap());
+    // The log leads on from the version before.
+    let mut before = last;
+    before.number -= 1;
+    let mut watch = Watch::open(publisher.address, "behind", Some(before));
+    let Message::Delta(delta) = watch.next_news() else { panic!("no delta") };
+    assert_eq!((delta.base, delta.version, delta.digest), (before, last, part.digest));
+    assert_eq!(delta.changes, [remove_route("/gone"), put_route("/d", "read")]);
+    let next = publisher.publish(&[put_route("/e", "read")]);
+    assert_eq!(next, last.next());
+    assert!(matches!(watch.next(PATIENCE), Heard::Message(_)));
+    publisher.end();
+    std::fs::remove_dir_all(state).unwrap();
+}
+
+#[test]
+fn a_stored_controllers_journal_is_gone_on_from() {
+    let folder = scratch("controller");
+    let state = folder.join("state");
+    std::fs::create_dir_all(&state).unwrap();
+    for name in ["term-1", "journal-1-0"] {
+        std::fs::copy(stored("controller").join(name), state.join(name)).unwrap();
+    }
+    let past = Folder::open(&state).unwrap().read().unwrap().unwrap();
+    assert_eq!((past.events, past.torn), (11, false));
+    assert_as_before("release.json", &serde_json::to_value(&past.release).unwrap());
+
+    let control = folder.join("control");
+    let settings = folder.join("controller.star");
+    let text = format!(
+        "controller(name = \"two\", listen = \"127.0.0.1:0\", build = 1, control = \"{}\", lease = \"400ms\", beat = \"100ms\")\n",
+        control.display()
+    );
+    std::fs::write(&settings, text).unwrap();
+    let mut controller = Command::new(PROGRAM)
+        .args(["controller", "--log", "error", "--settings"])
+        .arg(&settings)
+        .arg("--state")
+        .arg(&state)
+        .stdout(Stdio::null())
+        .spawn()
+        .unwrap();
+    let mut said = Value::Null;
+    wait_for("the controller speaks in a new term", || {
+        let out = Command::new(PROGRAM)
+            .args(["release", "--json", "--timeout", "2", "--as", "lead", "--control"])
+            .arg(&control)
+            .arg("state")
+            .output()
+            .unwrap();
+        said = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
+        said["state"]["term"] == 2
+    });
+    assert_eq!(said["state"]["news"], json!({"build": 7, "stage": 0, "phase": "trial", "cap": 0.25}));
+    controller.kill().unwrap();
+    controller.wait().unwrap();
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_stored_daemon_state_is_read_with_its_audit_log() {
+    let folder = scratch("daemon");
+    copy_to(&folder, "daemon-0.redb");
+    let opened = Store::open(&folder, 0, 1_800_000_000_000_000).unwrap();
+    assert_eq!((opened.boot, &opened.moved_aside), (STORED_BOOT + 1, &None));
+    assert_as_before("durable.json", &serde_json::to_value(&opened.durable).unwrap());
+    assert_as_before("audit.json", &serde_json::to_value(opened.store.audit().unwrap()).unwrap());
+    drop(opened);
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_stored_flight_recording_replays_without_a_difference() {
+    let report = replay(&stored("flight"), Interest::default(), &mut |_| {}).unwrap();
+    assert!(report.difference.is_none() && report.fault.is_none() && !report.full, "{report:?}");
+    assert_eq!((report.events, report.starts), (2_180, 1));
+}
+
+/// A listener that nobody answers on: its address refuses connections once it is dropped.
+fn unreachable_address() -> SocketAddr {
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
+}
+
+/// Writes the stored settings with these addresses; the endpoint list is at `discovery`.
+fn write_settings(folder: &Path, discovery: SocketAddr, release_service: SocketAddr) -> PathBuf {
+    let text = std::fs::read_to_string(stored("proxy.star")).unwrap();
+    let text = text
+        .replace("{state}", &folder.display().to_string())
+        .replace("roster(addr = \"{world}\")", &format!("roster(addr = \"{discovery}\")"))
+        .replace("{world}", &release_service.to_string())
+        .replace("{publisher}", &unreachable_address().to_string());
+    let path = folder.join("proxy.star");
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// Writes the saved endpoint list with all servers at this address.
+fn write_saved_list(folder: &Path, servers: SocketAddr) {
+    let list = std::fs::read_to_string(stored("roster-0.json")).unwrap();
+    std::fs::write(folder.join("roster-0.json"), list.replace("WORLD", &servers.to_string())).unwrap();
+}
+
+fn spawn_proxy(settings: &Path, more: &[&str]) -> Child {
+    Command::new(PROGRAM)
+        .args(["serve", "--log", "warn", "--settings"])
+        .arg(settings)
+        .args(more)
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap()
+}
+
+/// The first line that a process prints; empty if it ends before.
+fn first_line(child: &mut Child) -> String {
+    let mut line = String::new();
+    BufReader::new(child.stdout.as_mut().unwrap()).read_line(&mut line).unwrap();
+    line
+}
+
+/// What the process says of itself on its control socket.
+fn control_state(folder: &Path) -> Value {
+    let mut stream = UnixStream::connect(folder.join("control")).unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.write_all(b"\"state\"\n").unwrap();
+    common::fleet::answer(stream)["state"].clone()
+}
+
+/// The status of a request on a connection that closes after it.
+fn status(stream: &mut TcpStream, path: &str) -> String {
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    write!(stream, "GET {path} HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n").unwrap();
+    let mut text = String::new();
+    stream.read_to_string(&mut text).unwrap();
+    text.split(' ').nth(1).unwrap_or_default().to_owned()
+}
+
+#[test]
+fn a_stored_configuration_and_a_saved_endpoint_list_serve_while_their_sources_are_away() {
+    let folder = scratch("proxy");
+    let servers = world();
+    copy_to(&folder, "configuration-0.redb");
+    write_saved_list(&folder, servers);
+    let settings = write_settings(&folder, unreachable_address(), servers);
+    let mut child = spawn_proxy(&settings, &[]);
+    let addr: SocketAddr = first_line(&mut child).trim().rsplit(' ').next().unwrap().parse().unwrap();
+    let proxy = Proxy { child, addr };
+    let state = control_state(&folder);
+    let version = version_of(STORED_VERSION);
+    assert_eq!(state["distributed"]["version"], serde_json::to_value(version).unwrap(), "{state}");
+    assert_eq!((&state["distributed"]["routes"], &state["servers"]), (&json!(4), &json!(6)), "{state}");
+    // `/a` and `/d` come from the stored configuration, servers from the saved list; `/gone` was removed.
+    for (path, wanted) in [("/a/1", "200"), ("/d/1", "200"), ("/b/1", "400"), ("/gone", "404")] {
+        assert_eq!(status(&mut proxy.open(), path), wanted, "{path}");
+    }
+    proxy.end();
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+/// A process of the earlier build that hands over, as far as a new one can see it.
+struct EarlierProcess {
+    stream: UnixStream,
+}
+
+impl EarlierProcess {
+    /// Waits to be asked and offers the stored module, or these bytes in its place, with descriptors.
+    fn hand_over(control: &UnixListener, module: &[u8], listener: &TcpListener, client: &TcpStream) -> Self {
+        let (mut stream, _) = control.accept().unwrap();
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut question = [0; 11];
+        stream.read_exact(&mut question).unwrap();
+        assert_eq!(&question, b"\"takeover\"\n");
+        let offer = std::fs::read(stored("takeover/offer.json")).unwrap();
+        let mut offer: Value = serde_json::from_slice(&offer).unwrap();
+        offer["clients"] = json!(1);
+        offer["module"] = json!(module.len());
+        writeln!(stream, "{offer}").unwrap();
+        stream.write_all(module).unwrap();
+        let descriptors = [listener.as_fd(), client.as_fd()];
+        let mut space = vec![MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+        let mut rights = SendAncillaryBuffer::new(&mut space);
+        assert!(rights.push(SendAncillaryMessage::ScmRights(&descriptors)));
+        sendmsg(&stream, &[IoSlice::new(b"+")], &mut rights, SendFlags::NOSIGNAL).unwrap();
+        EarlierProcess { stream }
+    }
+
+    /// The next line from the new process; empty if it went away.
+    fn line(&mut self) -> String {
+        let mut line = String::new();
+        // One that ends with bytes unread resets the connection.
+        let _ = BufReader::new(&mut self.stream).read_line(&mut line);
+        line
+    }
+}
+
+/// The sockets of an earlier process: its control socket, a listener, and one idle client connection.
+struct Sockets {
+    control: UnixListener,
+    listener: TcpListener,
+    client: TcpStream,
+    /// The earlier process's side of the client connection.
+    accepted: TcpStream,
+}
+
+impl Sockets {
+    fn open(folder: &Path) -> Sockets {
+        let control = UnixListener::bind(folder.join("control")).unwrap();
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (accepted, _) = listener.accept().unwrap();
+        listener.set_nonblocking(true).unwrap();
+        accepted.set_nonblocking(true).unwrap();
+        Sockets { control, listener, client, accepted }
+    }
+}
+
+#[test]
+fn a_hand_over_from_the_earlier_build_loses_no_connection() {
+    let folder = scratch("takeover");
+    let servers = world();
+    write_saved_list(&folder, servers);
+    let settings = write_settings(&folder, servers, servers);
+    let Sockets { control, listener, mut client, accepted } = Sockets::open(&folder);
+    let addr = listener.local_addr().unwrap();
+    let module = std::fs::read(stored("takeover/module.postcard")).unwrap();
+    let child = spawn_proxy(&settings, &["--takeover"]);
+    let mut proxy = Proxy { child, addr };
+    let mut earlier = EarlierProcess::hand_over(&control, &module, &listener, &accepted);
+    assert_eq!(earlier.line(), "ready\n");
+    earlier.stream.write_all(b"go\n").unwrap();
+    assert!(first_line(&mut proxy.child).contains(&addr.to_string()));
+    drop((control, listener, accepted, earlier));
+    // The connection that was handed over is served, and so are new ones at the same address.
+    assert_eq!(status(&mut client, "/x/1"), "200");
+    assert_eq!(status(&mut proxy.open(), "/x/1"), "200");
+    let state = control_state(&folder);
+    assert_eq!(state["release"], json!({"build": 2, "stage": 1, "phase": "trial", "cap": 0.5}), "{state}");
+    kill_process(proxy.pid(), Signal::TERM).unwrap();
+    assert!(proxy.child.wait().unwrap().success());
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_module_that_cannot_be_read_is_reported_and_the_earlier_process_keeps_its_sockets() {
+    let folder = scratch("unreadable");
+    let servers = world();
+    let settings = write_settings(&folder, servers, servers);
+    let Sockets { control, listener, client, accepted } = Sockets::open(&folder);
+    let mut child = Command::new(PROGRAM)
+        .args(["serve", "--log", "warn", "--takeover", "--settings"])
+        .arg(&settings)
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .spawn()
+        .unwrap();
+    let mut earlier = EarlierProcess::hand_over(&control, &[0xff; 4_096], &listener, &accepted);
+    assert_eq!(earlier.line(), "", "it must not say that it is ready");
+    let mut said = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    assert!(!child.wait().unwrap().success());
+    assert!(said.contains("takeover: module:"), "{said}");
+    drop((client, accepted));
+    std::fs::remove_dir_all(folder).unwrap();
+}
