--- a/crates/emulator/src/agenda.rs
+++ b/crates/emulator/src/agenda.rs
@@ -1,7 +1,7 @@
 //! What happens next: events by their moment, and in the order in which they were planned within one.
 
 use std::collections::BTreeMap;
-use violetseam::interface::{Outcome, StageNews};
+use violetseam::interface::{Outcome, ReleaseStatus};
 use violetseam_release::Vote;
 use violetseam_standin::model::server::Reply;
 
@@ -25,13 +25,13 @@
     /// A proxy's own timers.
     Proxy(usize),
     /// A proxy hears news.
-    News(usize, StageNews),
+    News(usize, ReleaseStatus),
     /// A proxy hears what changed on the roster since a version; none: the whole list.
     List(usize, bool),
     /// A proxy's vote reaches the controller.
     Vote(Vote),
     /// Its reply.
-    VoteReply(usize, Outcome, Option<StageNews>),
+    VoteReply(usize, Outcome, Option<ReleaseStatus>),
     /// A peer's message arrives: from, to.
     Peer(usize, usize, Vec<u8>),
     /// The roster lists something.
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -316,7 +316,7 @@
             id: 0,
             deadline,
             class,
-            hint: wish.hint,
+            cost_hint: wish.hint,
             key,
             tenant: wish.tenant,
             is_retry: which > 0,
@@ -396,9 +396,9 @@
                 Order::FetchList => self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true)),
                 Order::Vote { build, stage, verdict } => {
                     let verdict = match verdict {
-                        v::Verdict::On => violetseam_release::Verdict::On,
+                        v::Verdict::Promote => violetseam_release::Verdict::On,
                         v::Verdict::Hold => violetseam_release::Verdict::Hold,
-                        v::Verdict::Back => violetseam_release::Verdict::Back,
+                        v::Verdict::RollBack => violetseam_release::Verdict::Back,
                         v::Verdict::Withdraw => violetseam_release::Verdict::Withdraw,
                     };
                     let vote = Vote { proxy: n as u32, build, stage, verdict };
@@ -451,7 +451,7 @@
         self.obey(a.proxy);
     }
 
-    fn see_news(&mut self, n: usize, news: v::StageNews) {
+    fn see_news(&mut self, n: usize, news: v::ReleaseStatus) {
         let phase = match news.phase {
             v::Phase::Trial => RulePhase::Trial,
             v::Phase::RollingBack => RulePhase::RollingBack,
@@ -585,7 +585,7 @@
         } else {
             match self.decide(&Event::Vote(vote)) {
                 Word::Ok => v::Outcome::Ok,
-                Word::Moot(_) => v::Outcome::Moot,
+                Word::Moot(_) => v::Outcome::NotSent,
                 Word::Refused(_) => v::Outcome::Error,
             }
         };
@@ -624,12 +624,12 @@
     }
 }
 
-fn stage_news(news: News) -> v::StageNews {
+fn stage_news(news: News) -> v::ReleaseStatus {
     let phase = match news.phase {
         Phase::Trial => v::Phase::Trial,
         Phase::RollingBack => v::Phase::RollingBack,
         Phase::Released => v::Phase::Released,
         Phase::Withdrawn => v::Phase::Withdrawn,
     };
-    v::StageNews { build: news.build, stage: news.stage, phase, cap: news.cap }
+    v::ReleaseStatus { build: news.build, stage: news.stage, phase, cap: news.cap }
 }
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use violetseam::interface::{
-    Class, Contract, DedupGroup, Effect, GateMode, Limits, Micros, Rollout, Settings, Tenant,
+    DedupGroup, GateMode, Idempotency, Limits, Micros, RequestClass, Rollout, ServiceRules, Settings, Tenant,
 };
 
 #[derive(Deserialize, Default)]
@@ -118,11 +118,11 @@
 /// Where a site does not say when idle connections close.
 const IDLE_CLOSE: Micros = 5_000_000;
 
-fn class(info: ClassInfo) -> Result<Class, String> {
+fn class(info: ClassInfo) -> Result<RequestClass, String> {
     let effect = match info.effect.as_str() {
-        "retryable" => Effect::Retryable,
-        "dedup" => Effect::Deduplicated,
-        "fragile" | "" => Effect::Fragile,
+        "retryable" => Idempotency::Idempotent,
+        "dedup" => Idempotency::Keyed,
+        "fragile" | "" => Idempotency::NonIdempotent,
         other => return Err(format!("unknown effect {other:?}")),
     };
     let group = match info.group.as_str() {
@@ -131,14 +131,14 @@
         "all" | "" => DedupGroup::All,
         other => return Err(format!("unknown group {other:?}")),
     };
-    Ok(Class {
-        aim: info.objective,
+    Ok(RequestClass {
+        latency_objective: info.objective,
         deadline: info.hard_limit,
-        effect,
-        group,
+        idempotency: effect,
+        dedup_group: group,
         dedup_window: info.window,
-        worth: info.gain.unwrap_or(1.0),
-        late_worth: info.late_worth,
+        priority_weight: info.gain.unwrap_or(1.0),
+        late_weight: info.late_worth,
         stream: info.stream,
     })
 }
@@ -170,43 +170,43 @@
         rollout: Rollout {
             gate,
             in_place: family.style == "in_place",
-            stage_cap: family.stage_cap,
-            guarded_stages: family.safe_only_stages,
-            counted_over: family.counted_over,
-            uncounted: family.uncounted,
+            stage_caps: family.stage_cap,
+            idempotent_only_stages: family.safe_only_stages,
+            exposure_window: family.counted_over,
+            exposure_slack: family.uncounted,
             per_class: family.per == "class",
-            one_way: family.one_way,
+            sticky_to_new_build: family.one_way,
             vote_ttl: family.vote_ttl.unwrap_or(u64::MAX),
-            call_timeout: family.call_timeout.unwrap_or(u64::MAX),
+            vote_timeout: family.call_timeout.unwrap_or(u64::MAX),
             flag_share: family.flag_share,
-            votes_on: family.to_advance.unwrap_or(1.0),
-            votes_back: family.noes_needed.unwrap_or(1.0),
-            vote_allowance: family.vote_allowance.unwrap_or(f64::INFINITY),
+            votes_to_promote: family.to_advance.unwrap_or(1.0),
+            votes_to_roll_back: family.noes_needed.unwrap_or(1.0),
+            vote_rate_limit: family.vote_allowance.unwrap_or(f64::INFINITY),
         },
         limits: Limits {
             max_attempts: info.caps.attempts_cap.unwrap_or(1),
-            second_copies: info.caps.may_duplicate,
+            hedging: info.caps.may_duplicate,
             cancel: info.caps.cancelling,
-            probes: info.caps.may_probe,
-            peer_messages: info.caps.may_tell,
+            health_checks: info.caps.may_probe,
+            gossip: info.caps.may_tell,
             retry_after: info.caps.retry_after,
             max_retry_after: info.caps.max_retry_after,
         },
-        contract: Contract {
-            answer_grace: info.contract.grace_to_answer,
-            ask_within: info.contract.ask_within.unwrap_or(u64::MAX),
-            cold_from: info.contract.cold_from.unwrap_or(1.0),
-            cold_span: info.contract.cold,
+        rules: ServiceRules {
+            deadline_grace: info.contract.grace_to_answer,
+            poll_interval_max: info.contract.ask_within.unwrap_or(u64::MAX),
+            slow_start_floor: info.contract.cold_from.unwrap_or(1.0),
+            slow_start_span: info.contract.cold,
             drain_grace: info.contract.drain_grace,
-            fall_multiple: info.contract.fall_multiple.unwrap_or(f64::INFINITY),
-            fall_span: info.contract.tip_after,
+            overload_multiple: info.contract.fall_multiple.unwrap_or(f64::INFINITY),
+            overload_span: info.contract.tip_after,
         },
-        list_on_request: info.discovery == "on_request",
+        subscribes_to_list: info.discovery == "on_request",
         fleet_size: info.fleet_size.max(1),
         position: info.position,
         zone: info.zone,
         tick: info.granularity,
-        over_share_worth: info.over_share_worth.unwrap_or(1.0),
+        over_quota_weight: info.over_share_worth.unwrap_or(1.0),
         sizes_known: !matches!(info.weights.as_str(), "silent" | ""),
     };
     Ok(Instance { decisions, classes, tenants, zones, connect_timeout, idle_close, open_cap })
--- a/crates/lab/src/scale/hollow_engine.rs
+++ b/crates/lab/src/scale/hollow_engine.rs
@@ -134,38 +134,38 @@
 
 /// Settings of one proxy: two classes, stages that move by a share of all votes.
 fn settings(shape: &Shape, position: usize) -> Settings {
-    let class = |effect| Class {
-        aim: 200_000,
+    let class = |effect| RequestClass {
+        latency_objective: 200_000,
         deadline: 1_000_000,
-        effect,
-        worth: 1.0,
-        late_worth: 0.5,
-        ..Class::default()
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        ..RequestClass::default()
     };
     let half = (shape.proxies as f64 / 2.0).max(1.0);
     Settings {
-        classes: vec![class(Effect::Retryable), class(Effect::Fragile)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
         rollout: Rollout {
             gate: GateMode::Share,
-            stage_cap: vec![0.25, 1.0],
-            counted_over: 2_000_000,
-            uncounted: 2.0,
+            stage_caps: vec![0.25, 1.0],
+            exposure_window: 2_000_000,
+            exposure_slack: 2.0,
             vote_ttl: shape.vote_life,
-            call_timeout: 1_000_000,
-            votes_on: half,
-            votes_back: half,
-            vote_allowance: 1e6,
+            vote_timeout: 1_000_000,
+            votes_to_promote: half,
+            votes_to_roll_back: half,
+            vote_rate_limit: 1e6,
             ..Rollout::default()
         },
-        limits: Limits { max_attempts: 3, cancel: true, peer_messages: true, ..Limits::default() },
-        contract: Contract {
-            answer_grace: 20_000,
-            ask_within: 10_000_000,
-            cold_from: 0.5,
-            cold_span: 1_000_000,
+        limits: Limits { max_attempts: 3, cancel: true, gossip: true, ..Limits::default() },
+        rules: ServiceRules {
+            deadline_grace: 20_000,
+            poll_interval_max: 10_000_000,
+            slow_start_floor: 0.5,
+            slow_start_span: 1_000_000,
             drain_grace: 2_000_000,
-            fall_multiple: 3.0,
-            fall_span: 1_000_000,
+            overload_multiple: 3.0,
+            overload_span: 1_000_000,
         },
         fleet_size: shape.proxies,
         position,
@@ -181,7 +181,7 @@
         zone: 0,
         build: if n.is_multiple_of(TRIAL_EVERY) { TRIAL } else { TRIAL - 1 },
         cell: 0,
-        status: Status::Ready,
+        status: ServerStatus::Ready,
         size: 1.0,
         started_at: 0,
     };
@@ -206,7 +206,7 @@
 
     fn begin(&mut self) {
         let list = servers(self.shape.servers);
-        let news = |phase, cap| StageNews { build: TRIAL, stage: 0, phase, cap };
+        let news = |phase, cap| ReleaseStatus { build: TRIAL, stage: 0, phase, cap };
         let news = match self.shape.releases {
             Releases::OnTrial => Some(news(Phase::Trial, 0.25)),
             Releases::Released => Some(news(Phase::Released, 1.0)),
@@ -257,13 +257,13 @@
     }
 
     /// A vote's reply reaches a proxy.
-    pub fn vote_reply(&mut self, now: Micros, number: usize, outcome: Outcome, news: Option<StageNews>) {
+    pub fn vote_reply(&mut self, now: Micros, number: usize, outcome: Outcome, news: Option<ReleaseStatus>) {
         self.proxies[number].engine.vote_reply(now, outcome, news);
         self.follow_orders(now, number);
     }
 
     /// News of the newest build reach a proxy.
-    pub fn stage(&mut self, now: Micros, number: usize, news: StageNews) {
+    pub fn stage(&mut self, now: Micros, number: usize, news: ReleaseStatus) {
         self.proxies[number].engine.stage(now, news);
         self.follow_orders(now, number);
     }
--- a/crates/lab/src/scale/routing.rs
+++ b/crates/lab/src/scale/routing.rs
@@ -6,7 +6,7 @@
 use super::{Run, ScaleError, Slope};
 use hdrhistogram::Histogram;
 use std::time::Duration;
-use violetseam::interface::{Event, ListKind, ServerEntry, Status};
+use violetseam::interface::{Event, ListKind, ServerEntry, ServerStatus};
 
 const REQUESTS: usize = 500;
 const WARM_UP: u64 = 2 * SECOND;
@@ -39,15 +39,15 @@
         let upkeep = upkeep(&mut proxy)?;
         let mut change = [servers[0]];
         let one = median_micros(LISTS * 10, || {
-            let drains = change[0].status == Status::Ready;
-            change[0].status = if drains { Status::Draining } else { Status::Ready };
+            let drains = change[0].status == ServerStatus::Ready;
+            change[0].status = if drains { ServerStatus::Draining } else { ServerStatus::Ready };
             proxy.tell(Event::ServerList { kind: ListKind::Delta, entries: &change });
         })?;
         let zone: Vec<ServerEntry> = servers.iter().filter(|s| s.zone == 0).copied().collect();
         let mut zone_drains = false;
         let zone = median_micros(LISTS, || {
             zone_drains = !zone_drains;
-            let status = if zone_drains { Status::Draining } else { Status::Ready };
+            let status = if zone_drains { ServerStatus::Draining } else { ServerStatus::Ready };
             let change: Vec<ServerEntry> = zone.iter().map(|s| ServerEntry { status, ..*s }).collect();
             proxy.tell(Event::ServerList { kind: ListKind::Delta, entries: &change });
         })?;
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -6,8 +6,9 @@
 use std::time::{Duration, Instant};
 use violetseam::balance::Balancer;
 use violetseam::interface::{
-    Action, AttemptEnd, Class, Contract, Effect, Event, GateMode, Limits, ListKind, Micros, Outcome, Phase,
-    Request, RequestId, Rollout, ServerEntry, ServerId, Settings, StageNews, Tenant,
+    Action, AttemptEnd, Event, GateMode, Idempotency, Limits, ListKind, Micros, Outcome, Phase,
+    ReleaseStatus, Request, RequestClass, RequestId, Rollout, ServerEntry, ServerId, ServiceRules, Settings,
+    Tenant,
 };
 use violetseam_site::roster::Roster;
 
@@ -25,46 +26,46 @@
 
 /// What one proxy's decisions are told at their start.
 pub fn settings(proxies: usize, position: usize, tenants: usize) -> Settings {
-    let class = Class {
-        aim: 300 * MILLISECOND,
+    let class = RequestClass {
+        latency_objective: 300 * MILLISECOND,
         deadline: DEADLINE,
-        effect: Effect::Retryable,
-        worth: 1.0,
-        ..Class::default()
+        idempotency: Idempotency::Idempotent,
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
     let rollout = Rollout {
         gate: GateMode::Share,
-        stage_cap: vec![0.1, 0.5, 1.0],
-        counted_over: 6 * SECOND,
-        uncounted: 2.0,
+        stage_caps: vec![0.1, 0.5, 1.0],
+        exposure_window: 6 * SECOND,
+        exposure_slack: 2.0,
         vote_ttl: 4 * SECOND,
-        call_timeout: SECOND,
-        votes_on: proxies as f64 / 2.0,
-        votes_back: 2.0,
-        vote_allowance: f64::MAX,
+        vote_timeout: SECOND,
+        votes_to_promote: proxies as f64 / 2.0,
+        votes_to_roll_back: 2.0,
+        vote_rate_limit: f64::MAX,
         ..Rollout::default()
     };
-    let limits = Limits { max_attempts: 3, cancel: true, peer_messages: true, ..Limits::default() };
-    let contract = Contract {
-        answer_grace: 20 * MILLISECOND,
-        ask_within: 10 * SECOND,
-        cold_from: 0.31,
-        cold_span: 4 * SECOND,
+    let limits = Limits { max_attempts: 3, cancel: true, gossip: true, ..Limits::default() };
+    let contract = ServiceRules {
+        deadline_grace: 20 * MILLISECOND,
+        poll_interval_max: 10 * SECOND,
+        slow_start_floor: 0.31,
+        slow_start_span: 4 * SECOND,
         drain_grace: 2 * SECOND,
-        fall_multiple: 3.0,
-        fall_span: 3 * SECOND,
+        overload_multiple: 3.0,
+        overload_span: 3 * SECOND,
     };
     Settings {
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: 10.0 }; tenants],
         rollout,
         limits,
-        contract,
-        list_on_request: true,
+        rules: contract,
+        subscribes_to_list: true,
         fleet_size: proxies,
         position,
         tick: STEP,
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         ..Settings::default()
     }
 }
@@ -127,8 +128,8 @@
             spent: Duration::ZERO,
         };
         proxy.tell(Event::ServerList { kind: ListKind::Full, entries: servers });
-        let news = StageNews { build: TRIAL_BUILD, stage: 0, phase: Phase::Trial, cap: 0.1 };
-        proxy.tell(Event::Stage(news));
+        let news = ReleaseStatus { build: TRIAL_BUILD, stage: 0, phase: Phase::Trial, cap: 0.1 };
+        proxy.tell(Event::Release(news));
         proxy
     }
 
@@ -153,11 +154,11 @@
             Action::SetTimer { after, .. } => {
                 self.timers.insert(self.now + after);
             }
-            Action::TellPeers { payload } => self.told.push(Told { to: None, payload }),
-            Action::TellPeer { to, payload } => self.told.push(Told { to: Some(to), payload }),
+            Action::GossipToAll { payload } => self.told.push(Told { to: None, payload }),
+            Action::GossipToPeer { to, payload } => self.told.push(Told { to: Some(to), payload }),
             Action::Vote { .. } => {
                 self.votes += 1;
-                self.tell(Event::VoteReply { outcome: Outcome::Ok, news: None });
+                self.tell(Event::VoteReply { outcome: Outcome::Ok, release: None });
             }
             _ => {}
         }
@@ -181,7 +182,7 @@
                 server: out.server,
                 outcome: Outcome::Ok,
                 elapsed: ANSWER_AFTER,
-                settled: true,
+                finishes_request: true,
             }));
         }
         while self.timers.first().is_some_and(|due| *due <= self.now) {
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -391,7 +391,7 @@
             id: 0,
             deadline: now + call.wait.saturating_sub(unread),
             class: call.class,
-            hint: None,
+            cost_hint: None,
             key: Some(call.key),
             tenant: call.tenant,
             is_retry: call.is_retry,
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -219,11 +219,11 @@
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let mut decisions = config.instance.decisions.clone();
         // Pushed or asked for, a list comes here over calls and watches alone: somebody has to follow it.
-        let pushed = !std::mem::replace(&mut decisions.list_on_request, true);
+        let pushed = !std::mem::replace(&mut decisions.subscribes_to_list, true);
         if pushed {
-            decisions.contract.ask_within = discovery::PUSHED_ASK_WITHIN;
+            decisions.rules.poll_interval_max = discovery::PUSHED_ASK_WITHIN;
         }
-        let ask_within = decisions.contract.ask_within;
+        let ask_within = decisions.rules.poll_interval_max;
         let budgets = Budgets::new(&config.limits, config.instance.open_cap);
         Proxy {
             engine: Engine::new(decisions, config.seed, None),
@@ -270,7 +270,7 @@
         let entries = applied.map(|applied| applied.entries).unwrap_or_default();
         self.looked_before = now;
         // How old that list is, nobody knows: it is used once discovery has confirmed it.
-        let lease = ListLease::unconfirmed(&self.config.instance.decisions.contract);
+        let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
         self.engine.keep_list_lease(now, lease);
         self.discovery.ready_by = now + READY_BY;
         self.engine.list(now, ListKind::Cached, &entries);
@@ -430,10 +430,10 @@
     /// The limits that the settings give, without which no log of a shutdown or of a stale list can be read.
     fn tell_limits(&self) {
         let instance = &self.config.instance;
-        let contract = &instance.decisions.contract;
+        let contract = &instance.decisions.rules;
         tracing::info!(
             longest_deadline_us = instance.decisions.longest_deadline(),
-            ask_within_us = contract.ask_within,
+            ask_within_us = contract.poll_interval_max,
             drain_grace_us = contract.drain_grace,
             pushed = self.discovery.is_pushed(),
             list_version = self.roster.version(),
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -14,7 +14,7 @@
 impl Proxy {
     pub(super) fn bind_peers(&mut self) -> std::io::Result<()> {
         let limits = &self.config.instance.decisions.limits;
-        let Some(addr) = self.config.peer_listen.filter(|_| limits.peer_messages) else { return Ok(()) };
+        let Some(addr) = self.config.peer_listen.filter(|_| limits.gossip) else { return Ok(()) };
         let socket = UdpSocket::bind(addr)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
--- a/crates/platform-proxy/src/pipeline.rs
+++ b/crates/platform-proxy/src/pipeline.rs
@@ -7,7 +7,7 @@
 use calloop::{Interest, Readiness};
 use slab::Slab;
 use std::net::SocketAddr;
-use violetseam::interface::{Build, Micros, Outcome, StageNews, Verdict};
+use violetseam::interface::{Build, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_loopio::{Got, Socket, connect};
 use violetseam_platform::pipeline::{self, LINE_MOST, Line};
 use violetseam_site::lines::Lines;
@@ -27,7 +27,7 @@
     watch: Option<Watch>,
     votes: Slab<Vote>,
     next_id: u64,
-    said: Option<StageNews>,
+    said: Option<ReleaseStatus>,
 }
 
 struct Watch {
@@ -152,7 +152,7 @@
         }
     }
 
-    fn news(&mut self, news: StageNews) {
+    fn news(&mut self, news: ReleaseStatus) {
         self.note_news(news);
         let now = self.now();
         self.engine.stage(now, news);
@@ -160,7 +160,7 @@
     }
 
     /// News are logged when they say something new.
-    fn note_news(&mut self, news: StageNews) {
+    fn note_news(&mut self, news: ReleaseStatus) {
         if self.pipeline.said.replace(news) != Some(news) {
             let (build, stage, phase, cap) = (news.build, news.stage, news.phase, news.cap);
             tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
@@ -198,7 +198,7 @@
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
         socket.out().extend(call);
         entry.insert(Vote { generation, id, socket, lines: Lines::new(LINE_MOST) });
-        let until = self.now() + self.config.instance.decisions.rollout.call_timeout.min(10_000_000);
+        let until = self.now() + self.config.instance.decisions.rollout.vote_timeout.min(10_000_000);
         self.timers.set(until, What::Vote(key, generation));
         Some(())
     }
@@ -278,7 +278,7 @@
         }
     }
 
-    fn vote_ended(&mut self, outcome: Outcome, news: Option<StageNews>) {
+    fn vote_ended(&mut self, outcome: Outcome, news: Option<ReleaseStatus>) {
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         news.into_iter().for_each(|news| self.note_news(news));
         let now = self.now();
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -96,7 +96,7 @@
         }
         if !self.room_for_server() {
             // A bound of this process says nothing of the server: the attempt was never made.
-            return self.end_attempt(job, Outcome::Moot);
+            return self.end_attempt(job, Outcome::NotSent);
         }
         if self.open_server(id, job).is_none() {
             self.end_attempt(job, Outcome::ConnectFailed);
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -4,7 +4,7 @@
 //! what the client sent. What is not sound is told apart here, before the decisions hear of it.
 
 use crate::{Malformed, malformed};
-use violetseam::interface::{Effect, Micros};
+use violetseam::interface::{Idempotency, Micros};
 use violetseam_instance::Instance;
 use violetseam_site::key_number;
 
@@ -72,11 +72,11 @@
     let values = Values::read(list)?;
     let class = values.class.and_then(|name| instance.classes.iter().position(|c| c.as_bytes() == name));
     let Some(class) = class else { return malformed("unknown class") };
-    let effect = instance.decisions.classes[class].effect;
-    if (effect == Effect::Retryable) != is_get {
+    let effect = instance.decisions.classes[class].idempotency;
+    if (effect == Idempotency::Idempotent) != is_get {
         return malformed("this class is not served by this command");
     }
-    if effect == Effect::Deduplicated && values.key.is_none_or(<[u8]>::is_empty) {
+    if effect == Idempotency::Keyed && values.key.is_none_or(<[u8]>::is_empty) {
         return malformed("no k= in a class with keys");
     }
     let Some((wait_from, wait_to)) = values.wait else { return malformed("no d=") };
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, Status};
+use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
 /// The longest answer that is taken, in bytes.
 pub const ANSWER_MOST: usize = 1 << 20;
@@ -205,9 +205,9 @@
             build: member.version_no,
             cell: member.cell,
             status: match member.phase {
-                Phase::Up => Status::Ready,
-                Phase::Draining => Status::Draining,
-                Phase::Removed => Status::Gone,
+                Phase::Up => ServerStatus::Ready,
+                Phase::Draining => ServerStatus::Draining,
+                Phase::Removed => ServerStatus::Removed,
             },
             size: member.size,
             started_at: member.up_since_ms.saturating_mul(1000),
--- a/crates/platform/src/pipeline.rs
+++ b/crates/platform/src/pipeline.rs
@@ -2,7 +2,7 @@
 
 use crate::{Malformed, malformed};
 use serde::Deserialize;
-use violetseam::interface::{Build, Micros, Outcome, Phase, StageNews, Verdict};
+use violetseam::interface::{Build, Micros, Outcome, Phase, ReleaseStatus, Verdict};
 
 /// A line may not be longer, either way.
 pub const LINE_MOST: usize = 8 * 1024 - 1;
@@ -28,7 +28,7 @@
 
 impl News {
     /// For the decisions.
-    pub fn read(&self) -> Result<StageNews, Malformed> {
+    pub fn read(&self) -> Result<ReleaseStatus, Malformed> {
         if !(0.0..=1.0).contains(&self.max_share) {
             return malformed("pipeline: a cap that is no share");
         }
@@ -38,7 +38,7 @@
             State::Stable => Phase::Released,
             State::Reverted => Phase::Withdrawn,
         };
-        Ok(StageNews { build: self.revision, stage: self.wave, phase, cap: self.max_share })
+        Ok(ReleaseStatus { build: self.revision, stage: self.wave, phase, cap: self.max_share })
     }
 }
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// Unasked: where the newest build stands.
-    Stage(StageNews),
+    Stage(ReleaseStatus),
     /// Unasked: an answer was wrong.
     Flag {
         /// The server that gave it.
@@ -86,7 +86,7 @@
         /// Which call.
         id: u64,
         /// The newest build.
-        news: Option<StageNews>,
+        news: Option<ReleaseStatus>,
     },
     /// A call was not carried out.
     Declined {
@@ -127,7 +127,7 @@
             (Some(error), _) => {
                 let outcome = match error.message.as_str() {
                     "too_many_calls" => Outcome::Rejected,
-                    "out_of_date" => Outcome::Moot,
+                    "out_of_date" => Outcome::NotSent,
                     _ => Outcome::Error,
                 };
                 Ok(Line::Declined { id, outcome, message: error.message })
@@ -151,9 +151,9 @@
 pub fn vote(id: u64, build: Build, stage: u8, verdict: Verdict) -> Vec<u8> {
     let decision = match verdict {
         Verdict::Withdraw => "abstain",
-        Verdict::On => "promote",
+        Verdict::Promote => "promote",
         Verdict::Hold => "pause",
-        Verdict::Back => "abort",
+        Verdict::RollBack => "abort",
     };
     let params = format!("{{\"Revision\":{build},\"Wave\":{stage},\"Decision\":\"{decision}\"}}");
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"Rollout.Judge\",\"params\":{params}}}\n")
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: calls, answers, the list, the pipeline, the configuration.
 
 use proptest::prelude::*;
-use violetseam::interface::{ListKind, Outcome, Phase, StageNews, Status, Verdict};
+use violetseam::interface::{ListKind, Outcome, Phase, ReleaseStatus, ServerStatus, Verdict};
 use violetseam_instance::Instance;
 use violetseam_platform::answer::{Answer, answer};
 use violetseam_platform::call::{Call, Command, read};
@@ -114,7 +114,7 @@
     let first = roster.apply(&list(WHOLE)).unwrap();
     let told = |e: &violetseam::interface::ServerEntry| (e.zone, e.build, e.cell, e.status, e.started_at);
     assert_eq!(first.kind, ListKind::Full);
-    let want = [(1, 7, 3, Status::Ready, 1_700_000_000_000_000), (0, 6, 4, Status::Draining, 0)];
+    let want = [(1, 7, 3, ServerStatus::Ready, 1_700_000_000_000_000), (0, 6, 4, ServerStatus::Draining, 0)];
     assert_eq!(first.entries.iter().map(told).collect::<Vec<_>>(), want);
     let (one, two) = (first.entries[0].id, first.entries[1].id);
     // The id returns with another address and build: the same number, and connections to it are no good.
@@ -156,7 +156,7 @@
 
 #[test]
 fn the_pipelines_lines() {
-    let news = StageNews { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28 };
+    let news = ReleaseStatus { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28 };
     let state = r#"{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}"#;
     let read = |text: &str| Line::parse(text.as_bytes());
     let stage = read(&format!(r#"{{"jsonrpc":"2.0","method":"stage","params":{state}}}"#));
@@ -171,7 +171,7 @@
     assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(Line::Alive));
     let declined = [
         ("too_many_calls", Outcome::Rejected),
-        ("out_of_date", Outcome::Moot),
+        ("out_of_date", Outcome::NotSent),
         ("unavailable", Outcome::Error),
         ("bad_request", Outcome::Error),
     ];
@@ -191,7 +191,7 @@
     }
     let high = r#"{"jsonrpc":"2.0","method":"stage","params":{"Revision":1,"Wave":0,"State":"canary","MaxShare":7.0}}"#;
     assert!(read(high).is_err());
-    let vote = String::from_utf8(pipeline::vote(11, 42, 1, Verdict::On)).unwrap();
+    let vote = String::from_utf8(pipeline::vote(11, 42, 1, Verdict::Promote)).unwrap();
     let want = r#"{"jsonrpc":"2.0","id":11,"method":"Rollout.Judge","params":{"Revision":42,"Wave":1,"Decision":"promote"}}"#;
     assert_eq!(vote, format!("{want}\n"));
 }
--- a/crates/proxy/src/driver/clients.rs
+++ b/crates/proxy/src/driver/clients.rs
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use violetseam::interface::{Effect, Micros, Request, RequestId};
+use violetseam::interface::{Idempotency, Micros, Request, RequestId};
 use violetseam_http1::client::write_request_head;
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, RequestHead, ResponseHead, write_chunk, write_last_chunk};
@@ -465,7 +465,7 @@
             return Purpose::Decline(StatusCode::NOT_FOUND, "no route");
         };
         // Without its key no server could drop a repeat.
-        let keyed = s.decisions.classes[route.class].effect == Effect::Deduplicated;
+        let keyed = s.decisions.classes[route.class].idempotency == Idempotency::Keyed;
         if keyed && !head.headers.contains_key(&s.headers.key) {
             return Purpose::Decline(StatusCode::BAD_REQUEST, "a request of this class needs its key");
         }
@@ -537,7 +537,7 @@
             id: 0,
             deadline: arrived + wait,
             class,
-            hint: number(&names.cost).filter(|us| *us > 0 && *us < 3_600_000_000),
+            cost_hint: number(&names.cost).filter(|us| *us > 0 && *us < 3_600_000_000),
             key: head.headers.get(&names.key).map(|v| key_number(v.as_bytes())),
             tenant: tenant.unwrap_or(unknown),
             is_retry: head.headers.contains_key(&names.retry),
--- a/crates/proxy/src/driver/control.rs
+++ b/crates/proxy/src/driver/control.rs
@@ -96,7 +96,7 @@
     pub(super) fn call_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
         let body = desk::Vote::new(self.settings.decisions.position, build, stage, verdict).write();
-        let span = self.settings.decisions.rollout.call_timeout;
+        let span = self.settings.decisions.rollout.vote_timeout;
         if self.call(For::Vote, self.desk(), "POST", "/v1/vote", &body, Some(span)).is_none() {
             // Nothing left for the desk: it cannot count.
             self.vote_ended(Outcome::Error, &[]);
@@ -262,7 +262,7 @@
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(super::Sabotage::IgnoreDrains) {
             for entry in &mut entries {
-                entry.status = violetseam::interface::Status::Ready;
+                entry.status = violetseam::interface::ServerStatus::Ready;
             }
         }
         if kind == ListKind::Full {
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -19,7 +19,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
-use violetseam::interface::{Build, Micros, Operator, Phase, ServerId, Verdict};
+use violetseam::interface::{Build, Micros, OperatorCommand, Phase, ServerId, Verdict};
 use violetseam_control::book::{Book, Change, Durable, Present};
 use violetseam_control::state::{Counts, Reading, Release, Rights};
 use violetseam_control::wire::{self, Answer, Ask, Command, Reply};
@@ -273,7 +273,7 @@
         let now = self.now();
         if self.operators.as_ref().is_some_and(|d| d.book.pause().is_some()) {
             tracing::warn!("a pause from before this start stands");
-            self.engine.operator(now, Operator::Pause);
+            self.engine.operator(now, OperatorCommand::Pause);
         }
     }
 
@@ -531,9 +531,9 @@
     fn change(&mut self, change: Change) -> Result<(), String> {
         let now = self.now();
         match change {
-            Change::Pause => self.engine.operator(now, Operator::Pause),
-            Change::Resume => self.engine.operator(now, Operator::Resume),
-            Change::Back => self.engine.operator(now, Operator::Back),
+            Change::Pause => self.engine.operator(now, OperatorCommand::Pause),
+            Change::Resume => self.engine.operator(now, OperatorCommand::Resume),
+            Change::Back => self.engine.operator(now, OperatorCommand::RollBack),
             Change::Drain => self.stop_taking(),
             Change::Undrain => return self.take_again(),
             Change::LogLevel(filter) => {
@@ -597,7 +597,7 @@
             // Kept with the next command; until then a restart finds the pause expired, too.
             tracing::info!(target: "operator", "the pause has ended");
             let now = self.now();
-            self.engine.operator(now, Operator::Resume);
+            self.engine.operator(now, OperatorCommand::Resume);
         }
     }
 
--- a/crates/proxy/src/engine.rs
+++ b/crates/proxy/src/engine.rs
@@ -180,7 +180,7 @@
     /// What this proxy may spend of the fleet's budgets of further attempts.
     budgets: Option<Budgets>,
     counts: Counts,
-    news: Option<StageNews>,
+    news: Option<ReleaseStatus>,
     module_time: std::time::Duration,
     timing: bool,
 }
@@ -264,7 +264,7 @@
         }
         cuts.sort_unstable();
         cuts.into_iter().for_each(|due| self.schedule(at, due));
-        self.feed(now, Event::EndsAt { at });
+        self.feed(now, Event::ShutdownAt { at });
         lifetime
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// The news last told.
-    pub fn news(&self) -> Option<StageNews> {
+    pub fn news(&self) -> Option<ReleaseStatus> {
         self.news
     }
 
@@ -345,7 +345,7 @@
         self.requests.insert(id, in_hand);
         self.counts.taken += 1;
         self.counts.without_list += u64::from(!self.permissions.list.holds(now));
-        self.schedule(deadline + self.settings.contract.answer_grace, Due::Overdue(id));
+        self.schedule(deadline + self.settings.rules.deadline_grace, Due::Overdue(id));
         self.feed(now, Event::Request(Request { id, ..request }));
         id
     }
@@ -369,7 +369,7 @@
         if !self.awaits(id, number) {
             return false;
         }
-        self.feed(now, Event::Leaving { request: id, attempt: number });
+        self.feed(now, Event::ReadyToSend { request: id, attempt: number });
         self.may_write(now, id, number)
     }
 
@@ -413,7 +413,7 @@
         r.spare_rights += usize::from(further);
         self.counts.attempts -= 1;
         self.orders.push_back(Order::Drop { request: id, attempt: number });
-        self.attempt_ended(now, id, number, Outcome::Withheld);
+        self.attempt_ended(now, id, number, Outcome::CancelledBeforeSend);
     }
 
     /// An attempt has ended. True if its answer is the client's: the first served one of a request that is
@@ -433,7 +433,8 @@
         }
         r.timed_out |= outcome == Outcome::Timeout;
         let settled = r.finished;
-        let end = AttemptEnd { request: id, attempt: number, server, outcome, elapsed, settled };
+        let end =
+            AttemptEnd { request: id, attempt: number, server, outcome, elapsed, finishes_request: settled };
         self.tell(now, Event::AttemptEnded(end));
         self.forget_if_over(id);
         wins && outcome == Outcome::Ok
@@ -490,10 +491,10 @@
         // A stream's connection is the driver's to close; the module never cancels one.
         if let Some(attempt) = r.streaming {
             self.orders.push_back(Order::Drop { request: id, attempt });
-            self.feed(now, Event::ClientGone { request: id });
+            self.feed(now, Event::ClientDisconnected { request: id });
             self.attempt_ended(now, id, attempt, Outcome::Cancelled);
         } else {
-            self.feed(now, Event::ClientGone { request: id });
+            self.feed(now, Event::ClientDisconnected { request: id });
         }
         self.forget_if_over(id);
     }
@@ -504,19 +505,19 @@
     }
 
     /// News of the release desk.
-    pub fn stage(&mut self, now: Micros, news: StageNews) {
+    pub fn stage(&mut self, now: Micros, news: ReleaseStatus) {
         self.news = Some(news);
-        self.feed(now, Event::Stage(news));
+        self.feed(now, Event::Release(news));
     }
 
     /// A vote's reply.
-    pub fn vote_reply(&mut self, now: Micros, outcome: Outcome, news: Option<StageNews>) {
+    pub fn vote_reply(&mut self, now: Micros, outcome: Outcome, news: Option<ReleaseStatus>) {
         self.news = news.or(self.news);
-        self.feed(now, Event::VoteReply { outcome, news });
+        self.feed(now, Event::VoteReply { outcome, release: news });
     }
 
     /// An operator's word on the present stage.
-    pub fn operator(&mut self, now: Micros, word: Operator) {
+    pub fn operator(&mut self, now: Micros, word: OperatorCommand) {
         self.feed(now, Event::Operator(word));
     }
 
@@ -587,7 +588,7 @@
         self.counts.failed += 1;
         let answer = Final::Failed { timed_out: true };
         self.orders.push_back(Order::Answer { request: id, answer });
-        self.feed(now, Event::ClientGone { request: id });
+        self.feed(now, Event::ClientDisconnected { request: id });
         self.forget_if_over(id);
     }
 
@@ -599,7 +600,7 @@
         ids.sort_unstable();
         for id in ids {
             self.answer(id, Final::Failed { timed_out: true });
-            self.feed(now, Event::ClientGone { request: id });
+            self.feed(now, Event::ClientDisconnected { request: id });
         }
     }
 
@@ -652,7 +653,7 @@
         match action {
             Action::Send { request, server, cut_at } => self.start(now, request, server, cut_at),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
-            Action::Refuse { request, come_back } => {
+            Action::Reject { request, retry_after: come_back } => {
                 self.answer(request, Final::Refused { come_back });
             }
             Action::Fail { request } => {
@@ -662,15 +663,17 @@
                 self.answer(request, Final::Failed { timed_out });
             }
             Action::SetTimer { after, token } => self.schedule(now + after, Due::Timer(token)),
-            Action::FollowList => self.orders.push_back(Order::FollowList),
-            Action::FetchList => self.orders.push_back(Order::FetchList),
+            Action::WatchServerList => self.orders.push_back(Order::FollowList),
+            Action::FetchServerList => self.orders.push_back(Order::FetchList),
             Action::Vote { build, stage, verdict } => {
                 self.orders.push_back(Order::Vote { build, stage, verdict });
             }
-            Action::TellPeers { payload } => self.orders.push_back(Order::Tell { to: None, payload }),
-            Action::TellPeer { to, payload } => self.orders.push_back(Order::Tell { to: Some(to), payload }),
-            Action::Note(text) => self.orders.push_back(Order::Note(text)),
-            Action::Withhold { request, attempt } => self.withhold(now, request, attempt),
+            Action::GossipToAll { payload } => self.orders.push_back(Order::Tell { to: None, payload }),
+            Action::GossipToPeer { to, payload } => {
+                self.orders.push_back(Order::Tell { to: Some(to), payload })
+            }
+            Action::Log(text) => self.orders.push_back(Order::Note(text)),
+            Action::CancelBeforeSend { request, attempt } => self.withhold(now, request, attempt),
         }
     }
 
@@ -696,12 +699,12 @@
                 self.attempt_ended(now, id, number, Outcome::Timeout);
             }
             Ok(()) => {
-                self.attempt_ended(now, id, number, Outcome::Moot);
+                self.attempt_ended(now, id, number, Outcome::NotSent);
             }
             Err(denial) => {
                 // The module is told of both, and has to keep to them by itself.
                 self.counts.violations += u64::from(matches!(denial, Denial::Ending | Denial::ListExpired));
-                self.attempt_ended(now, id, number, Outcome::Moot);
+                self.attempt_ended(now, id, number, Outcome::NotSent);
             }
         }
     }
--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -8,15 +8,15 @@
 const MS: Micros = 1_000;
 
 fn settings() -> Settings {
-    let class = |effect| Class {
-        aim: 300 * MS,
+    let class = |effect| RequestClass {
+        latency_objective: 300 * MS,
         deadline: 1_000 * MS,
-        effect,
+        idempotency: effect,
         dedup_window: 500 * MS,
-        ..Class::default()
+        ..RequestClass::default()
     };
     Settings {
-        classes: vec![class(Effect::Retryable), class(Effect::Fragile)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
         limits: Limits {
             max_attempts: 3,
             cancel: true,
@@ -24,23 +24,30 @@
             max_retry_after: 1_000 * MS,
             ..Limits::default()
         },
-        contract: Contract {
-            answer_grace: 20 * MS,
-            ask_within: 10_000 * MS,
-            cold_from: 1.0,
-            ..Contract::default()
+        rules: ServiceRules {
+            deadline_grace: 20 * MS,
+            poll_interval_max: 10_000 * MS,
+            slow_start_floor: 1.0,
+            ..ServiceRules::default()
         },
         fleet_size: 1,
         tick: 5 * MS,
-        list_on_request: true,
+        subscribes_to_list: true,
         ..Settings::default()
     }
 }
 
 fn engine(servers: u64) -> Engine {
     let mut engine = Engine::new(settings(), 5, None);
-    let entry =
-        |id| ServerEntry { id, zone: 0, build: 1, cell: 0, status: Status::Ready, size: 1.0, started_at: 0 };
+    let entry = |id| ServerEntry {
+        id,
+        zone: 0,
+        build: 1,
+        cell: 0,
+        status: ServerStatus::Ready,
+        size: 1.0,
+        started_at: 0,
+    };
     let entries: Vec<ServerEntry> = (1..=servers).map(entry).collect();
     engine.list(1_000 * MS, ListKind::Full, &entries);
     engine
--- a/crates/proxy/tests/interleavings.rs
+++ b/crates/proxy/tests/interleavings.rs
@@ -12,28 +12,28 @@
 const WINDOW: Micros = 500 * MS;
 const MOST: usize = 3;
 /// Classes: may be repeated, never, within a window.
-const EFFECTS: [Effect; 3] = [Effect::Retryable, Effect::Fragile, Effect::Deduplicated];
+const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed];
 
 fn settings(cancel: bool) -> Settings {
-    let class = |effect| Class {
-        aim: 400 * MS,
+    let class = |effect| RequestClass {
+        latency_objective: 400 * MS,
         deadline: DEADLINE,
-        effect,
+        idempotency: effect,
         dedup_window: WINDOW,
-        ..Class::default()
+        ..RequestClass::default()
     };
     Settings {
         classes: EFFECTS.map(class).into(),
         limits: Limits { max_attempts: MOST, cancel, ..Limits::default() },
-        contract: Contract {
-            answer_grace: GRACE,
-            ask_within: u64::MAX,
-            cold_from: 1.0,
-            ..Contract::default()
+        rules: ServiceRules {
+            deadline_grace: GRACE,
+            poll_interval_max: u64::MAX,
+            slow_start_floor: 1.0,
+            ..ServiceRules::default()
         },
         fleet_size: 1,
         tick: 5 * MS,
-        list_on_request: true,
+        subscribes_to_list: true,
         ..Settings::default()
     }
 }
@@ -110,7 +110,7 @@
             zone: 0,
             build: 1,
             cell: 0,
-            status: Status::Ready,
+            status: ServerStatus::Ready,
             size: 1.0,
             started_at: 0,
         };
@@ -212,9 +212,9 @@
         let earlier = |t: &&Try| t.request == request && t.ran_at.is_some();
         if let Some(first) = self.tries.iter().find(earlier) {
             match EFFECTS[asked.class] {
-                Effect::Retryable => {}
-                Effect::Fragile => panic!("written twice"),
-                Effect::Deduplicated => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("written twice"),
+                Idempotency::Keyed => {
                     assert!(self.now < first.ran_at.unwrap() + WINDOW, "written again after its window");
                 }
             }
--- a/crates/proxy/tests/stored_module.rs
+++ b/crates/proxy/tests/stored_module.rs
@@ -48,7 +48,8 @@
                 now += 1_500;
                 let settled = outcome == Outcome::Ok;
                 let elapsed = 1_500 + id % 7 * 900;
-                let end = AttemptEnd { request, attempt, server, outcome, elapsed, settled };
+                let end =
+                    AttemptEnd { request, attempt, server, outcome, elapsed, finishes_request: settled };
                 module.on_event(now, Event::AttemptEnded(end), &mut actions);
             }
             next += 1;
@@ -57,8 +58,8 @@
             module.on_event(now, Event::Timer { token: 0 }, &mut actions);
         }
         if id == 200 {
-            let news = StageNews { build: 2, stage: 2, phase: Phase::Trial, cap: 1.0 };
-            module.on_event(now, Event::Stage(news), &mut actions);
+            let news = ReleaseStatus { build: 2, stage: 2, phase: Phase::Trial, cap: 1.0 };
+            module.on_event(now, Event::Release(news), &mut actions);
         }
         all.append(&mut actions);
     }
--- a/crates/recorder/src/frame.rs
+++ b/crates/recorder/src/frame.rs
@@ -58,26 +58,26 @@
     StreamStarted(RequestId, usize),
     /// See [`Event::AnswerFlagged`].
     AnswerFlagged(ServerId, usize, Micros),
-    /// See [`Event::ClientGone`].
-    ClientGone(RequestId),
-    /// See [`Event::Stage`].
-    Stage(StageNews),
+    /// See [`Event::ClientDisconnected`].
+    ClientDisconnected(RequestId),
+    /// See [`Event::Release`].
+    Release(ReleaseStatus),
     /// See [`Event::VoteReply`].
-    VoteReply(Outcome, Option<StageNews>),
+    VoteReply(Outcome, Option<ReleaseStatus>),
     /// See [`Event::PeerMessage`].
     PeerMessage(usize, Vec<u8>),
-    /// See [`Event::Probed`].
-    Probed(ServerId, Outcome),
-    /// See [`Event::PlatformCount`]: build, class, attempts, failed, mean, age.
-    PlatformCount(Build, usize, u32, u32, Micros, Micros),
+    /// See [`Event::HealthChecked`].
+    HealthChecked(ServerId, Outcome),
+    /// See [`Event::LoadReport`]: build, class, attempts, failed, mean, age.
+    LoadReport(Build, usize, u32, u32, Micros, Micros),
     /// See [`Event::Operator`].
-    Operator(Operator),
-    /// See [`Event::Leaving`].
-    Leaving(RequestId, usize),
+    Operator(OperatorCommand),
+    /// See [`Event::ReadyToSend`].
+    ReadyToSend(RequestId, usize),
     /// See [`Event::ListLease`].
     ListLease(Micros),
-    /// See [`Event::EndsAt`].
-    EndsAt(Micros),
+    /// See [`Event::ShutdownAt`].
+    ShutdownAt(Micros),
 }
 
 impl PartialEq for OwnedEvent {
@@ -96,17 +96,17 @@
             Event::AttemptEnded(end) => OwnedEvent::AttemptEnded(end),
             Event::StreamStarted { request, attempt } => OwnedEvent::StreamStarted(request, attempt),
             Event::AnswerFlagged { server, class, since } => OwnedEvent::AnswerFlagged(server, class, since),
-            Event::ClientGone { request } => OwnedEvent::ClientGone(request),
-            Event::Stage(news) => OwnedEvent::Stage(news),
-            Event::VoteReply { outcome, news } => OwnedEvent::VoteReply(outcome, news),
+            Event::ClientDisconnected { request } => OwnedEvent::ClientDisconnected(request),
+            Event::Release(news) => OwnedEvent::Release(news),
+            Event::VoteReply { outcome, release: news } => OwnedEvent::VoteReply(outcome, news),
             Event::PeerMessage { from, payload } => OwnedEvent::PeerMessage(from, payload.to_vec()),
             Event::Operator(word) => OwnedEvent::Operator(word),
-            Event::Leaving { request, attempt } => OwnedEvent::Leaving(request, attempt),
+            Event::ReadyToSend { request, attempt } => OwnedEvent::ReadyToSend(request, attempt),
             Event::ListLease { until } => OwnedEvent::ListLease(until),
-            Event::EndsAt { at } => OwnedEvent::EndsAt(at),
-            Event::Probed { server, outcome } => OwnedEvent::Probed(server, outcome),
-            Event::PlatformCount { build, class, attempts, failed, mean, age } => {
-                OwnedEvent::PlatformCount(build, class, attempts, failed, mean, age)
+            Event::ShutdownAt { at } => OwnedEvent::ShutdownAt(at),
+            Event::HealthChecked { server, outcome } => OwnedEvent::HealthChecked(server, outcome),
+            Event::LoadReport { build, class, attempts, failed, mean, age } => {
+                OwnedEvent::LoadReport(build, class, attempts, failed, mean, age)
             }
         }
     }
@@ -120,16 +120,16 @@
             OwnedEvent::AttemptEnded(..) => "attempts ended",
             OwnedEvent::StreamStarted(..) => "streams started",
             OwnedEvent::AnswerFlagged(..) => "answers flagged",
-            OwnedEvent::ClientGone(..) => "clients gone",
-            OwnedEvent::Stage(..) => "stage news",
+            OwnedEvent::ClientDisconnected(..) => "clients gone",
+            OwnedEvent::Release(..) => "stage news",
             OwnedEvent::VoteReply(..) => "vote replies",
             OwnedEvent::PeerMessage(..) => "peer messages",
-            OwnedEvent::Probed(..) => "probes",
-            OwnedEvent::PlatformCount(..) => "platform counts",
+            OwnedEvent::HealthChecked(..) => "probes",
+            OwnedEvent::LoadReport(..) => "platform counts",
             OwnedEvent::Operator(..) => "operators' words",
-            OwnedEvent::Leaving(..) => "attempts about to leave",
+            OwnedEvent::ReadyToSend(..) => "attempts about to leave",
             OwnedEvent::ListLease(..) => "leases on the list",
-            OwnedEvent::EndsAt(..) => "ends of the process",
+            OwnedEvent::ShutdownAt(..) => "ends of the process",
         }
     }
 
@@ -142,17 +142,17 @@
             OwnedEvent::AttemptEnded(end) => Event::AttemptEnded(end),
             OwnedEvent::StreamStarted(request, attempt) => Event::StreamStarted { request, attempt },
             OwnedEvent::AnswerFlagged(server, class, since) => Event::AnswerFlagged { server, class, since },
-            OwnedEvent::ClientGone(request) => Event::ClientGone { request },
-            OwnedEvent::Stage(news) => Event::Stage(news),
-            OwnedEvent::VoteReply(outcome, news) => Event::VoteReply { outcome, news },
+            OwnedEvent::ClientDisconnected(request) => Event::ClientDisconnected { request },
+            OwnedEvent::Release(news) => Event::Release(news),
+            OwnedEvent::VoteReply(outcome, news) => Event::VoteReply { outcome, release: news },
             OwnedEvent::PeerMessage(from, ref payload) => Event::PeerMessage { from, payload },
             OwnedEvent::Operator(word) => Event::Operator(word),
-            OwnedEvent::Leaving(request, attempt) => Event::Leaving { request, attempt },
+            OwnedEvent::ReadyToSend(request, attempt) => Event::ReadyToSend { request, attempt },
             OwnedEvent::ListLease(until) => Event::ListLease { until },
-            OwnedEvent::EndsAt(at) => Event::EndsAt { at },
-            OwnedEvent::Probed(server, outcome) => Event::Probed { server, outcome },
-            OwnedEvent::PlatformCount(build, class, attempts, failed, mean, age) => {
-                Event::PlatformCount { build, class, attempts, failed, mean, age }
+            OwnedEvent::ShutdownAt(at) => Event::ShutdownAt { at },
+            OwnedEvent::HealthChecked(server, outcome) => Event::HealthChecked { server, outcome },
+            OwnedEvent::LoadReport(build, class, attempts, failed, mean, age) => {
+                Event::LoadReport { build, class, attempts, failed, mean, age }
             }
         }
     }
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -96,7 +96,7 @@
     }
     if let Some(build) = interest.build {
         let news = match event {
-            OwnedEvent::Stage(news) => Some(news),
+            OwnedEvent::Release(news) => Some(news),
             OwnedEvent::VoteReply(_, news) => news.as_ref(),
             _ => None,
         };
@@ -106,7 +106,7 @@
         for action in actions {
             let said = match action {
                 Action::Vote { build: b, .. } => *b == build,
-                Action::Note(text) => text.contains(&format!("build {build} ")),
+                Action::Log(text) => text.contains(&format!("build {build} ")),
                 _ => false,
             };
             if said {
@@ -120,7 +120,7 @@
     match event {
         OwnedEvent::Request(r) => Some(r.id),
         OwnedEvent::AttemptEnded(end) => Some(end.request),
-        OwnedEvent::StreamStarted(id, _) | OwnedEvent::ClientGone(id) => Some(*id),
+        OwnedEvent::StreamStarted(id, _) | OwnedEvent::ClientDisconnected(id) => Some(*id),
         _ => None,
     }
 }
@@ -129,7 +129,7 @@
     match action {
         Action::Send { request, .. }
         | Action::Cancel { request, .. }
-        | Action::Refuse { request, .. }
+        | Action::Reject { request, .. }
         | Action::Fail { request } => Some(*request),
         _ => None,
     }
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -6,7 +6,12 @@
 use violetseam_recorder::{Bounds, Interest, Reader, Recorder, replay};
 
 fn settings() -> Settings {
-    let class = Class { aim: 300_000, deadline: 1_000_000, effect: Effect::Retryable, ..Class::default() };
+    let class = RequestClass {
+        latency_objective: 300_000,
+        deadline: 1_000_000,
+        idempotency: Idempotency::Idempotent,
+        ..RequestClass::default()
+    };
     Settings {
         classes: vec![class],
         fleet_size: 1,
@@ -28,8 +33,15 @@
         recorder.event(now, &event, &actions);
         actions
     };
-    let entry =
-        |id| ServerEntry { id, zone: 0, build: 1, cell: 0, status: Status::Ready, size: 1.0, started_at: 0 };
+    let entry = |id| ServerEntry {
+        id,
+        zone: 0,
+        build: 1,
+        cell: 0,
+        status: ServerStatus::Ready,
+        size: 1.0,
+        started_at: 0,
+    };
     let entries = [entry(1), entry(2), entry(3)];
     feed(1_000, Event::ServerList { kind: ListKind::Full, entries: &entries });
     for id in 1..=count {
@@ -43,7 +55,7 @@
                     server,
                     outcome: Outcome::Ok,
                     elapsed: 400,
-                    settled: true,
+                    finishes_request: true,
                 };
                 feed(now + 400, Event::AttemptEnded(end));
             }
--- a/crates/settings/tests/scripts.rs
+++ b/crates/settings/tests/scripts.rs
@@ -1,7 +1,7 @@
 //! Settings scripts: a sound one is taken whole, and each kind of fault is refused with file, line and reason.
 
 use std::path::PathBuf;
-use violetseam::interface::{Effect, GateMode};
+use violetseam::interface::{GateMode, Idempotency};
 use violetseam_settings::{HalfClose, read_file, read_text};
 
 const SOUND: &str = r#"
@@ -31,11 +31,11 @@
     let s = read_text("s.star", SOUND, &options(&[("position", "2")])).unwrap();
     assert_eq!(s.listen[0].port(), 8002);
     assert_eq!((s.decisions.position, s.decisions.fleet_size), (2, 3));
-    assert_eq!(s.decisions.classes[1].effect, Effect::Deduplicated);
+    assert_eq!(s.decisions.classes[1].idempotency, Idempotency::Keyed);
     assert_eq!(s.decisions.classes[1].dedup_window, 2_000_000);
     assert_eq!(s.decisions.rollout.gate, GateMode::Any);
     assert_eq!(s.connections.half_close, HalfClose::Serve);
-    assert!(s.decisions.limits.peer_messages);
+    assert!(s.decisions.limits.gossip);
     assert_eq!((s.routes[0].class, s.routes[1].class, s.tenants["a"]), (0, 1, 0));
 }
 
@@ -108,7 +108,7 @@
         read_file(&folder.join("main.star"), &[])
     };
     let sound = write("load(\"common.star\", \"CAPS\")", "CAPS").unwrap();
-    assert_eq!(sound.decisions.rollout.stage_cap, [0.1, 1.0]);
+    assert_eq!(sound.decisions.rollout.stage_caps, [0.1, 1.0]);
     for outside in ["../common.star", "/etc/hostname", ".hidden", "sub/common.star"] {
         let fault = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().0;
         assert!(fault.contains("only plain names"), "{fault}");
--- a/crates/site/src/desk.rs
+++ b/crates/site/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::{Malformed, malformed};
 use serde::{Deserialize, Serialize};
-use violetseam::interface::{Build, Outcome, Phase, StageNews, Verdict};
+use violetseam::interface::{Build, Outcome, Phase, ReleaseStatus, Verdict};
 
 /// The longest line that is taken, in bytes.
 pub const LINE_MOST: usize = 4096;
@@ -44,7 +44,7 @@
 
 impl News {
     /// Reads one line: the news and the fencing number of whoever says so.
-    pub fn parse(line: &[u8]) -> Result<(StageNews, u64), Malformed> {
+    pub fn parse(line: &[u8]) -> Result<(ReleaseStatus, u64), Malformed> {
         let news = News::read(line)?;
         Ok((news.check()?, news.fence))
     }
@@ -54,7 +54,7 @@
         serde_json::from_slice(line).map_err(|e| Malformed(format!("desk: {e}")))
     }
 
-    fn check(self) -> Result<StageNews, Malformed> {
+    fn check(self) -> Result<ReleaseStatus, Malformed> {
         if !(0.0..=1.0).contains(&self.cap) {
             return malformed("desk: a cap outside 0 to 1");
         }
@@ -64,7 +64,7 @@
             PhaseName::Released => Phase::Released,
             PhaseName::Withdrawn => Phase::Withdrawn,
         };
-        Ok(StageNews { build: self.build, stage: self.stage, phase, cap: self.cap })
+        Ok(ReleaseStatus { build: self.build, stage: self.stage, phase, cap: self.cap })
     }
 
     /// Writes one line, its end included.
@@ -106,9 +106,9 @@
     /// A vote of the decisions.
     pub fn new(proxy: usize, build: Build, stage: u8, verdict: Verdict) -> Self {
         let verdict = match verdict {
-            Verdict::On => VerdictName::On,
+            Verdict::Promote => VerdictName::On,
             Verdict::Hold => VerdictName::Hold,
-            Verdict::Back => VerdictName::Back,
+            Verdict::RollBack => VerdictName::Back,
             Verdict::Withdraw => VerdictName::Withdraw,
         };
         Vote { proxy, build, stage, verdict }
@@ -151,11 +151,11 @@
 
 impl VoteReply {
     /// Reads a reply: how it ended and the news that came with it.
-    pub fn parse(body: &[u8]) -> Result<(Outcome, Option<(StageNews, u64)>), Malformed> {
+    pub fn parse(body: &[u8]) -> Result<(Outcome, Option<(ReleaseStatus, u64)>), Malformed> {
         let reply = VoteReply::read(body)?;
         let outcome = match reply.outcome {
             VoteOutcome::Ok => Outcome::Ok,
-            VoteOutcome::Moot => Outcome::Moot,
+            VoteOutcome::Moot => Outcome::NotSent,
             VoteOutcome::Full => Outcome::Rejected,
             VoteOutcome::Error => Outcome::Error,
         };
--- a/crates/site/src/roster.rs
+++ b/crates/site/src/roster.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, Status};
+use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
 /// The longest line that is taken, in bytes.
 pub const LINE_MOST: usize = 4 << 20;
@@ -171,9 +171,9 @@
         build: line.build,
         cell: line.cell,
         status: match line.state {
-            State::Ready => Status::Ready,
-            State::Draining => Status::Draining,
-            State::Gone => Status::Gone,
+            State::Ready => ServerStatus::Ready,
+            State::Draining => ServerStatus::Draining,
+            State::Gone => ServerStatus::Removed,
         },
         size: line.size,
         started_at: line.age_us.map_or(0, |age| now.saturating_sub(age).max(1)),
--- a/crates/site/tests/protocols.rs
+++ b/crates/site/tests/protocols.rs
@@ -1,7 +1,7 @@
 //! The site's protocols: what is taken, what is refused, and that nothing panics.
 
 use proptest::prelude::*;
-use violetseam::interface::{ListKind, Outcome, Status};
+use violetseam::interface::{ListKind, Outcome, ServerStatus};
 use violetseam_site::{desk, flag, lines::Lines, peer, roster};
 
 fn message(kind: &str, version: u64, base: u64, servers: &str) -> String {
@@ -19,7 +19,7 @@
     let gone = ONE.replace("ready", "gone");
     let delta = roster::Message::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
     let (kind, entries) = held.apply(20_000, &delta).unwrap();
-    assert_eq!((kind, entries[0].status, held.version()), (ListKind::Delta, Status::Gone, Some(5)));
+    assert_eq!((kind, entries[0].status, held.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
     assert!(held.address(7).is_some(), "attempts may still be out at a server that left");
 }
 
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -1,8 +1,8 @@
 //! The granite wire: little-endian packed frames, read and written field by field.
 
 use violetseam::interface::{
-    Action, AttemptEnd, Event, ListKind, Outcome, Phase, Request, ServerEntry, ServerId, StageNews, Status,
-    Verdict,
+    Action, AttemptEnd, Event, ListKind, Outcome, Phase, ReleaseStatus, Request, ServerEntry, ServerId,
+    ServerStatus, Verdict,
 };
 
 /// Reads fields off a byte slice; every read is checked.
@@ -81,7 +81,7 @@
             50 => Outcome::ConnectFailed,
             60 => Outcome::Reset,
             70 => Outcome::Cancelled,
-            80 => Outcome::Moot,
+            80 => Outcome::NotSent,
             other => return Err(format!("unknown outcome {other}")),
         })
     }
@@ -110,9 +110,9 @@
     r.u8()?; // machine kind: no decision uses it
     let cell = r.u16()?;
     let status = match r.u8()? {
-        0 => Status::Draining,
-        2 => Status::Ready,
-        3 => Status::Gone,
+        0 => ServerStatus::Draining,
+        2 => ServerStatus::Ready,
+        3 => ServerStatus::Removed,
         other => return Err(format!("unknown server status {other}")),
     };
     let size = f64::from(r.f32()?);
@@ -135,11 +135,11 @@
     let outcome = r.outcome()?;
     let cap = f64::from(r.f32()?);
     r.u32()?;
-    let news = StageNews { build, stage, phase, cap };
+    let news = ReleaseStatus { build, stage, phase, cap };
     Ok(if is_reply {
-        Event::VoteReply { outcome, news: (outcome == Outcome::Ok).then_some(news) }
+        Event::VoteReply { outcome, release: (outcome == Outcome::Ok).then_some(news) }
     } else {
-        Event::Stage(news)
+        Event::Release(news)
     })
 }
 
@@ -181,7 +181,15 @@
             let (key, opts, tenant) = (r.u64()?, r.u8()?, r.u32()? as usize);
             let hint = (opts & 1 != 0 && hint > 0).then_some(u64::from(hint));
             let key = (key != 0).then_some(key);
-            Event::Request(Request { id, deadline, class, hint, key, tenant, is_retry: opts & 2 != 0 })
+            Event::Request(Request {
+                id,
+                deadline,
+                class,
+                cost_hint: hint,
+                key,
+                tenant,
+                is_retry: opts & 2 != 0,
+            })
         }
         22 => Event::Timer { token: r.u64()? },
         24 => {
@@ -193,7 +201,14 @@
             let (request, attempt, server) = (r.u64()?, usize::from(r.u8()?), r.server()?);
             let (outcome, elapsed, settled) = (r.outcome()?, u64::from(r.u32()?), r.u8()? != 0);
             r.load_report()?;
-            Event::AttemptEnded(AttemptEnd { request, attempt, server, outcome, elapsed, settled })
+            Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt,
+                server,
+                outcome,
+                elapsed,
+                finishes_request: settled,
+            })
         }
         19 => {
             let (request, attempt) = (r.u64()?, usize::from(r.u8()?));
@@ -205,18 +220,18 @@
             let (server, class, since) = (r.server()?, usize::from(r.u8()?), u64::from(r.u32()?));
             Event::AnswerFlagged { server, class, since }
         }
-        21 => Event::ClientGone { request: r.u64()? },
+        21 => Event::ClientDisconnected { request: r.u64()? },
         26 => stage(r)?,
         23 => {
             let (server, outcome) = (r.server()?, r.outcome()?);
             r.u32()?;
             r.load_report()?;
-            Event::Probed { server, outcome }
+            Event::HealthChecked { server, outcome }
         }
         27 => {
             let (attempts, class, mean) = (r.u32()?, usize::from(r.u8()?), u64::from(r.u32()?));
             let (age, build, failed) = (u64::from(r.u32()?), r.u16()?, r.u32()?);
-            Event::PlatformCount { build, class, attempts, failed, mean, age }
+            Event::LoadReport { build, class, attempts, failed, mean, age }
         }
         other => return Err(format!("unknown record code {other}")),
     };
@@ -257,7 +272,7 @@
             out.extend(request.to_le_bytes());
             out.push(*attempt as u8);
         }
-        Action::Refuse { request, come_back } => {
+        Action::Reject { request, retry_after: come_back } => {
             out.push(21);
             out.extend(request.to_le_bytes());
             out.extend(span(*come_back));
@@ -271,28 +286,28 @@
             out.extend(span(*after));
             out.extend(token.to_le_bytes());
         }
-        Action::FollowList => out.extend([18, 1]),
-        Action::FetchList => out.push(26),
+        Action::WatchServerList => out.extend([18, 1]),
+        Action::FetchServerList => out.push(26),
         Action::Vote { build, stage, verdict } => {
             out.extend([27, *stage]);
             out.extend(build.to_le_bytes());
             out.push(match verdict {
-                Verdict::On => 1,
+                Verdict::Promote => 1,
                 Verdict::Hold => 2,
-                Verdict::Back => 3,
+                Verdict::RollBack => 3,
                 Verdict::Withdraw => 0,
             });
         }
-        Action::TellPeers { payload } => write_message(out, u16::MAX, payload),
-        Action::TellPeer { to, payload } => {
+        Action::GossipToAll { payload } => write_message(out, u16::MAX, payload),
+        Action::GossipToPeer { to, payload } => {
             // All bits set would mean every peer; no such number is sent.
             if let Some(to) = u16::try_from(*to).ok().filter(|&to| to != u16::MAX) {
                 write_message(out, to, payload);
             }
         }
-        Action::Note(text) => write_text(out, 17, text.as_bytes()),
+        Action::Log(text) => write_text(out, 17, text.as_bytes()),
         // An attempt leaves there in the tick in which it is decided: it is never asked about again.
-        Action::Withhold { .. } => {}
+        Action::CancelBeforeSend { .. } => {}
     }
 }
 
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -64,14 +64,17 @@
     let request = 0x0004_239b_5d3a_91c4;
     let send = Action::Send { request, server: SERVER, cut_at: 8_688_858 };
     assert_eq!(action(&send), hex("1d c4913a5d9b230400 0a124a07 931f da94840000000000"));
-    assert_eq!(action(&Action::Vote { build: 42, stage: 2, verdict: Verdict::On }), hex("1b 02 2a00 01"));
+    assert_eq!(
+        action(&Action::Vote { build: 42, stage: 2, verdict: Verdict::Promote }),
+        hex("1b 02 2a00 01")
+    );
     assert_eq!(action(&Action::SetTimer { after: 500_000, token: 77 }), hex("18 20a10700 4d00000000000000"));
     assert_eq!(action(&Action::Cancel { request, attempt: 0 }), hex("16 c4913a5d9b230400 00"));
-    assert_eq!(action(&Action::TellPeers { payload: b"hi 7".to_vec() }), hex("13 ffff 0400 68692037"));
-    assert_eq!(action(&Action::Note("two servers known".into()))[..3], hex("11 1100"));
-    assert_eq!(action(&Action::FollowList), hex("12 01"));
-    assert_eq!(action(&Action::FetchList), hex("1a"));
-    let refuse = Action::Refuse { request: 0x0008_dbfc_0e6f_2b19, come_back: 250_000 };
+    assert_eq!(action(&Action::GossipToAll { payload: b"hi 7".to_vec() }), hex("13 ffff 0400 68692037"));
+    assert_eq!(action(&Action::Log("two servers known".into()))[..3], hex("11 1100"));
+    assert_eq!(action(&Action::WatchServerList), hex("12 01"));
+    assert_eq!(action(&Action::FetchServerList), hex("1a"));
+    let refuse = Action::Reject { request: 0x0008_dbfc_0e6f_2b19, retry_after: 250_000 };
     assert_eq!(action(&refuse), hex("15 192b6f0efcdb0800 90d00300"));
     assert_eq!(action(&Action::Fail { request: 0x0008_dbfc_0e6f_2b19 }), hex("17 192b6f0efcdb0800"));
     let mut by = Vec::new();
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -54,8 +54,10 @@
     /// A fresh balancer that knows nothing but its settings.
     pub fn new(mut set: Settings, seed: u64) -> Self {
         set.tick = set.tick.max(TICK_LEAST);
-        set.rollout.votes_back = set.rollout.votes_back.max(1.0);
-        let guess = |c: &Class| Typical::new(c.aim as f64 / 4.0, c.aim as f64 / 2.0);
+        set.rollout.votes_to_roll_back = set.rollout.votes_to_roll_back.max(1.0);
+        let guess = |c: &RequestClass| {
+            Typical::new(c.latency_objective as f64 / 4.0, c.latency_objective as f64 / 2.0)
+        };
         let typical = set.classes.iter().map(guess).collect();
         let mut m = Memory { rng: Rng(seed), typical, retry_credit: RETRY_DEPTH, ..Memory::default() };
         // Drawn starts: what each does once must not be done by all at once.
@@ -76,7 +78,7 @@
             (self.m.started, self.m.list_heard) = (true, now);
             let mut drawn = |span: Micros| now + (span as f64 * self.m.rng.unit()) as Micros;
             (self.m.next_step, self.m.next_tell) = (drawn(STEP), drawn(PEER_EVERY));
-            out.extend(self.set.list_on_request.then_some(Action::FollowList));
+            out.extend(self.set.subscribes_to_list.then_some(Action::WatchServerList));
         }
         match event {
             Event::ServerList { kind, entries } => self.on_list(now, kind, entries),
@@ -85,15 +87,15 @@
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, out),
             Event::StreamStarted { request, .. } => self.m.stream_started(request),
             Event::AnswerFlagged { server, class, since } => self.on_flag(now, server, class, since),
-            Event::ClientGone { request } => self.finish(request, out),
-            Event::Stage(news) => self.on_news(now, news),
-            Event::VoteReply { outcome, news } => self.on_vote_reply(now, outcome, news),
+            Event::ClientDisconnected { request } => self.finish(request, out),
+            Event::Release(news) => self.on_news(now, news),
+            Event::VoteReply { outcome, release: news } => self.on_vote_reply(now, outcome, news),
             Event::PeerMessage { from, payload } => self.on_peer_message(from, payload),
             Event::Operator(word) => self.on_operator(now, word, out),
-            Event::Leaving { request, attempt } => self.on_leaving(now, request, attempt, out),
+            Event::ReadyToSend { request, attempt } => self.on_leaving(now, request, attempt, out),
             Event::ListLease { until } => self.m.list_until = Some(until),
-            Event::EndsAt { at } => self.on_end(at),
-            Event::Probed { .. } | Event::PlatformCount { .. } => {}
+            Event::ShutdownAt { at } => self.on_end(at),
+            Event::HealthChecked { .. } | Event::LoadReport { .. } => {}
         }
         // One timer, for what comes next: hundreds of idle balancers cost next to nothing.
         let due = self.m.due.first().map_or(self.m.next_step, |d| d.0.min(self.m.next_step)).max(now + 1);
@@ -119,25 +121,26 @@
         if more {
             // A stage is judged with its own machines: faults may show only under load or with time.
             self.start_window(now);
-            self.m.verdict = if self.m.verdict == Verdict::On { Verdict::Withdraw } else { self.m.verdict };
+            self.m.verdict =
+                if self.m.verdict == Verdict::Promote { Verdict::Withdraw } else { self.m.verdict };
         }
     }
 
     fn follow_list(&mut self, now: Micros, out: &mut Vec<Action>) {
         // A drop of the subscription can go unheard, so silence is answered by asking again.
-        let silent = now.saturating_sub(self.m.list_heard) > self.set.contract.ask_within / 10 * 7;
-        if self.set.list_on_request && (self.m.list_retry.is_some_and(|at| at <= now) || silent) {
+        let silent = now.saturating_sub(self.m.list_heard) > self.set.rules.poll_interval_max / 10 * 7;
+        if self.set.subscribes_to_list && (self.m.list_retry.is_some_and(|at| at <= now) || silent) {
             (self.m.list_retry, self.m.list_heard) = (None, now);
-            out.push(Action::FollowList);
+            out.push(Action::WatchServerList);
         }
     }
 
     fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
         let Request { id, class, .. } = request;
         if class >= self.set.classes.len() {
-            return out.push(Action::Refuse { request: id, come_back: 0 });
+            return out.push(Action::Reject { request: id, retry_after: 0 });
         }
-        if let (true, Some(key)) = (self.set.rollout.one_way, request.key) {
+        if let (true, Some(key)) = (self.set.rollout.sticky_to_new_build, request.key) {
             self.m.key_counts.count(key, KEYS_KEPT);
         }
         self.m.retry_credit = (self.m.retry_credit + RETRY_SHARE).min(RETRY_DEPTH);
@@ -145,7 +148,7 @@
             let earned = if self.on_trial(build) { self.cap(now, build) * EARNED } else { 0.0 };
             self.m.exposure_of(build, class, self.set.rollout.per_class).earn(earned);
         }
-        let cost = request.hint.map_or(self.m.typical[class].median, |h| h as f64).max(1.0);
+        let cost = request.cost_hint.map_or(self.m.typical[class].median, |h| h as f64).max(1.0);
         self.m.offered.add(now, cost);
         self.m.open.insert(id, Open::new(request, now, cost));
         let lane = (class, request.tenant.min(self.set.tenants.len()));
@@ -163,12 +166,12 @@
     fn place(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.m.open.get(&id) else { return };
         let (request, tick, held) = (open.request, self.set.tick, now.saturating_sub(open.arrived) as f64);
-        let aim = self.set.classes[request.class].aim as f64;
+        let aim = self.set.classes[request.class].latency_objective as f64;
         if let Some(server) = self.pick(now, id) {
             let chosen = &self.m.servers[&server];
             let expected = chosen.per_slot * f64::from(chosen.in_flight + 1);
             // All classes share the queues: by its own aim, a patient class would crowd out the others.
-            let tightest = self.set.classes.iter().map(|c| c.aim as f64).fold(aim, f64::min);
+            let tightest = self.set.classes.iter().map(|c| c.latency_objective as f64).fold(aim, f64::min);
             let crowded = chosen.in_flight > 1 && expected > tightest * ADMIT_SHARE;
             if crowded && self.m.open[&id].attempts.is_empty() {
                 self.give_up(now, id, true, out);
@@ -184,7 +187,7 @@
 
     fn send(&mut self, now: Micros, id: RequestId, to: ServerId, out: &mut Vec<Action>) {
         let Some(server) = self.m.servers.get(&to) else { return };
-        let (entry, cold) = (server.entry, server.warmth(now, &self.set.contract) < 1.0);
+        let (entry, cold) = (server.entry, server.warmth(now, &self.set.rules) < 1.0);
         let Some((class, deadline)) = self.m.start_attempt(now, id, entry, cold) else { return };
         let number = self.m.open.get(&id).map_or(0, |open| open.attempts.len() - 1);
         self.book(now, id, number);
@@ -200,7 +203,8 @@
         let Some(entry) = open.attempts.get(number).map(|a| a.to) else { return };
         let (class, key, cost) = (open.request.class, open.request.key, open.cost);
         let newest = self.m.news.is_some_and(|n| n.build == entry.build);
-        if let Some(key) = key.filter(|_| newest && self.set.rollout.one_way && !self.m.keys_lost) {
+        if let Some(key) = key.filter(|_| newest && self.set.rollout.sticky_to_new_build && !self.m.keys_lost)
+        {
             if self.key_fits(key) {
                 self.m.key_sent(key, now, KEY_OUT_MOST);
             } else {
@@ -209,7 +213,7 @@
         }
         let exposed = self.on_trial(entry.build);
         if exposed {
-            let (span, per_class) = (self.set.rollout.counted_over * 2, self.set.rollout.per_class);
+            let (span, per_class) = (self.set.rollout.exposure_window * 2, self.set.rollout.per_class);
             self.m.exposure_of(entry.build, class, per_class).spend(now, span);
         }
         let attempt = self.m.open.get_mut(&id).and_then(|open| open.attempts.get_mut(number));
@@ -243,20 +247,20 @@
     fn on_leaving(&mut self, now: Micros, id: RequestId, number: usize, out: &mut Vec<Action>) {
         let Some(mut open) = self.m.open.get(&id).cloned() else { return };
         let Some(attempt) = open.attempts.get_mut(number).filter(|a| a.ended.is_none()) else { return };
-        attempt.ended = Some(Outcome::Withheld);
+        attempt.ended = Some(Outcome::CancelledBeforeSend);
         let to = attempt.to;
         self.unbook(id, number);
         let listed = self.m.servers.get(&to.id).map(|s| s.entry);
         let same = |e: &ServerEntry| (e.build, e.started_at) == (to.build, to.started_at);
-        let is = |e: &ServerEntry| e.status == Status::Ready && same(e);
+        let is = |e: &ServerEntry| e.status == ServerStatus::Ready && same(e);
         let stands = listed.is_some_and(|e| is(&e) && self.may_repeat(now, &open, Some(&e)));
         let may = stands && self.may_send(now) && !open.done && !open.streaming;
         let may = may && self.build_admits(now, to.build, &open);
-        let cold = self.m.servers.get(&to.id).is_some_and(|s| s.warmth(now, &self.set.contract) < 1.0);
+        let cold = self.m.servers.get(&to.id).is_some_and(|s| s.warmth(now, &self.set.rules) < 1.0);
         if may && (!cold || self.cold_limit(now, to.id, open.cost, false) > 0.0) {
             self.book(now, id, number);
         } else {
-            out.push(Action::Withhold { request: id, attempt: number });
+            out.push(Action::CancelBeforeSend { request: id, attempt: number });
         }
     }
 
@@ -295,10 +299,14 @@
         let Some(open) = self.m.open.get(&id) else { return };
         let (class, attempt) = (&self.set.classes[open.request.class], open.attempts.len() - 1);
         let next = open.request.deadline.saturating_sub(2 * self.set.tick);
-        let worth_it = open.out() == 1 && now < open.arrived + class.aim && self.m.retry_credit >= 1.0;
-        if worth_it && class.effect != Effect::Fragile && attempt + 1 < self.set.limits.max_attempts {
-            if !self.set.limits.second_copies {
-                let cut = self.set.limits.cancel && class.effect == Effect::Retryable;
+        let worth_it =
+            open.out() == 1 && now < open.arrived + class.latency_objective && self.m.retry_credit >= 1.0;
+        if worth_it
+            && class.idempotency != Idempotency::NonIdempotent
+            && attempt + 1 < self.set.limits.max_attempts
+        {
+            if !self.set.limits.hedging {
+                let cut = self.set.limits.cancel && class.idempotency == Idempotency::Idempotent;
                 out.extend(cut.then_some(Action::Cancel { request: id, attempt }));
             } else if let Some(server) = self.pick(now, id) {
                 self.m.retry_credit -= 1.0;
@@ -309,16 +317,16 @@
     }
 
     fn on_attempt_ended(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
-        let AttemptEnd { request: id, attempt: number, outcome, settled, .. } = end;
+        let AttemptEnd { request: id, attempt: number, outcome, finishes_request: settled, .. } = end;
         let Some(open) = self.m.open.get_mut(&id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
         if attempt.ended.replace(outcome).is_some() {
             return;
         }
         let (attempt, class, cost, key) = (attempt.clone(), open.request.class, open.cost, open.request.key);
-        let late = now >= open.arrived + self.set.classes[class].aim;
+        let late = now >= open.arrived + self.set.classes[class].latency_objective;
         let lane = (class, open.request.tenant.min(self.set.tenants.len()));
-        let unit = open.request.hint.unwrap_or(self.set.classes[class].aim).max(1) as f64;
+        let unit = open.request.cost_hint.unwrap_or(self.set.classes[class].latency_objective).max(1) as f64;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Rejected) {
             // Over all servers, as none's queue shows on thin traffic. A class or tenant that alone is late
             // waits for reasons of its own: it must neither have the others refused nor hold their slots.
@@ -328,10 +336,10 @@
             let alone = *own > self.m.late + LATE_ALONE;
             smooth(&mut self.m.late, lateness, if alone { 0.0 } else { LATE_WEIGHT });
         }
-        let never_left = matches!(outcome, Outcome::Moot | Outcome::Withheld);
-        if outcome == Outcome::Withheld && number > 0 {
+        let never_left = matches!(outcome, Outcome::NotSent | Outcome::CancelledBeforeSend);
+        if outcome == Outcome::CancelledBeforeSend && number > 0 {
             self.m.retry_credit = (self.m.retry_credit + 1.0).min(RETRY_DEPTH);
-        } else if outcome == Outcome::Moot {
+        } else if outcome == Outcome::NotSent {
             self.unbook(id, number);
         }
         if never_left && attempt.exposed {
@@ -344,7 +352,7 @@
         }
         let newest = self.m.news.filter(|n| n.build == attempt.to.build);
         let live = newest.is_some_and(|n| matches!(n.phase, Phase::Trial | Phase::Released));
-        let key = key.filter(|_| live && self.set.rollout.one_way && !self.m.keys_lost);
+        let key = key.filter(|_| live && self.set.rollout.sticky_to_new_build && !self.m.keys_lost);
         self.m.keys.extend(key.filter(|_| outcome == Outcome::Ok));
         // A good answer may have come to nobody: spoilt, late, or written to a connection that fell silent.
         let unread = matches!(outcome, Outcome::Reset | Outcome::Timeout | Outcome::Cancelled);
@@ -363,10 +371,11 @@
     fn after_failure(&mut self, now: Micros, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
         let open = &self.m.open[&id];
         let time_left = now + 4 * self.set.tick < open.request.deadline;
-        let attempts_left = open.attempts.len() < self.set.limits.max_attempts && outcome != Outcome::Moot;
+        let attempts_left = open.attempts.len() < self.set.limits.max_attempts && outcome != Outcome::NotSent;
         // The budget keeps retries from feeding an overload; proven non-runs cost as much as any.
         // A first one that was withheld costs nothing: what follows is the first that leaves.
-        let price = if outcome == Outcome::Withheld && open.attempts.len() == 1 { 0.0 } else { 1.0 };
+        let price =
+            if outcome == Outcome::CancelledBeforeSend && open.attempts.len() == 1 { 0.0 } else { 1.0 };
         if time_left && attempts_left && self.may_repeat(now, open, None) && self.m.retry_credit >= price {
             self.m.retry_credit -= price;
             self.place(now, id, out);
@@ -380,11 +389,12 @@
         let Some(open) = self.m.open.get(&id) else { return };
         let class = &self.set.classes[open.request.class];
         let untouched = open.first_that_may_have_run().is_none();
-        let for_all = class.effect == Effect::Deduplicated && class.group == DedupGroup::All;
-        if untouched || for_all || class.effect == Effect::Retryable {
-            let advise = self.set.limits.retry_after && (crowded || now >= open.arrived + class.aim);
+        let for_all = class.idempotency == Idempotency::Keyed && class.dedup_group == DedupGroup::All;
+        if untouched || for_all || class.idempotency == Idempotency::Idempotent {
+            let advise =
+                self.set.limits.retry_after && (crowded || now >= open.arrived + class.latency_objective);
             let come_back = if advise { self.set.limits.max_retry_after } else { 0 };
-            out.push(Action::Refuse { request: id, come_back });
+            out.push(Action::Reject { request: id, retry_after: come_back });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -414,10 +424,10 @@
         let usual = self.m.typical.iter().map(|t| t.median).fold(0.0, f64::max);
         let mut pools: [Vec<Candidate>; 2] = [Vec::new(), Vec::new()];
         let mut share = [0.0; 2];
-        let ready = self.m.servers.iter().filter(|(_, s)| s.entry.status == Status::Ready);
+        let ready = self.m.servers.iter().filter(|(_, s)| s.entry.status == ServerStatus::Ready);
         for (&id, server) in ready.filter(|(_, s)| self.may_repeat(now, &open, Some(&s.entry))) {
             let Some(&(_, pool, admits)) = gates.iter().find(|g| g.0 == server.entry.build) else { continue };
-            let warmth = server.warmth(now, &self.set.contract);
+            let warmth = server.warmth(now, &self.set.rules);
             share[pool] += warmth;
             if admits {
                 let tried = open.attempts.iter().any(|a| a.to.id == id);
@@ -490,15 +500,15 @@
     fn may_repeat(&self, now: Micros, open: &Open, at: Option<&ServerEntry>) -> bool {
         let class = &self.set.classes[open.request.class];
         let Some(ran) = open.first_that_may_have_run() else { return true };
-        let same_group = at.is_none_or(|entry| match class.group {
+        let same_group = at.is_none_or(|entry| match class.dedup_group {
             DedupGroup::All => true,
             DedupGroup::Zone => ran.to.zone == entry.zone,
             DedupGroup::Cell => ran.to.cell == entry.cell,
         });
-        match class.effect {
-            Effect::Retryable => true,
-            Effect::Fragile => false,
-            Effect::Deduplicated => same_group && now + 2 * self.set.tick < ran.sent_at + class.dedup_window,
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed => same_group && now + 2 * self.set.tick < ran.sent_at + class.dedup_window,
         }
     }
 
@@ -508,7 +518,7 @@
         // Attempts out and no answer for long: paused, cut off or dead, whatever the cause.
         let silent = now.saturating_sub(server.waiting_since) as f64 > STALL_FACTOR * usual;
         let stalled = server.in_flight > 0 && silent;
-        let size = server.size(self.set.sizes_known) * server.warmth(now, &self.set.contract);
+        let size = server.size(self.set.sizes_known) * server.warmth(now, &self.set.rules);
         (size * health * if stalled { 0.05 } else { 1.0 }).max(1e-3)
     }
 
@@ -518,9 +528,9 @@
     fn cold_limit(&mut self, now: Micros, id: ServerId, cost: f64, drawn: bool) -> f64 {
         let offered = self.m.offered.sum(now, 2 * SECOND) / 2.0;
         let Some(server) = self.m.servers.get_mut(&id) else { return 0.0 };
-        let (contract, size) = (&self.set.contract, server.size(self.set.sizes_known));
-        let (span, warmth) = (contract.fall_span, server.warmth(now, &self.set.contract));
-        let rate = COLD_SAFETY * contract.fall_multiple * warmth * self.m.carried * size;
+        let (contract, size) = (&self.set.rules, server.size(self.set.sizes_known));
+        let (span, warmth) = (contract.overload_span, server.warmth(now, &self.set.rules));
+        let rate = COLD_SAFETY * contract.overload_multiple * warmth * self.m.carried * size;
         let budget = rate * span as f64 / SECOND as f64;
         if budget < cost {
             return if drawn { 0.0 } else { (COLD_DRAW * rate / offered.max(1.0)).min(1.0) };
@@ -539,17 +549,17 @@
 
     fn cap(&self, now: Micros, build: Build) -> f64 {
         let Some(news) = self.m.news.filter(|n| n.build == build) else {
-            return self.set.rollout.stage_cap.first().copied().unwrap_or(0.0);
+            return self.set.rollout.stage_caps.first().copied().unwrap_or(0.0);
         };
         // A lower cap binds after the grace; until then the old one lets earlier machines come up.
         let (before, since) = self.m.cap_before;
-        let grace = self.set.contract.drain_grace.saturating_sub(4 * self.set.tick);
+        let grace = self.set.rules.drain_grace.saturating_sub(4 * self.set.tick);
         if now < since + grace { news.cap.max(before) } else { news.cap }
     }
 
     /// Whether the rules let this request go to this server's build now.
     fn build_admits(&self, now: Micros, build: Build, open: &Open) -> bool {
-        if let (true, Some(key)) = (self.set.rollout.one_way, open.request.key) {
+        if let (true, Some(key)) = (self.set.rollout.sticky_to_new_build, open.request.key) {
             let newest = self.m.news.map_or(0, |n| n.build);
             // Kept only while the newest build is live. One sent there counts soon, answered or not.
             let oldest = self.m.keys_unread.get(&key).and_then(|sent| sent.first());
@@ -567,9 +577,10 @@
             return true;
         }
         let stage = self.m.news.filter(|n| n.build == build).map_or(0, |n| n.stage);
-        let safe = self.set.classes[open.request.class].effect == Effect::Retryable;
-        let (span, free) = (self.set.rollout.counted_over + 2 * self.set.tick, self.set.rollout.uncounted);
-        let guarded = stage < self.set.rollout.guarded_stages && !safe;
+        let safe = self.set.classes[open.request.class].idempotency == Idempotency::Idempotent;
+        let (span, free) =
+            (self.set.rollout.exposure_window + 2 * self.set.tick, self.set.rollout.exposure_slack);
+        let guarded = stage < self.set.rollout.idempotent_only_stages && !safe;
         let lane = if self.set.rollout.per_class { open.request.class } else { 0 };
         let count = self.m.exposure.get(&build).and_then(|lanes| lanes.get(lane));
         let room = count.map_or(1.0, |c| c.after_one_more(now, span));
@@ -579,7 +590,10 @@
     /// A server may be listed with the newest build while an attempt is out there that left for the one
     /// before: its answer counts as the newest's.
     fn bind_relisted(&mut self) {
-        let Some(newest) = self.m.news.filter(|_| self.set.rollout.one_way).map(|n| n.build) else { return };
+        let Some(newest) = self.m.news.filter(|_| self.set.rollout.sticky_to_new_build).map(|n| n.build)
+        else {
+            return;
+        };
         let listed = |a: &Attempt| self.m.servers.get(&a.to.id).map(|s| s.entry.build);
         let was_other = |a: &Attempt| a.ended.is_none() && a.to.build != newest && listed(a) == Some(newest);
         let out = |open: &Open| open.attempts.iter().filter(|a| was_other(a)).map(|a| a.sent_at).collect();
@@ -597,9 +611,9 @@
         keys.len() + unread.len() < KEYS_KEPT || keys.contains(&key) || unread.contains_key(&key)
     }
 
-    pub(crate) fn on_news(&mut self, now: Micros, news: StageNews) {
+    pub(crate) fn on_news(&mut self, now: Micros, news: ReleaseStatus) {
         let before = self.m.news.replace(news);
-        let place = |n: StageNews| (n.build, n.stage, n.phase);
+        let place = |n: ReleaseStatus| (n.build, n.stage, n.phase);
         if let Some(b) = before.filter(|b| b.build == news.build && b.cap > news.cap) {
             self.m.cap_before = (b.cap, now);
         }
@@ -642,7 +656,7 @@
                 smooth(&mut server.per_slot, per_slot, rate);
                 self.m.typical[class].add(elapsed as f64, RECENT);
             }
-            Outcome::Cancelled | Outcome::Moot | Outcome::Withheld => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::CancelledBeforeSend => {}
             _ => smooth(&mut server.failing, 1.0, SMOOTHING),
         }
         // A cancelled attempt says "at least this slow".
@@ -669,7 +683,7 @@
         self.m.typical.iter_mut().for_each(Typical::refresh);
         self.m.servers.values_mut().for_each(|s| s.relax(FADING));
         self.m.late_by.values_mut().chain([&mut self.m.late]).for_each(|share| *share *= LATE_KEPT);
-        let (warm, all) = self.m.ready_sizes(now, &self.set.contract, self.set.sizes_known);
+        let (warm, all) = self.m.ready_sizes(now, &self.set.rules, self.set.sizes_known);
         if warm * 2.0 >= all && warm > 0.0 {
             let rate = self.m.served.sum(now, 2 * SECOND) / 2.0 / warm;
             self.m.carried = rate.max(self.m.carried * CARRIED_KEPT);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told and what it may ask for, as plain types.
+//! Events that the decision module takes, actions that it asks for, and its settings, as plain types.
 //!
 //! Times are microseconds on one monotonic clock whose origin means nothing.
 
@@ -11,20 +11,20 @@
 /// A build number; a later build has a higher one.
 pub type Build = u16;
 
-/// What a repeat of a request does.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Effect {
-    /// Safe to repeat at any time.
-    Retryable,
-    /// Carries a key; servers of one group drop a repeat for a while.
-    Deduplicated,
-    /// Must never run twice.
+pub enum Idempotency {
+    /// Safe to execute any number of times.
+    Idempotent,
+    /// Carries an idempotency key: servers of one deduplication group drop a repeat within a window.
+    Keyed,
+    /// Must never be executed twice.
     #[default]
-    Fragile,
+    NonIdempotent,
 }
 
-/// Which servers share their memory of keys already seen.
+/// Which servers share their memory of the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DedupGroup {
@@ -37,29 +37,29 @@
     Cell,
 }
 
-/// One class of requests.
+/// One class of requests: its latency objective, deadline, weight and idempotency.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Class {
-    /// Answers within this span earn their full worth.
-    pub aim: Micros,
-    /// The client's total wait over all its tries.
+pub struct RequestClass {
+    /// Latency objective: answers within this span earn their full weight.
+    pub latency_objective: Micros,
+    /// The client's total wait over all its tries, in microseconds.
     pub deadline: Micros,
-    /// What a repeat does.
-    pub effect: Effect,
-    /// For deduplicated classes: who remembers a key.
-    pub group: DedupGroup,
-    /// For deduplicated classes: how long, from the send of the first attempt that may have run.
+    /// Whether a request may be executed more than once.
+    pub idempotency: Idempotency,
+    /// For keyed classes: which servers remember a key.
+    pub dedup_group: DedupGroup,
+    /// For keyed classes: how long they remember it, counted from the send of the first attempt that may have run.
     pub dedup_window: Micros,
-    /// Worth of a request.
-    pub worth: f64,
-    /// Share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    /// Weight of a request against those of other classes; unitless.
+    pub priority_weight: f64,
+    /// Share of the weight that an answer past the latency objective still earns, 0 to 1.
+    pub late_weight: f64,
     /// Answers come as a stream.
     pub stream: bool,
 }
 
-/// How stages move on.
+/// What promotes a release from one stage to the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum GateMode {
@@ -76,34 +76,34 @@
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rollout {
-    /// How stages move on.
+    /// What promotes a release from one stage to the next.
     pub gate: GateMode,
     /// Earlier machines drain as their successors come up (else they stay until the release).
     pub in_place: bool,
-    /// Exposure cap of each stage.
-    pub stage_cap: Vec<f64>,
-    /// Stages below this number admit only classes that are safe to repeat.
-    pub guarded_stages: u8,
-    /// Any span of this length counts for the exposure rule.
-    pub counted_over: Micros,
-    /// Attempts that the exposure rule allows beyond the cap's share.
-    pub uncounted: f64,
+    /// Exposure cap of each stage: the share of attempts that may go to the new build, 0 to 1.
+    pub stage_caps: Vec<f64>,
+    /// Stages below this number admit only idempotent classes to the new build.
+    pub idempotent_only_stages: u8,
+    /// The exposure rule holds over every window of this length.
+    pub exposure_window: Micros,
+    /// Attempts that the exposure rule allows in a window beyond the cap's share.
+    pub exposure_slack: f64,
     /// The exposure rule counts each class by itself.
     pub per_class: bool,
-    /// A key answered by the new build goes to no earlier one.
-    pub one_way: bool,
+    /// A key that the new build has answered is sticky to it: it goes to no earlier build.
+    pub sticky_to_new_build: bool,
     /// How long a vote stands.
     pub vote_ttl: Micros,
     /// How long a vote's reply may take.
-    pub call_timeout: Micros,
+    pub vote_timeout: Micros,
     /// The share of wrong answers that clients report; 0: no reports.
     pub flag_share: f64,
-    /// Votes that move a stage on.
-    pub votes_on: f64,
-    /// Votes that send a build back.
-    pub votes_back: f64,
+    /// Votes that promote a release to the next stage.
+    pub votes_to_promote: f64,
+    /// Votes that roll a build back.
+    pub votes_to_roll_back: f64,
     /// Votes a second that the platform takes from all balancers together.
-    pub vote_allowance: f64,
+    pub vote_rate_limit: f64,
 }
 
 /// What the site permits.
@@ -112,54 +112,54 @@
 pub struct Limits {
     /// Attempts for one request.
     pub max_attempts: usize,
-    /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    /// Requests may be hedged: two attempts of one request may be in flight together.
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
-    pub probes: bool,
-    /// Messages to peers may be sent.
-    pub peer_messages: bool,
-    /// Refusals may carry advice when to come back.
+    /// Servers may be sent health checks.
+    pub health_checks: bool,
+    /// Gossip messages may be sent to peers.
+    pub gossip: bool,
+    /// Rejections may carry a Retry-After.
     pub retry_after: bool,
-    /// The longest advice that clients honour.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules.
+/// Figures of the rules that every balancer keeps.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Contract {
+pub struct ServiceRules {
     /// A final answer this long after the deadline is still in time.
-    pub answer_grace: Micros,
-    /// Without a subscription the list must have been asked for within this span.
-    pub ask_within: Micros,
-    /// A server starts with this share of its capacity or more.
-    pub cold_from: f64,
-    /// And is warm after this span at the latest.
-    pub cold_span: Micros,
+    pub deadline_grace: Micros,
+    /// Without a subscription the server list must be polled at least this often.
+    pub poll_interval_max: Micros,
+    /// Slow start: a server starts with this share of its capacity or more, 0 to 1 ...
+    pub slow_start_floor: f64,
+    /// ... and has its full capacity after this span at the latest.
+    pub slow_start_span: Micros,
     /// Sends to a draining server must stop within this span; lower caps bind after it.
     pub drain_grace: Micros,
-    /// A cold server falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    /// A server that is warming up falls over when sent more than this multiple of its present capacity ...
+    pub overload_multiple: f64,
     /// ... for this span.
-    pub fall_span: Micros,
+    pub overload_span: Micros,
 }
 
-/// A customer and its share of the service.
+/// A customer and its quota of the service.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Tenant {
-    /// Requests a second, over all balancers, within its share.
+    /// Requests a second, over all balancers, within its quota.
     pub quota_per_s: f64,
 }
 
-/// All that a balancer is told when it starts.
+/// All settings of a balancer; they do not change during its life.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
     /// Classes of requests, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
     /// Rollout settings.
@@ -167,9 +167,9 @@
     /// What the site permits.
     pub limits: Limits,
     /// Figures of the rules.
-    pub contract: Contract,
-    /// The server list must be asked for.
-    pub list_on_request: bool,
+    pub rules: ServiceRules,
+    /// The server list has to be subscribed to; it does not come unasked.
+    pub subscribes_to_list: bool,
     /// Balancers in this tier.
     pub fleet_size: usize,
     /// This balancer's number among them.
@@ -178,8 +178,8 @@
     pub zone: u16,
     /// Shortest span between two rounds of events.
     pub tick: Micros,
-    /// Worth of a request past its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    /// Weight of a request past its tenant's quota, as a share of its class's weight, 0 to 1.
+    pub over_quota_weight: f64,
     /// Servers' sizes can be set against each other.
     pub sizes_known: bool,
 }
@@ -187,16 +187,16 @@
 /// A server's state as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Status {
-    /// Takes work.
+pub enum ServerStatus {
+    /// Takes requests.
     Ready,
-    /// Finishing its work; nothing new.
+    /// Draining: finishes its requests and takes no new ones.
     Draining,
-    /// Removed.
-    Gone,
+    /// Removed from the list.
+    Removed,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServerEntry {
@@ -209,10 +209,10 @@
     /// Its cell.
     pub cell: u16,
     /// Its state.
-    pub status: Status,
-    /// Its size against the others.
+    pub status: ServerStatus,
+    /// Its capacity against the others, unitless.
     pub size: f64,
-    /// Its latest start; 0: long past.
+    /// Its latest start, in microseconds; 0: long past.
     pub started_at: Micros,
 }
 
@@ -220,7 +220,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ListKind {
-    /// Only changed lines.
+    /// Only changed entries.
     Delta,
     /// The whole list.
     Full,
@@ -238,7 +238,7 @@
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected before execution; never ran.
     Rejected,
     /// No reply in time; may have run.
     Timeout,
@@ -248,10 +248,10 @@
     Reset,
     /// Cancelled; may have run.
     Cancelled,
-    /// Never sent, or no longer meaningful.
-    Moot,
-    /// Taken back before it left: never ran. Another may take its place.
-    Withheld,
+    /// Never sent, or (of a vote) about a stage that is over.
+    NotSent,
+    /// Cancelled before it was sent: never ran. Another attempt may take its place.
+    CancelledBeforeSend,
 }
 
 impl Settings {
@@ -261,31 +261,46 @@
     }
 }
 
+impl std::fmt::Display for Verdict {
+    /// The words of the log and of the status text.
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            Verdict::Promote => "On",
+            Verdict::Hold => "Hold",
+            Verdict::RollBack => "Back",
+            Verdict::Withdraw => "Withdraw",
+        })
+    }
+}
+
 impl Outcome {
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Moot | Outcome::Withheld)
+        !matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::CancelledBeforeSend
+        )
     }
 }
 
-/// Where a build stands.
+/// Where the release of a build stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Phase {
     /// On trial.
     Trial,
-    /// Going back.
+    /// Being rolled back.
     RollingBack,
     /// Released.
     Released,
-    /// Taken off.
+    /// Withdrawn.
     Withdrawn,
 }
 
-/// The platform's word on the newest build.
+/// The release of the newest build, as the release service states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct StageNews {
+pub struct ReleaseStatus {
     /// The newest build.
     pub build: Build,
     /// Its stage, from 0.
@@ -296,17 +311,17 @@
     pub cap: f64,
 }
 
-/// A verdict on a build.
+/// What a vote says about a build.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Verdict {
-    /// Move on.
-    On,
-    /// Stop the clock.
+    /// Promote it to the next stage.
+    Promote,
+    /// Hold it at its stage.
     Hold,
-    /// Send back.
-    Back,
-    /// No vote.
+    /// Roll it back.
+    RollBack,
+    /// No vote; one that stands is withdrawn.
     #[default]
     Withdraw,
 }
@@ -317,17 +332,17 @@
 pub struct Request {
     /// Its identity.
     pub id: RequestId,
-    /// When the client gives this try up.
+    /// When the client stops waiting.
     pub deadline: Micros,
     /// Its class.
     pub class: usize,
-    /// Work expected, where known.
-    pub hint: Option<Micros>,
-    /// The thing it concerns, where known.
+    /// Expected service time, where known.
+    pub cost_hint: Option<Micros>,
+    /// Its idempotency key, where it has one.
     pub key: Option<u64>,
     /// Its tenant.
     pub tenant: usize,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
 }
 
@@ -345,30 +360,30 @@
     pub outcome: Outcome,
     /// Time since the send.
     pub elapsed: Micros,
-    /// The request is finished.
-    pub settled: bool,
+    /// The request is finished with it: it has its final answer.
+    pub finishes_request: bool,
 }
 
-/// An operator's word on the newest build's present stage.
+/// An operator's command about the newest build's present stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Operator {
-    /// Withhold votes; where stages move by the clock, hold it.
+pub enum OperatorCommand {
+    /// Cast no votes; where stages are promoted by the clock, vote to hold.
     Pause,
     /// Vote again.
     Resume,
-    /// Vote it back.
-    Back,
+    /// Vote to roll it back.
+    RollBack,
 }
 
 /// Something that happened.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// News of the server list.
+    /// The server list has changed, or a call for it has failed.
     ServerList {
         /// What it carries.
         kind: ListKind,
-        /// The lines.
+        /// The entries.
         entries: &'a [ServerEntry],
     },
     /// A client's request has arrived.
@@ -396,19 +411,19 @@
         /// Time since that attempt was sent.
         since: Micros,
     },
-    /// The client left; nothing is owed.
-    ClientGone {
+    /// The client has disconnected; it needs no answer.
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// News of the newest build, unasked.
-    Stage(StageNews),
+    /// The release service pushed the state of the newest build.
+    Release(ReleaseStatus),
     /// A vote's reply.
     VoteReply {
         /// Whether it counts.
         outcome: Outcome,
-        /// News that came with it, valid only for an accepted vote.
-        news: Option<StageNews>,
+        /// The release's state that came with it, valid only for an accepted vote.
+        release: Option<ReleaseStatus>,
     },
     /// A message from a peer.
     PeerMessage {
@@ -418,16 +433,16 @@
         payload: &'a [u8],
     },
     /// An operator overrides this balancer's vote.
-    Operator(Operator),
-    /// A probe's result.
-    Probed {
+    Operator(OperatorCommand),
+    /// A health check's result.
+    HealthChecked {
         /// The server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// The platform's count for one build and class.
-    PlatformCount {
+    /// The platform's load report for one build and class.
+    LoadReport {
         /// The build.
         build: Build,
         /// The class.
@@ -441,9 +456,9 @@
         /// Time since the period ended.
         age: Micros,
     },
-    /// An attempt that was decided a while ago could leave only now: its connection has come up, or takes the
-    /// rest of it. It leaves unless the balancer withholds it.
-    Leaving {
+    /// An attempt that was decided on earlier can be sent only now: its connection has come up, or takes the
+    /// rest of it. It is sent unless the balancer answers with [`Action::CancelBeforeSend`].
+    ReadyToSend {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -454,8 +469,8 @@
         /// That moment.
         until: Micros,
     },
-    /// The process was told to end: nothing is sent any more from that moment on, and all has been answered by then.
-    EndsAt {
+    /// The process shuts down: from that moment on nothing is sent, and by then every request has its final answer.
+    ShutdownAt {
         /// That moment.
         at: Micros,
     },
@@ -471,7 +486,7 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// When to drop the attempt.
+        /// When to time the attempt out.
         cut_at: Micros,
     },
     /// Stop waiting for an attempt.
@@ -481,12 +496,12 @@
         /// The attempt's number.
         attempt: usize,
     },
-    /// Final answer: refused; repeating is harmless.
-    Refuse {
+    /// Final answer: rejected; repeating is harmless.
+    Reject {
         /// The request.
         request: RequestId,
-        /// How long to stay away; 0: no advice.
-        come_back: Micros,
+        /// Retry-After, in microseconds; 0: none.
+        retry_after: Micros,
     },
     /// Final answer: failed; promises nothing.
     Fail {
@@ -495,15 +510,15 @@
     },
     /// Wake up later.
     SetTimer {
-        /// From now.
+        /// Counted from now, in microseconds.
         after: Micros,
         /// Returned as given.
         token: u64,
     },
     /// Subscribe to the server list.
-    FollowList,
-    /// Pull the whole server list once.
-    FetchList,
+    WatchServerList,
+    /// Fetch the whole server list once.
+    FetchServerList,
     /// Vote on a build.
     Vote {
         /// The build.
@@ -513,22 +528,23 @@
         /// The verdict.
         verdict: Verdict,
     },
-    /// Send a message to every peer.
-    TellPeers {
+    /// Send a gossip message to every peer.
+    GossipToAll {
         /// The bytes.
         payload: Vec<u8>,
     },
-    /// Send a message to one peer.
-    TellPeer {
+    /// Send a gossip message to one peer.
+    GossipToPeer {
         /// Its number.
         to: usize,
         /// The bytes.
         payload: Vec<u8>,
     },
-    /// A line for the log.
-    Note(String),
-    /// The answer to [`Event::Leaving`] where the attempt may not leave any more; it ends as withheld.
-    Withhold {
+    /// Write a line to the log.
+    Log(String),
+    /// The answer to [`Event::ReadyToSend`] where the attempt must not be sent any more; it ends as
+    /// [`Outcome::CancelledBeforeSend`].
+    CancelBeforeSend {
         /// The request.
         request: RequestId,
         /// The attempt's number.
--- a/src/judging.rs
+++ b/src/judging.rs
@@ -76,7 +76,7 @@
     }
 
     /// The build that can be voted on; not one released before an earlier build was ever seen to compare.
-    pub(crate) fn subject(&self) -> Option<StageNews> {
+    pub(crate) fn subject(&self) -> Option<ReleaseStatus> {
         self.m.news.filter(|n| n.phase == Phase::Trial || (n.phase == Phase::Released && self.m.compared))
     }
 
@@ -98,13 +98,15 @@
         self.m.breaches = if breached { self.m.breaches + weight } else { 0.0 };
         let verdict = match news.phase {
             // A conviction stands until the news changes: a desk that hears late must not find it replaced.
-            _ if self.m.verdict == Verdict::Back || self.m.breaches >= BREACHES_TO_BACK => Verdict::Back,
+            _ if self.m.verdict == Verdict::RollBack || self.m.breaches >= BREACHES_TO_BACK => {
+                Verdict::RollBack
+            }
             Phase::Trial if breached && timer => Verdict::Hold,
-            Phase::Trial if !breached && !timer => Verdict::On,
+            Phase::Trial if !breached && !timer => Verdict::Promote,
             _ => Verdict::Withdraw,
         };
         if verdict != self.m.verdict || weight > 0.0 {
-            let text = format!("build {} stage {}: {verdict:?} {finding:?}", news.build, news.stage);
+            let text = format!("build {} stage {}: {verdict} {finding:?}", news.build, news.stage);
             out.extend(self.m.note(text, NOTES_MOST));
         }
         self.m.verdict = verdict;
@@ -118,7 +120,7 @@
     pub(crate) fn find(
         &mut self,
         now: Micros,
-        news: StageNews,
+        news: ReleaseStatus,
         whole: &Evidence,
         window: &Evidence,
     ) -> Finding {
@@ -127,7 +129,7 @@
         if window.attempts(0) < WINDOW_LEAST {
             // Peers silent, own traffic thin: where votes are counted, they add up what each has seen. Votes
             // that together stand for a full window move a stage; one failure withholds this balancer's.
-            let together = window.attempts(0) * self.set.rollout.votes_on;
+            let together = window.attempts(0) * self.set.rollout.votes_to_promote;
             let counted = self.set.rollout.gate == GateMode::Share && age >= SILENT_SPAN;
             let fine = seen.iter().all(|t| t.failed == 0.0) && share(&window.slices(0, Hits::Slow)) < 0.5;
             let on = counted && fine && together >= WINDOW_ATTEMPTS as f64;
@@ -137,7 +139,8 @@
         self.m.compared |= !alone;
         // Each of many balancers that judge on their own may be unlucky, and few votes decide.
         let pooled = window.attempts(0) > POOL_FROM * self.m.window_count as f64;
-        let judges = if pooled { 1.0 } else { self.set.fleet_size as f64 / self.set.rollout.votes_back };
+        let judges =
+            if pooled { 1.0 } else { self.set.fleet_size as f64 / self.set.rollout.votes_to_roll_back };
         let z = (Z95 * Z95 + 2.0 * judges.max(1.0).ln()).sqrt();
         let judge = |evidence: &Evidence, limit: f64| {
             let (mut new, mut earlier) = (evidence.tallies(0), evidence.tallies(1));
@@ -160,8 +163,8 @@
             Ok(judged) => judged,
         };
         // A class admitted late needs evidence of its own; what was not compared clears no breach.
-        let guarded = news.stage < self.set.rollout.guarded_stages;
-        let admitted = |c: &Class| !guarded || c.effect == Effect::Retryable;
+        let guarded = news.stage < self.set.rollout.idempotent_only_stages;
+        let admitted = |c: &RequestClass| !guarded || c.idempotency == Idempotency::Idempotent;
         let short = self.set.classes.iter().zip(&seen).any(|(c, t)| admitted(c) && t.n < CLASS_LEAST / 2.0);
         let unclear = short || (self.m.breaches > 0.0 && !judged);
         if unclear && age < 3 * WINDOW_SPAN { Finding::Thin } else { Finding::Clean }
@@ -219,7 +222,7 @@
         let age = |cast: &Cast| now.saturating_sub(cast.at);
         let ttl = self.set.rollout.vote_ttl;
         // A reply can be lost itself; a vote stands for its span only.
-        self.m.pending = self.m.pending.filter(|p| age(p) <= 2 * self.set.rollout.call_timeout);
+        self.m.pending = self.m.pending.filter(|p| age(p) <= 2 * self.set.rollout.vote_timeout);
         let held = self.m.standing.filter(|s| age(s) < ttl);
         let aged = held.is_some_and(|s| age(&s) as f64 >= ttl as f64 * RENEW_SHARE);
         let (build, stage) = (news.build, news.stage);
@@ -234,15 +237,15 @@
     }
 
     /// An operator's word: a pause withholds votes and goes on judging, 'back' stands as a conviction does.
-    pub(crate) fn on_operator(&mut self, now: Micros, word: Operator, out: &mut Vec<Action>) {
-        self.m.paused = word == Operator::Pause;
-        if word == Operator::Back && self.subject().is_some() {
-            self.m.verdict = Verdict::Back;
+    pub(crate) fn on_operator(&mut self, now: Micros, word: OperatorCommand, out: &mut Vec<Action>) {
+        self.m.paused = word == OperatorCommand::Pause;
+        if word == OperatorCommand::RollBack && self.subject().is_some() {
+            self.m.verdict = Verdict::RollBack;
         }
         self.vote(now, out);
     }
 
-    pub(crate) fn on_vote_reply(&mut self, now: Micros, outcome: Outcome, news: Option<StageNews>) {
+    pub(crate) fn on_vote_reply(&mut self, now: Micros, outcome: Outcome, news: Option<ReleaseStatus>) {
         // The reply to a vote on another stage says nothing of this one.
         let current = self.m.news.map(|n| (n.build, n.stage));
         let cast = self.m.pending.take().filter(|c| Some((c.build, c.stage)) == current);
@@ -263,22 +266,22 @@
     /// which tell all what theirs add up to: each hears a few messages a second, however many there are.
     pub(crate) fn tell_peers(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (fleet, position) = (self.set.fleet_size, self.set.position);
-        let due = self.set.limits.peer_messages && fleet > 1 && now >= self.m.next_tell;
+        let due = self.set.limits.gossip && fleet > 1 && now >= self.m.next_tell;
         let Some(news) = self.subject().filter(|_| due) else { return };
         self.m.next_tell = now + if news.phase == Phase::Trial { PEER_EVERY } else { 2 * PEER_EVERY };
         let label = Label { build: news.build, stage: news.stage, sum: false, life: self.m.life };
         let payload = encode(label, &self.m.pool.mine);
         if fleet <= MESH_MOST {
-            return out.push(Action::TellPeers { payload });
+            return out.push(Action::GossipToAll { payload });
         }
         for draw in 0..COLLECTORS {
             let seed = (u64::from(news.build) << 16) + (u64::from(news.stage) << 8) + draw;
             let collector = (Rng(seed).unit() * fleet as f64) as usize;
             if collector == position {
                 let label = Label { sum: true, ..label };
-                out.push(Action::TellPeers { payload: encode(label, &self.m.pool.total()) });
+                out.push(Action::GossipToAll { payload: encode(label, &self.m.pool.total()) });
             } else {
-                out.push(Action::TellPeer { to: collector, payload: payload.clone() });
+                out.push(Action::GossipToPeer { to: collector, payload: payload.clone() });
             }
         }
     }
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -8,7 +8,7 @@
 //! Times are microseconds on one clock that runs on evenly, whatever becomes of the machine's wall clock.
 //! Sources: the platform's protocol page and its standing test; `docs/design.md` has the reasons.
 
-use crate::interface::{Contract, Micros};
+use crate::interface::{Micros, ServiceRules};
 
 /// A change of the list counts as told so long after discovery had it, whether or not it arrived.
 const TOLD_AT_LATEST: Micros = 6_000_000;
@@ -50,9 +50,9 @@
     }
 
     /// Not to be used before its first confirmation.
-    pub fn unconfirmed(contract: &Contract) -> Self {
+    pub fn unconfirmed(contract: &ServiceRules) -> Self {
         let grace = contract.drain_grace.saturating_sub(HELD_UP);
-        let span = TOLD_AT_LATEST.min(contract.ask_within).saturating_add(grace);
+        let span = TOLD_AT_LATEST.min(contract.poll_interval_max).saturating_add(grace);
         ListLease { terms: Some(Terms { span, grace }), until: 0, missed_until: None }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,8 +2,8 @@
 
 use crate::evidence::Pool;
 use crate::interface::{
-    Action, Build, Contract, ListKind, Micros, Outcome, Phase, Request, RequestId, ServerEntry, ServerId,
-    StageNews, Status, Verdict,
+    Action, Build, ListKind, Micros, Outcome, Phase, ReleaseStatus, Request, RequestId, ServerEntry,
+    ServerId, ServerStatus, ServiceRules, Verdict,
 };
 use crate::stats::quantile;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -162,12 +162,12 @@
     }
 
     /// The share of its capacity that it surely has: it rises evenly over the stated time.
-    pub fn warmth(&self, now: Micros, contract: &Contract) -> f64 {
-        let (age, span) = (now.saturating_sub(self.entry.started_at), contract.cold_span);
+    pub fn warmth(&self, now: Micros, contract: &ServiceRules) -> f64 {
+        let (age, span) = (now.saturating_sub(self.entry.started_at), contract.slow_start_span);
         if self.entry.started_at == 0 || age >= span {
             return 1.0;
         }
-        contract.cold_from + (1.0 - contract.cold_from) * age as f64 / span as f64
+        contract.slow_start_floor + (1.0 - contract.slow_start_floor) * age as f64 / span as f64
     }
 
     /// Its size against the others; 1 where sizes are not known.
@@ -352,7 +352,7 @@
     /// Failed list calls in a row.
     pub list_failures: u32,
     /// The platform's last word.
-    pub news: Option<StageNews>,
+    pub news: Option<ReleaseStatus>,
     /// The cap before a lower one came, and when that was.
     pub cap_before: (f64, Micros),
     /// Attempts at builds on trial, by build and counted class.
@@ -421,7 +421,7 @@
     /// A line for the log, unless `most` have been written.
     pub fn note(&mut self, text: String, most: u32) -> Option<Action> {
         self.notes = self.notes.saturating_add(1);
-        (self.notes <= most).then_some(Action::Note(text))
+        (self.notes <= most).then_some(Action::Log(text))
     }
 
     /// Notes that a key was sent to the new build; past `most` attempts it counts as answered there.
@@ -497,15 +497,15 @@
     }
 
     /// The sizes of the servers that take work, added up: of the warm ones, and of all.
-    pub fn ready_sizes(&self, now: Micros, contract: &Contract, known: bool) -> (f64, f64) {
-        let ready = self.servers.values().filter(|s| s.entry.status == Status::Ready);
+    pub fn ready_sizes(&self, now: Micros, contract: &ServiceRules, known: bool) -> (f64, f64) {
+        let ready = self.servers.values().filter(|s| s.entry.status == ServerStatus::Ready);
         let sized = ready.map(|s| (s.size(known), s.warmth(now, contract) >= 1.0));
         sized.fold((0.0, 0.0), |(warm, all), (size, is)| (warm + if is { size } else { 0.0 }, all + size))
     }
 
     /// How many listed servers run the build and take work.
     fn ready_with(&self, build: Option<Build>) -> usize {
-        let of = |s: &&Server| Some(s.entry.build) == build && s.entry.status == Status::Ready;
+        let of = |s: &&Server| Some(s.entry.build) == build && s.entry.status == ServerStatus::Ready;
         self.servers.values().filter(of).count()
     }
 
@@ -548,7 +548,7 @@
         let before = self.ready_with(watched);
         if kind != ListKind::Delta {
             // A server absent from a full list has left.
-            self.servers.values_mut().for_each(|s| s.entry.status = Status::Gone);
+            self.servers.values_mut().for_each(|s| s.entry.status = ServerStatus::Removed);
         }
         for entry in entries {
             let server = self.servers.entry(entry.id).or_insert_with(|| Server::new(*entry));
@@ -558,8 +558,8 @@
             }
             server.entry = *entry;
         }
-        self.servers.retain(|_, s| s.entry.status != Status::Gone || s.in_flight > 0);
-        let ready = self.servers.values().filter(|s| s.entry.status == Status::Ready);
+        self.servers.retain(|_, s| s.entry.status != ServerStatus::Removed || s.in_flight > 0);
+        let ready = self.servers.values().filter(|s| s.entry.status == ServerStatus::Ready);
         let builds: BTreeSet<Build> = ready.map(|s| s.entry.build).collect();
         self.builds = builds.into_iter().collect();
         self.ready_with(watched) > before
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,32 +12,32 @@
 
 /// Settings with one class of each effect and four stages, the first guarded.
 pub fn settings() -> Settings {
-    let class = |effect, group| Class {
-        aim: 300 * MS,
+    let class = |effect, group| RequestClass {
+        latency_objective: 300 * MS,
         deadline: 1_200 * MS,
-        effect,
-        group,
+        idempotency: effect,
+        dedup_group: group,
         dedup_window: 2 * S,
-        worth: 1.0,
-        ..Class::default()
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
     Settings {
         classes: vec![
-            class(Effect::Retryable, DedupGroup::All),
-            class(Effect::Deduplicated, DedupGroup::Zone),
-            class(Effect::Fragile, DedupGroup::All),
+            class(Idempotency::Idempotent, DedupGroup::All),
+            class(Idempotency::Keyed, DedupGroup::Zone),
+            class(Idempotency::NonIdempotent, DedupGroup::All),
         ],
         rollout: Rollout {
             gate: GateMode::Any,
             in_place: true,
-            stage_cap: vec![0.16, 0.5, 1.0, 1.0],
-            guarded_stages: 1,
-            counted_over: 6 * S,
-            uncounted: 2.0,
+            stage_caps: vec![0.16, 0.5, 1.0, 1.0],
+            idempotent_only_stages: 1,
+            exposure_window: 6 * S,
+            exposure_slack: 2.0,
             vote_ttl: 4 * S,
-            call_timeout: 800 * MS,
+            vote_timeout: 800 * MS,
             flag_share: 0.3,
-            vote_allowance: 100.0,
+            vote_rate_limit: 100.0,
             ..Rollout::default()
         },
         limits: Limits {
@@ -47,14 +47,14 @@
             max_retry_after: S,
             ..Limits::default()
         },
-        contract: Contract {
-            answer_grace: 20 * MS,
-            ask_within: 10 * S,
-            cold_from: 0.3,
-            cold_span: 4 * S,
+        rules: ServiceRules {
+            deadline_grace: 20 * MS,
+            poll_interval_max: 10 * S,
+            slow_start_floor: 0.3,
+            slow_start_span: 4 * S,
             drain_grace: 2 * S,
-            fall_multiple: 3.0,
-            fall_span: 3 * S,
+            overload_multiple: 3.0,
+            overload_span: 3 * S,
         },
         fleet_size: 1,
         tick: 5 * MS,
@@ -65,7 +65,7 @@
 /// A warm, ready server.
 pub fn server(id: ServerId, build: Build) -> ServerEntry {
     let (zone, cell) = ((id % 2) as u16, 0);
-    ServerEntry { id, zone, build, cell, status: Status::Ready, size: 1.0, started_at: 0 }
+    ServerEntry { id, zone, build, cell, status: ServerStatus::Ready, size: 1.0, started_at: 0 }
 }
 
 /// `old` servers of build 1 and `new` servers of build 2.
@@ -73,8 +73,8 @@
     (0..old).map(|i| server(10 + i, 1)).chain((0..new).map(|i| server(100 + i, 2))).collect()
 }
 
-pub fn news(build: Build, stage: u8, phase: Phase, cap: f64) -> StageNews {
-    StageNews { build, stage, phase, cap }
+pub fn news(build: Build, stage: u8, phase: Phase, cap: f64) -> ReleaseStatus {
+    ReleaseStatus { build, stage, phase, cap }
 }
 
 /// One balancer under test and its clock.
@@ -85,10 +85,10 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, entries: &[ServerEntry], stage: StageNews) -> Rig {
+    pub fn new(settings: Settings, entries: &[ServerEntry], stage: ReleaseStatus) -> Rig {
         let mut rig = Rig { now: 100 * S, balancer: Balancer::new(settings, 7), next: 1 };
         rig.feed(Event::ServerList { kind: ListKind::Cached, entries });
-        rig.feed(Event::Stage(stage));
+        rig.feed(Event::Release(stage));
         rig
     }
 
@@ -130,7 +130,14 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let settled = outcome == Outcome::Ok;
-        self.feed(Event::AttemptEnded(AttemptEnd { request, attempt, server, outcome, elapsed, settled }))
+        self.feed(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed,
+            finishes_request: settled,
+        }))
     }
 
     /// Plays requests of the class, ten a tick apart, each answered 50 ms later by `outcome_of`.
@@ -179,7 +186,7 @@
 
 /// Final answers given to the request: refused or failed.
 pub fn finals(actions: &[Action], id: RequestId) -> (usize, usize) {
-    let refused = actions.iter().filter(|a| matches!(a, Action::Refuse { request, .. } if *request == id));
+    let refused = actions.iter().filter(|a| matches!(a, Action::Reject { request, .. } if *request == id));
     let failed = actions.iter().filter(|a| matches!(a, Action::Fail { request } if *request == id));
     (refused.count(), failed.count())
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,7 +12,7 @@
 
 fn fleet_settings(position: usize) -> Settings {
     let mut set = settings();
-    (set.fleet_size, set.position, set.limits.peer_messages) = (FLEET, position, true);
+    (set.fleet_size, set.position, set.limits.gossip) = (FLEET, position, true);
     set
 }
 
@@ -31,7 +31,7 @@
 /// `outcome_of` says, and messages arrive 20 ms later unless they are lost.
 fn play(
     entries: &[ServerEntry],
-    stage: StageNews,
+    stage: ReleaseStatus,
     per_s: f64,
     span: Micros,
     lost: bool,
@@ -47,7 +47,7 @@
     let mut now = start;
     for balancer in &mut fleet {
         balancer.on_event(now, Event::ServerList { kind: ListKind::Cached, entries }, &mut Vec::new());
-        balancer.on_event(now, Event::Stage(stage), &mut Vec::new());
+        balancer.on_event(now, Event::Release(stage), &mut Vec::new());
     }
     while now < start + span {
         now += 20 * MS;
@@ -64,7 +64,14 @@
             }
             for &(_, _, request, server, outcome) in ended.iter().filter(|e| e.1 == i) {
                 let settled = outcome == Outcome::Ok;
-                let end = AttemptEnd { request, attempt: 0, server, outcome, elapsed: 60 * MS, settled };
+                let end = AttemptEnd {
+                    request,
+                    attempt: 0,
+                    server,
+                    outcome,
+                    elapsed: 60 * MS,
+                    finishes_request: settled,
+                };
                 balancer.on_event(now, Event::AttemptEnded(end), &mut out);
             }
             balancer.on_event(now, Event::Timer { token: 0 }, &mut out);
@@ -85,12 +92,14 @@
                         done.votes.entry(i).or_default().push(verdict);
                         balancer.on_event(
                             now,
-                            Event::VoteReply { outcome: Outcome::Ok, news: None },
+                            Event::VoteReply { outcome: Outcome::Ok, release: None },
                             &mut Vec::new(),
                         );
                     }
-                    Action::TellPeer { to, payload } if !lost => mail.push((now + 20 * MS, i, to, payload)),
-                    Action::TellPeers { payload } if !lost => {
+                    Action::GossipToPeer { to, payload } if !lost => {
+                        mail.push((now + 20 * MS, i, to, payload))
+                    }
+                    Action::GossipToAll { payload } if !lost => {
                         let others = (0..FLEET).filter(|&to| to != i);
                         mail.extend(others.map(|to| (now + 20 * MS, i, to, payload.clone())));
                     }
@@ -126,16 +135,16 @@
 #[test]
 fn a_thin_fleet_lets_a_good_build_on_with_more_than_half_voting() {
     let done = play(&fleet(30, 10), news(2, 1, Phase::Trial, 0.5), 3.0, 8 * S, false, ok);
-    assert!(voters(&done, Verdict::On) > FLEET / 2, "{} vote on", voters(&done, Verdict::On));
-    assert_eq!(voters(&done, Verdict::Back), 0);
+    assert!(voters(&done, Verdict::Promote) > FLEET / 2, "{} vote on", voters(&done, Verdict::Promote));
+    assert_eq!(voters(&done, Verdict::RollBack), 0);
 }
 
 #[test]
 fn a_thin_fleet_sends_a_failing_build_back_and_nobody_votes_it_on() {
     let bad = |to, id| if to >= 100 && id % 8 == 0 { Outcome::Error } else { Outcome::Ok };
     let done = play(&fleet(30, 10), news(2, 1, Phase::Trial, 0.5), 3.0, 10 * S, false, bad);
-    assert!(voters(&done, Verdict::Back) > FLEET / 2, "{} vote back", voters(&done, Verdict::Back));
-    assert_eq!(voters(&done, Verdict::On), 0);
+    assert!(voters(&done, Verdict::RollBack) > FLEET / 2, "{} vote back", voters(&done, Verdict::RollBack));
+    assert_eq!(voters(&done, Verdict::Promote), 0);
 }
 
 /// Guards: a few failing machines, alike in both builds, must not convict: the breach is theirs alone.
@@ -143,7 +152,7 @@
 fn failing_machines_of_a_thin_fleet_convict_nobody() {
     let fault = |to, _| if to == 10 || to == 100 { Outcome::Error } else { Outcome::Ok };
     let done = play(&fleet(30, 10), news(2, 1, Phase::Trial, 0.5), 3.0, 10 * S, false, fault);
-    assert_eq!(voters(&done, Verdict::Back), 0);
+    assert_eq!(voters(&done, Verdict::RollBack), 0);
 }
 
 /// Guards: with all messages lost nobody may judge on next to nothing.
@@ -196,7 +205,7 @@
 #[test]
 fn odd_messages_change_nothing() {
     let mut set = settings();
-    (set.fleet_size, set.limits.peer_messages) = (4, true);
+    (set.fleet_size, set.limits.gossip) = (4, true);
     let clean = |odd: &dyn Fn(&mut Rig)| {
         let mut rig = Rig::new(set.clone(), &fleet(6, 4), news(2, 2, Phase::Trial, 1.0));
         let mut all = Vec::new();
@@ -218,7 +227,7 @@
         })
     };
     let undisturbed = clean(&|_| {});
-    assert!(undisturbed.contains(&Verdict::On));
+    assert!(undisturbed.contains(&Verdict::Promote));
     let whole = encode(label(2, 2, false), &failing);
     for bytes in [
         whole[..whole.len() - 1].to_vec(),
--- a/tests/judging.rs
+++ b/tests/judging.rs
@@ -14,8 +14,8 @@
 fn a_clean_window_brings_on() {
     let mut rig = rig(2, 1.0);
     let actions = rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK);
-    assert_eq!(votes(&actions).first(), Some(&Verdict::On));
-    assert!(!votes(&actions).contains(&Verdict::Back));
+    assert_eq!(votes(&actions).first(), Some(&Verdict::Promote));
+    assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 #[test]
@@ -23,8 +23,8 @@
     let mut rig = rig(2, 1.0);
     let bad = |to, i| if to >= 100 && i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
     let actions = rig.traffic(&[SAFE], 2_000, bad);
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
-    assert!(!votes(&actions).contains(&Verdict::On));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
+    assert!(!votes(&actions).contains(&Verdict::Promote));
 }
 
 #[test]
@@ -33,7 +33,7 @@
     let spread = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
     let actions =
         rig.traffic(&[SAFE], 2_000, |to, i| (Outcome::Ok, spread(i) * if to >= 100 { 2 } else { 1 }));
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 #[test]
@@ -41,14 +41,14 @@
     let mut rig = rig(2, 1.0);
     let tail = |to, i| if to >= 100 && i % 12 == 0 { (Outcome::Ok, 200 * MS) } else { OK };
     let actions = rig.traffic(&[SAFE], 2_000, tail);
-    assert!(!votes(&actions).contains(&Verdict::Back));
+    assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 #[test]
 fn a_fault_of_both_builds_is_not_the_new_ones() {
     let mut rig = rig(2, 1.0);
     let actions = rig.traffic(&[SAFE], 2_000, |_, i| if i % 5 == 0 { (Outcome::Error, 50 * MS) } else { OK });
-    assert!(!votes(&actions).contains(&Verdict::Back));
+    assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 /// Guards: the breach must survive without the worst machine.
@@ -56,7 +56,7 @@
 fn one_failing_machine_among_several_new_ones_convicts_nobody() {
     let mut rig = rig(2, 1.0);
     let actions = rig.traffic(&[SAFE], 2_000, |to, _| if to == 100 { (Outcome::Error, 50 * MS) } else { OK });
-    assert!(!votes(&actions).contains(&Verdict::Back));
+    assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 /// Guards: one class broken among healthy ones.
@@ -66,7 +66,7 @@
     let actions = rig.traffic(&[SAFE, SAFE, SAFE, FRAGILE], 2_400, |to, i| {
         if to >= 100 && i % 4 == 3 { (Outcome::Error, 50 * MS) } else { OK }
     });
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 /// Guards: a small steady failure share that passes each window's bounds, on machines that look alike.
@@ -75,7 +75,7 @@
     let mut rig = rig(2, 1.0);
     let bad = |to, i| if to >= 100 && i % 22 == 0 { (Outcome::Error, 50 * MS) } else { OK };
     let actions = rig.traffic(&[SAFE], 4_000, bad);
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 /// Guards: thin traffic; evidence is carried past the window's span until it suffices.
@@ -87,7 +87,7 @@
         actions.extend(rig.traffic(&[SAFE, KEYED, FRAGILE], 1, |_, _| OK));
         actions.extend(rig.run(150 * MS));
     }
-    assert!(votes(&actions).contains(&Verdict::On));
+    assert!(votes(&actions).contains(&Verdict::Promote));
 }
 
 #[test]
@@ -113,7 +113,7 @@
             }
         }
     }
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 /// Guards: never a vote on evidence of another stage.
@@ -121,7 +121,7 @@
 fn a_new_stage_starts_the_evidence_anew() {
     let mut rig = rig(1, 0.5);
     rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK);
-    rig.feed(Event::Stage(news(2, 2, Phase::Trial, 1.0)));
+    rig.feed(Event::Release(news(2, 2, Phase::Trial, 1.0)));
     assert_eq!(votes(&rig.run(4 * S)), []);
 }
 
@@ -130,11 +130,11 @@
 fn a_released_build_that_turns_bad_is_sent_back() {
     let mut rig = rig(2, 1.0);
     rig.traffic(&[SAFE], 900, |_, _| OK);
-    rig.feed(Event::Stage(news(2, 3, Phase::Released, 1.0)));
+    rig.feed(Event::Release(news(2, 3, Phase::Released, 1.0)));
     rig.feed(Event::ServerList { kind: ListKind::Full, entries: &fleet(0, 10) });
     let bad = |_, i| if i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
     let actions = rig.traffic(&[SAFE], 2_000, bad);
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 #[test]
@@ -158,21 +158,21 @@
     rig.traffic(&[SAFE, KEYED, FRAGILE], 1_200, bad);
     rig.run(20 * S);
     let actions = rig.traffic(&[SAFE, KEYED, FRAGILE], 1_200, |_, _| OK);
-    assert!(votes(&actions).iter().all(|v| *v == Verdict::Back), "{:?}", votes(&actions));
+    assert!(votes(&actions).iter().all(|v| *v == Verdict::RollBack), "{:?}", votes(&actions));
 }
 
 #[test]
 fn a_vote_is_renewed_before_it_expires_and_retried_after_a_refusal() {
     let mut rig = rig(2, 1.0);
     let mut actions = rig.traffic(&[SAFE, KEYED, FRAGILE], 400, |_, _| OK);
-    assert_eq!(votes(&actions), [Verdict::On]);
-    rig.feed(Event::VoteReply { outcome: Outcome::Rejected, news: None });
+    assert_eq!(votes(&actions), [Verdict::Promote]);
+    rig.feed(Event::VoteReply { outcome: Outcome::Rejected, release: None });
     assert_eq!(votes(&rig.run(300 * MS)), []);
     actions = rig.run(700 * MS);
-    assert_eq!(votes(&actions), [Verdict::On]);
-    rig.feed(Event::VoteReply { outcome: Outcome::Ok, news: None });
+    assert_eq!(votes(&actions), [Verdict::Promote]);
+    rig.feed(Event::VoteReply { outcome: Outcome::Ok, release: None });
     assert_eq!(votes(&rig.run(2 * S)), []);
-    assert_eq!(votes(&rig.run(2 * S)), [Verdict::On]);
+    assert_eq!(votes(&rig.run(2 * S)), [Verdict::Promote]);
 }
 
 /// Guards: a build slowed so much that it convicts at once is looked for in slow answers, not in failures.
@@ -182,7 +182,7 @@
     let spread = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
     let slow = |to, i| (Outcome::Ok, spread(i) * if to >= 100 { 3 } else { 1 });
     let actions = rig.traffic(&[SAFE], 2_000, slow);
-    assert_eq!(votes(&actions).last(), Some(&Verdict::Back));
+    assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 /// Guards: a good build must not hang for as long as a few machines of the fleet are slow.
@@ -192,8 +192,8 @@
     let mut rig = Rig::new(set, &fleet(12, 12), news(2, 2, Phase::Trial, 1.0));
     let slow = |to: ServerId, _| (Outcome::Ok, if to == 100 || to == 101 { 400 * MS } else { 50 * MS });
     let actions = rig.traffic(&[SAFE, KEYED, FRAGILE], 3_000, slow);
-    assert!(votes(&actions).contains(&Verdict::On), "{:?}", votes(&actions));
-    assert!(!votes(&actions).contains(&Verdict::Back));
+    assert!(votes(&actions).contains(&Verdict::Promote), "{:?}", votes(&actions));
+    assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 /// Guards: with peers silent and votes counted, thin clean evidence still moves a stage; a failure withholds it,
@@ -202,7 +202,7 @@
 fn thin_evidence_votes_only_where_votes_are_counted() {
     let play = |gate, failing: bool| {
         let mut set = settings();
-        (set.rollout.gate, set.rollout.votes_on, set.fleet_size) = (gate, 100.0, 200);
+        (set.rollout.gate, set.rollout.votes_to_promote, set.fleet_size) = (gate, 100.0, 200);
         let mut rig = Rig::new(set, &fleet(6, 4), news(2, 2, Phase::Trial, 1.0));
         let mut actions = Vec::new();
         for _ in 0..16 {
@@ -212,7 +212,7 @@
         }
         votes(&actions)
     };
-    assert!(play(GateMode::Share, false).contains(&Verdict::On));
+    assert!(play(GateMode::Share, false).contains(&Verdict::Promote));
     assert_eq!(play(GateMode::Share, true), []);
     assert_eq!(play(GateMode::Any, false), []);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -7,19 +7,19 @@
 use violetseam::interface::*;
 use violetseam::state::Exposure;
 
-const RELEASED: StageNews = StageNews { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
+const RELEASED: ReleaseStatus = ReleaseStatus { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
 
 /// Whether the attempt is withheld.
 fn withheld(rig: &mut Rig, request: RequestId, attempt: usize) -> bool {
-    let actions = rig.feed(Event::Leaving { request, attempt });
-    let hit = |a: &Action| *a == Action::Withhold { request, attempt };
+    let actions = rig.feed(Event::ReadyToSend { request, attempt });
+    let hit = |a: &Action| *a == Action::CancelBeforeSend { request, attempt };
     assert_eq!(sends(&actions), [], "what takes its place comes after its end");
     actions.iter().any(hit)
 }
 
 fn withhold(rig: &mut Rig, request: RequestId, attempt: usize, server: ServerId) -> Vec<Action> {
     assert!(withheld(rig, request, attempt));
-    rig.end(request, attempt, server, Outcome::Withheld, MS)
+    rig.end(request, attempt, server, Outcome::CancelledBeforeSend, MS)
 }
 
 fn relist(rig: &mut Rig, entries: &[ServerEntry]) {
@@ -44,7 +44,7 @@
 fn being_asked_changes_nothing_by_itself() {
     let run = |asked: bool| {
         let mut set = settings();
-        set.rollout.one_way = true;
+        set.rollout.sticky_to_new_build = true;
         let mut rig = Rig::new(set, &fleet(4, 4), news(2, 2, Phase::Trial, 0.5));
         let mut all = Vec::new();
         for n in 0..3_000u64 {
@@ -59,7 +59,7 @@
                 rig.run(5 * MS);
                 rig.end(id, 0, to, if n % 9 == 0 { Outcome::Rejected } else { Outcome::Ok }, 5 * MS);
             }
-            rig.feed(Event::ClientGone { request: id });
+            rig.feed(Event::ClientDisconnected { request: id });
         }
         all
     };
@@ -73,8 +73,8 @@
 #[test]
 fn a_server_that_is_another_by_now_is_left_for_the_next() {
     let changes = [
-        |e: ServerEntry, _: Micros| ServerEntry { status: Status::Draining, ..e },
-        |e, _| ServerEntry { status: Status::Gone, ..e },
+        |e: ServerEntry, _: Micros| ServerEntry { status: ServerStatus::Draining, ..e },
+        |e, _| ServerEntry { status: ServerStatus::Removed, ..e },
         |e, _| ServerEntry { build: 2, ..e },
         |e, now| ServerEntry { started_at: now, ..e },
     ];
@@ -93,7 +93,7 @@
 #[test]
 fn a_key_that_the_new_build_answered_meanwhile_holds() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(1, 0), news(2, 2, Phase::Trial, 1.0));
     let (id, actions) = rig.keyed(SAFE, Some(7));
     let earlier = sends(&actions)[0].1;
@@ -103,7 +103,7 @@
         let (other, actions) = rig.keyed(SAFE, Some(7));
         let to = sends(&actions)[0].1;
         rig.end(other, 0, to, if to == 100 { Outcome::Ok } else { Outcome::Rejected }, MS);
-        rig.feed(Event::ClientGone { request: other });
+        rig.feed(Event::ClientDisconnected { request: other });
         if to == 100 {
             break;
         }
@@ -125,7 +125,7 @@
             for (_, to) in sends(&actions) {
                 if to == 50 && withheld_first && n < 1_000 {
                     // It drains for a moment, just as the attempt would leave.
-                    relist(&mut rig, &[ServerEntry { status: Status::Draining, ..cold }]);
+                    relist(&mut rig, &[ServerEntry { status: ServerStatus::Draining, ..cold }]);
                     withhold(&mut rig, id, 0, 50);
                     relist(&mut rig, &[cold]);
                 } else {
@@ -133,7 +133,7 @@
                     rig.end(id, 0, to, Outcome::Ok, 20 * MS);
                 }
             }
-            rig.feed(Event::ClientGone { request: id });
+            rig.feed(Event::ClientDisconnected { request: id });
         }
         sent
     };
@@ -155,7 +155,7 @@
     assert!(!withheld(&mut rig, first.0, 0));
     assert_eq!(ask(&mut rig), None);
     let gone: Vec<ServerEntry> =
-        fleet(0, 3).iter().map(|e| ServerEntry { status: Status::Draining, ..*e }).collect();
+        fleet(0, 3).iter().map(|e| ServerEntry { status: ServerStatus::Draining, ..*e }).collect();
     relist(&mut rig, &gone);
     withhold(&mut rig, second.0, 0, second.1);
     relist(&mut rig, &fleet(0, 3));
@@ -174,14 +174,14 @@
             if let [(_, to)] = sends(&again)[..] {
                 done += 1;
                 if with {
-                    relist(&mut rig, &[ServerEntry { status: Status::Draining, ..server(to, 1) }]);
+                    relist(&mut rig, &[ServerEntry { status: ServerStatus::Draining, ..server(to, 1) }]);
                     // The client has left by then, so that nothing takes its place.
-                    rig.feed(Event::ClientGone { request: id });
-                    rig.end(id, 1, to, Outcome::Withheld, MS);
+                    rig.feed(Event::ClientDisconnected { request: id });
+                    rig.end(id, 1, to, Outcome::CancelledBeforeSend, MS);
                     relist(&mut rig, &[server(to, 1)]);
                 }
             }
-            rig.feed(Event::ClientGone { request: id });
+            rig.feed(Event::ClientDisconnected { request: id });
         }
         done
     };
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -12,35 +12,35 @@
     Rig::new(set, &fleet(6, 4), news(2, 2, phase, 1.0))
 }
 
-fn say(rig: &mut Rig, word: Operator) -> Vec<Verdict> {
+fn say(rig: &mut Rig, word: OperatorCommand) -> Vec<Verdict> {
     votes(&rig.feed(Event::Operator(word)))
 }
 
 fn accept(rig: &mut Rig) -> Vec<Verdict> {
-    votes(&rig.feed(Event::VoteReply { outcome: Outcome::Ok, news: None }))
+    votes(&rig.feed(Event::VoteReply { outcome: Outcome::Ok, release: None }))
 }
 
 #[test]
 fn a_pause_withdraws_the_vote_that_stands_and_a_resume_gives_it_back() {
     let mut rig = rig(GateMode::Any, Phase::Trial);
-    assert_eq!(votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 700, |_, _| OK)).first(), Some(&Verdict::On));
+    assert_eq!(votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 700, |_, _| OK)).first(), Some(&Verdict::Promote));
     accept(&mut rig);
     rig.run(200 * MS);
     accept(&mut rig);
-    assert_eq!(say(&mut rig, Operator::Pause), [Verdict::Withdraw]);
+    assert_eq!(say(&mut rig, OperatorCommand::Pause), [Verdict::Withdraw]);
     accept(&mut rig);
-    assert!(!votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK)).contains(&Verdict::On));
+    assert!(!votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK)).contains(&Verdict::Promote));
     // The module went on judging meanwhile.
     rig.run(2_000 * MS);
     accept(&mut rig);
-    assert_eq!(say(&mut rig, Operator::Resume), [Verdict::On]);
+    assert_eq!(say(&mut rig, OperatorCommand::Resume), [Verdict::Promote]);
 }
 
 #[test]
 fn under_the_clock_a_pause_holds_it() {
     let mut rig = rig(GateMode::Timer, Phase::Trial);
     rig.traffic(&[SAFE, KEYED, FRAGILE], 300, |_, _| OK);
-    assert_eq!(say(&mut rig, Operator::Pause), [Verdict::Hold]);
+    assert_eq!(say(&mut rig, OperatorCommand::Pause), [Verdict::Hold]);
     accept(&mut rig);
     // Held on, renewed before it expires.
     assert!(votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK)).iter().all(|v| *v == Verdict::Hold));
@@ -51,21 +51,21 @@
     let mut rig = rig(GateMode::Any, Phase::Trial);
     rig.traffic(&[SAFE, KEYED, FRAGILE], 700, |_, _| OK);
     accept(&mut rig);
-    say(&mut rig, Operator::Pause);
+    say(&mut rig, OperatorCommand::Pause);
     accept(&mut rig);
-    assert_eq!(say(&mut rig, Operator::Back), [Verdict::Back]);
+    assert_eq!(say(&mut rig, OperatorCommand::RollBack), [Verdict::RollBack]);
     accept(&mut rig);
     // It stands as a conviction does: clean windows do not take it back.
     let after = votes(&rig.traffic(&[SAFE, KEYED, FRAGILE], 900, |_, _| OK));
-    assert!(after.iter().all(|v| *v == Verdict::Back), "{after:?}");
+    assert!(after.iter().all(|v| *v == Verdict::RollBack), "{after:?}");
 }
 
 #[test]
 fn there_is_nothing_to_vote_back_once_a_build_is_withdrawn() {
     let mut rig = rig(GateMode::Any, Phase::Withdrawn);
-    assert_eq!(say(&mut rig, Operator::Back), []);
-    rig.feed(Event::Stage(news(3, 0, Phase::Trial, 0.16)));
-    assert!(!votes(&rig.run(3 * S)).contains(&Verdict::Back), "a word outlived the build it was about");
+    assert_eq!(say(&mut rig, OperatorCommand::RollBack), []);
+    rig.feed(Event::Release(news(3, 0, Phase::Trial, 0.16)));
+    assert!(!votes(&rig.run(3 * S)).contains(&Verdict::RollBack), "a word outlived the build it was about");
 }
 
 /// Guards: in a takeover an attempt at the new build was still out, and its answer bound the key in the old
@@ -73,7 +73,7 @@
 #[test]
 fn a_successor_holds_no_request_but_every_key_that_may_yet_be_answered_by_the_new_build() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(6, 4), news(2, 2, Phase::Trial, 1.0));
     let mut out = Vec::new();
     for key in 1..=400 {
@@ -85,7 +85,7 @@
     rig.balancer = rig.balancer.successor(99);
     // None of the old process's requests is the new one's to answer.
     assert_eq!(
-        rig.run(3 * S).iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count(),
+        rig.run(3 * S).iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count(),
         0
     );
     for (_, key) in out {
@@ -97,7 +97,7 @@
 #[test]
 fn a_successor_counts_the_exposure_of_the_process_before() {
     let mut set = settings();
-    set.rollout.guarded_stages = 0;
+    set.rollout.idempotent_only_stages = 0;
     let mut rig = Rig::new(set, &fleet(6, 4), news(2, 0, Phase::Trial, 0.16));
     let (mut taken, mut exposed) = (0.0, 0.0);
     for round in 0..4 {
--- a/tests/permission.rs
+++ b/tests/permission.rs
@@ -10,7 +10,7 @@
 const GRACE: Micros = 1_750 * MS;
 
 fn lease() -> ListLease {
-    ListLease::unconfirmed(&settings().contract)
+    ListLease::unconfirmed(&settings().rules)
 }
 
 fn attempt(cut_at: Micros) -> AttemptFacts {
@@ -37,8 +37,8 @@
 
 #[test]
 fn a_shorter_time_for_asking_counts() {
-    let mut contract = settings().contract;
-    contract.ask_within = 2 * S;
+    let mut contract = settings().rules;
+    contract.poll_interval_max = 2 * S;
     let mut lease = ListLease::unconfirmed(&contract);
     lease.confirm(100 * S);
     assert_eq!(lease.until(), 102 * S + GRACE);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 use violetseam::balance::Balancer;
 use violetseam::interface::*;
 
-const RELEASED: StageNews = StageNews { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
+const RELEASED: ReleaseStatus = ReleaseStatus { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
 
 #[test]
 fn without_any_server_a_request_is_refused_in_time() {
@@ -44,7 +44,7 @@
         let mut rig = Rig::new(settings(), &fleet(6, 0), RELEASED);
         rig.balancer = Balancer::new(settings(), seed);
         rig.feed(Event::ServerList { kind: ListKind::Cached, entries: &fleet(6, 0) });
-        rig.feed(Event::Stage(RELEASED));
+        rig.feed(Event::Release(RELEASED));
         let (id, actions) = rig.request(KEYED);
         let first = sends(&actions)[0].1;
         let again = rig.end(id, 0, first, Outcome::Reset, MS);
@@ -55,7 +55,7 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut rig = Rig::new(settings(), &fleet(3, 0), RELEASED);
-    let entry = ServerEntry { status: Status::Draining, ..server(11, 1) };
+    let entry = ServerEntry { status: ServerStatus::Draining, ..server(11, 1) };
     rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[entry] });
     let actions = rig.traffic(&[SAFE], 200, |_, _| (Outcome::Ok, 20 * MS));
     assert!(sends(&actions).iter().all(|s| s.1 != 11));
@@ -122,7 +122,7 @@
 #[test]
 fn nothing_goes_to_a_build_at_cap_zero_after_the_grace() {
     let mut rig = Rig::new(settings(), &fleet(0, 4), news(2, 3, Phase::Released, 1.0));
-    rig.feed(Event::Stage(news(2, 3, Phase::RollingBack, 0.0)));
+    rig.feed(Event::Release(news(2, 3, Phase::RollingBack, 0.0)));
     rig.run(2 * S);
     let (id, first) = rig.request(SAFE);
     let mut actions = rig.run(1_200 * MS);
@@ -135,7 +135,7 @@
 #[test]
 fn a_key_that_the_new_build_may_have_answered_unread_goes_to_no_earlier_one() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(5, 5), news(2, 2, Phase::Trial, 1.0));
     let mut bound = BTreeSet::new();
     let ends = [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error];
@@ -152,10 +152,10 @@
         if waits > 100 * MS && server >= 100 {
             let (again, actions) = rig.keyed(SAFE, Some(key));
             assert!(sends(&actions).iter().all(|s| s.1 >= 100), "key {key} sent back with its attempt out");
-            rig.feed(Event::ClientGone { request: again });
+            rig.feed(Event::ClientDisconnected { request: again });
         }
         rig.end(id, 0, server, end, 20 * MS);
-        rig.feed(Event::ClientGone { request: id });
+        rig.feed(Event::ClientDisconnected { request: id });
         rig.run(150 * MS);
         if server >= 100 && end != Outcome::Error {
             bound.insert(key);
@@ -170,7 +170,7 @@
 #[test]
 fn a_key_stays_bound_by_the_attempt_that_is_still_out() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     for first in [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed] {
         for second in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
             let mut rig = Rig::new(set.clone(), &fleet(0, 5), news(2, 2, Phase::Trial, 1.0));
@@ -181,10 +181,10 @@
             let other_at = sends(&actions)[0].1;
             rig.run(5 * MS);
             rig.end(one, 0, at, first, 10 * MS);
-            rig.feed(Event::ClientGone { request: one });
+            rig.feed(Event::ClientDisconnected { request: one });
             rig.run(200 * MS);
             rig.end(other, 0, other_at, second, 200 * MS);
-            rig.feed(Event::ClientGone { request: other });
+            rig.feed(Event::ClientDisconnected { request: other });
             // Machines of the earlier build come back, and none of them may have the key.
             let entries = fleet(5, 5);
             rig.feed(Event::ServerList { kind: ListKind::Full, entries: &entries });
@@ -192,7 +192,7 @@
                 let (id, actions) = rig.keyed(SAFE, Some(7));
                 assert!(sends(&actions).iter().all(|s| s.1 >= 100), "sent back after {first:?}, {second:?}");
                 sends(&actions).iter().for_each(|s| drop(rig.end(id, 0, s.1, Outcome::Error, MS)));
-                rig.feed(Event::ClientGone { request: id });
+                rig.feed(Event::ClientDisconnected { request: id });
                 rig.run(150 * MS);
             }
         }
@@ -204,14 +204,14 @@
 #[test]
 fn a_key_is_bound_by_an_answer_from_a_machine_that_was_listed_anew_meanwhile() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     for news_first in [true, false] {
         let mut rig = Rig::new(set.clone(), &fleet(1, 0), RELEASED);
         let (id, actions) = rig.keyed(SAFE, Some(7));
         let at = sends(&actions)[0].1;
         let again =
             [server(at, 1), server(50, 1)].map(|s| ServerEntry { build: 1 + u16::from(s.id == at), ..s });
-        let trial = Event::Stage(news(2, 1, Phase::Trial, 1.0));
+        let trial = Event::Release(news(2, 1, Phase::Trial, 1.0));
         let list = Event::ServerList { kind: ListKind::Full, entries: &again };
         for event in if news_first { [trial, list] } else { [list, trial] } {
             rig.feed(event);
@@ -222,7 +222,7 @@
             let (id, actions) = rig.keyed(SAFE, Some(7));
             assert!(sends(&actions).iter().all(|s| s.1 == at), "sent back, news first: {news_first}");
             sends(&actions).iter().for_each(|s| drop(rig.end(id, 0, s.1, Outcome::Ok, MS)));
-            rig.feed(Event::ClientGone { request: id });
+            rig.feed(Event::ClientDisconnected { request: id });
             rig.run(20 * MS);
         }
     }
@@ -232,7 +232,7 @@
 #[test]
 fn a_key_answered_by_the_new_build_goes_to_no_earlier_one() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(5, 5), news(2, 2, Phase::Trial, 1.0));
     let mut bound = BTreeSet::new();
     for i in 0..2_000u64 {
@@ -255,7 +255,7 @@
 #[test]
 fn a_released_build_serves_more_keys_than_are_remembered_and_none_goes_back() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(0, 3), news(2, 3, Phase::Released, 1.0));
     let served = |rig: &mut Rig, key: u64| {
         let (id, actions) = rig.keyed(SAFE, Some(key));
@@ -273,7 +273,7 @@
         assert!(served(&mut rig, key).is_none_or(|server| server >= 100), "key {key} sent back");
     }
     // With another build all of it is forgotten, and the earlier machines take keys again.
-    rig.feed(Event::Stage(news(3, 0, Phase::Trial, 0.16)));
+    rig.feed(Event::Release(news(3, 0, Phase::Trial, 0.16)));
     let free = (400_000..400_100).filter(|key| served(&mut rig, *key).is_some_and(|server| server < 100));
     assert!(free.count() > 10);
 }
@@ -282,7 +282,7 @@
 #[test]
 fn a_popular_key_does_not_go_to_the_new_build_first() {
     let mut set = settings();
-    set.rollout.one_way = true;
+    set.rollout.sticky_to_new_build = true;
     let mut rig = Rig::new(set, &fleet(8, 0), RELEASED);
     let play = |rig: &mut Rig, i: u64| {
         let key = if i.is_multiple_of(3) { 1 } else { 100 + i };
@@ -294,7 +294,7 @@
         sends(&actions).iter().filter(|s| s.1 >= 100).map(|_| key).collect::<Vec<u64>>()
     };
     (0..60).for_each(|i| drop(play(&mut rig, i)));
-    rig.feed(Event::Stage(news(2, 1, Phase::Trial, 0.5)));
+    rig.feed(Event::Release(news(2, 1, Phase::Trial, 0.5)));
     rig.feed(Event::ServerList { kind: ListKind::Full, entries: &fleet(8, 2) });
     let on_trial: Vec<u64> = (60..660).flat_map(|i| play(&mut rig, i)).collect();
     assert!(on_trial.len() > 40, "{} attempts at the new build", on_trial.len());
@@ -313,9 +313,9 @@
 #[test]
 fn the_list_is_asked_for_again_after_a_failure_and_after_silence() {
     let mut set = settings();
-    set.list_on_request = true;
+    set.subscribes_to_list = true;
     let mut rig = Rig::new(set, &fleet(2, 0), RELEASED);
-    let follows = |actions: &[Action]| actions.iter().filter(|a| **a == Action::FollowList).count();
+    let follows = |actions: &[Action]| actions.iter().filter(|a| **a == Action::WatchServerList).count();
     rig.feed(Event::ServerList { kind: ListKind::Failed, entries: &[] });
     assert_eq!(follows(&rig.run(S)), 1);
     rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[] });
@@ -327,7 +327,7 @@
     let mut rig = Rig::new(settings(), &fleet(2, 0), RELEASED);
     let before = rig.end(999, 3, 77, Outcome::Ok, MS);
     assert_eq!(before, []);
-    assert_eq!(rig.feed(Event::ClientGone { request: 5 }), []);
+    assert_eq!(rig.feed(Event::ClientDisconnected { request: 5 }), []);
     assert_eq!(rig.feed(Event::AnswerFlagged { server: 1, class: 99, since: u64::MAX }), []);
     assert_eq!(rig.feed(Event::PeerMessage { from: 9, payload: &[1, 2] }), []);
     let actions =
@@ -357,30 +357,34 @@
                     assert!(before.iter().all(|a| a.1.is_some()), "two at once");
                     let ran = before.iter().find(|a| a.1.is_none_or(Outcome::may_have_run));
                     if let Some(ran) = ran {
-                        assert!(class.effect != Effect::Fragile, "fragile sent twice");
-                        let keyed = class.effect == Effect::Deduplicated;
+                        assert!(class.idempotency != Idempotency::NonIdempotent, "fragile sent twice");
+                        let keyed = class.idempotency == Idempotency::Keyed;
                         assert!(!keyed || (ran.0 % 2 == server % 2 && now < ran.2 + class.dedup_window));
                     }
                     before.push((*server, None, now));
-                    assert!(self.draining.get(server).is_none_or(|at| now <= at + set.contract.drain_grace));
+                    assert!(self.draining.get(server).is_none_or(|at| now <= at + set.rules.drain_grace));
                     if *server >= 100 {
-                        assert!(!guarded || class.effect == Effect::Retryable, "guarded stage");
+                        assert!(!guarded || class.idempotency == Idempotency::Idempotent, "guarded stage");
                         self.exposed.push(now);
-                        for &from in self.exposed.iter().filter(|&&t| t + set.rollout.counted_over >= now) {
+                        for &from in self.exposed.iter().filter(|&&t| t + set.rollout.exposure_window >= now)
+                        {
                             let spent = self.exposed.iter().filter(|&&t| t >= from).count() as f64;
                             let taken = self.taken.iter().filter(|&&t| t >= from).count() as f64;
-                            let most = set.rollout.uncounted + cap * (taken + 1.0);
+                            let most = set.rollout.exposure_slack + cap * (taken + 1.0);
                             assert!(spent <= most + 1e-6, "{spent} attempts over {most}");
                         }
                     }
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(self.finished.insert(*request), "two final answers");
                     let class = &set.classes[self.deadline[request].1];
                     let tries = self.attempts.get(request).map(Vec::as_slice).unwrap_or_default();
                     let ran = tries.iter().any(|a| a.1.is_none_or(Outcome::may_have_run));
-                    let refused = matches!(action, Action::Refuse { .. });
-                    assert!(!refused || !ran || class.effect == Effect::Retryable, "refusal after an effect");
+                    let refused = matches!(action, Action::Reject { .. });
+                    assert!(
+                        !refused || !ran || class.idempotency == Idempotency::Idempotent,
+                        "refusal after an effect"
+                    );
                 }
                 _ => {}
             }
@@ -435,15 +439,15 @@
                     server,
                     outcome,
                     elapsed,
-                    settled,
+                    finishes_request: settled,
                 }))
             }
             8 => {
                 let id = 10 + u64::from(pick % 4);
-                let status = if pick % 3 == 0 { Status::Draining } else { Status::Ready };
+                let status = if pick % 3 == 0 { ServerStatus::Draining } else { ServerStatus::Ready };
                 let started_at = if pick % 5 == 0 { rig.now } else { 0 };
                 match status {
-                    Status::Ready => watch.draining.remove(&id),
+                    ServerStatus::Ready => watch.draining.remove(&id),
                     _ => Some(*watch.draining.entry(id).or_insert(rig.now)),
                 };
                 let entry = ServerEntry { status, started_at, ..server(id, 1) };
@@ -457,7 +461,7 @@
         watch.check(rig.now, &set, 0.16, true, &actions);
         all.extend(actions);
         for (id, (deadline, _)) in &watch.deadline {
-            let late = rig.now > deadline + set.contract.answer_grace;
+            let late = rig.now > deadline + set.rules.deadline_grace;
             assert!(!late || watch.finished.contains(id), "request {id} without a final answer");
         }
     }
