--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -31,18 +31,18 @@
 fn events_are_read_as_laid_out() {
     let request = event("12 c4913a5d9b230400 da05840000000000 00 e02e0000 640ad2557c3bf091 01 00000000");
     assert!(request.contains("id: 1165050097865156") && request.contains("deadline: 8652250"), "{request}");
-    assert!(request.contains("hint: Some(12000)") && request.contains("is_retry: false"), "{request}");
+    assert!(request.contains("cost_hint: Some(12000)") && request.contains("is_retry: false"), "{request}");
     let end = event("14 c4913a5d9b230400 00 0a124a07 931f 0a00 44480000 01 00");
     assert!(end.contains(&format!("server: {SERVER}")) && end.contains("outcome: Ok"), "{end}");
-    assert!(end.contains("elapsed: 18500") && end.contains("settled: true"), "{end}");
+    assert!(end.contains("elapsed: 18500") && end.contains("finishes_request: true"), "{end}");
     assert!(event("16 4d00000000000000").contains("token: 77"));
     assert!(event("18 0200 0400 68692037").contains("from: 2, payload: [104, 105, 32, 55]"));
     assert!(event("13 c4913a5d9b230400 00 22240000 0a124a07 931f").contains("StreamStarted"));
     assert!(event("1c 0a9011f2 bc1f 00 009f2400").contains("since: 2400000"));
-    assert!(event("15 192b6f0efcdb0800").contains("ClientGone"));
+    assert!(event("15 192b6f0efcdb0800").contains("ClientDisconnected"));
     let reply = event("1a 2a00 02 00 01 0a00 0000003e f0ba0400");
     assert!(reply.contains("VoteReply") && reply.contains("build: 42, stage: 2, phase: Trial, cap: 0.125"));
-    assert!(event("17 0a9011f2 bc1f 0a00 78050000 00").contains("Probed"));
+    assert!(event("17 0a9011f2 bc1f 0a00 78050000 00").contains("HealthChecked"));
     let count = event("1b b4000000 00 fc530000 d0121300 2a00 04000000");
     assert!(
         count.contains("build: 42, class: 0, attempts: 180, failed: 4, mean: 21500, age: 1250000"),
