--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -174,7 +174,7 @@
             idempotent_only_stages: family.safe_only_stages,
             exposure_window: family.counted_over,
             exposure_slack: family.uncounted,
-            per_class: family.per == "class",
+            exposure_per_class: family.per == "class",
             sticky_to_new_build: family.one_way,
             vote_ttl: family.vote_ttl.unwrap_or(u64::MAX),
             vote_timeout: family.call_timeout.unwrap_or(u64::MAX),
--- a/crates/settings/src/check/decisions.rs
+++ b/crates/settings/src/check/decisions.rs
@@ -46,7 +46,7 @@
             idempotent_only_stages: r.guarded_stages,
             exposure_window: r.counted_over.0,
             exposure_slack: r.uncounted,
-            per_class: r.per_class,
+            exposure_per_class: r.per_class,
             sticky_to_new_build: r.one_way,
             vote_ttl: r.vote_ttl.0,
             vote_timeout: r.call_timeout.0,
--- /dev/null
+++ b/src/analysis/windows.rs
@@ -0,0 +1,163 @@
+//! Windows of evidence: attempts' ends are collected, and a full or old window becomes a verdict.
+
+use super::verdict::WindowResult;
+use crate::balancer::Balancer;
+use crate::evidence::{Arm, Sample};
+use crate::interface::{
+    Action, AttemptEnd, GateMode, Micros, Outcome, Phase, ReleaseStatus, ServerId, Verdict,
+};
+use crate::state::Attempt;
+use crate::time::SECOND;
+
+/// A window closes at so many attempts at the new build ...
+pub(super) const MAX_WINDOW_ATTEMPTS: usize = 100;
+/// ... or after this span.
+pub(super) const MAX_WINDOW_SPAN: Micros = 3 * SECOND;
+/// A full window stays open for so long, or one pause of a server would spoil two.
+const MIN_WINDOW_SPAN: Micros = SECOND;
+/// Median and 95th percentile must both exceed this multiple of the earlier build's.
+pub(super) const MAX_LATENCY_RATIO: f64 = 1.3;
+/// Windows in a row with a violation that roll a build back.
+const VIOLATIONS_TO_ROLL_BACK: f64 = 2.0;
+/// Lines that a balancer writes to the log in its life.
+const MAX_LOG_LINES: u32 = 100;
+
+/// What an attempt's end is judged by.
+pub(crate) struct AttemptContext<'a> {
+    /// The attempt.
+    pub attempt: &'a Attempt,
+    /// The request's class.
+    pub class: usize,
+    /// The request's units of work. Counters are added up over balancers, so all use the same unit.
+    pub work: f64,
+    /// It ended past the latency objective.
+    pub late: bool,
+}
+
+impl Balancer {
+    /// Counts an attempt's end as evidence about the build.
+    ///
+    /// Rejections, failed connects and attempts never sent are no answers of the build. One that was cut short
+    /// took at least so long, which says something only past the typical time.
+    pub(crate) fn record_build_outcome(&mut self, context: &AttemptContext, end: AttemptEnd) {
+        let &AttemptContext { attempt, class, work, late } = context;
+        let elapsed = end.elapsed as f64;
+        let typical = self.state.latencies[class].median;
+        let error = end.outcome == Outcome::Error;
+        let timeout = end.outcome == Outcome::Timeout && late && !attempt.warming_up;
+        let cut_short = matches!(end.outcome, Outcome::Cancelled | Outcome::Timeout);
+        let cut_early = cut_short && elapsed < typical && !timeout;
+        let Some(release) = self.state.release else { return };
+        let build = attempt.to.build;
+        if build > release.build || cut_early || !end.outcome.may_have_run() {
+            return;
+        }
+        let sample = Sample {
+            class,
+            server: attempt.to.id,
+            error,
+            failed: error || timeout || end.outcome == Outcome::Reset,
+            slow: elapsed > typical * MAX_LATENCY_RATIO,
+            pace: (!attempt.warming_up && !error).then_some(elapsed / work),
+        };
+        self.state.analysis.evidence.own.add(arm_of(build, release), &sample);
+        if build == release.build {
+            self.state.analysis.window_attempts += 1;
+        }
+    }
+
+    /// A client found an answer wrong. Reports come late: the window that is open now learns of it.
+    pub(crate) fn on_answer_flagged(&mut self, now: Micros, server: ServerId, class: usize, since: Micros) {
+        let Some(server) = self.state.servers.get(&server).map(|server| server.entry) else { return };
+        let Some(release) = self.state.release else { return };
+        let counted_from = self.state.analysis.stage_since.max(server.started_at);
+        let counted = now.saturating_sub(since) >= counted_from;
+        if counted && server.build <= release.build {
+            self.state.analysis.evidence.own.flag(arm_of(server.build, release), server.id, class);
+        }
+    }
+
+    /// Begins a window.
+    pub(crate) fn start_window(&mut self, now: Micros) {
+        self.state.analysis.window_start = now;
+        self.state.analysis.window_attempts = 0;
+        self.state.analysis.evidence.start_window(self.settings.position);
+    }
+
+    /// The release that can be voted on; not one released before an earlier build was ever seen to compare.
+    pub(super) fn release_under_analysis(&self) -> Option<ReleaseStatus> {
+        self.state.release.filter(|release| {
+            let released_after_comparison = release.phase == Phase::Released && self.state.analysis.compared;
+            release.phase == Phase::Trial || released_after_comparison
+        })
+    }
+
+    /// Closes the window when it is full or old enough, and turns its result into a verdict. A window that says
+    /// too little stays open and carries its evidence on until it suffices.
+    pub(crate) fn close_window(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let Some(release) = self.release_under_analysis() else { return };
+        let age = now.saturating_sub(self.state.analysis.window_start);
+        if age < MIN_WINDOW_SPAN {
+            return;
+        }
+        let result = self.window_result(now, release, age);
+        if result == WindowResult::Insufficient {
+            return;
+        }
+        let violated = matches!(result, WindowResult::Violation { .. });
+        let weight = result.weight();
+        let violations = if violated { self.state.analysis.violations + weight } else { 0.0 };
+        self.state.analysis.violations = violations;
+        let verdict = self.verdict_after(release.phase, violated);
+        if verdict != self.state.analysis.verdict || weight > 0.0 {
+            self.log_verdict(release, verdict, &result, out);
+        }
+        self.state.analysis.verdict = verdict;
+        if weight > 0.0 || !violated || age >= MAX_WINDOW_SPAN {
+            self.start_window(now);
+        }
+    }
+
+    fn window_result(&mut self, now: Micros, release: ReleaseStatus, age: Micros) -> WindowResult {
+        let evidence =
+            self.state.analysis.evidence.widest(self.settings.position, MAX_WINDOW_ATTEMPTS as f64);
+        let not_full = (evidence.window.attempts(Arm::New) as usize) < MAX_WINDOW_ATTEMPTS;
+        if age < MAX_WINDOW_SPAN && not_full {
+            return WindowResult::Insufficient;
+        }
+        self.evaluate_window(now, release, &evidence)
+    }
+
+    /// The verdict after a window. A verdict to roll back stands until the release changes: a release service
+    /// that hears late must not find it replaced.
+    fn verdict_after(&self, phase: Phase, violated: bool) -> Verdict {
+        let analysis = &self.state.analysis;
+        let timer = self.settings.rollout.gate == GateMode::Timer;
+        if analysis.verdict == Verdict::RollBack || analysis.violations >= VIOLATIONS_TO_ROLL_BACK {
+            return Verdict::RollBack;
+        }
+        match phase {
+            Phase::Trial if violated && timer => Verdict::Hold,
+            Phase::Trial if !violated && !timer => Verdict::Promote,
+            _ => Verdict::Withdraw,
+        }
+    }
+
+    fn log_verdict(
+        &mut self,
+        release: ReleaseStatus,
+        verdict: Verdict,
+        result: &WindowResult,
+        out: &mut Vec<Action>,
+    ) {
+        if self.state.may_log(MAX_LOG_LINES) {
+            let ReleaseStatus { build, stage, .. } = release;
+            out.push(Action::Log(format!("build {build} stage {stage}: {verdict} {result}")));
+        }
+    }
+}
+
+/// The arm that a build up to the newest one counts for.
+fn arm_of(build: u16, release: ReleaseStatus) -> Arm {
+    if build < release.build { Arm::Earlier } else { Arm::New }
+}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -89,7 +89,7 @@
     /// Attempts that the exposure rule allows in a window beyond the cap's share.
     pub exposure_slack: f64,
     /// The exposure rule counts each class by itself.
-    pub per_class: bool,
+    pub exposure_per_class: bool,
     /// A key that the new build has answered is sticky to it: it goes to no earlier build.
     pub sticky_to_new_build: bool,
     /// How long a vote stands.
@@ -274,6 +274,11 @@
 }
 
 impl Outcome {
+    /// Whether the attempt was never sent.
+    pub fn never_sent(self) -> bool {
+        matches!(self, Outcome::NotSent | Outcome::CancelledBeforeSend)
+    }
+
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
         !matches!(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,36 @@
-//! Violetseam: a request router and release judge for one load balancer.
+//! Violetseam: a request router and canary analysis for one load balancer.
 //!
-//! The library knows no wire, clock or I/O. [`balance::Balancer`] is a deterministic state machine:
-//! it is told what happened ([`interface::Event`]) and writes down what to do ([`interface::Action`]).
+//! The library knows no wire, clock or I/O. [`balancer::Balancer`] is a deterministic state machine: it is fed
+//! with events ([`interface::Event`]) and writes down what to do ([`interface::Action`]).
+//!
+//! Dependencies point one way: decisions (`event_loop`, `admission`, `routing`, `analysis`, ...) use the
+//! balancer's `state`, and that uses `evidence`, `statistics` and the plain types of `interface`.
 
-pub mod balance;
+mod admission;
+mod analysis;
+mod attempts;
+pub mod balancer;
+mod completion;
+mod endpoints;
+mod event_loop;
 pub mod evidence;
+mod exposure;
 pub mod interface;
-mod judging;
-pub mod permission;
+pub mod lease;
+mod outcomes;
+mod release;
+mod retry;
+mod routing;
+mod slow_start;
 pub mod state;
-pub mod stats;
+pub mod statistics;
+mod time;
+
+/// The former path of [`balancer`]; it goes once all packages use the new one.
+#[doc(hidden)]
+pub mod balance {
+    pub use crate::balancer::Balancer;
+}
+/// The former path of [`lease`]; it goes once all packages use the new one.
+#[doc(hidden)]
+pub use crate::lease as permission;
--- /dev/null
+++ b/src/state/sliding_sum.rs
@@ -0,0 +1,59 @@
+//! Sums over a sliding window, and exponential smoothing.
+
+use crate::interface::Micros;
+use std::collections::VecDeque;
+
+/// Moves a smoothed value towards the newest one, by `weight` of the difference.
+pub fn smooth(value: &mut f64, newest: f64, weight: f64) {
+    *value += (newest - *value) * weight;
+}
+
+/// An amount and when it was added.
+#[derive(Clone, Copy, Debug, PartialEq)]
+#[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
+struct Entry {
+    at: Micros,
+    amount: f64,
+}
+
+/// A sum over a sliding window. It holds one entry for each amount of the window that was last asked for.
+#[derive(Clone, Debug, Default)]
+#[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
+pub struct SlidingSum {
+    entries: VecDeque<Entry>,
+    total: f64,
+}
+
+impl SlidingSum {
+    /// Adds an amount.
+    pub fn add(&mut self, now: Micros, amount: f64) {
+        self.entries.push_back(Entry { at: now, amount });
+        self.total += amount;
+    }
+
+    /// Takes an amount back that was added at that time, if it is still held.
+    pub fn take_back(&mut self, at: Micros, amount: f64) {
+        let added = Entry { at, amount };
+        if let Some(index) = self.entries.iter().rposition(|entry| *entry == added) {
+            self.entries.remove(index);
+            self.subtract(amount);
+        }
+    }
+
+    /// The sum of what was added within the last `window`; what is older is dropped.
+    pub fn sum(&mut self, now: Micros, window: Micros) -> f64 {
+        while let Some(&Entry { at, amount }) = self.entries.front() {
+            if at + window >= now {
+                break;
+            }
+            self.entries.pop_front();
+            self.subtract(amount);
+        }
+        self.total
+    }
+
+    /// An empty sum is exactly 0, whatever rounding has left.
+    fn subtract(&mut self, amount: f64) {
+        self.total = if self.entries.is_empty() { 0.0 } else { self.total - amount };
+    }
+}
--- a/tests/fleet.rs
+++ b/tests/gossip.rs
@@ -4,9 +4,9 @@
 use common::*;
 use std::collections::BTreeMap;
 use violetseam::balance::Balancer;
-use violetseam::evidence::{Evidence, Histogram, Label, Sample, decode, encode};
+use violetseam::evidence::{Arm, Evidence, GossipHeader, Histogram, Sample, decode, encode};
 use violetseam::interface::*;
-use violetseam::state::Rng;
+use violetseam::state::RandomSource;
 
 const FLEET: usize = 300;
 
@@ -37,7 +37,7 @@
     lost: bool,
     outcome_of: impl Fn(ServerId, u64) -> Outcome,
 ) -> Done {
-    let (start, mut rng) = (100 * S, Rng(5));
+    let (start, mut rng) = (100 * S, RandomSource(5));
     let mut fleet: Vec<Balancer> =
         (0..FLEET).map(|i| Balancer::new(fleet_settings(i), 1 + i as u64)).collect();
     let mut done = Done::default();
@@ -217,8 +217,8 @@
     };
     let mut failing = Evidence::new(3);
     let failure = |server| Sample { class: 0, server, error: true, failed: true, slow: true, pace: None };
-    (0..5_000).for_each(|i| failing.add(0, &failure(i % 40)));
-    let label = |build, stage, sum| Label { build, stage, sum, life: 1 };
+    (0..5_000).for_each(|i| failing.add(Arm::New, &failure(i % 40)));
+    let header = |build, stage, is_total| GossipHeader { build, stage, is_total, incarnation: 1 };
     let heard = |bytes: Vec<u8>| {
         clean(&move |rig: &mut Rig| {
             for from in [1, 1, 2, 3, 0, 9, 70_000] {
@@ -228,11 +228,11 @@
     };
     let undisturbed = clean(&|_| {});
     assert!(undisturbed.contains(&Verdict::Promote));
-    let whole = encode(label(2, 2, false), &failing);
+    let whole = encode(header(2, 2, false), &failing);
     for bytes in [
         whole[..whole.len() - 1].to_vec(),
-        encode(label(3, 2, false), &failing),
-        encode(label(2, 1, true), &failing),
+        encode(header(3, 2, false), &failing),
+        encode(header(2, 1, true), &failing),
         [&[1], &whole[1..]].concat(),
         whole.clone(),
         vec![2, 0, 1, 2, 0, 2, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff],
@@ -251,12 +251,13 @@
         let (error, failed) = (i % 50 == 0, i % 40 == 0 || i % 50 == 0);
         let sample =
             Sample { class: (i % 2) as usize, server: i % 60, error, failed, slow: i % 5 == 0, pace };
-        evidence.add((i % 3 == 0).into(), &sample);
+        let arm = if i % 3 == 0 { Arm::Earlier } else { Arm::New };
+        evidence.add(arm, &sample);
     }
-    let label = Label { build: 700, stage: 3, sum: true, life: 200 };
-    let bytes = encode(label, &evidence);
+    let header = GossipHeader { build: 700, stage: 3, is_total: true, incarnation: 200 };
+    let bytes = encode(header, &evidence);
     assert!(bytes.len() <= 256, "{} bytes", bytes.len());
-    assert_eq!(decode(&bytes, 2, 3_000.0), Some((label, evidence)));
+    assert_eq!(decode(&bytes, 2, 3_000.0), Some((header, evidence)));
     assert_eq!(decode(&bytes, 2, 2_999.0), None);
 }
 
--- a/tests/permission.rs
+++ b/tests/lease.rs
@@ -4,7 +4,7 @@
 
 use common::{MS, S, settings};
 use violetseam::interface::Micros;
-use violetseam::permission::{AttemptFacts, Denial, Lifetime, ListLease, Permissions};
+use violetseam::lease::{AttemptFacts, Denial, Lifetime, ListLease, Permissions};
 
 /// After a change counts as told it may be ignored for so long: the grace of the settings, less a hold-up.
 const GRACE: Micros = 1_750 * MS;
--- a/tests/leaving.rs
+++ b/tests/ready_to_send.rs
@@ -5,7 +5,7 @@
 use common::*;
 use proptest::prelude::*;
 use violetseam::interface::*;
-use violetseam::state::Exposure;
+use violetseam::state::ExposureCounter;
 
 const RELEASED: ReleaseStatus = ReleaseStatus { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
 
@@ -196,7 +196,7 @@
     #[test]
     fn exposure_given_back_counts_as_if_it_had_never_been(steps in proptest::collection::vec(0u8..8, 1..120)) {
         const SPAN: Micros = 20;
-        let (mut exposure, mut now) = (Exposure::default(), 0);
+        let (mut exposure, mut now) = (ExposureCounter::default(), 0);
         // What happened, by time: attempts with 1, earnings with -0.25.
         let mut all: Vec<(Micros, f64)> = Vec::new();
         for step in steps {
--- a/tests/stats.rs
+++ b/tests/statistics.rs
@@ -1,6 +1,6 @@
 //! Interval arithmetic against published values.
 
-use violetseam::stats::{difference_lower, quantile, wilson_lower, wilson_upper};
+use violetseam::statistics::{Proportion, difference_lower, quantile, wilson_lower, wilson_upper};
 
 fn near(a: f64, b: f64) {
     assert!((a - b).abs() < 5e-4, "{a} against {b}");
@@ -25,8 +25,10 @@
 /// Medicine 17 (1998), table II, method 10: 56/70 against 48/80 gives 0.0524 to 0.3339.
 #[test]
 fn difference_matches_newcombe_1998_method_10() {
-    near(difference_lower((56.0, 70.0), (48.0, 80.0), 1.959_964), 0.0524);
-    near(-difference_lower((48.0, 80.0), (56.0, 70.0), 1.959_964), 0.3339);
+    let one = Proportion { hits: 56.0, trials: 70.0 };
+    let two = Proportion { hits: 48.0, trials: 80.0 };
+    near(difference_lower(one, two, 1.959_964), 0.0524);
+    near(-difference_lower(two, one, 1.959_964), 0.3339);
 }
 
 #[test]
