--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -312,6 +312,9 @@
 }
 
 /// Writes a file of records.
+///
+/// # Errors
+/// Errors of the writer; an entry that cannot be encoded as one of kind `Other`.
 pub fn write(out: &mut impl Write, rules: &Rules, entries: &[Entry]) -> std::io::Result<()> {
     out.write_all(&MAGIC)?;
     frame(out, rules)?;
@@ -319,6 +322,9 @@
 }
 
 /// Reads a file of records whole; a damaged or cut one is no evidence and is refused.
+///
+/// # Errors
+/// [`FileFault`] if the file cannot be read, is cut short, or a frame of it is damaged.
 pub fn read(input: &mut impl Read) -> Result<(Rules, Vec<Entry>), FileFault> {
     let fault = |why: &str| FileFault(why.to_owned());
     let mut bytes = Vec::new();
--- a/crates/cli/tests/platform_faults.rs
+++ b/crates/cli/tests/platform_faults.rs
@@ -42,7 +42,7 @@
         for (n, mood) in FAILURES.into_iter().enumerate() {
             for which in [[true, false], [false, true], [true, true]] {
                 scope.spawn(move || {
-                    outage(&format!("outage-{n}-{which:?}").replace([' ', ','], ""), mood, which)
+                    outage(&format!("outage-{n}-{which:?}").replace([' ', ','], ""), mood, which);
                 });
             }
         }
--- a/crates/cli/tests/publisher.rs
+++ b/crates/cli/tests/publisher.rs
@@ -361,9 +361,9 @@
     }
     let version = publisher.client().status().unwrap().version;
     if killed {
-        publisher.kill()
+        publisher.kill();
     } else {
-        publisher.end()
+        publisher.end();
     }
     (version, std::fs::read(state.join("publisher.redb")).unwrap())
 }
@@ -463,7 +463,7 @@
     let long = vec![b' '; 200_000];
     match publisher.client().publish_changes(&long) {
         Err(ClientError::Refused(reason)) => {
-            assert!(reason.contains("limit") || reason.contains("long"), "{reason}")
+            assert!(reason.contains("limit") || reason.contains("long"), "{reason}");
         }
         other => panic!("{other:?}"),
     }
--- a/crates/cli/tests/second_copies.rs
+++ b/crates/cli/tests/second_copies.rs
@@ -64,7 +64,7 @@
     let mut connections: Vec<Connection> = Vec::new();
     let (mut requests, mut bytes) = (0, [0; 4096]);
     while !stop.load(Ordering::Relaxed) {
-        for (stream, _) in listeners.iter().flat_map(|l| l.accept()) {
+        for (stream, _) in listeners.iter().flat_map(std::net::TcpListener::accept) {
             stream.set_nonblocking(true).unwrap();
             connections.push(Connection { stream, input: Vec::new(), out: None });
         }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -119,6 +119,9 @@
 
 /// Plays a day in simulated time. `Err`: its settings or plans do not read, or it has troubles that are not
 /// played here.
+///
+/// # Errors
+/// A text that says what of the day cannot be played.
 pub fn run(day: &Day) -> Result<Outcome, String> {
     let missing = unplayed(day);
     if !missing.is_empty() {
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -56,6 +56,9 @@
     }
 
     /// The sender closed: complete for a body that ends so, cut short for any other.
+    ///
+    /// # Errors
+    /// [`Fault`] if the body has been cut short.
     pub fn close(&mut self) -> Result<(), Fault> {
         match self.state {
             State::UntilClose | State::Done => {
@@ -68,6 +71,9 @@
 
     /// Takes what it can from `input`, appends body bytes to `out`, and returns how much it took. Taking
     /// nothing of a non-empty input means that a line is not complete yet.
+    ///
+    /// # Errors
+    /// [`Fault`] if the input does not frame, or a part of it is over its limit.
     pub fn take(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
         let mut at = 0;
         loop {
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -57,6 +57,9 @@
 
 /// Looks for the end of a head from `from` on. Line ends must be CR LF: a bare CR or LF is refused, as two
 /// parties that read them differently disagree about where the head ends.
+///
+/// # Errors
+/// [`Fault`] if the head is over its limits or holds a bare CR or LF.
 pub fn scan_head(input: &[u8], from: usize, limits: &Limits) -> Result<Scan, Fault> {
     let mut at = from;
     while let Some(step) = memchr::memchr2(b'\r', b'\n', &input[at..]) {
@@ -190,6 +193,9 @@
 }
 
 /// Parses a whole request head, as [`scan_head`] delimited it.
+///
+/// # Errors
+/// [`Fault`] if the head does not parse, or says two things about the body's length.
 pub fn parse_request(head: &[u8], limits: &Limits) -> Result<RequestHead, Fault> {
     let mut fields = [httparse::EMPTY_HEADER; 128];
     let room = limits.fields.min(fields.len());
@@ -247,6 +253,9 @@
 }
 
 /// Parses a whole answer head. `to_head`: it answers a HEAD request and carries no body whatever it says.
+///
+/// # Errors
+/// [`Fault`] if the head does not parse, or says two things about the body's length.
 pub fn parse_response(head: &[u8], limits: &Limits, to_head: bool) -> Result<ResponseHead, Fault> {
     let mut fields = [httparse::EMPTY_HEADER; 128];
     let room = limits.fields.min(fields.len());
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -144,11 +144,17 @@
 }
 
 /// Reads the settings text for the decision module alone.
+///
+/// # Errors
+/// A text that says what is wrong with the settings, and where.
 pub fn parse(text: &[u8]) -> Result<Settings, String> {
     read(text).map(|instance| instance.decisions)
 }
 
 /// Reads the settings text.
+///
+/// # Errors
+/// A text that says what is wrong with the settings, and where.
 pub fn read(text: &[u8]) -> Result<Instance, String> {
     let info: Info = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     let family = info.family_info;
--- a/crates/lab/src/disturbed.rs
+++ b/crates/lab/src/disturbed.rs
@@ -119,6 +119,9 @@
 }
 
 /// Measures; a text with a table of medians.
+///
+/// # Errors
+/// A text that says which process or measurement failed.
 pub fn disturbed(plan: &Plan, say: &mut dyn FnMut(&str)) -> Result<String, String> {
     std::fs::create_dir_all(&plan.out).map_err(|e| e.to_string())?;
     let servers = echo(12, Arc::new(AtomicBool::new(false))).map_err(|e| e.to_string())?;
--- a/crates/lab/src/drawn.rs
+++ b/crates/lab/src/drawn.rs
@@ -185,6 +185,9 @@
 }
 
 /// Reads a drawn day.
+///
+/// # Errors
+/// A text that names the part of the day that cannot be played here.
 pub fn read(text: &[u8]) -> Result<Drawn, String> {
     let f: File = serde_json::from_slice(text).map_err(|e| format!("not a drawn day: {e}"))?;
     if f.family != "rollout" || f.tiers.len() != 1 {
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -91,6 +91,9 @@
 }
 
 /// Measures `many` daemons and twenty with one frozen; a text with medians.
+///
+/// # Errors
+/// A text that says which process or measurement failed.
 pub fn fleet(plan: &Plan, many: usize, say: &mut dyn FnMut(&str)) -> Result<String, String> {
     std::fs::create_dir_all(&plan.out).map_err(|e| e.to_string())?;
     let mut text = String::new();
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -325,6 +325,9 @@
 }
 
 /// Measures, and gives a table; `say` hears of the progress.
+///
+/// # Errors
+/// A text that says which process or measurement failed.
 pub fn measure(plan: &Plan, say: &mut dyn FnMut(&str)) -> Result<String, String> {
     std::fs::create_dir_all(&plan.out).map_err(|e| e.to_string())?;
     let silent = Arc::new(AtomicBool::new(false));
@@ -412,6 +415,9 @@
 }
 
 /// The throughput with and without the flight recorder, medians of the rounds in turn: both, and the ratio.
+///
+/// # Errors
+/// A text that says which process or measurement failed.
 pub fn recording(plan: &Plan, say: &mut dyn FnMut(&str)) -> Result<[f64; 3], String> {
     std::fs::create_dir_all(&plan.out).map_err(|e| e.to_string())?;
     let servers = echo(12, Arc::new(AtomicBool::new(false))).map_err(|e| e.to_string())?;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -145,6 +145,9 @@
 
 impl Lab {
     /// Plays a day; `say` hears what happens as it happens.
+    ///
+    /// # Errors
+    /// A text that says which process or file failed.
     pub fn play(&self, day: &Day, say: &mut dyn FnMut(&str)) -> Result<Outcome, String> {
         day.check()?;
         let io = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
--- a/crates/lab/src/scale/distribution/mod.rs
+++ b/crates/lab/src/scale/distribution/mod.rs
@@ -74,6 +74,9 @@
 
 /// Bytes that each subscriber exchanges, by counts that do not depend on the machine: against a publisher on
 /// a thread of this process.
+///
+/// # Errors
+/// [`ScaleError`] if the publisher does not start, or an exchange fails.
 pub fn bytes_at(size: u64, run: &Run) -> Result<Vec<Measurement>, ScaleError> {
     let address = publisher::start_on_thread(state_folder(size))?;
     let mut measured = Session::begin(address, size, run)?;
--- a/crates/lab/src/scale/distribution/publisher.rs
+++ b/crates/lab/src/scale/distribution/publisher.rs
@@ -26,6 +26,9 @@
 
 impl Process {
     /// Starts the program's publisher with an empty state, and waits until it listens.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the process does not start or listen.
     pub fn start(state: PathBuf) -> Result<Process, ScaleError> {
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let (child, address) = spawn(&state, listen)?;
@@ -33,6 +36,9 @@
     }
 
     /// Kills it and starts it again on the same state and address.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the process does not start or listen.
     pub fn kill_and_start(&mut self) -> Result<(), ScaleError> {
         self.child.kill()?;
         self.child.wait()?;
@@ -42,11 +48,17 @@
     }
 
     /// Its processor time so far, in seconds.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the system does not say.
     pub fn processor_seconds(&self) -> Result<f64, ScaleError> {
         processor_seconds(&self.child.id().to_string())
     }
 
     /// Its resident memory, in bytes.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the system does not say.
     pub fn resident_bytes(&self) -> Result<u64, ScaleError> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -65,6 +77,9 @@
 }
 
 /// Processor time of a process, in seconds; `self` is this one.
+///
+/// # Errors
+/// [`ScaleError`] if the system does not say.
 pub fn processor_seconds(process: &str) -> Result<f64, ScaleError> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -98,6 +113,9 @@
 }
 
 /// Runs a publisher on a thread until this process ends, and waits until it listens.
+///
+/// # Errors
+/// [`ScaleError`] if the publisher does not start.
 pub fn start_on_thread(state: PathBuf) -> Result<SocketAddr, ScaleError> {
     let (listening, heard) = mpsc::channel();
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/lab/src/scale/distribution/subscriber.rs
+++ b/crates/lab/src/scale/distribution/subscriber.rs
@@ -62,6 +62,9 @@
 
 impl Fleet {
     /// Starts subscribers that hold nothing.
+    ///
+    /// # Errors
+    /// Errors of setting up the event loop or its sockets.
     pub fn start(publisher: SocketAddr, subscribers: u64, seed: u64) -> io::Result<Fleet> {
         let shared = Arc::new(Shared {
             publisher,
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -88,6 +88,9 @@
 }
 
 /// Fits a line by ordinary least squares.
+///
+/// # Errors
+/// [`FitError`] if there are too few points or all are of one size.
 pub fn line(points: &[Point]) -> Result<Fit, FitError> {
     if points.iter().any(|p| !p.size.is_finite() || !p.value.is_finite()) {
         return Err(FitError::UnusableValue);
@@ -98,6 +101,9 @@
 }
 
 /// Fits a power law by ordinary least squares over logarithms; sizes and values must be above zero.
+///
+/// # Errors
+/// [`FitError`] if there are too few points, all are of one size, or one is not above zero.
 pub fn power(points: &[Point]) -> Result<Fit, FitError> {
     if points.iter().any(|p| !(p.size > 0.0 && p.value > 0.0 && p.value.is_finite())) {
         return Err(FitError::UnusableValue);
--- a/crates/lab/src/scale/hollow_controller.rs
+++ b/crates/lab/src/scale/hollow_controller.rs
@@ -28,6 +28,9 @@
 
 impl HollowController {
     /// Starts one for so many proxies, whose votes stand for `vote_life` and of which it takes `allowance` a second.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the controller does not start.
     pub fn start(proxies: usize, vote_life: Micros, allowance: f64) -> Result<HollowController, ScaleError> {
         let folder = std::env::temp_dir().join(format!("violetseam-hollow-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -77,6 +80,9 @@
     }
 
     /// Offers the build that then stays on trial: its first wave soaks for longer than any run.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the controller does not take the plan.
     pub fn offer(&self) -> Result<(), ScaleError> {
         let (proxies, allowance) = (self.proxies, self.allowance);
         let text = format!(
@@ -98,11 +104,17 @@
     }
 
     /// User and system time so far, in seconds; the kernel counts hundredths.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the system does not say.
     pub fn cpu_seconds(&self) -> Result<f64, ScaleError> {
         super::hollow_processes::cpu_seconds(&self.proc("stat")?)
     }
 
     /// Resident memory, in bytes.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the system does not say.
     pub fn resident_bytes(&self) -> Result<f64, ScaleError> {
         super::hollow_processes::resident_bytes(&self.proc("status")?)
     }
--- a/crates/lab/src/scale/hollow_evidence.rs
+++ b/crates/lab/src/scale/hollow_evidence.rs
@@ -159,6 +159,9 @@
 }
 
 /// Runs one fleet.
+///
+/// # Errors
+/// Errors of the sockets or the event loop.
 pub fn measure(plan: &Plan) -> std::io::Result<Evidence> {
     let mut fleet = EngineFleet::new(plan.shape);
     match plan.carrier {
--- a/crates/lab/src/scale/hollow_list.rs
+++ b/crates/lab/src/scale/hollow_list.rs
@@ -137,6 +137,9 @@
 }
 
 /// Runs one fleet.
+///
+/// # Errors
+/// A text that says what failed.
 pub fn measure(plan: &Plan) -> Result<List, String> {
     let registry = Registry::start(plan.servers).map_err(|e| e.to_string())?;
     let control = ControlPlane { registry: registry.addr, controller: registry.addr };
--- a/crates/lab/src/scale/hollow_processes.rs
+++ b/crates/lab/src/scale/hollow_processes.rs
@@ -133,6 +133,9 @@
 }
 
 /// User and system time in a text of `/proc/PID/stat`, in seconds.
+///
+/// # Errors
+/// [`ScaleError`] if the text is not of this form.
 pub fn cpu_seconds(stat: &str) -> Result<f64, ScaleError> {
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
     let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<f64>().ok());
@@ -141,6 +144,9 @@
 }
 
 /// Resident memory in a text of `/proc/PID/status`, in bytes.
+///
+/// # Errors
+/// [`ScaleError`] if the text is not of this form.
 pub fn resident_bytes(status: &str) -> Result<f64, ScaleError> {
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
--- a/crates/lab/src/scale/hollow_proxies.rs
+++ b/crates/lab/src/scale/hollow_proxies.rs
@@ -45,6 +45,9 @@
 
 impl HollowProxies {
     /// Starts so many and waits until each listens.
+    ///
+    /// # Errors
+    /// A text that says which process does not start.
     pub fn start(count: usize, control: ControlPlane) -> Result<HollowProxies, String> {
         let stop = Arc::new(AtomicBool::new(false));
         let mut proxies = HollowProxies { stop: stop.clone(), threads: Vec::new() };
--- a/crates/lab/src/scale/hollow_registry.rs
+++ b/crates/lab/src/scale/hollow_registry.rs
@@ -88,6 +88,9 @@
 
 impl Registry {
     /// Starts one that lists so many ready servers.
+    ///
+    /// # Errors
+    /// Errors of the sockets or the thread.
     pub fn start(servers: usize) -> std::io::Result<Registry> {
         let listener = violetseam_loopio::listen((Ipv4Addr::LOCALHOST, 0).into(), BACKLOG)?;
         let addr = listener.local_addr()?;
--- a/crates/lab/src/scale/hollow_release.rs
+++ b/crates/lab/src/scale/hollow_release.rs
@@ -201,6 +201,9 @@
 }
 
 /// Runs one fleet.
+///
+/// # Errors
+/// [`ScaleError`] if the controller or a connection fails.
 pub fn measure(plan: &Plan) -> Result<Released, ScaleError> {
     let controller = HollowController::start(plan.shape.proxies, plan.shape.vote_life, plan.allowance)?;
     let mut event_loop: EventLoop<'static, Watchers> = EventLoop::try_new().map_err(std::io::Error::other)?;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -135,6 +135,9 @@
     }
 
     /// Measures at one size.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if a process, a socket or a measurement fails.
     fn sample(&self, size: u64, run: &Run) -> Result<Vec<Measurement>, ScaleError>;
 }
 
@@ -168,6 +171,9 @@
 }
 
 /// Measures a slope at each size, in this process.
+///
+/// # Errors
+/// [`ScaleError`] if a size cannot be measured.
 pub fn measure(slope: &dyn Slope, sizes: &[u64], run: &Run) -> Result<Table, ScaleError> {
     collect(slope, sizes, |size| slope.sample(size, run))
 }
@@ -207,6 +213,9 @@
 }
 
 /// Runs `violetseam lab scale`.
+///
+/// # Errors
+/// [`ScaleError`] if a measurement, the fit or the output fails.
 pub fn run(args: &ScaleArgs) -> Result<(), ScaleError> {
     let slope = args.name.slope();
     let run = Run { quick: args.quick, seed: args.seed };
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -71,6 +71,9 @@
 }
 
 /// The servers of a whole list, as the decisions are told of them.
+///
+/// # Errors
+/// [`ScaleError`] if the list does not read.
 pub fn entries(servers: u64, seed: u64) -> Result<Vec<ServerEntry>, ScaleError> {
     let applied = Roster::default().apply(1, &whole_list(servers, seed));
     applied.map(|(_, entries)| entries).map_err(|e| ScaleError::Failed(e.to_string()))
@@ -204,6 +207,9 @@
     }
 
     /// Bytes of all that the decisions hold, in a compact serialized form: the same on every machine.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the state cannot be encoded.
     pub fn state_bytes(&self) -> Result<u64, ScaleError> {
         let bytes = postcard::to_stdvec(&self.balancer).map_err(|e| ScaleError::Failed(e.to_string()))?;
         Ok(bytes.len() as u64)
--- a/crates/lab/src/scale/table.rs
+++ b/crates/lab/src/scale/table.rs
@@ -127,6 +127,9 @@
     }
 
     /// Writes one line for each measurement, under a line of column names.
+    ///
+    /// # Errors
+    /// Errors of the writer.
     pub fn write_csv(&self, out: &mut dyn io::Write) -> io::Result<()> {
         writeln!(out, "slope,size_of,quantity,unit,size,value")?;
         for m in &self.measurements {
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -161,6 +161,9 @@
 
 /// Reads and checks a plan for a release that is offered at `at`. `options` are what `option(...)` gives.
 /// All faults that can be found together are told together.
+///
+/// # Errors
+/// Every fault of the script with its place, or that the file cannot be read.
 pub fn read_file(path: &Path, options: &[(String, String)], at: Micros) -> Result<Plan, Vec<Fault>> {
     let name = path.display().to_string();
     let calls = evaluate_file(path, options, functions).map_err(|f| vec![f])?;
@@ -168,6 +171,9 @@
 }
 
 /// The same from a text, which can load no files.
+///
+/// # Errors
+/// Every fault of the script with its place.
 pub fn read_text(
     name: &str,
     text: &str,
--- a/crates/recorder/src/read.rs
+++ b/crates/recorder/src/read.rs
@@ -36,6 +36,9 @@
 
 impl Reader {
     /// Opens a recording's first segment.
+    ///
+    /// # Errors
+    /// [`ReadFault`] if the file cannot be read, is no recording, or of another version.
     pub fn open(path: &Path) -> Result<Self, ReadFault> {
         let (file, at) = open_segment(path)?;
         Ok(Reader { path: path.to_owned(), segment: 0, file, at })
@@ -47,6 +50,9 @@
     }
 
     /// The next frame; none at the end.
+    ///
+    /// # Errors
+    /// [`ReadFault`] if the file cannot be read, is cut short, or the frame is damaged.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, ReadFault> {
         let mut head = [0; FRAME_HEAD];
         loop {
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -36,6 +36,9 @@
 }
 
 /// Replays a recording; `print` gets the lines asked for.
+///
+/// # Errors
+/// [`ReadFault`] if the recording cannot be opened; damage further on is part of the report.
 pub fn replay(path: &Path, interest: Interest, print: &mut dyn FnMut(String)) -> Result<Report, ReadFault> {
     let mut reader = Reader::open(path)?;
     let mut report = Report::default();
--- a/crates/recorder/src/write.rs
+++ b/crates/recorder/src/write.rs
@@ -42,6 +42,9 @@
 
 impl Recorder {
     /// Starts a recording at `path`, with the settings and the seed of the module it is of.
+    ///
+    /// # Errors
+    /// Errors of creating the file or the writing thread.
     pub fn start(path: &Path, bounds: Bounds, settings: &Settings, seed: u64) -> std::io::Result<Self> {
         let mut file = File::create(path)?;
         file.write_all(&MAGIC)?;
@@ -107,6 +110,9 @@
     }
 
     /// Writes what is left and waits until it is on its way to the disk.
+    ///
+    /// # Errors
+    /// The first error of writing the recording.
     pub fn finish(mut self) -> std::io::Result<()> {
         self.flush();
         self.to_disk = None;
--- a/crates/rehearsal/src/chart.rs
+++ b/crates/rehearsal/src/chart.rs
@@ -8,6 +8,9 @@
 use violetseam_release::Phase;
 
 /// Draws the chart; an SVG document.
+///
+/// # Errors
+/// A text that says why the chart cannot be drawn.
 pub fn svg(plan: &Plan, played: &Played) -> Result<String, String> {
     let mut text = String::new();
     {
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -166,11 +166,17 @@
 }
 
 /// Reads a script from a file.
+///
+/// # Errors
+/// The first [`Fault`] of the script with its place, or that the file cannot be read.
 pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Script, Fault> {
     read(&path.display().to_string(), evaluate_file(path, options, functions)?)
 }
 
 /// Reads a script from a text, which can load no files.
+///
+/// # Errors
+/// The first [`Fault`] of the text with its place.
 pub fn read_text(name: &str, text: &str) -> Result<Script, Fault> {
     read(name, evaluate(name, text.to_owned(), None, &[], functions)?)
 }
--- a/crates/site/src/desk.rs
+++ b/crates/site/src/desk.rs
@@ -44,12 +44,18 @@
 
 impl News {
     /// Reads one line: the news and the fencing number of whoever says so.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
     pub fn parse(line: &[u8]) -> Result<(ReleaseStatus, u64), Malformed> {
         let news = News::read(line)?;
         Ok((news.check()?, news.fence))
     }
 
     /// Reads one line as it is, for who passes it on.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
     pub fn read(line: &[u8]) -> Result<News, Malformed> {
         serde_json::from_slice(line).map_err(|e| Malformed(format!("desk: {e}")))
     }
@@ -115,6 +121,9 @@
     }
 
     /// Reads a call's body.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the body is not a vote.
     pub fn parse(body: &[u8]) -> Result<Vote, Malformed> {
         serde_json::from_slice(body).map_err(|e| Malformed(format!("vote: {e}")))
     }
@@ -151,6 +160,9 @@
 
 impl VoteReply {
     /// Reads a reply: how it ended and the news that came with it.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the body is not a reply, or its news is out of bounds.
     pub fn parse(body: &[u8]) -> Result<(Outcome, Option<(ReleaseStatus, u64)>), Malformed> {
         let reply = VoteReply::read(body)?;
         let outcome = match reply.outcome {
@@ -165,6 +177,9 @@
     }
 
     /// Reads a reply as it is, for who passes it on.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the body is not a reply.
     pub fn read(body: &[u8]) -> Result<VoteReply, Malformed> {
         serde_json::from_slice(body).map_err(|e| Malformed(format!("vote reply: {e}")))
     }
--- a/crates/site/src/flag.rs
+++ b/crates/site/src/flag.rs
@@ -14,6 +14,9 @@
 }
 
 /// Reads a report's body: the answer's id.
+///
+/// # Errors
+/// [`Malformed`] if the body is not a report.
 pub fn parse(body: &[u8]) -> Result<u64, Malformed> {
     if body.len() > BODY_MOST {
         return malformed("flag: too long");
--- a/crates/site/src/lines.rs
+++ b/crates/site/src/lines.rs
@@ -27,6 +27,9 @@
     }
 
     /// The next whole line without its end.
+    ///
+    /// # Errors
+    /// [`Malformed`] if a line is over the limit.
     pub fn next_line(&mut self) -> Result<Option<&[u8]>, Malformed> {
         let end = self.held[self.used..].iter().position(|&b| b == b'\n');
         if end.unwrap_or(self.held.len() - self.used) > self.most {
--- a/crates/site/src/peer.rs
+++ b/crates/site/src/peer.rs
@@ -48,6 +48,9 @@
 }
 
 /// Reads a datagram: the sender's number, the payload's kind and the payload.
+///
+/// # Errors
+/// [`Malformed`] if the datagram is of another version or site, or is cut short.
 pub fn decode(site: u32, bytes: &[u8]) -> Result<(u16, Kind, &[u8]), Malformed> {
     if bytes.len() < HEADER + 4 || bytes.len() > DATAGRAM_MOST {
         return malformed("peer: wrong size");
--- a/crates/site/src/places.rs
+++ b/crates/site/src/places.rs
@@ -21,6 +21,9 @@
 
 impl Wanted {
     /// Reads one line.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the line is not JSON of this form.
     pub fn parse(line: &[u8]) -> Result<Wanted, Malformed> {
         let wanted: Wanted = serde_json::from_slice(line).map_err(|e| Malformed(format!("places: {e}")))?;
         if wanted.wanted.iter().any(|w| w.0 >= PLACES_MOST) {
@@ -64,6 +67,9 @@
 }
 
 /// Reads a call's body: reports, and nothing else.
+///
+/// # Errors
+/// [`Malformed`] if the body is not JSON of this form, or has too many reports.
 pub fn parse_reports(body: &[u8]) -> Result<Vec<Report>, Malformed> {
     let reports: Vec<Report> = serde_json::from_slice(body).map_err(|e| Malformed(format!("places: {e}")))?;
     if reports.iter().any(|r| r.place >= PLACES_MOST) {
--- a/crates/site/src/roster.rs
+++ b/crates/site/src/roster.rs
@@ -78,6 +78,9 @@
 
 impl Message {
     /// Reads one line.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the line is not JSON of this form, lists a server twice, or a figure is out of bounds.
     pub fn parse(line: &[u8]) -> Result<Message, Malformed> {
         let message: Message = serde_json::from_slice(line).map_err(|e| Malformed(format!("roster: {e}")))?;
         if message.servers.len() > SERVERS_MOST {
@@ -127,6 +130,9 @@
     /// Takes a message: what the decisions are told of it. An error leaves the list as it was. A version
     /// that goes back is an error: it comes from a roster that lost its state, and following it would
     /// bring back servers that have drained since.
+    ///
+    /// # Errors
+    /// [`Malformed`] if the changes do not apply to the version that is held.
     pub fn apply(
         &mut self,
         now: Micros,
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -448,6 +448,9 @@
     }
 
     /// Checks that the parts fit together.
+    ///
+    /// # Errors
+    /// A text that names the part that does not fit.
     pub fn check(&self) -> Result<(), String> {
         if self.proxies.is_empty() || self.servers.is_empty() || self.classes.is_empty() {
             return Err("a day needs proxies, servers and classes".into());
--- a/crates/standin/src/drive/clients.rs
+++ b/crates/standin/src/drive/clients.rs
@@ -138,6 +138,9 @@
 }
 
 /// Runs the clients until the day is over and nothing is out any more, or until told to stop.
+///
+/// # Errors
+/// Errors of setting up the event loop or its sockets.
 pub fn run(
     day: &Day,
     net: Net,
--- a/crates/standin/src/drive/relay.rs
+++ b/crates/standin/src/drive/relay.rs
@@ -19,6 +19,9 @@
 
 impl Relay {
     /// Binds a socket for each pair of peers.
+    ///
+    /// # Errors
+    /// Errors of binding a socket.
     pub fn bind(net: Net, proxies: usize) -> std::io::Result<Relay> {
         let mut sockets = BTreeMap::new();
         for from in 0..proxies {
--- a/crates/standin/src/drive/site.rs
+++ b/crates/standin/src/drive/site.rs
@@ -31,6 +31,9 @@
 
 /// Runs the site until told to stop, and a little longer. With `controller`, the one at [`Net::controller`]
 /// decides on releases, else the stand-in desk.
+///
+/// # Errors
+/// Errors of setting up the event loop or its sockets.
 pub fn run(
     day: &Day,
     net: Net,
@@ -215,7 +218,7 @@
                 }
             }
             Kind::RosterLost | Kind::RosterGarbage | Kind::RosterBack if on => {
-                self.trouble_roster(trouble.kind)
+                self.trouble_roster(trouble.kind);
             }
             Kind::RosterCut | Kind::DeskCut if on => self.cut_streams(trouble),
             Kind::ServersCut if !on => self.end_unreachable(),
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -22,6 +22,9 @@
     }
 
     /// Takes `n` bytes.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn take(&mut self, n: usize) -> Result<&'a [u8], String> {
         if self.bytes.len() < n {
             return Err(format!("record cut short: {n} bytes wanted, {} left", self.bytes.len()));
@@ -38,26 +41,41 @@
     }
 
     /// One byte.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn u8(&mut self) -> Result<u8, String> {
         Ok(self.array::<1>()?[0])
     }
 
     /// Two bytes.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn u16(&mut self) -> Result<u16, String> {
         self.array().map(u16::from_le_bytes)
     }
 
     /// Four bytes.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn u32(&mut self) -> Result<u32, String> {
         self.array().map(u32::from_le_bytes)
     }
 
     /// Eight bytes.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn u64(&mut self) -> Result<u64, String> {
         self.array().map(u64::from_le_bytes)
     }
 
     /// A 32-bit float.
+    ///
+    /// # Errors
+    /// A text that says that the input has ended.
     pub fn f32(&mut self) -> Result<f32, String> {
         self.array().map(f32::from_le_bytes)
     }
@@ -144,6 +162,9 @@
 }
 
 /// Reads the next record.
+///
+/// # Errors
+/// A text that says which record cannot be read.
 pub fn record<'a>(r: &mut Reader<'a>) -> Result<Record<'a>, String> {
     let event = match r.u8()? {
         30 => return Ok(Record::Context(r.u32()?)),
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -16,6 +16,9 @@
 
 impl Host {
     /// Plays one batch (all bytes after its length field) and returns the whole reply frame.
+    ///
+    /// # Errors
+    /// A text that says which record of the batch cannot be read or played.
     pub fn batch(&mut self, body: &[u8]) -> Result<Vec<u8>, String> {
         let mut reader = Reader::new(body);
         let (count, now) = (reader.u32()?, reader.u64()?);
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -46,7 +46,7 @@
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, out),
             Event::StreamStarted { request, .. } => self.state.stream_started(request),
             Event::AnswerFlagged { server, class, since } => {
-                self.on_answer_flagged(now, server, class, since)
+                self.on_answer_flagged(now, server, class, since);
             }
             Event::ClientDisconnected { request } => self.finish(request, out),
             Event::Release(release) => self.on_release_status(now, release),
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -97,7 +97,7 @@
                         );
                     }
                     Action::GossipToPeer { to, payload } if !lost => {
-                        mail.push((now + 20 * MS, i, to, payload))
+                        mail.push((now + 20 * MS, i, to, payload));
                     }
                     Action::GossipToAll { payload } if !lost => {
                         let others = (0..FLEET).filter(|&to| to != i);
