--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,14 +1,14 @@
 //! A small driver for module tests: builds settings, feeds events, collects actions.
 #![allow(dead_code)]
 
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-pub const SAFE: usize = 0;
+pub const IDEMPOTENT: usize = 0;
 pub const KEYED: usize = 1;
-pub const FRAGILE: usize = 2;
+pub const NON_IDEMPOTENT: usize = 2;
 
 /// Settings with one class of each effect and four stages, the first guarded.
 pub fn settings() -> Settings {
@@ -73,7 +73,7 @@
     (0..old).map(|i| server(10 + i, 1)).chain((0..new).map(|i| server(100 + i, 2))).collect()
 }
 
-pub fn news(build: Build, stage: u8, phase: Phase, cap: f64) -> ReleaseStatus {
+pub fn release(build: Build, stage: u8, phase: Phase, cap: f64) -> ReleaseStatus {
     ReleaseStatus { build, stage, phase, cap }
 }
 
--- a/tests/ready_to_send.rs
+++ b/tests/ready_to_send.rs
@@ -28,8 +28,8 @@
 
 #[test]
 fn what_nothing_overtook_leaves() {
-    let mut rig = Rig::new(settings(), &fleet(2, 2), news(2, 2, Phase::Trial, 0.5));
-    for class in [SAFE, KEYED, FRAGILE] {
+    let mut rig = Rig::new(settings(), &fleet(2, 2), release(2, 2, Phase::Trial, 0.5));
+    for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT] {
         for _ in 0..20 {
             let (id, actions) = rig.keyed(class, Some(7));
             rig.run(5 * MS);
@@ -43,16 +43,17 @@
 #[test]
 fn being_asked_changes_nothing_by_itself() {
     let run = |asked: bool| {
-        let mut set = settings();
-        set.rollout.sticky_to_new_build = true;
-        let mut rig = Rig::new(set, &fleet(4, 4), news(2, 2, Phase::Trial, 0.5));
+        let mut settings = settings();
+        settings.rollout.sticky_to_new_build = true;
+        let mut rig = Rig::new(settings, &fleet(4, 4), release(2, 2, Phase::Trial, 0.5));
         let mut all = Vec::new();
         for n in 0..3_000u64 {
             if n % 500 == 0 {
                 let anew = ServerEntry { started_at: rig.now, ..server(100 + n / 500 % 4, 2) };
                 relist(&mut rig, &[anew]);
             }
-            let (id, actions) = rig.keyed([SAFE, KEYED, FRAGILE][n as usize % 3], Some(n * 7919 % 97));
+            let (id, actions) =
+                rig.keyed([IDEMPOTENT, KEYED, NON_IDEMPOTENT][n as usize % 3], Some(n * 7919 % 97));
             for (_, to) in sends(&actions) {
                 assert!(!asked || !withheld(&mut rig, id, 0));
                 all.push(to);
@@ -80,7 +81,7 @@
     ];
     for (n, change) in changes.into_iter().enumerate() {
         let mut rig = Rig::new(settings(), &fleet(1, 0), RELEASED);
-        let (id, actions) = rig.request(FRAGILE);
+        let (id, actions) = rig.request(NON_IDEMPOTENT);
         let first = sends(&actions)[0].1;
         let now = rig.now;
         relist(&mut rig, &[change(server(first, 1), now), server(50, 1)]);
@@ -92,15 +93,15 @@
 
 #[test]
 fn a_key_that_the_new_build_answered_meanwhile_holds() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
-    let mut rig = Rig::new(set, &fleet(1, 0), news(2, 2, Phase::Trial, 1.0));
-    let (id, actions) = rig.keyed(SAFE, Some(7));
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
+    let mut rig = Rig::new(settings, &fleet(1, 0), release(2, 2, Phase::Trial, 1.0));
+    let (id, actions) = rig.keyed(IDEMPOTENT, Some(7));
     let earlier = sends(&actions)[0].1;
     relist(&mut rig, &[server(100, 2)]);
     // Another call with the key is answered by the new build.
     for _ in 0..50 {
-        let (other, actions) = rig.keyed(SAFE, Some(7));
+        let (other, actions) = rig.keyed(IDEMPOTENT, Some(7));
         let to = sends(&actions)[0].1;
         rig.end(other, 0, to, if to == 100 { Outcome::Ok } else { Outcome::Rejected }, MS);
         rig.feed(Event::ClientDisconnected { request: other });
@@ -116,12 +117,12 @@
 fn what_is_withheld_costs_a_cold_server_nothing() {
     let cold_sends = |withheld_first: bool| {
         let mut rig = Rig::new(settings(), &fleet(4, 0), RELEASED);
-        rig.traffic(&[SAFE], 400, |_, _| (Outcome::Ok, 20 * MS));
+        rig.traffic(&[IDEMPOTENT], 400, |_, _| (Outcome::Ok, 20 * MS));
         let cold = ServerEntry { started_at: rig.now, ..server(50, 1) };
         relist(&mut rig, &[cold]);
         let mut sent = 0;
         for n in 0..2_000 {
-            let (id, actions) = rig.request(SAFE);
+            let (id, actions) = rig.request(IDEMPOTENT);
             for (_, to) in sends(&actions) {
                 if to == 50 && withheld_first && n < 1_000 {
                     // It drains for a moment, just as the attempt would leave.
@@ -143,9 +144,9 @@
 /// With a cap of 0 a span holds the uncounted two attempts; a third fits once one of them was withheld, and no fourth.
 #[test]
 fn exposure_of_what_is_withheld_is_given_back_once() {
-    let mut rig = Rig::new(settings(), &fleet(0, 3), news(2, 1, Phase::Trial, 1e-6));
+    let mut rig = Rig::new(settings(), &fleet(0, 3), release(2, 1, Phase::Trial, 1e-6));
     let ask = |rig: &mut Rig| {
-        let (id, actions) = rig.request(SAFE);
+        let (id, actions) = rig.request(IDEMPOTENT);
         sends(&actions).first().map(|s| (id, s.1))
     };
     let (first, second) = (ask(&mut rig).unwrap(), ask(&mut rig).unwrap());
@@ -169,7 +170,7 @@
         let mut rig = Rig::new(settings(), &fleet(6, 0), RELEASED);
         let mut done = 0;
         for _ in 0..8 {
-            let (id, actions) = rig.request(SAFE);
+            let (id, actions) = rig.request(IDEMPOTENT);
             let again = rig.end(id, 0, sends(&actions)[0].1, Outcome::ConnectFailed, MS);
             if let [(_, to)] = sends(&again)[..] {
                 done += 1;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::*;
 
 const RELEASED: ReleaseStatus = ReleaseStatus { build: 1, stage: 3, phase: Phase::Released, cap: 1.0 };
@@ -13,7 +13,7 @@
 #[test]
 fn without_any_server_a_request_is_refused_in_time() {
     let mut rig = Rig::new(settings(), &[], RELEASED);
-    let (id, first) = rig.request(FRAGILE);
+    let (id, first) = rig.request(NON_IDEMPOTENT);
     let mut actions = rig.run(1_300 * MS);
     actions.extend(first);
     assert_eq!(finals(&actions, id), (1, 0));
@@ -22,7 +22,7 @@
 #[test]
 fn a_silent_server_does_not_make_the_answer_late() {
     let mut rig = Rig::new(settings(), &fleet(1, 0), RELEASED);
-    let (id, _) = rig.request(FRAGILE);
+    let (id, _) = rig.request(NON_IDEMPOTENT);
     let actions = rig.run(1_195 * MS);
     assert_eq!(finals(&actions, id), (0, 1));
     assert_eq!(sends(&actions), []);
@@ -31,7 +31,7 @@
 #[test]
 fn a_fragile_request_is_repeated_only_when_it_never_ran() {
     let mut rig = Rig::new(settings(), &fleet(4, 0), RELEASED);
-    let (id, actions) = rig.request(FRAGILE);
+    let (id, actions) = rig.request(NON_IDEMPOTENT);
     let again = rig.end(id, 0, sends(&actions)[0].1, Outcome::Rejected, MS);
     assert_eq!(sends(&again).len(), 1);
     let end = rig.end(id, 1, sends(&again)[0].1, Outcome::Error, MS);
@@ -57,7 +57,7 @@
     let mut rig = Rig::new(settings(), &fleet(3, 0), RELEASED);
     let entry = ServerEntry { status: ServerStatus::Draining, ..server(11, 1) };
     rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[entry] });
-    let actions = rig.traffic(&[SAFE], 200, |_, _| (Outcome::Ok, 20 * MS));
+    let actions = rig.traffic(&[IDEMPOTENT], 200, |_, _| (Outcome::Ok, 20 * MS));
     assert!(sends(&actions).iter().all(|s| s.1 != 11));
 }
 
@@ -65,14 +65,14 @@
 #[test]
 fn a_cold_server_gets_less_than_warm_ones() {
     let mut rig = Rig::new(settings(), &fleet(4, 0), RELEASED);
-    rig.traffic(&[SAFE], 400, |_, _| (Outcome::Ok, 20 * MS));
+    rig.traffic(&[IDEMPOTENT], 400, |_, _| (Outcome::Ok, 20 * MS));
     let cold = ServerEntry { started_at: rig.now, ..server(50, 1) };
     rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[cold] });
-    let actions = rig.traffic(&[SAFE], 100, |_, _| (Outcome::Ok, 20 * MS));
+    let actions = rig.traffic(&[IDEMPOTENT], 100, |_, _| (Outcome::Ok, 20 * MS));
     let to_cold = sends(&actions).iter().filter(|s| s.1 == 50).count();
     assert!(to_cold < 20, "{to_cold} of 100 to a server at a third of its capacity");
     rig.run(4 * S);
-    let actions = rig.traffic(&[SAFE], 100, |_, _| (Outcome::Ok, 20 * MS));
+    let actions = rig.traffic(&[IDEMPOTENT], 100, |_, _| (Outcome::Ok, 20 * MS));
     assert!(sends(&actions).iter().any(|s| s.1 == 50), "nothing to a server warm by now");
 }
 
@@ -84,7 +84,7 @@
     let mut refused = 0;
     let mut out = Vec::new();
     for i in 0..400 {
-        let (id, actions) = rig.request(SAFE);
+        let (id, actions) = rig.request(IDEMPOTENT);
         refused += if i >= 100 { finals(&actions, id).0 } else { 0 };
         out.extend(sends(&actions).iter().map(|s| (rig.now, *s)));
         rig.run(30 * MS);
@@ -99,9 +99,9 @@
 /// Guards: one tenant whose requests all wait must not have the others refused with it.
 #[test]
 fn a_tenant_whose_requests_wait_is_refused_before_the_others() {
-    let mut set = settings();
-    set.tenants = vec![Tenant { quota_per_s: 100.0 }; 2];
-    let mut rig = Rig::new(set, &fleet(6, 0), RELEASED);
+    let mut settings = settings();
+    settings.tenants = vec![Tenant { quota_per_s: 100.0 }; 2];
+    let mut rig = Rig::new(settings, &fleet(6, 0), RELEASED);
     let mut refused = [0, 0];
     for i in 0..600 {
         let tenant = i % 2;
@@ -121,10 +121,10 @@
 
 #[test]
 fn nothing_goes_to_a_build_at_cap_zero_after_the_grace() {
-    let mut rig = Rig::new(settings(), &fleet(0, 4), news(2, 3, Phase::Released, 1.0));
-    rig.feed(Event::Release(news(2, 3, Phase::RollingBack, 0.0)));
+    let mut rig = Rig::new(settings(), &fleet(0, 4), release(2, 3, Phase::Released, 1.0));
+    rig.feed(Event::Release(release(2, 3, Phase::RollingBack, 0.0)));
     rig.run(2 * S);
-    let (id, first) = rig.request(SAFE);
+    let (id, first) = rig.request(IDEMPOTENT);
     let mut actions = rig.run(1_200 * MS);
     actions.extend(first);
     assert_eq!((sends(&actions).len(), finals(&actions, id)), (0, (1, 0)));
@@ -134,15 +134,15 @@
 /// From 150 ms after the send the key counts, whatever becomes of the attempt, unless that proves otherwise.
 #[test]
 fn a_key_that_the_new_build_may_have_answered_unread_goes_to_no_earlier_one() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
-    let mut rig = Rig::new(set, &fleet(5, 5), news(2, 2, Phase::Trial, 1.0));
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
+    let mut rig = Rig::new(settings, &fleet(5, 5), release(2, 2, Phase::Trial, 1.0));
     let mut bound = BTreeSet::new();
     let ends = [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error];
     let mut free = 0;
     for i in 0..2_000u64 {
         let key = 1 + i * 7919 % 97;
-        let (id, actions) = rig.keyed(SAFE, Some(key));
+        let (id, actions) = rig.keyed(IDEMPOTENT, Some(key));
         let Some(&(_, server)) = sends(&actions).first() else { continue };
         assert!(server >= 100 || !bound.contains(&key), "key {key} sent back");
         let end = if server >= 100 { ends[(i % 4) as usize] } else { Outcome::Ok };
@@ -150,7 +150,7 @@
         let waits = if i % 3 == 0 { 150 * MS } else { 5 * MS };
         rig.run(waits);
         if waits > 100 * MS && server >= 100 {
-            let (again, actions) = rig.keyed(SAFE, Some(key));
+            let (again, actions) = rig.keyed(IDEMPOTENT, Some(key));
             assert!(sends(&actions).iter().all(|s| s.1 >= 100), "key {key} sent back with its attempt out");
             rig.feed(Event::ClientDisconnected { request: again });
         }
@@ -169,15 +169,15 @@
 /// written and not read. The key is bound by the second, whatever the first proves.
 #[test]
 fn a_key_stays_bound_by_the_attempt_that_is_still_out() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
     for first in [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed] {
         for second in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
-            let mut rig = Rig::new(set.clone(), &fleet(0, 5), news(2, 2, Phase::Trial, 1.0));
-            let (one, actions) = rig.keyed(SAFE, Some(7));
+            let mut rig = Rig::new(settings.clone(), &fleet(0, 5), release(2, 2, Phase::Trial, 1.0));
+            let (one, actions) = rig.keyed(IDEMPOTENT, Some(7));
             let at = sends(&actions)[0].1;
             rig.run(5 * MS);
-            let (other, actions) = rig.keyed(SAFE, Some(7));
+            let (other, actions) = rig.keyed(IDEMPOTENT, Some(7));
             let other_at = sends(&actions)[0].1;
             rig.run(5 * MS);
             rig.end(one, 0, at, first, 10 * MS);
@@ -189,7 +189,7 @@
             let entries = fleet(5, 5);
             rig.feed(Event::ServerList { kind: ListKind::Full, entries: &entries });
             for _ in 0..50 {
-                let (id, actions) = rig.keyed(SAFE, Some(7));
+                let (id, actions) = rig.keyed(IDEMPOTENT, Some(7));
                 assert!(sends(&actions).iter().all(|s| s.1 >= 100), "sent back after {first:?}, {second:?}");
                 sends(&actions).iter().for_each(|s| drop(rig.end(id, 0, s.1, Outcome::Error, MS)));
                 rig.feed(Event::ClientDisconnected { request: id });
@@ -203,15 +203,15 @@
 /// one; the answer that comes then is the new build's. Also where the news of that build come after the list.
 #[test]
 fn a_key_is_bound_by_an_answer_from_a_machine_that_was_listed_anew_meanwhile() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
     for news_first in [true, false] {
-        let mut rig = Rig::new(set.clone(), &fleet(1, 0), RELEASED);
-        let (id, actions) = rig.keyed(SAFE, Some(7));
+        let mut rig = Rig::new(settings.clone(), &fleet(1, 0), RELEASED);
+        let (id, actions) = rig.keyed(IDEMPOTENT, Some(7));
         let at = sends(&actions)[0].1;
         let again =
             [server(at, 1), server(50, 1)].map(|s| ServerEntry { build: 1 + u16::from(s.id == at), ..s });
-        let trial = Event::Release(news(2, 1, Phase::Trial, 1.0));
+        let trial = Event::Release(release(2, 1, Phase::Trial, 1.0));
         let list = Event::ServerList { kind: ListKind::Full, entries: &again };
         for event in if news_first { [trial, list] } else { [list, trial] } {
             rig.feed(event);
@@ -219,7 +219,7 @@
         rig.run(20 * MS);
         rig.end(id, 0, at, Outcome::Ok, 20 * MS);
         for _ in 0..50 {
-            let (id, actions) = rig.keyed(SAFE, Some(7));
+            let (id, actions) = rig.keyed(IDEMPOTENT, Some(7));
             assert!(sends(&actions).iter().all(|s| s.1 == at), "sent back, news first: {news_first}");
             sends(&actions).iter().for_each(|s| drop(rig.end(id, 0, s.1, Outcome::Ok, MS)));
             rig.feed(Event::ClientDisconnected { request: id });
@@ -231,13 +231,13 @@
 /// Guards: a popular key would pile onto the new build's few machines, and bound keys stay bound.
 #[test]
 fn a_key_answered_by_the_new_build_goes_to_no_earlier_one() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
-    let mut rig = Rig::new(set, &fleet(5, 5), news(2, 2, Phase::Trial, 1.0));
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
+    let mut rig = Rig::new(settings, &fleet(5, 5), release(2, 2, Phase::Trial, 1.0));
     let mut bound = BTreeSet::new();
     for i in 0..2_000u64 {
         let key = 1 + i * 7919 % 97;
-        let (id, actions) = rig.keyed(SAFE, Some(key));
+        let (id, actions) = rig.keyed(IDEMPOTENT, Some(key));
         for (_, server) in sends(&actions) {
             assert!(server >= 100 || !bound.contains(&key), "key {key} sent back");
             rig.run(5 * MS);
@@ -254,11 +254,11 @@
 /// one, for ever. What can no longer be remembered counts as bound instead: nothing keyed goes back.
 #[test]
 fn a_released_build_serves_more_keys_than_are_remembered_and_none_goes_back() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
-    let mut rig = Rig::new(set, &fleet(0, 3), news(2, 3, Phase::Released, 1.0));
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
+    let mut rig = Rig::new(settings, &fleet(0, 3), release(2, 3, Phase::Released, 1.0));
     let served = |rig: &mut Rig, key: u64| {
-        let (id, actions) = rig.keyed(SAFE, Some(key));
+        let (id, actions) = rig.keyed(IDEMPOTENT, Some(key));
         let sent = sends(&actions);
         sent.iter().for_each(|s| drop(rig.end(id, 0, s.1, Outcome::Ok, MS)));
         sent.first().map(|s| s.1)
@@ -273,7 +273,7 @@
         assert!(served(&mut rig, key).is_none_or(|server| server >= 100), "key {key} sent back");
     }
     // With another build all of it is forgotten, and the earlier machines take keys again.
-    rig.feed(Event::Release(news(3, 0, Phase::Trial, 0.16)));
+    rig.feed(Event::Release(release(3, 0, Phase::Trial, 0.16)));
     let free = (400_000..400_100).filter(|key| served(&mut rig, *key).is_some_and(|server| server < 100));
     assert!(free.count() > 10);
 }
@@ -281,12 +281,12 @@
 /// Guards: a popular key bound to the new build early would bring its machines more than their share.
 #[test]
 fn a_popular_key_does_not_go_to_the_new_build_first() {
-    let mut set = settings();
-    set.rollout.sticky_to_new_build = true;
-    let mut rig = Rig::new(set, &fleet(8, 0), RELEASED);
+    let mut settings = settings();
+    settings.rollout.sticky_to_new_build = true;
+    let mut rig = Rig::new(settings, &fleet(8, 0), RELEASED);
     let play = |rig: &mut Rig, i: u64| {
         let key = if i.is_multiple_of(3) { 1 } else { 100 + i };
-        let (id, actions) = rig.keyed(SAFE, Some(key));
+        let (id, actions) = rig.keyed(IDEMPOTENT, Some(key));
         for (_, server) in sends(&actions) {
             rig.run(5 * MS);
             rig.end(id, 0, server, Outcome::Ok, 20 * MS);
@@ -294,7 +294,7 @@
         sends(&actions).iter().filter(|s| s.1 >= 100).map(|_| key).collect::<Vec<u64>>()
     };
     (0..60).for_each(|i| drop(play(&mut rig, i)));
-    rig.feed(Event::Release(news(2, 1, Phase::Trial, 0.5)));
+    rig.feed(Event::Release(release(2, 1, Phase::Trial, 0.5)));
     rig.feed(Event::ServerList { kind: ListKind::Full, entries: &fleet(8, 2) });
     let on_trial: Vec<u64> = (60..660).flat_map(|i| play(&mut rig, i)).collect();
     assert!(on_trial.len() > 40, "{} attempts at the new build", on_trial.len());
@@ -304,7 +304,7 @@
 #[test]
 fn a_build_not_announced_yet_counts_as_the_first_stage() {
     let mut rig = Rig::new(settings(), &fleet(2, 8), RELEASED);
-    let actions = rig.traffic(&[SAFE, FRAGILE], 1_000, |_, _| (Outcome::Ok, 20 * MS));
+    let actions = rig.traffic(&[IDEMPOTENT, NON_IDEMPOTENT], 1_000, |_, _| (Outcome::Ok, 20 * MS));
     let new: Vec<RequestId> = sends(&actions).iter().filter(|s| s.1 >= 100).map(|s| s.0).collect();
     assert!(!new.is_empty() && new.len() <= 162, "{} of 1000", new.len());
     assert!(new.iter().all(|id| id % 2 == 1), "a class that is not safe to repeat went to a guarded stage");
@@ -312,9 +312,9 @@
 
 #[test]
 fn the_list_is_asked_for_again_after_a_failure_and_after_silence() {
-    let mut set = settings();
-    set.subscribes_to_list = true;
-    let mut rig = Rig::new(set, &fleet(2, 0), RELEASED);
+    let mut settings = settings();
+    settings.subscribes_to_list = true;
+    let mut rig = Rig::new(settings, &fleet(2, 0), RELEASED);
     let follows = |actions: &[Action]| actions.iter().filter(|a| **a == Action::WatchServerList).count();
     rig.feed(Event::ServerList { kind: ListKind::Failed, entries: &[] });
     assert_eq!(follows(&rig.run(S)), 1);
@@ -347,12 +347,12 @@
 }
 
 impl Watch {
-    fn check(&mut self, now: Micros, set: &Settings, cap: f64, guarded: bool, actions: &[Action]) {
+    fn check(&mut self, now: Micros, settings: &Settings, cap: f64, guarded: bool, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => {
                     assert!(!self.finished.contains(request), "sent after the final answer");
-                    let class = &set.classes[self.deadline[request].1];
+                    let class = &settings.classes[self.deadline[request].1];
                     let before = self.attempts.entry(*request).or_default();
                     assert!(before.iter().all(|a| a.1.is_some()), "two at once");
                     let ran = before.iter().find(|a| a.1.is_none_or(Outcome::may_have_run));
@@ -362,22 +362,25 @@
                         assert!(!keyed || (ran.0 % 2 == server % 2 && now < ran.2 + class.dedup_window));
                     }
                     before.push((*server, None, now));
-                    assert!(self.draining.get(server).is_none_or(|at| now <= at + set.rules.drain_grace));
+                    assert!(
+                        self.draining.get(server).is_none_or(|at| now <= at + settings.rules.drain_grace)
+                    );
                     if *server >= 100 {
                         assert!(!guarded || class.idempotency == Idempotency::Idempotent, "guarded stage");
                         self.exposed.push(now);
-                        for &from in self.exposed.iter().filter(|&&t| t + set.rollout.exposure_window >= now)
+                        for &from in
+                            self.exposed.iter().filter(|&&t| t + settings.rollout.exposure_window >= now)
                         {
                             let spent = self.exposed.iter().filter(|&&t| t >= from).count() as f64;
                             let taken = self.taken.iter().filter(|&&t| t >= from).count() as f64;
-                            let most = set.rollout.exposure_slack + cap * (taken + 1.0);
+                            let most = settings.rollout.exposure_slack + cap * (taken + 1.0);
                             assert!(spent <= most + 1e-6, "{spent} attempts over {most}");
                         }
                     }
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(self.finished.insert(*request), "two final answers");
-                    let class = &set.classes[self.deadline[request].1];
+                    let class = &settings.classes[self.deadline[request].1];
                     let tries = self.attempts.get(request).map(Vec::as_slice).unwrap_or_default();
                     let ran = tries.iter().any(|a| a.1.is_none_or(Outcome::may_have_run));
                     let refused = matches!(action, Action::Reject { .. });
@@ -392,79 +395,116 @@
     }
 }
 
-fn drive(steps: &[(u8, u16)]) -> Vec<Action> {
-    let set = settings();
-    let mut rig = Rig::new(set.clone(), &fleet(4, 2), news(2, 0, Phase::Trial, 0.16));
-    let (mut watch, mut all) = (Watch::default(), Vec::new());
-    let mut next: RequestId = 1;
-    for &(what, pick) in steps {
-        let open: Vec<(RequestId, usize, ServerId)> = watch
-            .attempts
-            .iter()
-            .flat_map(|(id, tries)| tries.iter().enumerate().map(move |(k, a)| (*id, k, a.0, a.1)))
-            .filter(|a| a.3.is_none())
-            .map(|a| (a.0, a.1, a.2))
-            .collect();
-        let actions = match what {
-            0..=4 => {
-                let (class, deadline) =
-                    (usize::from(pick % 3), rig.now + 200 * MS + u64::from(pick % 1000) * MS);
-                watch.deadline.insert(next, (deadline, class));
-                watch.taken.push(rig.now);
-                next += 1;
-                rig.feed(Event::Request(Request { id: next - 1, deadline, class, ..Request::default() }))
-            }
-            5..=7 if !open.is_empty() => {
-                let (request, attempt, server) = open[usize::from(pick) % open.len()];
-                let outcomes = [
-                    Outcome::Ok,
-                    Outcome::Ok,
-                    Outcome::Error,
-                    Outcome::Rejected,
-                    Outcome::Timeout,
-                    Outcome::ConnectFailed,
-                    Outcome::Reset,
-                    Outcome::Cancelled,
-                ];
-                let outcome = outcomes[usize::from(pick / 7) % outcomes.len()];
-                watch.attempts.get_mut(&request).unwrap()[attempt].1 = Some(outcome);
-                let settled = outcome == Outcome::Ok || watch.finished.contains(&request);
-                if settled {
-                    watch.finished.insert(request);
+/// Plays random steps on one balancer and checks the rules after each.
+struct Driver {
+    settings: Settings,
+    rig: Rig,
+    watch: Watch,
+    next: RequestId,
+}
+
+impl Driver {
+    fn new() -> Driver {
+        let settings = settings();
+        let rig = Rig::new(settings.clone(), &fleet(4, 2), release(2, 0, Phase::Trial, 0.16));
+        Driver { settings, rig, watch: Watch::default(), next: 1 }
+    }
+
+    /// Attempts in flight: request, number and server.
+    fn in_flight(&self) -> Vec<(RequestId, usize, ServerId)> {
+        let mut open = Vec::new();
+        for (id, tries) in &self.watch.attempts {
+            for (number, (server, outcome, _)) in tries.iter().enumerate() {
+                if outcome.is_none() {
+                    open.push((*id, number, *server));
                 }
-                let elapsed = u64::from(pick) * 3;
-                rig.feed(Event::AttemptEnded(AttemptEnd {
-                    request,
-                    attempt,
-                    server,
-                    outcome,
-                    elapsed,
-                    finishes_request: settled,
-                }))
             }
-            8 => {
-                let id = 10 + u64::from(pick % 4);
-                let status = if pick % 3 == 0 { ServerStatus::Draining } else { ServerStatus::Ready };
-                let started_at = if pick % 5 == 0 { rig.now } else { 0 };
-                match status {
-                    ServerStatus::Ready => watch.draining.remove(&id),
-                    _ => Some(*watch.draining.entry(id).or_insert(rig.now)),
-                };
-                let entry = ServerEntry { status, started_at, ..server(id, 1) };
-                rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[entry] })
+        }
+        open
+    }
+
+    fn step(&mut self, what: u8, pick: u16) -> Vec<Action> {
+        let in_flight = self.in_flight();
+        match what {
+            0..=4 => self.request(pick),
+            5..=7 if !in_flight.is_empty() => {
+                let index = usize::from(pick) % in_flight.len();
+                self.end_attempt(in_flight[index], pick)
             }
+            8 => self.change_list(pick),
             _ => {
-                rig.now += 5 * MS;
-                rig.feed(Event::Timer { token: 0 })
+                self.rig.now += 5 * MS;
+                self.rig.feed(Event::Timer { token: 0 })
             }
-        };
-        watch.check(rig.now, &set, 0.16, true, &actions);
-        all.extend(actions);
-        for (id, (deadline, _)) in &watch.deadline {
-            let late = rig.now > deadline + set.rules.deadline_grace;
-            assert!(!late || watch.finished.contains(id), "request {id} without a final answer");
         }
     }
+
+    fn request(&mut self, pick: u16) -> Vec<Action> {
+        let id = self.next;
+        let class = usize::from(pick % 3);
+        let deadline = self.rig.now + 200 * MS + u64::from(pick % 1000) * MS;
+        self.watch.deadline.insert(id, (deadline, class));
+        self.watch.taken.push(self.rig.now);
+        self.next += 1;
+        self.rig.feed(Event::Request(Request { id, deadline, class, ..Request::default() }))
+    }
+
+    fn end_attempt(
+        &mut self,
+        (request, attempt, server): (RequestId, usize, ServerId),
+        pick: u16,
+    ) -> Vec<Action> {
+        const OUTCOMES: [Outcome; 8] = [
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::Timeout,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+        ];
+        let outcome = OUTCOMES[usize::from(pick / 7) % OUTCOMES.len()];
+        self.watch.attempts.get_mut(&request).unwrap()[attempt].1 = Some(outcome);
+        let finishes_request = outcome == Outcome::Ok || self.watch.finished.contains(&request);
+        if finishes_request {
+            self.watch.finished.insert(request);
+        }
+        let elapsed = u64::from(pick) * 3;
+        let end = AttemptEnd { request, attempt, server, outcome, elapsed, finishes_request };
+        self.rig.feed(Event::AttemptEnded(end))
+    }
+
+    fn change_list(&mut self, pick: u16) -> Vec<Action> {
+        let id = 10 + u64::from(pick % 4);
+        let status = if pick % 3 == 0 { ServerStatus::Draining } else { ServerStatus::Ready };
+        let started_at = if pick % 5 == 0 { self.rig.now } else { 0 };
+        if status == ServerStatus::Ready {
+            self.watch.draining.remove(&id);
+        } else {
+            self.watch.draining.entry(id).or_insert(self.rig.now);
+        }
+        let entry = ServerEntry { status, started_at, ..server(id, 1) };
+        self.rig.feed(Event::ServerList { kind: ListKind::Delta, entries: &[entry] })
+    }
+
+    fn check(&mut self, actions: &[Action]) {
+        self.watch.check(self.rig.now, &self.settings, 0.16, true, actions);
+        for (id, (deadline, _)) in &self.watch.deadline {
+            let late = self.rig.now > deadline + self.settings.rules.deadline_grace;
+            assert!(!late || self.watch.finished.contains(id), "request {id} without a final answer");
+        }
+    }
+}
+
+fn drive(steps: &[(u8, u16)]) -> Vec<Action> {
+    let mut driver = Driver::new();
+    let mut all = Vec::new();
+    for &(what, pick) in steps {
+        let actions = driver.step(what, pick);
+        driver.check(&actions);
+        all.extend(actions);
+    }
     all
 }
 
