--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use violetseam_control::Reading;
-use violetseam_control::wire::{Act, Answer, Ask};
-use violetseam_fleet::{Fleet, Silence, pick, report, wall_clock};
+use violetseam_control::{Action, Request, Response};
+use violetseam_fleet::report::{self, ExitStatus};
+use violetseam_fleet::{CommandOptions, DaemonReading, Delivery, Fleet, select_members, wall_clock};
 
 #[derive(ClapArgs)]
 pub struct Args {
@@ -88,7 +88,7 @@
     Reload,
 }
 
-fn act(command: &Command) -> Option<Act> {
+fn action(command: &Command) -> Option<Action> {
     Some(match command {
         Command::State
         | Command::Watch { .. }
@@ -96,21 +96,21 @@
         | Command::Configuration
         | Command::Whoami => return None,
         Command::Pause { span } => {
-            Act::Pause { until_us: wall_clock() + (span.clamp(0.0, 86_400.0) * 1e6) as u64 }
+            Action::Pause { until_us: wall_clock() + (span.clamp(0.0, 86_400.0) * 1e6) as u64 }
         }
-        Command::Resume => Act::Resume,
-        Command::Back => Act::Back,
-        Command::Drain => Act::Drain,
-        Command::Undrain => Act::Undrain,
-        Command::LogLevel { filter } => Act::LogLevel { filter: filter.clone() },
-        Command::Reload => Act::Reload,
+        Command::Resume => Action::Resume,
+        Command::Back => Action::RollBack,
+        Command::Drain => Action::Drain,
+        Command::Undrain => Action::Undrain,
+        Command::LogLevel { filter } => Action::LogLevel { filter: filter.clone() },
+        Command::Reload => Action::Reload,
     })
 }
 
 /// Runs a fleet command.
 pub fn run(args: &Args) -> Result<ExitCode, String> {
     let file = violetseam_settings::read_fleet(&args.fleet, &args.set).map_err(|e| e.to_string())?;
-    let members = pick(file.members, &args.only)?;
+    let members = select_members(file.members, &args.only).map_err(|e| e.to_string())?;
     let keys = match &file.identity {
         Some(identity) => {
             let now_s = (wall_clock() / 1_000_000) as i64;
@@ -125,7 +125,7 @@
     };
     let names: Vec<String> = members.iter().map(|m| m.name.clone()).collect();
     let timeout = Duration::from_secs_f64(args.timeout.clamp(0.05, 600.0));
-    let fleet = Fleet { members, timeout, parallel: args.parallel, keys };
+    let fleet = Fleet { members, timeout, parallel: args.parallel, identity: keys };
     let terminal = std::io::stderr().is_terminal();
     let all = names.len();
     let mut heard = |done: usize| {
@@ -139,7 +139,7 @@
             let every = Duration::from_secs_f64(every.clamp(0.1, 3_600.0));
             let mut left = count.unwrap_or(u64::MAX);
             while left > 0 {
-                show(args, report::state_table, &fleet, &names, &mut |_| {})?;
+                show(args, report::state_table, &fleet, &mut |_| {})?;
                 left -= 1;
                 if left > 0 {
                     std::thread::sleep(every);
@@ -147,44 +147,45 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::State => show(args, report::state_table, &fleet, &names, &mut heard),
-        Command::Rights => show(args, report::rights_table, &fleet, &names, &mut heard),
-        Command::Configuration => show(args, report::configuration_table, &fleet, &names, &mut heard),
+        Command::State => show(args, report::state_table, &fleet, &mut heard),
+        Command::Rights => show(args, report::quota_table, &fleet, &mut heard),
+        Command::Configuration => show(args, report::configuration_table, &fleet, &mut heard),
         Command::Whoami => whoami(args, &fleet, &names, &mut heard),
         command => {
-            let Some(act) = act(command) else { return Err("nothing to do".into()) };
-            if !args.yes && !confirmed(act.name(), all)? {
+            let Some(action) = action(command) else { return Err("nothing to do".into()) };
+            if !args.yes && !confirmed(action.name(), all)? {
                 return Err("not confirmed, nothing was sent".into());
             }
             let issuer = args.issuer.clone().or_else(|| std::env::var("USER").ok());
             let issuer = issuer.unwrap_or_else(|| "unknown".into());
-            let valid = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
-            let told = fleet.tell(&act, &issuer, valid, args.all_or_none, &mut heard);
+            let validity = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
+            let delivery = if args.all_or_none { Delivery::AllOrNone } else { Delivery::Independent };
+            let options = CommandOptions { issuer, validity, delivery };
+            let command_report = fleet.send_command(&action, &options, &mut heard);
             if args.json {
-                println!("{}", report::told_json(&told));
+                println!("{}", report::command_json(&command_report));
             } else {
-                print!("{}", report::told_table(&told));
+                print!("{}", report::command_table(&command_report));
             }
-            Ok(ExitCode::from(report::exit_status(&told)))
+            Ok(ExitCode::from(report::exit_status(&command_report).code()))
         }
     }
 }
 
 fn show(
     args: &Args,
-    table: impl Fn(&[String], &[Result<Reading, Silence>]) -> String,
+    table: impl Fn(&[DaemonReading]) -> String,
     fleet: &Fleet,
-    names: &[String],
     heard: &mut dyn FnMut(usize),
 ) -> Result<ExitCode, String> {
     let readings = fleet.state(heard);
     if args.json {
-        println!("{}", report::state_json(names, &readings));
+        println!("{}", report::state_json(&readings));
     } else {
-        print!("{}", table(names, &readings));
+        print!("{}", table(&readings));
     }
-    let silent = readings.iter().any(Result::is_err);
-    Ok(ExitCode::from(if silent { report::status::SILENT } else { report::status::AGREED }))
+    let silent = readings.iter().any(|reading| reading.state.is_err());
+    Ok(query_exit_code(silent))
 }
 
 fn whoami(
@@ -193,27 +194,33 @@
     names: &[String],
     heard: &mut dyn FnMut(usize),
 ) -> Result<ExitCode, String> {
-    let answers = fleet.ask(&|_| Some(Ask::Whoami), heard);
+    let answers = fleet.query(&|_| Some(Request::Whoami), heard);
     let mut silent = false;
     for (member, answer) in names.iter().zip(answers) {
         match answer {
-            Ok(Answer::Whoami { name, boot, version }) if args.json => {
+            Ok(Response::Whoami { name, boot, version }) if args.json => {
                 println!(
                     "{}",
                     serde_json::json!({"daemon": member, "name": name, "boot": boot, "version": version})
                 );
             }
-            Ok(Answer::Whoami { name, boot, version }) => {
+            Ok(Response::Whoami { name, boot, version }) => {
                 println!("{member}: {name}, boot {boot}, version {version}");
             }
             Ok(other) => println!("{member}: answered something else: {other:?}"),
-            Err(why) => {
+            Err(error) => {
                 silent = true;
-                println!("{member}: SILENT: {}", why.0);
+                println!("{member}: SILENT: {error}");
             }
         }
     }
-    Ok(ExitCode::from(if silent { report::status::SILENT } else { report::status::AGREED }))
+    Ok(query_exit_code(silent))
+}
+
+/// The exit code for a request that changes nothing.
+fn query_exit_code(any_unanswered: bool) -> ExitCode {
+    let status = if any_unanswered { ExitStatus::Unanswered } else { ExitStatus::Success };
+    ExitCode::from(status.code())
 }
 
 fn confirmed(what: &str, count: usize) -> Result<bool, String> {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -9,8 +9,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry, reload};
-use violetseam_daemon::Opened;
-use violetseam_daemon::{Store, StoreFault};
+use violetseam_daemon::{OpenedStore, Store, StoreError};
 use violetseam_keys::KeyFiles;
 use violetseam_proxy::driver::{Operators, Options, Reloaded, Reopened, SetLog, inherit, serve_operated};
 use violetseam_recorder::Bounds;
@@ -166,13 +165,13 @@
         socket,
         keys,
         boot: opened.boot,
-        durable: opened.durable,
+        durable: opened.state,
         keeper: Box::new(opened.store),
         reload: Box::new(reload),
         reopen: Box::new(move || {
             let opened = open_store(&folder, position, violetseam_fleet::wall_clock(), true)?;
             let keeper = Box::new(opened.store);
-            Ok(Reopened { boot: opened.boot, durable: opened.durable, keeper })
+            Ok(Reopened { boot: opened.boot, durable: opened.state, keeper })
         }),
         set_log,
     }))
@@ -201,11 +200,11 @@
 }
 
 /// Opens the store; in a takeover the other process gives it up at any moment, so it is waited for.
-fn open_store(folder: &Path, position: usize, now: u64, wait: bool) -> Result<Opened, String> {
+fn open_store(folder: &Path, position: usize, now: u64, wait: bool) -> Result<OpenedStore, String> {
     let until = Instant::now() + Duration::from_secs(2);
     loop {
         match Store::open(folder, position, now) {
-            Err(StoreFault::Taken(_)) if wait && Instant::now() < until => {
+            Err(StoreError::InUse { .. }) if wait && Instant::now() < until => {
                 std::thread::sleep(Duration::from_millis(2));
             }
             other => return other.map_err(|e| e.to_string()),
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -133,7 +133,7 @@
     copy_to(&folder, "daemon-0.redb");
     let opened = Store::open(&folder, 0, 1_800_000_000_000_000).unwrap();
     assert_eq!((opened.boot, &opened.moved_aside), (STORED_BOOT + 1, &None));
-    assert_as_before("durable.json", &serde_json::to_value(&opened.durable).unwrap());
+    assert_as_before("durable.json", &serde_json::to_value(&opened.state).unwrap());
     assert_as_before("audit.json", &serde_json::to_value(opened.store.audit().unwrap()).unwrap());
     drop(opened);
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -1,48 +1,26 @@
-//! The store: boot number, standing pause, commands seen, audit log; one file for each identity.
+//! The store of one identity: opening it, moving a damaged file aside, and writing state.
 
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
+use crate::database::{StoredState, Update, read_audit_lines, read_state, write_update};
+use crate::error::{DatabaseError, StoreError};
+use redb::Database;
+use std::io::ErrorKind;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
-use violetseam_control::book::{Book, Durable};
-use violetseam_proxy::driver::Keeper;
+use violetseam_control::PersistedState;
+use violetseam_proxy::driver::{StateWriter, StateWriterError};
 
-const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
-const AUDIT: TableDefinition<'_, u64, &str> = TableDefinition::new("audit");
-/// Audit lines kept; older ones go as new ones come.
-const AUDIT_MOST: u64 = 100_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Why a store was not opened.
+/// A store that was just opened, and what it held.
 #[derive(Debug)]
-pub enum StoreFault {
-    /// Another process has it: two daemons on one identity.
-    Taken(PathBuf),
-    /// The folder or the file cannot be used.
-    Unusable(String),
-}
-
-impl std::fmt::Display for StoreFault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            StoreFault::Taken(path) => {
-                write!(f, "{}: another daemon runs under this identity", path.display())
-            }
-            StoreFault::Unusable(why) => f.write_str(why),
-        }
-    }
-}
-
-impl std::error::Error for StoreFault {}
-
-/// A store, and what it held.
-#[derive(Debug)]
-pub struct Opened {
-    /// The store; drop it to release the identity.
+pub struct OpenedStore {
+    /// The store; dropping it releases the identity.
     pub store: Store,
-    /// This start's number.
+    /// The number of this start.
     pub boot: u64,
-    /// What outlived the process before.
-    pub durable: Durable,
-    /// A damaged file was moved there; its state is unknown and read in the safe way.
+    /// The state that the previous process stored.
+    pub state: PersistedState,
+    /// Where a damaged file was moved. Its contents are unknown, and `state` is a safe assumption.
     pub moved_aside: Option<PathBuf>,
 }
 
@@ -50,140 +28,134 @@
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
-    /// None after a fault: the next use opens the file again. `redb` takes no writes after one that failed,
-    /// and a full disk has room again some day.
-    db: Option<Database>,
+    /// None after a failed write: the next write opens the file again. `redb` accepts no writes after one
+    /// that failed, but a full disk may have room again.
+    database: Option<Database>,
 }
 
-fn words(e: impl std::fmt::Display) -> String {
-    e.to_string()
+/// Why one attempt to open the file failed, by what can be done about it.
+enum OpenFailure {
+    InUse,
+    Unusable(DatabaseError),
+    Damaged(DatabaseError),
 }
 
-impl Store {
-    /// Opens the store of a position in a folder and counts this start. `now_us` is the wall clock.
-    pub fn open(folder: &Path, position: usize, now_us: u64) -> Result<Opened, StoreFault> {
-        let unusable = |e: std::io::Error| StoreFault::Unusable(format!("{}: {e}", folder.display()));
-        std::fs::create_dir_all(folder).map_err(unusable)?;
-        let path = folder.join(format!("daemon-{position}.redb"));
-        match Store::try_open(&path) {
-            Ok((store, boot, durable)) => Ok(Opened { store, boot, durable, moved_aside: None }),
-            Err(Trouble::Taken) => Err(StoreFault::Taken(path)),
-            Err(Trouble::Unusable(why)) => Err(StoreFault::Unusable(format!("{}: {why}", path.display()))),
-            Err(Trouble::Damaged(why)) => {
-                let aside = folder.join(format!("daemon-{position}.damaged-{now_us}"));
-                std::fs::rename(&path, &aside).map_err(unusable)?;
-                tracing::error!(moved_to = %aside.display(), "the state file is damaged: {why}");
-                let again = Store::try_open(&path);
-                let (store, _, _) =
-                    again.map_err(|e| StoreFault::Unusable(format!("{}: {e:?}", path.display())))?;
-                // The boot number must not repeat one that commands were fenced with: time stands in.
-                let boot = now_us / 1_000_000;
-                let durable = Book::safe_reading(now_us);
-                store.put(boot, &durable, None).map_err(StoreFault::Unusable)?;
-                Ok(Opened { store, boot, durable, moved_aside: Some(aside) })
+impl OpenFailure {
+    fn into_error(self, path: PathBuf) -> StoreError {
+        match self {
+            OpenFailure::InUse => StoreError::InUse { path },
+            OpenFailure::Unusable(source) | OpenFailure::Damaged(source) => {
+                StoreError::Unusable { path, source }
             }
         }
     }
+}
 
-    fn try_open(path: &Path) -> Result<(Store, u64, Durable), Trouble> {
-        // A damaged file may fail an assertion of the store's own: that is damage, too.
-        let opened = catch_unwind(AssertUnwindSafe(|| {
-            let db = Database::create(path).map_err(|e| match e {
-                DatabaseError::DatabaseAlreadyOpen => Trouble::Taken,
-                // A file that cannot be opened or made is not a damaged one.
-                DatabaseError::Storage(redb::StorageError::Io(e))
-                    if e.kind() != std::io::ErrorKind::InvalidData
-                        && e.kind() != std::io::ErrorKind::UnexpectedEof =>
-                {
-                    Trouble::Unusable(e.to_string())
-                }
-                other => Trouble::Damaged(other.to_string()),
-            })?;
-            let store = Store { path: path.to_owned(), db: Some(db) };
-            let (boot, durable) = store.get().map_err(Trouble::Damaged)?;
-            Ok((store, boot, durable))
-        }));
-        let (store, boot, durable) =
-            opened.unwrap_or_else(|_| Err(Trouble::Damaged("an assertion of the store failed".into())))?;
-        store.put(boot + 1, &durable, None).map_err(Trouble::Unusable)?;
-        Ok((store, boot + 1, durable))
+impl From<redb::DatabaseError> for OpenFailure {
+    fn from(error: redb::DatabaseError) -> Self {
+        match error {
+            redb::DatabaseError::DatabaseAlreadyOpen => OpenFailure::InUse,
+            // A file that cannot be opened or created is not a damaged one.
+            redb::DatabaseError::Storage(redb::StorageError::Io(error)) if !is_damage(error.kind()) => {
+                OpenFailure::Unusable(DatabaseError::Io(error))
+            }
+            other => OpenFailure::Damaged(other.into()),
+        }
     }
+}
 
-    fn db(&self) -> Result<&Database, String> {
-        self.db.as_ref().ok_or_else(|| "the state file is not open".into())
-    }
+fn is_damage(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
+}
 
-    fn get(&self) -> Result<(u64, Durable), String> {
-        let read = self.db()?.begin_read().map_err(words)?;
-        let table = match read.open_table(STATE) {
-            Ok(table) => table,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok((0, Durable::default())),
-            Err(e) => return Err(words(e)),
-        };
-        let boot = match table.get("boot").map_err(words)? {
-            Some(bytes) => serde_json::from_slice(bytes.value()).map_err(words)?,
-            None => 0,
+impl Store {
+    /// Opens the store of a position in a folder and counts this start. `now_us` is the wall clock. A damaged
+    /// file is moved aside and replaced.
+    ///
+    /// # Errors
+    /// If another process has the store open, or the folder or the file cannot be used.
+    pub fn open(folder: &Path, position: usize, now_us: u64) -> Result<OpenedStore, StoreError> {
+        let folder_error = |source| StoreError::Folder { folder: folder.to_owned(), source };
+        std::fs::create_dir_all(folder).map_err(folder_error)?;
+        let path = folder.join(format!("daemon-{position}.redb"));
+        let damage = match Store::open_file(&path) {
+            Ok(opened) => return Ok(opened),
+            Err(OpenFailure::Damaged(damage)) => damage,
+            Err(failure) => return Err(failure.into_error(path)),
         };
-        let durable = match table.get("durable").map_err(words)? {
-            Some(bytes) => serde_json::from_slice(bytes.value()).map_err(words)?,
-            None => Durable::default(),
+        let aside = folder.join(format!("daemon-{position}.damaged-{now_us}"));
+        std::fs::rename(&path, &aside).map_err(folder_error)?;
+        tracing::error!(moved_to = %aside.display(), "the state file is damaged: {damage}");
+        Store::replace_damaged(path, aside, now_us)
+    }
+
+    /// Starts a new file in place of a damaged one.
+    fn replace_damaged(path: PathBuf, aside: PathBuf, now_us: u64) -> Result<OpenedStore, StoreError> {
+        let store = match Store::open_file(&path) {
+            Ok(opened) => opened.store,
+            Err(failure) => return Err(failure.into_error(path)),
         };
-        Ok((boot, durable))
+        // The boot number must not repeat one that commands were fenced with, so the clock gives it.
+        let boot = now_us / MICROS_PER_SECOND;
+        let state = PersistedState::paused_after_damage(now_us);
+        let update = Update { boot: Some(boot), state: &state, audit_line: None };
+        store.write_update(&update).map_err(|source| StoreError::Unusable { path, source })?;
+        Ok(OpenedStore { store, boot, state, moved_aside: Some(aside) })
     }
 
-    fn put(&self, boot: u64, durable: &Durable, line: Option<&str>) -> Result<(), String> {
-        let write = self.db()?.begin_write().map_err(words)?;
-        {
-            let mut table = write.open_table(STATE).map_err(words)?;
-            if boot > 0 {
-                let bytes = serde_json::to_vec(&boot).map_err(words)?;
-                table.insert("boot", bytes.as_slice()).map_err(words)?;
-            }
-            let bytes = serde_json::to_vec(durable).map_err(words)?;
-            table.insert("durable", bytes.as_slice()).map_err(words)?;
-        }
-        if let Some(line) = line {
-            let mut audit = write.open_table(AUDIT).map_err(words)?;
-            let next = audit.last().map_err(words)?.map_or(1, |last| last.0.value() + 1);
-            audit.insert(next, line).map_err(words)?;
-            if next > AUDIT_MOST {
-                audit.remove(next - AUDIT_MOST).map_err(words)?;
-            }
-        }
-        write.commit().map_err(words)
+    fn open_file(path: &Path) -> Result<OpenedStore, OpenFailure> {
+        // The library may panic on a damaged file.
+        let opened = catch_unwind(AssertUnwindSafe(|| Store::read_file(path)));
+        let (store, stored) = opened.unwrap_or(Err(OpenFailure::Damaged(DatabaseError::Panicked)))?;
+        let StoredState { boot: last_boot, state } = stored;
+        let boot = last_boot + 1;
+        let update = Update { boot: Some(boot), state: &state, audit_line: None };
+        store.write_update(&update).map_err(OpenFailure::Unusable)?;
+        Ok(OpenedStore { store, boot, state, moved_aside: None })
     }
 
-    /// The audit log, oldest first.
-    pub fn audit(&self) -> Result<Vec<String>, String> {
-        let read = self.db()?.begin_read().map_err(words)?;
-        let table = match read.open_table(AUDIT) {
-            Ok(table) => table,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
-            Err(e) => return Err(words(e)),
-        };
-        let lines = table.iter().map_err(words)?;
-        lines.map(|line| line.map(|l| l.1.value().to_owned()).map_err(words)).collect()
+    fn read_file(path: &Path) -> Result<(Store, StoredState), OpenFailure> {
+        let database = Database::create(path)?;
+        let stored = read_state(&database).map_err(OpenFailure::Damaged)?;
+        Ok((Store { path: path.to_owned(), database: Some(database) }, stored))
     }
-}
 
-#[derive(Debug)]
-enum Trouble {
-    Taken,
-    Unusable(String),
-    Damaged(String),
+    fn database(&self) -> Result<&Database, DatabaseError> {
+        self.database.as_ref().ok_or(DatabaseError::NotOpen)
+    }
+
+    fn write_update(&self, update: &Update<'_>) -> Result<(), DatabaseError> {
+        write_update(self.database()?, update)
+    }
+
+    /// Opens the file again after a failed write.
+    fn reopen(&mut self) -> Result<(), DatabaseError> {
+        // The library may panic on what the failure left behind.
+        let opened = catch_unwind(AssertUnwindSafe(|| Database::create(&self.path)));
+        let database = opened.map_err(|_| DatabaseError::PanickedOnReopen)??;
+        self.database = Some(database);
+        Ok(())
+    }
+
+    /// The audit log, oldest line first.
+    ///
+    /// # Errors
+    /// If the file is not open or cannot be read.
+    pub fn audit(&self) -> Result<Vec<String>, DatabaseError> {
+        read_audit_lines(self.database()?)
+    }
 }
 
-impl Keeper for Store {
-    fn keep(&mut self, durable: &Durable, line: &str) -> Result<(), String> {
-        if self.db.is_none() {
-            // An assertion of the store's own may fail on what a fault left behind.
-            let opened = catch_unwind(AssertUnwindSafe(|| Database::create(&self.path)));
-            self.db = Some(opened.map_err(|_| "the state file is damaged")?.map_err(words)?);
+impl StateWriter for Store {
+    fn write(&mut self, state: &PersistedState, audit_line: &str) -> Result<(), StateWriterError> {
+        if self.database.is_none() {
+            self.reopen()?;
         }
-        let kept = self.put(0, durable, Some(line));
-        if kept.is_err() {
-            self.db = None;
+        let update = Update { boot: None, state, audit_line: Some(audit_line) };
+        let written = self.write_update(&update);
+        if written.is_err() {
+            self.database = None;
         }
-        kept
+        written.map_err(StateWriterError::from)
     }
 }
--- a/crates/daemon/tests/store.rs
+++ b/crates/daemon/tests/store.rs
@@ -2,9 +2,10 @@
 //! a damaged file in the safe way.
 
 use std::path::PathBuf;
-use violetseam_control::book::{Durable, Pause};
-use violetseam_daemon::{Store, StoreFault};
-use violetseam_proxy::driver::Keeper;
+use violetseam_control::ReleaseStage;
+use violetseam_control::persisted_state::{Pause, PersistedState};
+use violetseam_daemon::{Store, StoreError};
+use violetseam_proxy::driver::StateWriter;
 
 const NOW: u64 = 1_700_000_000_000_000;
 
@@ -14,22 +15,26 @@
     folder
 }
 
-fn paused() -> Durable {
-    let pause = Pause { until_us: NOW + 1, issuer: "on-call".into(), about: Some((7, 1)) };
-    Durable { pause: Some(pause), ..Durable::default() }
+fn paused() -> PersistedState {
+    let pause = Pause {
+        until_us: NOW + 1,
+        issuer: "on-call".into(),
+        release: Some(ReleaseStage { build: 7, stage: 1 }),
+    };
+    PersistedState { pause: Some(pause), ..PersistedState::default() }
 }
 
 #[test]
 fn starts_are_counted_and_state_and_audit_log_outlive_them() {
     let folder = folder("starts");
     let mut first = Store::open(&folder, 0, NOW).unwrap();
-    assert_eq!((first.boot, first.durable), (1, Durable::default()));
-    first.store.keep(&paused(), "one").unwrap();
-    first.store.keep(&paused(), "two").unwrap();
-    assert!(matches!(Store::open(&folder, 0, NOW), Err(StoreFault::Taken(_))), "a second daemon got in");
+    assert_eq!((first.boot, first.state), (1, PersistedState::default()));
+    first.store.write(&paused(), "one").unwrap();
+    first.store.write(&paused(), "two").unwrap();
+    assert!(matches!(Store::open(&folder, 0, NOW), Err(StoreError::InUse { .. })), "a second daemon got in");
     drop(first.store);
     let second = Store::open(&folder, 0, NOW).unwrap();
-    assert_eq!((second.boot, second.durable), (2, paused()));
+    assert_eq!((second.boot, second.state), (2, paused()));
     assert_eq!(second.store.audit().unwrap(), ["one", "two"]);
     let other = Store::open(&folder, 1, NOW).unwrap();
     assert_eq!(other.boot, 1, "another identity");
@@ -42,7 +47,7 @@
     let path = folder.join("daemon-0.redb");
     let sound = {
         let mut opened = Store::open(&folder, 0, NOW).unwrap();
-        opened.store.keep(&paused(), "one").unwrap();
+        opened.store.write(&paused(), "one").unwrap();
         drop(opened.store);
         std::fs::read(&path).unwrap()
     };
@@ -52,7 +57,7 @@
         std::fs::write(&path, bytes).unwrap();
         let opened = Store::open(&folder, 0, NOW + n as u64).unwrap();
         assert!(opened.moved_aside.as_ref().is_some_and(|p| p.exists()), "case {n}");
-        assert!(opened.durable.pause.is_some_and(|p| p.issuer.contains("damaged")), "case {n}");
+        assert!(opened.state.pause.is_some_and(|p| p.issuer.contains("damaged")), "case {n}");
         assert!(opened.boot > 1_000, "a boot number that was in use: {}", opened.boot);
     }
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/fleet/tests/calls.rs
+++ b/crates/fleet/tests/calls.rs
@@ -4,9 +4,12 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use violetseam_control::Reading;
-use violetseam_control::wire::{Act, Answer, Ask, Reply, write};
-use violetseam_fleet::{Fleet, Outcome, Silence, pick, report};
+use violetseam_control::daemon_state::{QuotaState, ReleaseState};
+use violetseam_control::wire::encode_line;
+use violetseam_control::{Action, DaemonState, ReleaseStage, Reply, Request, Response};
+use violetseam_fleet::{
+    CallError, CommandOptions, DaemonOutcome, DaemonReading, Delivery, Fleet, Outcome, report, select_members,
+};
 use violetseam_settings::Member;
 
 fn daemon(name: &str, play: impl Fn(UnixStream, usize) + Send + 'static) -> Member {
@@ -34,27 +37,31 @@
     daemon(name, move |mut stream, _| {
         let line = read_line(&mut stream);
         let answer = if line.contains("state") && !line.contains("command") {
-            let release = violetseam_control::state::Release {
-                build: release.0,
-                stage: release.1,
-                ..Default::default()
-            };
-            Answer::State(Box::new(Reading { boot: 4, release: Some(release), ..Reading::default() }))
+            let release = ReleaseState { build: release.0, stage: release.1, ..ReleaseState::default() };
+            Response::State(Box::new(DaemonState {
+                boot: 4,
+                release: Some(release),
+                ..DaemonState::default()
+            }))
         } else {
-            Answer::Command(reply(&line))
+            Response::Command(reply(&line))
         };
-        let _ = stream.write_all(&write(&answer));
+        let _ = stream.write_all(&encode_line(&answer));
     })
 }
 
-fn agreed(_: &str) -> Reply {
-    Reply::Agreed { again: false }
+fn options(delivery: Delivery) -> CommandOptions {
+    CommandOptions { issuer: "test".into(), validity: Duration::from_secs(5), delivery }
+}
+
+fn applies(_: &str) -> Reply {
+    Reply::Applied { already: false }
 }
 
 #[test]
 fn each_kind_of_silence_is_told_and_none_takes_longer_than_its_time() {
     let members = vec![
-        sound("sound", (2, 1), agreed),
+        sound("sound", (2, 1), applies),
         daemon("mute", |stream, _| {
             std::thread::sleep(Duration::from_secs(3));
             drop(stream);
@@ -72,11 +79,11 @@
         daemon("endless", |mut stream, _| while stream.write_all(&[b'x'; 4096]).is_ok() {}),
         Member { name: "absent".into(), control: "/nonexistent/socket".into(), groups: Vec::new() },
     ];
-    let fleet = Fleet { members, timeout: Duration::from_millis(500), parallel: 16, keys: None };
+    let fleet = Fleet { members, timeout: Duration::from_millis(500), parallel: 16, identity: None };
     let began = Instant::now();
-    let told = fleet.tell(&Act::Resume, "test", Duration::from_secs(5), false, &mut |_| {});
+    let command_report = fleet.send_command(&Action::Resume, &options(Delivery::Independent), &mut |_| {});
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
-    assert_eq!(told.outcomes[0].1, Outcome::Agreed { again: false });
+    assert_eq!(command_report.outcomes[0].outcome, Outcome::Applied { already: false });
     let whys = [
         "no answer in time",
         "half an answer",
@@ -85,24 +92,28 @@
         "without an end",
         "no connection",
     ];
-    for ((name, outcome), why) in told.outcomes[1..].iter().zip(whys) {
-        assert!(matches!(outcome, Outcome::Silent(w) if w.contains(why)), "{name}: {outcome:?}");
+    for (DaemonOutcome { daemon, outcome }, why) in command_report.outcomes[1..].iter().zip(whys) {
+        assert!(matches!(outcome, Outcome::Unanswered(w) if w.contains(why)), "{daemon}: {outcome:?}");
     }
-    assert_eq!(report::exit_status(&told), report::status::SILENT);
-    assert!(report::told_table(&told).contains("1 agreed, 0 refused, 6 never answered"));
+    assert_eq!(report::exit_status(&command_report), report::ExitStatus::Unanswered);
+    assert!(report::command_table(&command_report).contains("1 agreed, 0 refused, 6 never answered"));
 }
 
 #[test]
 fn commands_carry_the_fence_that_most_report_and_the_boot_number_of_each() {
     let fenced = |line: &str| {
         let ok = line.contains("\"boot\":4") && line.contains("\"build\":9") && line.contains("\"stage\":2");
-        if ok { agreed("") } else { Reply::Refused { reason: line.to_owned() } }
+        if ok { applies("") } else { Reply::Rejected { reason: line.to_owned() } }
     };
     let members = vec![sound("a", (9, 2), fenced), sound("b", (9, 2), fenced), sound("c", (8, 3), fenced)];
-    let fleet = Fleet { members, timeout: Duration::from_secs(1), parallel: 2, keys: None };
-    let told = fleet.tell(&Act::Back, "test", Duration::from_secs(5), false, &mut |_| {});
-    assert_eq!(told.about, Some((9, 2)));
-    assert!(told.outcomes.iter().all(|o| o.1 == Outcome::Agreed { again: false }), "{:?}", told.outcomes);
+    let fleet = Fleet { members, timeout: Duration::from_secs(1), parallel: 2, identity: None };
+    let command_report = fleet.send_command(&Action::RollBack, &options(Delivery::Independent), &mut |_| {});
+    assert_eq!(command_report.release, Some(ReleaseStage { build: 9, stage: 2 }));
+    assert!(
+        command_report.outcomes.iter().all(|o| o.outcome == Outcome::Applied { already: false }),
+        "{:?}",
+        command_report.outcomes
+    );
 }
 
 #[test]
@@ -112,13 +123,15 @@
         l if l.contains("abort") => Reply::Released,
         _ => panic!("committed although one refused: {line}"),
     };
-    let refuses = |_: &str| Reply::Refused { reason: "not me".into() };
+    let refuses = |_: &str| Reply::Rejected { reason: "not me".into() };
     let members = vec![sound("ready", (2, 1), steps), sound("refuses", (2, 1), refuses)];
-    let fleet = Fleet { members, timeout: Duration::from_secs(1), parallel: 2, keys: None };
-    let told = fleet.tell(&Act::Resume, "test", Duration::from_secs(5), true, &mut |_| {});
-    assert!(matches!(&told.outcomes[0].1, Outcome::Refused(w) if w.contains("not all were ready")));
-    assert_eq!(told.outcomes[1].1, Outcome::Refused("not me".into()));
-    assert_eq!(report::exit_status(&told), report::status::REFUSED);
+    let fleet = Fleet { members, timeout: Duration::from_secs(1), parallel: 2, identity: None };
+    let command_report = fleet.send_command(&Action::Resume, &options(Delivery::AllOrNone), &mut |_| {});
+    assert!(
+        matches!(&command_report.outcomes[0].outcome, Outcome::Rejected(w) if w.contains("not all were ready"))
+    );
+    assert_eq!(command_report.outcomes[1].outcome, Outcome::Rejected("not me".into()));
+    assert_eq!(report::exit_status(&command_report), report::ExitStatus::Rejected);
 }
 
 #[test]
@@ -131,27 +144,29 @@
     let all = vec![member("a", "x"), member("b", "y"), member("c", "x")];
     let names = |only: &[&str]| {
         let only: Vec<String> = only.iter().map(|s| (*s).to_owned()).collect();
-        pick(all.clone(), &only).map(|p| p.into_iter().map(|m| m.name).collect::<Vec<_>>())
+        select_members(all.clone(), &only).map(|p| p.into_iter().map(|m| m.name).collect::<Vec<_>>())
     };
     assert_eq!(names(&["x"]).unwrap(), ["a", "c"]);
     assert_eq!(names(&["b", "c"]).unwrap(), ["b", "c"]);
     assert!(names(&["z"]).is_err());
-    let _ = Ask::Whoami;
+    let _ = Request::Whoami;
 }
 
 #[test]
-fn rights_are_shown_by_class_with_their_sum_and_whoever_differs() {
-    use violetseam_control::state::Rights;
+fn quotas_are_shown_by_class_with_their_sum_and_whoever_differs() {
     let of = |budget, rate| {
-        let rights = Rights { class: "read".into(), budget, rate, ..Rights::default() };
-        Ok(Reading { rights: vec![rights], ..Reading::default() })
+        let quota = QuotaState { class: "read".into(), budget, rate, ..QuotaState::default() };
+        Ok(DaemonState { quotas: vec![quota], ..DaemonState::default() })
+    };
+    let readings = |states: [Result<DaemonState, CallError>; 3]| {
+        let named = ["a", "b", "c"].into_iter().zip(states);
+        named.map(|(daemon, state)| DaemonReading { daemon: daemon.into(), state }).collect::<Vec<_>>()
     };
-    let names: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
-    let alike =
-        report::rights_table(&names, &[of(9_000, 4_000), of(9_000, 2_500), Err(Silence("gone".into()))]);
+    let alike = report::quota_table(&readings([of(9_000, 4_000), of(9_000, 2_500), Err(CallError::Timeout)]));
     assert!(alike.contains("read: those that answered may spend 6.5 of 9.0 (2) a second\n"), "{alike}");
     assert!(alike.contains("SILENT") && alike.ends_with(": c\n") && !alike.contains("DISAGREE"), "{alike}");
-    let unlike = report::rights_table(&names, &[of(9_000, 3_000), of(8_000, 2_000), Ok(Reading::default())]);
+    let unlike =
+        report::quota_table(&readings([of(9_000, 3_000), of(8_000, 2_000), Ok(DaemonState::default())]));
     assert!(unlike.contains("5.0 of 8.0 (1), 9.0 (1) a second; THEY DISAGREE"), "{unlike}");
     assert!(unlike.contains("1 have none"), "{unlike}");
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
-use violetseam_control::wire::Act;
-use violetseam_fleet::{Fleet, Outcome, wall_clock};
+use violetseam_control::Action;
+use violetseam_fleet::{CommandOptions, Delivery, Fleet, Outcome, wall_clock};
 use violetseam_settings::Member;
 
 struct Daemons {
@@ -47,7 +47,7 @@
             groups: Vec::new(),
         };
         let members = (0..self.children.len()).map(member).collect();
-        Fleet { members, timeout, parallel: 64, keys: None }
+        Fleet { members, timeout, parallel: 64, identity: None }
     }
 
     fn start(plan: &Plan, count: usize) -> Result<Daemons, String> {
@@ -67,7 +67,7 @@
         let until = Instant::now() + Duration::from_secs(60);
         while Instant::now() < until {
             let readings = self.fleet(Duration::from_secs(2)).state(&mut |_| {});
-            if readings.iter().all(|r| r.as_ref().is_ok_and(|r| r.release.is_some())) {
+            if readings.iter().all(|r| r.state.as_ref().is_ok_and(|state| state.release.is_some())) {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -86,8 +86,16 @@
     }
 }
 
-fn pause() -> Act {
-    Act::Pause { until_us: wall_clock() + 600_000_000 }
+fn pause() -> Action {
+    Action::Pause { until_us: wall_clock() + 600_000_000 }
+}
+
+fn options() -> CommandOptions {
+    CommandOptions {
+        issuer: "measure".to_owned(),
+        validity: Duration::from_secs(30),
+        delivery: Delivery::Independent,
+    }
 }
 
 /// Measures `many` daemons and twenty with one frozen; a text with medians.
@@ -102,9 +110,8 @@
     for round in 0..plan.rounds {
         // The states come first, then the command: the last `many` answers are the command's.
         let (began, mut times) = (Instant::now(), Vec::new());
-        let told = fleet
-            .tell(&pause(), "measure", Duration::from_secs(30), false, &mut |_| times.push(began.elapsed()));
-        let agreed = told.outcomes.iter().filter(|o| matches!(o.1, Outcome::Agreed { .. })).count();
+        let told = fleet.send_command(&pause(), &options(), &mut |_| times.push(began.elapsed()));
+        let agreed = told.outcomes.iter().filter(|o| matches!(o.outcome, Outcome::Applied { .. })).count();
         if agreed != many || times.len() != 2 * many {
             return Err(format!("round {round}: {agreed} of {many} agreed"));
         }
@@ -134,11 +141,10 @@
     for _ in 0..plan.rounds {
         kill_process(frozen, Signal::STOP).map_err(|e| e.to_string())?;
         let (began, mut times) = (Instant::now(), Vec::new());
-        let told = fleet
-            .tell(&pause(), "measure", Duration::from_secs(30), false, &mut |_| times.push(began.elapsed()));
+        let told = fleet.send_command(&pause(), &options(), &mut |_| times.push(began.elapsed()));
         report.push(ms(began.elapsed()));
         kill_process(frozen, Signal::CONT).map_err(|e| e.to_string())?;
-        let agreed = told.outcomes.iter().filter(|o| matches!(o.1, Outcome::Agreed { .. })).count();
+        let agreed = told.outcomes.iter().filter(|o| matches!(o.outcome, Outcome::Applied { .. })).count();
         if agreed != 19 {
             return Err(format!("{agreed} of 19 agreed beside a frozen one"));
         }
@@ -160,7 +166,8 @@
         daemons.children[0] = daemons.spawn(0)?;
         let one = Fleet { members: fleet.members[..1].to_vec(), ..fleet.clone() };
         loop {
-            let paused = one.state(&mut |_| {}).into_iter().flatten().any(|r| r.paused.is_some());
+            let mut states = one.state(&mut |_| {}).into_iter().flat_map(|reading| reading.state);
+            let paused = states.any(|state| state.pause.is_some());
             if paused {
                 break;
             }
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use violetseam::interface::Micros;
-use violetseam_control::state::{ConfigurationVersion, Distributed, RefusedVersion};
+use violetseam_control::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_distribution::message::{LINE_BYTES_MOST, REPORT_BYTES_MOST};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{Message, Report, Subscribe, Version};
@@ -112,17 +112,18 @@
         self.acknowledgement.take().or_else(|| self.refusal.take())
     }
 
-    fn reading(&self, now: Micros) -> Distributed {
+    fn reading(&self, now: Micros) -> ConfigurationState {
         let standing = self.subscriber.standing(now);
-        let refused = standing
-            .refused
-            .map(|refusal| RefusedVersion { version: version_read(refusal.version), reason: refusal.reason });
-        Distributed {
+        let rejected = standing.refused.map(|refusal| RejectedVersion {
+            version: version_read(refusal.version),
+            reason: refusal.reason,
+        });
+        ConfigurationState {
             version: standing.version.map(version_read),
             routes: self.table().map_or(0, |table| table.len() as u64),
             age_us: standing.age,
             watching: standing.watching,
-            refused,
+            rejected,
         }
     }
 }
@@ -234,7 +235,7 @@
     }
 
     /// How the subscription stands; none where the settings name no publisher.
-    pub(super) fn configuration_reading(&self) -> Option<Distributed> {
+    pub(super) fn configuration_reading(&self) -> Option<ConfigurationState> {
         self.subscription.as_ref().map(|subscription| subscription.reading(self.now()))
     }
 
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -28,7 +28,7 @@
 use clients::{Client, Held};
 use configuration::Subscription;
 use control::Call;
-pub use operators::{Keeper, Operators, Reload, Reloaded, Reopen, Reopened, SetLog};
+pub use operators::{Operators, Reload, Reloaded, Reopen, Reopened, SetLog, StateWriter, StateWriterError};
 use rand::{Rng, RngExt, SeedableRng};
 use servers::Server;
 use slab::Slab;
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -20,9 +20,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use violetseam::interface::{Build, Micros, Operator, Phase, ServerId, Verdict};
-use violetseam_control::book::{Book, Change, Durable, Present};
-use violetseam_control::state::{Counts, Reading, Release, Rights};
-use violetseam_control::wire::{self, Answer, Ask, Command, Reply};
+use violetseam_control::daemon_state::{
+    BuildAttempts, ConnectionCounts, DaemonState, PauseState, QuotaState, ReleaseState, RequestCounts,
+};
+use violetseam_control::wire::{self, Reply, Request, Response};
+use violetseam_control::{
+    Change, Command, CommandLog, DaemonContext, Decision, PersistedState, ReleaseStage,
+};
 use violetseam_loopio::Got;
 use violetseam_settings::ProxySettings;
 use violetseam_shared::budgets::Sight;
@@ -43,10 +47,16 @@
 /// The span over which attempts by build are told.
 const BUILDS_SPAN: Micros = 10_000_000;
 
-/// Keeps what must outlive the process. Called on a thread of its own.
-pub trait Keeper: Send {
-    /// Keeps the state and appends a line to the audit log; done only when both would survive a crash.
-    fn keep(&mut self, durable: &Durable, line: &str) -> Result<(), String>;
+/// Why a [`StateWriter`] failed.
+pub type StateWriterError = Box<dyn std::error::Error + Send + Sync>;
+
+/// Stores what must outlive the process. Called on a thread of its own.
+pub trait StateWriter: Send {
+    /// Stores the state and appends a line to the audit log; returns only when both would survive a crash.
+    ///
+    /// # Errors
+    /// If the state or the line could not be stored. Then neither is, or it is unknown whether they are.
+    fn write(&mut self, state: &PersistedState, audit_line: &str) -> Result<(), StateWriterError>;
 }
 
 /// What a reload may change while the proxy runs.
@@ -68,9 +78,9 @@
     /// The boot number, one more.
     pub boot: u64,
     /// What it holds.
-    pub durable: Durable,
+    pub durable: PersistedState,
     /// Keeps what comes.
-    pub keeper: Box<dyn Keeper>,
+    pub keeper: Box<dyn StateWriter>,
 }
 
 /// Opens the store again, after a take-over that failed halfway.
@@ -85,9 +95,9 @@
     /// The boot number.
     pub boot: u64,
     /// What outlived the process before.
-    pub durable: Durable,
+    pub durable: PersistedState,
     /// Keeps what must outlive this one.
-    pub keeper: Box<dyn Keeper>,
+    pub keeper: Box<dyn StateWriter>,
     /// Reads the settings again.
     pub reload: Reload,
     /// Sets another log filter.
@@ -122,13 +132,13 @@
     tls: Option<(Rc<TcpListener>, RegistrationToken)>,
     keys: Option<Arc<ServerConfig>>,
     boot: u64,
-    book: Book,
+    book: CommandLog,
     conns: Slab<Conn>,
     waiting: VecDeque<Waiting>,
     /// The command that the keeper has, the book after it, its reply and what to do.
-    keeping: Option<(Waiting, Book, Reply, Option<Change>)>,
+    keeping: Option<(Waiting, CommandLog, Reply, Option<Change>)>,
     /// None while the store is with a process that takes over.
-    to_keeper: Option<std::sync::mpsc::Sender<(Durable, String)>>,
+    to_keeper: Option<std::sync::mpsc::Sender<(PersistedState, String)>>,
     done: Sender<Kept>,
     reopen: Reopen,
     /// The path is another process's now.
@@ -150,13 +160,14 @@
 
 /// Starts the keeper's thread.
 fn keep_on_thread(
-    mut keeper: Box<dyn Keeper>,
+    mut keeper: Box<dyn StateWriter>,
     done: Sender<Kept>,
-) -> std::io::Result<std::sync::mpsc::Sender<(Durable, String)>> {
-    let (to_keeper, jobs) = std::sync::mpsc::channel::<(Durable, String)>();
+) -> std::io::Result<std::sync::mpsc::Sender<(PersistedState, String)>> {
+    let (to_keeper, jobs) = std::sync::mpsc::channel::<(PersistedState, String)>();
     std::thread::Builder::new().name("keeper".into()).spawn(move || {
         while let Ok((durable, line)) = jobs.recv() {
-            if done.send(Kept { result: keeper.keep(&durable, &line) }).is_err() {
+            let result = keeper.write(&durable, &line).map_err(|error| error.to_string());
+            if done.send(Kept { result }).is_err() {
                 return;
             }
         }
@@ -236,7 +247,7 @@
             tls,
             keys,
             boot,
-            book: Book::new(durable),
+            book: CommandLog::new(durable),
             conns: Slab::new(),
             waiting: VecDeque::new(),
             keeping: None,
@@ -380,37 +391,40 @@
     fn operator_lines(&mut self, key: usize) {
         while let Some(conn) = self.operators.as_mut().and_then(|d| d.conns.get_mut(key)) {
             let Some(end) = conn.input.iter().position(|b| *b == b'\n') else {
-                if conn.input.len() > wire::LINE_MOST {
-                    self.tell_operator(key, &Answer::Malformed { reason: "line too long".into() });
+                if conn.input.len() > wire::MAX_LINE_BYTES {
+                    self.tell_operator(key, &Response::Malformed { reason: "line too long".into() });
                     return self.close_operator(key);
                 }
                 return conn.line.want(&self.handle, true);
             };
             let line: Vec<u8> = conn.input.drain(..=end).collect();
             let generation = conn.generation;
-            match wire::read_ask(line.trim_ascii_end()) {
-                Ok(Ask::Whoami) => {
+            match wire::parse_request(line.trim_ascii_end()) {
+                Ok(Request::Whoami) => {
                     let (name, boot) = (self.own_name(), self.operators.as_ref().map_or(0, |d| d.boot));
                     let version = env!("CARGO_PKG_VERSION").to_owned();
-                    self.tell_operator(key, &Answer::Whoami { name, boot, version });
+                    self.tell_operator(key, &Response::Whoami { name, boot, version });
                 }
-                Ok(Ask::State) => {
+                Ok(Request::State) => {
                     let reading = self.reading();
-                    self.tell_operator(key, &Answer::State(Box::new(reading)));
+                    self.tell_operator(key, &Response::State(Box::new(reading)));
                 }
-                Ok(Ask::Takeover) if conn.line.local().is_some() => return self.hand_over(key),
-                Ok(Ask::Takeover) => {
+                Ok(Request::Takeover) if conn.line.local().is_some() => return self.hand_over(key),
+                Ok(Request::Takeover) => {
                     let reason = "sockets are handed over on the local control socket alone".into();
-                    self.tell_operator(key, &Answer::Malformed { reason });
+                    self.tell_operator(key, &Response::Malformed { reason });
                 }
-                Ok(Ask::Command(mut command)) => {
+                Ok(Request::Command(mut command)) => {
                     // Over TCP the certificate says who it is; what the command says beside is kept.
                     if let Some(holder) = conn.line.holder().filter(|h| *h != command.issuer) {
                         command.issuer = format!("{holder} as {}", command.issuer);
                     }
                     self.queue_command(Waiting { conn: key, generation, command });
                 }
-                Err(reason) => self.tell_operator(key, &Answer::Malformed { reason }),
+                Err(error) => {
+                    let reason = error.to_string();
+                    self.tell_operator(key, &Response::Malformed { reason });
+                }
             }
         }
     }
@@ -429,7 +443,7 @@
         });
         match opened {
             Ok((boot, durable, to_keeper)) => {
-                (desk.boot, desk.book, desk.to_keeper) = (boot, Book::new(durable), Some(to_keeper));
+                (desk.boot, desk.book, desk.to_keeper) = (boot, CommandLog::new(durable), Some(to_keeper));
             }
             Err(why) => {
                 tracing::error!("commands are refused from now on, the state is not to be had: {why}")
@@ -458,10 +472,12 @@
         conn.line.local().filter(|_| same).map(|stream| (stream, conn.generation))
     }
 
-    fn tell_operator(&mut self, key: usize, answer: &Answer) {
+    fn tell_operator(&mut self, key: usize, answer: &Response) {
         let Some(conn) = self.operators.as_mut().and_then(|d| d.conns.get_mut(key)) else { return };
         // An operator who asks and never reads is not waited for.
-        if conn.line.send(&wire::write(answer)).is_err() || conn.line.unwritten() > 4 * wire::LINE_MOST {
+        if conn.line.send(&wire::encode_line(answer)).is_err()
+            || conn.line.unwritten() > 4 * wire::MAX_LINE_BYTES
+        {
             return self.close_operator(key);
         }
         conn.line.want(&self.handle, true);
@@ -472,15 +488,18 @@
         if desk.waiting.len() >= WAITING_MOST {
             let reason = "too many commands wait".to_owned();
             let key = waiting.conn;
-            return self.tell_operator(key, &Answer::Command(Reply::Refused { reason }));
+            return self.tell_operator(key, &Response::Command(Reply::Rejected { reason }));
         }
         desk.waiting.push_back(waiting);
         self.next_command();
     }
 
-    fn present(&self) -> Present {
+    fn present(&self) -> DaemonContext {
         let boot = self.operators.as_ref().map_or(0, |d| d.boot);
-        Present { boot, release: self.engine.news().map(|n| (n.build, n.stage)) }
+        DaemonContext {
+            boot,
+            release: self.engine.news().map(|n| ReleaseStage { build: n.build, stage: n.stage }),
+        }
     }
 
     /// Takes the next command, unless one is being kept: commands have one order.
@@ -490,13 +509,13 @@
         let Some(waiting) = desk.waiting.pop_front() else { return };
         let now = wall_clock();
         let mut book = desk.book.clone();
-        let (reply, change) = book.take(now, present, &waiting.command);
+        let Decision { reply, change } = book.submit(now, present, &waiting.command);
         let line = audit_line(now, &waiting.command, &reply);
-        let job = (book.durable().clone(), line);
+        let job = (book.persisted().clone(), line);
         if desk.to_keeper.as_ref().is_none_or(|to| to.send(job).is_err()) {
             let reason = "the state is with another process, or its keeper has failed".to_owned();
             let key = waiting.conn;
-            return self.tell_operator(key, &Answer::Command(Reply::Refused { reason }));
+            return self.tell_operator(key, &Response::Command(Reply::Rejected { reason }));
         }
         desk.keeping = Some((waiting, book, reply, change));
     }
@@ -513,17 +532,17 @@
                     desk.book = book;
                 }
                 match change.map(|change| self.change(change)) {
-                    Some(Err(reason)) => Reply::Refused { reason },
+                    Some(Err(reason)) => Reply::Rejected { reason },
                     Some(Ok(())) | None => reply,
                 }
             }
-            Err(why) => Reply::Refused { reason: format!("the daemon's state cannot be kept: {why}") },
+            Err(why) => Reply::Rejected { reason: format!("the daemon's state cannot be kept: {why}") },
         };
-        let Command { id, issuer, act, .. } = &waiting.command;
-        tracing::info!(target: "operator", id, issuer, act = act.name(), ?reply, "command");
+        let Command { id, issuer, action, .. } = &waiting.command;
+        tracing::info!(target: "operator", id, issuer, act = action.name(), ?reply, "command");
         let live = self.operators.as_ref().and_then(|d| d.conns.get(waiting.conn));
         if live.is_some_and(|c| c.generation == waiting.generation) {
-            self.tell_operator(waiting.conn, &Answer::Command(reply));
+            self.tell_operator(waiting.conn, &Response::Command(reply));
         }
         self.next_command();
     }
@@ -533,7 +552,7 @@
         match change {
             Change::Pause => self.engine.operator(now, Operator::Pause),
             Change::Resume => self.engine.operator(now, Operator::Resume),
-            Change::Back => self.engine.operator(now, Operator::Back),
+            Change::RollBack => self.engine.operator(now, Operator::Back),
             Change::Drain => self.stop_taking(),
             Change::Undrain => return self.take_again(),
             Change::LogLevel(filter) => {
@@ -626,14 +645,14 @@
         }
     }
 
-    fn rights(&self, sight: Sight) -> Rights {
+    fn rights(&self, sight: Sight) -> QuotaState {
         let Sight { class, budget, floor, lot, lent, borrowed, rate, spent, denied } = sight;
         let class = self.settings.class_names.get(class).cloned().unwrap_or_default();
-        Rights { class, budget, floor, lot, lent, borrowed, rate, spent, denied }
+        QuotaState { class, budget, guaranteed: floor, lendable: lot, lent, borrowed, rate, spent, denied }
     }
 
     /// The state at this moment: all of it from one turn of the loop.
-    pub(super) fn reading(&self) -> Reading {
+    pub(super) fn reading(&self) -> DaemonState {
         let now = self.now();
         let counts = self.engine.counts();
         let phase = |phase| match phase {
@@ -642,42 +661,45 @@
             Phase::Released => "released",
             Phase::Withdrawn => "withdrawn",
         };
-        let release = self.engine.news().map(|n| Release {
+        let release = self.engine.news().map(|n| ReleaseState {
             build: n.build,
             stage: n.stage,
             phase: phase(n.phase).to_owned(),
-            cap: n.cap,
+            exposure_cap: n.cap,
         });
         let mut attempts = self.by_build[1].clone();
         for (build, n) in &self.by_build[0] {
             *attempts.entry(*build).or_default() += n;
         }
         let pause = self.operators.as_ref().and_then(|d| d.book.pause());
-        Reading {
+        DaemonState {
             name: self.own_name(),
             boot: self.operators.as_ref().map_or(0, |d| d.boot),
-            up_us: self.started.elapsed().as_micros() as u64,
+            uptime_us: self.started.elapsed().as_micros() as u64,
             draining: self.draining,
             release,
-            attempts: attempts.into_iter().collect(),
+            attempts: attempts.into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
             finding: self.finding.clone(),
-            paused: pause.map(|p| (p.until_us, p.issuer.clone())),
-            counts: Counts {
-                taken: counts.taken,
+            pause: pause.map(|p| PauseState { until_us: p.until_us, issuer: p.issuer.clone() }),
+            counts: RequestCounts {
+                accepted: counts.taken,
                 served: counts.served,
-                refused: counts.refused,
+                rejected: counts.refused,
                 failed: counts.failed,
-                gone: counts.gone,
+                abandoned: counts.gone,
                 attempts: counts.attempts,
             },
-            connections: (self.clients.len() as u64, self.servers.len() as u64),
-            owed: self.engine.owed() as u64,
+            connections: ConnectionCounts {
+                clients: self.clients.len() as u64,
+                servers: self.servers.len() as u64,
+            },
+            pending_responses: self.engine.owed() as u64,
             peers: self.peers_heard.values().filter(|at| **at + PEERS_RECENT > now).count() as u64,
-            list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
+            endpoint_list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
             servers: self.roster_lines.len() as u64,
-            distributed: self.configuration_reading(),
-            rights: self.engine.budgets(now).into_iter().map(|sight| self.rights(sight)).collect(),
+            configuration: self.configuration_reading(),
+            quotas: self.engine.budgets(now).into_iter().map(|sight| self.rights(sight)).collect(),
         }
     }
 }
