--- a/crates/control/tests/command_log.rs
+++ b/crates/control/tests/command_log.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_late_early_or_for_another_build_stage_or_life_is_rejected_with_the_reason() {
+fn what_is_late_early_or_for_another_build_stage_or_incarnation_is_rejected_with_the_reason() {
     let mut log = CommandLog::default();
     let mut try_it = |change: &dyn Fn(&mut Command), why: &str| {
         let mut c = pause(why);
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -103,21 +103,23 @@
         Ok(OpenedStore { store, boot, state, moved_aside: Some(aside) })
     }
 
+    /// Opens or creates the file and counts this start.
     fn open_file(path: &Path) -> Result<OpenedStore, OpenFailure> {
         // The library may panic on a damaged file.
-        let opened = catch_unwind(AssertUnwindSafe(|| Store::read_file(path)));
-        let (store, stored) = opened.unwrap_or(Err(OpenFailure::Damaged(DatabaseError::Panicked)))?;
-        let StoredState { boot: last_boot, state } = stored;
-        let boot = last_boot + 1;
-        let update = Update { boot: Some(boot), state: &state, audit_line: None };
-        store.write_update(&update).map_err(OpenFailure::Unusable)?;
-        Ok(OpenedStore { store, boot, state, moved_aside: None })
+        let read = catch_unwind(AssertUnwindSafe(|| Store::read_file(path)));
+        let mut opened = read.unwrap_or(Err(OpenFailure::Damaged(DatabaseError::Panicked)))?;
+        opened.boot += 1;
+        let update = Update { boot: Some(opened.boot), state: &opened.state, audit_line: None };
+        opened.store.write_update(&update).map_err(OpenFailure::Unusable)?;
+        Ok(opened)
     }
 
-    fn read_file(path: &Path) -> Result<(Store, StoredState), OpenFailure> {
+    /// Opens or creates the file and reads it; the boot number is the one of the last start.
+    fn read_file(path: &Path) -> Result<OpenedStore, OpenFailure> {
         let database = Database::create(path)?;
-        let stored = read_state(&database).map_err(OpenFailure::Damaged)?;
-        Ok((Store { path: path.to_owned(), database: Some(database) }, stored))
+        let StoredState { boot, state } = read_state(&database).map_err(OpenFailure::Damaged)?;
+        let store = Store { path: path.to_owned(), database: Some(database) };
+        Ok(OpenedStore { store, boot, state, moved_aside: None })
     }
 
     fn database(&self) -> Result<&Database, DatabaseError> {
--- a/crates/daemon/tests/store.rs
+++ b/crates/daemon/tests/store.rs
@@ -62,3 +62,14 @@
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
+
+#[test]
+fn a_folder_that_cannot_be_created_is_named_with_the_cause() {
+    let folder = folder("not-a-folder");
+    std::fs::write(&folder, b"a file").unwrap();
+    let error = Store::open(&folder, 0, NOW).unwrap_err();
+    assert!(matches!(&error, StoreError::Folder { folder: named, .. } if *named == folder), "{error}");
+    let cause = std::error::Error::source(&error).expect("a cause").to_string();
+    assert_eq!(error.to_string(), format!("{}: {cause}", folder.display()));
+    std::fs::remove_file(&folder).unwrap();
+}
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -124,6 +124,9 @@
 /// The request for the member with this index; none: the member is not called.
 type RequestFor<'a> = dyn Fn(usize) -> Option<Request> + Sync + 'a;
 
+/// The command in a phase for the member with this index; none: the member is not sent the command.
+type CommandFor<'a> = dyn Fn(usize, Phase) -> Option<Request> + Sync + 'a;
+
 /// A result with the index of the member that it is from.
 struct MemberResult {
     member: usize,
@@ -226,7 +229,7 @@
 
     fn send_phase(
         &self,
-        command: &(dyn Fn(usize, Phase) -> Option<Request> + Sync),
+        command: &CommandFor<'_>,
         phase: Phase,
         on_progress: &mut dyn FnMut(usize),
     ) -> Vec<Outcome> {
@@ -237,7 +240,7 @@
     /// Prepares the command on all daemons, then commits it if all are prepared and aborts it otherwise.
     fn send_in_two_phases(
         &self,
-        command: &(dyn Fn(usize, Phase) -> Option<Request> + Sync),
+        command: &CommandFor<'_>,
         on_progress: &mut dyn FnMut(usize),
     ) -> Vec<Outcome> {
         let results = self.query(&|member| command(member, Phase::Prepare), on_progress);
