--- a/crates/instance/tests/settings.rs
+++ b/crates/instance/tests/settings.rs
@@ -2,9 +2,12 @@
 
 #[test]
 fn settings_skip_unknown_keys_and_give_missing_ones_their_neutral_meaning() {
-    let set = violetseam_instance::parse(br#"{"Novel": {"A": 1}, "Classes": [{"Effect": "retryable"}]}"#);
-    let set = set.unwrap();
-    assert_eq!((set.fleet_size, set.limits.max_attempts, set.classes.len()), (1, 1, 1));
-    assert!(!set.limits.hedging && !set.subscribes_to_list && set.rules.slow_start_floor == 1.0);
+    let settings =
+        violetseam_instance::parse(br#"{"Novel": {"A": 1}, "Classes": [{"Effect": "retryable"}]}"#);
+    let settings = settings.unwrap();
+    assert_eq!((settings.fleet_size, settings.limits.max_attempts, settings.classes.len()), (1, 1, 1));
+    assert!(
+        !settings.limits.hedging && !settings.subscribes_to_list && settings.rules.slow_start_floor == 1.0
+    );
     assert!(violetseam_instance::parse(br#"{"Classes": [{"Effect": "novel"}]}"#).is_err());
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,78 +1,105 @@
 //! Hosts many isolated balancers: batches in, replies out.
 
-use crate::codec::{Reader, Record, record, write_action, write_by, write_give_in};
+use crate::action::{write_action, write_by, write_give_in};
+use crate::reader::{Reader, WireError};
+use crate::record::{Record, read_record};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Event, ListKind, Micros, ServerEntry};
 
+/// Bytes of a frame's length field.
+const LENGTH_BYTES: usize = 4;
+
 /// All instances of one process. They share nothing but the numbered lists that the wire defines.
 #[derive(Default)]
 pub struct Host {
     balancers: BTreeMap<u32, Balancer>,
-    ledgers: BTreeMap<u8, Vec<ServerEntry>>,
-    speaker: Option<u32>,
+    tables: BTreeMap<u8, Vec<ServerEntry>>,
+    /// The instance that the last record of the reply named.
+    named: Option<u32>,
 }
 
 impl Host {
     /// Plays one batch (all bytes after its length field) and returns the whole reply frame.
     ///
     /// # Errors
-    /// A text that says which record of the batch cannot be read or played.
-    pub fn batch(&mut self, body: &[u8]) -> Result<Vec<u8>, String> {
+    /// [`WireError`] if a record cannot be read, or names a list or an instance that is not known.
+    pub fn batch(&mut self, body: &[u8]) -> Result<Vec<u8>, WireError> {
         let mut reader = Reader::new(body);
-        let (count, now) = (reader.u32()?, reader.u64()?);
-        let mut out = vec![0; 4];
+        let count = reader.u32()?;
+        let now = reader.u64()?;
+        let mut out = vec![0; LENGTH_BYTES];
         let mut instance = None;
-        self.speaker = None;
+        self.named = None;
         for _ in 0..count {
-            let current = || instance.ok_or("event before any context record");
-            match record(&mut reader)? {
+            match read_record(&mut reader)? {
                 Record::Context(id) => instance = Some(id),
-                Record::Ledger(sheet, entries) => {
-                    self.ledgers.insert(sheet, entries);
-                }
-                Record::Born(seed, info) => {
-                    self.balancers.insert(current()?, Balancer::new(violetseam_instance::parse(info)?, seed));
-                }
-                Record::Kill => {
-                    self.balancers.remove(&current()?);
+                Record::ServerTable(number, entries) => {
+                    self.tables.insert(number, entries);
                 }
-                Record::Fleet(kind, sheet) => {
-                    let id = current()?;
-                    let entries = match (kind, self.ledgers.get(&sheet)) {
-                        (ListKind::Failed, _) => Vec::new(),
-                        (_, Some(entries)) => entries.clone(),
-                        (_, None) => return Err(format!("list {sheet} was never sent")),
-                    };
-                    self.deliver(id, now, Event::ServerList { kind, entries: &entries }, &mut out);
+                record => {
+                    let instance = instance.ok_or(WireError::NoContext)?;
+                    self.play(now, instance, record, &mut out)?;
                 }
-                Record::Event(event) => self.deliver(current()?, now, event, &mut out),
             }
         }
         if !reader.is_empty() {
-            return Err("bytes left over after the last record".into());
+            return Err(WireError::TrailingBytes);
         }
-        let length = u32::try_from(out.len() - 4).map_err(|_| "reply too long")?;
-        out[..4].copy_from_slice(&length.to_le_bytes());
+        let length = u32::try_from(out.len() - LENGTH_BYTES).map_err(|_| WireError::ReplyTooLong)?;
+        out[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
         Ok(out)
     }
 
+    /// Plays a record of one instance.
+    fn play(&mut self, now: Micros, id: u32, record: Record, out: &mut Vec<u8>) -> Result<(), WireError> {
+        match record {
+            Record::Born(seed, settings) => {
+                let settings = violetseam_instance::parse(settings)?;
+                self.balancers.insert(id, Balancer::new(settings, seed));
+            }
+            Record::Kill => {
+                self.balancers.remove(&id);
+            }
+            Record::ServerList(kind, number) => {
+                let entries = match (kind, self.tables.get(&number)) {
+                    (ListKind::Failed, _) => Vec::new(),
+                    (_, Some(entries)) => entries.clone(),
+                    (_, None) => return Err(WireError::UnknownList(number)),
+                };
+                self.deliver(id, now, Event::ServerList { kind, entries: &entries }, out);
+            }
+            Record::Event(event) => self.deliver(id, now, event, out),
+            // Records of the whole batch, which name no instance.
+            Record::Context(_) | Record::ServerTable(..) => {}
+        }
+        Ok(())
+    }
+
     fn deliver(&mut self, id: u32, now: Micros, event: Event, out: &mut Vec<u8>) {
         let Some(balancer) = self.balancers.get_mut(&id) else { return };
         let mut actions: Vec<Action> = Vec::new();
-        let failed = catch_unwind(AssertUnwindSafe(|| balancer.on_event(now, event, &mut actions))).err();
-        if (failed.is_some() || !actions.is_empty()) && self.speaker != Some(id) {
+        let failure = catch_unwind(AssertUnwindSafe(|| balancer.on_event(now, event, &mut actions))).err();
+        let silent = failure.is_none() && actions.is_empty();
+        if !silent && self.named != Some(id) {
             write_by(out, id);
-            self.speaker = Some(id);
+            self.named = Some(id);
         }
-        if let Some(cause) = failed {
-            let text = cause.downcast_ref::<String>().cloned();
-            let text = text.or_else(|| cause.downcast_ref::<&str>().map(ToString::to_string));
-            write_give_in(out, &text.unwrap_or_else(|| "decision code failed".into()));
+        if let Some(cause) = failure {
+            write_give_in(out, &panic_text(cause.as_ref()));
             self.balancers.remove(&id);
-        } else {
-            actions.iter().for_each(|action| write_action(out, action));
+            return;
+        }
+        for action in &actions {
+            write_action(out, action);
         }
     }
 }
+
+/// What a panic said.
+fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
+    let owned = cause.downcast_ref::<String>().cloned();
+    let text = owned.or_else(|| cause.downcast_ref::<&str>().map(ToString::to_string));
+    text.unwrap_or_else(|| "decision code failed".into())
+}
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -3,8 +3,10 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use violetseam::interface::*;
-use violetseam_wirehost::codec::{Reader, Record, record, write_action, write_by};
+use violetseam_wirehost::action::{write_action, write_by};
 use violetseam_wirehost::host::Host;
+use violetseam_wirehost::reader::Reader;
+use violetseam_wirehost::record::{Record, read_record};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -14,7 +16,7 @@
 fn event(text: &str) -> String {
     let bytes = hex(text);
     let mut reader = Reader::new(&bytes);
-    let Ok(Record::Event(event)) = record(&mut reader) else { panic!("no event in {text}") };
+    let Ok(Record::Event(event)) = read_record(&mut reader) else { panic!("no event in {text}") };
     assert!(reader.is_empty(), "bytes left");
     format!("{event:?}")
 }
@@ -54,7 +56,9 @@
 fn lists_are_read_as_laid_out() {
     let bytes = hex("1d 00 02000000 0a124a07 931f 0000 00002442 00 0000 02 0000803f 0000000000000000
         0a9011f2 bc1f 0000 00002842 00 0000 02 0000c03f 20145d0000000000");
-    let Ok(Record::Ledger(0, entries)) = record(&mut Reader::new(&bytes)) else { panic!("no list") };
+    let Ok(Record::ServerTable(0, entries)) = read_record(&mut Reader::new(&bytes)) else {
+        panic!("no list")
+    };
     assert_eq!((entries.len(), entries[0].id, entries[0].build, entries[1].build), (2, SERVER, 41, 42));
     assert_eq!((entries[1].size, entries[1].started_at), (1.5, 6_100_000));
 }
@@ -74,8 +78,8 @@
     assert_eq!(action(&Action::Log("two servers known".into()))[..3], hex("11 1100"));
     assert_eq!(action(&Action::WatchServerList), hex("12 01"));
     assert_eq!(action(&Action::FetchServerList), hex("1a"));
-    let refuse = Action::Reject { request: 0x0008_dbfc_0e6f_2b19, retry_after: 250_000 };
-    assert_eq!(action(&refuse), hex("15 192b6f0efcdb0800 90d00300"));
+    let reject = Action::Reject { request: 0x0008_dbfc_0e6f_2b19, retry_after: 250_000 };
+    assert_eq!(action(&reject), hex("15 192b6f0efcdb0800 90d00300"));
     assert_eq!(action(&Action::Fail { request: 0x0008_dbfc_0e6f_2b19 }), hex("17 192b6f0efcdb0800"));
     let mut by = Vec::new();
     write_by(&mut by, 3);
@@ -84,7 +88,7 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(Host::default().batch(&hex("00000000 5a5c800000000000")), Ok(hex("00000000")));
+    assert_eq!(Host::default().batch(&hex("00000000 5a5c800000000000")).unwrap(), hex("00000000"));
 }
 
 #[test]
