--- a/crates/cli/src/controller.rs
+++ b/crates/cli/src/controller.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use violetseam_controller::control::{Answer, Word, say};
+use violetseam_controller::control::{Request, Response, WatchCounts, send_request};
 use violetseam_release::{Order, Reply};
 
 #[derive(ClapArgs)]
@@ -29,18 +29,18 @@
     /// Die at a step of the Nth batch, to see what a start makes of it: decided:N, durable:N, announced:N
     #[cfg(feature = "sabotage")]
     #[arg(long, value_parser = die_at)]
-    die_at: Option<violetseam_controller::serve::DieAt>,
+    die_at: Option<violetseam_controller::serve::CrashPoint>,
 }
 
 #[cfg(feature = "sabotage")]
-fn die_at(text: &str) -> Result<violetseam_controller::serve::DieAt, String> {
-    use violetseam_controller::serve::DieAt;
+fn die_at(text: &str) -> Result<violetseam_controller::serve::CrashPoint, String> {
+    use violetseam_controller::serve::CrashPoint;
     let (step, batch) = text.split_once(':').ok_or("STEP:BATCH")?;
     let batch = batch.parse::<u64>().map_err(|e| e.to_string())?;
     match step {
-        "decided" => Ok(DieAt::Decided(batch)),
-        "durable" => Ok(DieAt::Durable(batch)),
-        "announced" => Ok(DieAt::Announced(batch)),
+        "decided" => Ok(CrashPoint::Decided(batch)),
+        "durable" => Ok(CrashPoint::Durable(batch)),
+        "announced" => Ok(CrashPoint::Announced(batch)),
         _ => Err("decided, durable or announced".into()),
     }
 }
@@ -56,12 +56,14 @@
     if args.die_at.is_some() {
         violetseam_controller::serve::serve_until(settings, &args.state, args.die_at, |addr| {
             println!("{name} takes proxies on {addr}");
-        })?;
+        })
+        .map_err(|e| e.to_string())?;
         return Ok(ExitCode::SUCCESS);
     }
     let summary = violetseam_controller::serve::serve(settings, &args.state, stop_after, |addr| {
         println!("{name} takes proxies on {addr}");
-    })?;
+    })
+    .map_err(|e| e.to_string())?;
     tracing::info!(term = summary.term, "stopped");
     Ok(ExitCode::SUCCESS)
 }
@@ -120,46 +122,48 @@
 /// Says a word to a controller. Exit status: 0 it counts, 3 refused, moot or faulty, 4 no answer.
 pub fn release(args: &ReleaseArgs) -> Result<ExitCode, String> {
     let who = args.who.clone().or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "unknown".into());
-    let order = |order| Word::Order { who: who.clone(), order };
+    let order = |order| Request::Order { operator: who.clone(), order };
     let word = match &args.word {
-        Words::State => Word::State,
+        Words::State => Request::Status,
         Words::Offer { file } => {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Word::Offer { name: file.display().to_string(), text }
+            Request::SubmitPlan { name: file.display().to_string(), text }
         }
-        Words::Sign { wave } => Word::Sign { who, wave: wave.clone() },
-        Words::Unsign { wave } => Word::Unsign { who, wave: wave.clone() },
+        Words::Sign { wave } => Request::Approve { operator: who, wave: wave.clone() },
+        Words::Unsign { wave } => Request::RevokeApproval { operator: who, wave: wave.clone() },
         Words::Hold { span } => order(Order::Hold((span.clamp(0.0, 7_776_000.0) * 1e6) as u64)),
         Words::Resume => order(Order::Resume),
         Words::Back => order(Order::Back),
         Words::Skip => order(Order::Skip),
     };
     let timeout = Duration::from_secs_f64(args.timeout.clamp(0.05, 600.0));
-    let answer = match say(&args.control, &word, timeout) {
-        Ok(answer) => answer,
+    let response = match send_request(&args.control, &word, timeout) {
+        Ok(response) => response,
         Err(why) => {
             eprintln!("violetseam: no answer: {why}");
             return Ok(ExitCode::from(4));
         }
     };
     if args.json {
-        println!("{}", serde_json::to_string(&answer).map_err(|e| e.to_string())?);
+        println!("{}", serde_json::to_string(&response).map_err(|e| e.to_string())?);
     }
-    let (well, text) = match answer {
-        Answer::State(s) => {
-            let (proxies, platforms) = s.watches;
-            let trouble = s.trouble.map_or(String::new(), |why| format!("\nnot kept: {why}"));
+    let (well, text) = match response {
+        Response::Status(status) => {
+            let WatchCounts { proxies, platforms } = status.watches;
+            let trouble = status.write_error.map_or(String::new(), |why| format!("\nnot kept: {why}"));
             let text = format!(
                 "{}, term {}: {}\n{} votes stand; {proxies} proxies and {platforms} platforms watch{trouble}",
-                s.name, s.term, s.text, s.votes
+                status.name, status.term, status.description, status.votes
             );
             (true, text)
         }
-        Answer::Reply(Reply::Ok) => (true, "it counts".into()),
-        Answer::Reply(Reply::Moot(why)) => (false, format!("moot: {why}")),
-        Answer::Reply(Reply::Refused(why)) => (false, format!("REFUSED: {why}")),
-        Answer::Faults(faults) => (false, format!("REFUSED, the plan has faults:\n{}", faults.join("\n"))),
-        Answer::Not(why) => (false, format!("REFUSED: {why}")),
+        Response::Reply(Reply::Ok) => (true, "it counts".into()),
+        Response::Reply(Reply::Moot(why)) => (false, format!("moot: {why}")),
+        Response::Reply(Reply::Refused(why)) => (false, format!("REFUSED: {why}")),
+        Response::InvalidPlan(faults) => {
+            (false, format!("REFUSED, the plan has faults:\n{}", faults.join("\n")))
+        }
+        Response::Failed(why) => (false, format!("REFUSED: {why}")),
     };
     if !args.json {
         println!("{text}");
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use violetseam_controller::journal::Folder;
+use violetseam_controller::journal::StateDir;
 use violetseam_daemon::Store;
 use violetseam_distribution::Message;
 use violetseam_recorder::{Interest, replay};
@@ -91,9 +91,9 @@
     for name in ["term-1", "journal-1-0"] {
         std::fs::copy(stored("controller").join(name), state.join(name)).unwrap();
     }
-    let past = Folder::open(&state).unwrap().read().unwrap().unwrap();
-    assert_eq!((past.events, past.torn), (11, false));
-    assert_as_before("release.json", &serde_json::to_value(&past.release).unwrap());
+    let replay = StateDir::open(&state).unwrap().read().unwrap().unwrap();
+    assert_eq!((replay.event_count, replay.torn), (11, false));
+    assert_as_before("release.json", &serde_json::to_value(&replay.release).unwrap());
 
     let control = folder.join("control");
     let settings = folder.join("controller.star");
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,16 +1,23 @@
-//! The release controller as a daemon, round the decisions of `violetseam-release`.
+//! The release controller as a daemon around the decisions of `violetseam-release`.
 //!
-//! - `settings.rs`: its settings script
-//! - `journal.rs`: terms and the journal: what is durable, and who may speak
-//! - `keeper.rs`: writes on a thread of its own, many events with one fsync
-//! - `control.rs`: operators' words over the control socket
-//! - `serve.rs`: the loop: calls and watches of proxies and platform, batches, standing by
+//! - `settings.rs`: the controller's settings script
+//! - `journal.rs`: terms and the durable journal of events
+//! - `writer_thread.rs`: appends to the journal on its own thread, many events per fsync
+//! - `control.rs`: operator requests on the control socket
+//! - `serve.rs`: the event loop: leadership, event batches, HTTP requests and watches
 //!
 //! Nothing is announced or acknowledged before it is durable, and nothing durable is announced by a controller
 //! that another one has replaced. `docs/controller.md` has the argument.
 
 pub mod control;
 pub mod journal;
-mod keeper;
 pub mod serve;
 pub mod settings;
+mod writer_thread;
+
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Microseconds since 1970.
+fn wall_clock() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+}
--- /dev/null
+++ b/crates/controller/src/serve/batches.rs
@@ -0,0 +1,156 @@
+//! Events in batches: decided on a copy of the state, made durable, then in force.
+
+use super::Controller;
+#[cfg(feature = "sabotage")]
+use super::crash_point::{CrashPoint, reach};
+use super::leadership::Term;
+use super::responses::{Origin, PendingReply};
+use crate::journal::{AppendError, Record, encode};
+use crate::writer_thread::WriteRequest;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use violetseam_release::{Event, Now, Release};
+
+/// Events in one batch.
+const MAX_BATCH_LEN: usize = 4_096;
+/// The pause after a batch that was not durable.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The tick interval while nothing is due by time alone.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(5);
+/// Ticks are at least this far apart, in microseconds.
+const MIN_TICK_MICROS: u64 = 1_000;
+
+/// An event that waits for its batch.
+pub(super) struct QueuedEvent {
+    pub event: Event,
+    pub origin: Origin,
+}
+
+/// A batch that is not durable yet.
+pub(super) struct Batch {
+    /// The state after it.
+    pub release: Arc<Release>,
+    pub replies: Vec<PendingReply>,
+}
+
+/// A batch as it was decided.
+struct Decisions {
+    release: Release,
+    replies: Vec<PendingReply>,
+    /// The records of the events that changed the state.
+    records: Vec<u8>,
+    event_count: usize,
+}
+
+impl Term {
+    /// Decides the queued events and a tick on a copy of the state.
+    fn decide_batch(&mut self, now: Now) -> Decisions {
+        let mut release = Release::clone(&self.release);
+        let mut replies = Vec::new();
+        let mut records = Vec::new();
+        let mut event_count = 0;
+        let len = self.queue.len().min(MAX_BATCH_LEN);
+        let tick = QueuedEvent { event: Event::Tick, origin: Origin::Internal };
+        for QueuedEvent { event, origin } in self.queue.drain(..len).chain(std::iter::once(tick)) {
+            let before = release.news();
+            let (reply, changed) = release.on_event(now, &event);
+            if changed {
+                let announced = release.news();
+                let after = (announced != before).then_some(announced);
+                records.extend(encode(&Record::Event { now, event, after }));
+                event_count += 1;
+            }
+            replies.push(PendingReply { origin, reply });
+        }
+        Decisions { release, replies, records, event_count }
+    }
+
+    /// Puts a durable state in force.
+    fn apply(&mut self, release: Arc<Release>, now: Instant) {
+        let before = self.release.news();
+        self.release = release;
+        self.write_error = None;
+        self.next_tick = next_tick(&self.release, now);
+        if let Some(plan) = self.release.plan() {
+            self.vote_allowance.set_rate(plan.fleet.votes_per_s);
+        }
+        let desired_builds = self.release.wanted();
+        if desired_builds != self.desired_builds {
+            self.desired_builds = desired_builds;
+            self.desired_sent_at = now;
+            self.desired_version += 1;
+        }
+        let after = self.release.news();
+        if (after.build, after.stage, after.phase) != (before.build, before.stage, before.phase) {
+            tracing::info!("{}", self.release.standing());
+        }
+    }
+}
+
+impl Controller {
+    /// Decides the queued events as one batch and hands it to the journal, if one is due and none is in flight.
+    pub(super) fn submit_batch(&mut self, now: Instant) {
+        let event_time = self.event_time();
+        let Some(term) = &mut self.term else { return };
+        let is_due = !term.queue.is_empty() || now >= term.next_tick;
+        if term.in_flight.is_some() || !is_due || now < term.retry_at {
+            return;
+        }
+        let Decisions { release, replies, records, event_count } = term.decide_batch(event_time);
+        let release = Arc::new(release);
+        if event_count == 0 {
+            term.release = release;
+            term.next_tick = next_tick(&term.release, now);
+            return self.send_replies(replies);
+        }
+        #[cfg(feature = "sabotage")]
+        {
+            self.batch_count += 1;
+            reach(CrashPoint::Decided(self.batch_count));
+        }
+        let request = WriteRequest { records, event_count, state: Arc::clone(&release) };
+        if term.writer.send(request).is_err() {
+            return self.step_down("the journal's thread is gone");
+        }
+        term.in_flight = Some(Batch { release, replies });
+    }
+
+    /// The batch in flight is durable, or failed.
+    pub(super) fn on_write_completed(&mut self, result: Result<(), AppendError>) {
+        let now = Instant::now();
+        let Some(term) = &mut self.term else { return };
+        let Some(Batch { release, replies }) = term.in_flight.take() else { return };
+        match result {
+            Ok(()) => {
+                #[cfg(feature = "sabotage")]
+                reach(CrashPoint::Durable(self.batch_count));
+                term.apply(release, now);
+                self.send_replies(replies);
+                #[cfg(feature = "sabotage")]
+                {
+                    self.update_connections(now);
+                    reach(CrashPoint::Announced(self.batch_count));
+                }
+            }
+            Err(AppendError::Superseded) => self.step_down("another controller has begun a later term"),
+            Err(error) => {
+                let reason = error.to_string();
+                tracing::error!("not kept, nothing of it counts: {reason}");
+                term.retry_at = now + RETRY_DELAY;
+                term.write_error = Some(reason.clone());
+                for pending in replies {
+                    self.send_reply(pending.origin, Err(&reason));
+                }
+            }
+        }
+    }
+}
+
+/// When the next tick is due after a batch.
+fn next_tick(release: &Release, now: Instant) -> Instant {
+    let interval = match release.due() {
+        Some(micros) => Duration::from_micros(micros.max(MIN_TICK_MICROS)),
+        None => IDLE_TICK_INTERVAL,
+    };
+    now + interval
+}
--- /dev/null
+++ b/crates/controller/src/serve/connections.rs
@@ -0,0 +1,153 @@
+//! The HTTP connections of proxies and the platform.
+
+use super::Controller;
+use super::watches::Watch;
+use calloop::{Interest, Readiness};
+use http::{HeaderMap, StatusCode};
+use std::net::{TcpListener, TcpStream};
+use std::time::Instant;
+use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::{Framing, Limits, RequestHead};
+use violetseam_loopio::{Got, Socket};
+use violetseam_site::{desk, places};
+
+/// Connections at once; further ones are closed.
+const MAX_CONNECTIONS: usize = 4_096;
+/// Bytes that wait for a peer that does not read; past it, the connection closes.
+const MAX_UNSENT_BYTES: usize = 8 << 20;
+/// Bytes that are read at once.
+const READ_BUFFER_LEN: usize = 16 * 1024;
+
+/// A connection's place in the table. The generation tells it from others that use the same slot later.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ConnectionId {
+    pub key: usize,
+    pub generation: u64,
+}
+
+/// A connection of a proxy or the platform.
+pub(super) struct Connection {
+    pub generation: u64,
+    pub socket: Socket,
+    pub http: ServerConn,
+    /// The head of the request that is being read.
+    pub head: Option<Box<RequestHead>>,
+    pub body: Vec<u8>,
+    pub watch: Watch,
+    /// The last request, or the last write of a watch.
+    pub last_active: Instant,
+}
+
+impl Controller {
+    pub(super) fn accept(&mut self, listener: &TcpListener) {
+        while let Ok((stream, _)) = listener.accept() {
+            if self.connections.len() < MAX_CONNECTIONS {
+                self.add_connection(stream);
+            }
+        }
+    }
+
+    fn add_connection(&mut self, stream: TcpStream) {
+        if stream.set_nonblocking(true).is_err() || stream.set_nodelay(true).is_err() {
+            return;
+        }
+        self.last_generation += 1;
+        let entry = self.connections.vacant_entry();
+        let key = entry.key();
+        let on_ready = move |ready: Readiness, controller: &mut Controller| controller.on_ready(key, ready);
+        let Ok(socket) = Socket::register(&self.handle, stream, Interest::READ, on_ready) else { return };
+        entry.insert(Connection {
+            generation: self.last_generation,
+            socket,
+            http: ServerConn::new(Limits { body: places::LINE_MOST as u64, ..Limits::default() }),
+            head: None,
+            body: Vec::new(),
+            watch: Watch::None,
+            last_active: Instant::now(),
+        });
+    }
+
+    /// Whether a connection is still the one that it was.
+    pub(super) fn is_open(&self, id: ConnectionId) -> bool {
+        self.connections.get(id.key).is_some_and(|connection| connection.generation == id.generation)
+    }
+
+    pub(super) fn close(&mut self, key: usize) {
+        if let Some(connection) = self.connections.try_remove(key) {
+            connection.socket.remove(&self.handle);
+        }
+    }
+
+    fn on_ready(&mut self, key: usize, ready: Readiness) {
+        if ready.writable {
+            self.flush(key);
+        }
+        if ready.readable || ready.error {
+            self.read(key);
+        }
+    }
+
+    fn read(&mut self, key: usize) {
+        let mut bytes = [0; READ_BUFFER_LEN];
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        match connection.socket.read(&mut bytes) {
+            Got::Bytes(len) => {
+                connection.http.feed(&bytes[..len]);
+                self.process_input(key);
+            }
+            Got::Nothing => {}
+            Got::Closed | Got::Broken => self.close(key),
+        }
+    }
+
+    /// Parses what was read, up to complete requests.
+    fn process_input(&mut self, key: usize) {
+        while let Some(connection) = self.connections.get_mut(key) {
+            match connection.http.next_event() {
+                None => return,
+                Some(ServerEvent::Head(head)) => {
+                    connection.body.clear();
+                    connection.head = Some(head);
+                }
+                Some(ServerEvent::Body(bytes)) => {
+                    if connection.body.len() + bytes.len() > connection.max_body_len() {
+                        return self.close(key);
+                    }
+                    connection.body.extend_from_slice(&bytes);
+                }
+                Some(ServerEvent::End) => self.on_request(key),
+                Some(ServerEvent::Fault(_)) => return self.close(key),
+            }
+        }
+    }
+
+    /// Answers a request.
+    pub(super) fn respond(&mut self, key: usize, status: StatusCode, body: &[u8]) {
+        let Some(Connection { socket, http, .. }) = self.connections.get_mut(key) else { return };
+        let framing = Framing::Length(body.len() as u64);
+        http.start_answer(socket.out(), status, &HeaderMap::new(), &[], framing, false);
+        http.write_body(socket.out(), body);
+        let keep_alive = http.finish_answer(socket.out());
+        self.flush(key);
+        if !keep_alive && let Some(connection) = self.connections.get(key) {
+            connection.socket.close_write();
+        }
+    }
+
+    pub(super) fn flush(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        // A watcher that does not read is disconnected; it connects again.
+        if connection.socket.flush().is_err() || connection.socket.unwritten() > MAX_UNSENT_BYTES {
+            return self.close(key);
+        }
+        connection.socket.want(&self.handle, true);
+    }
+}
+
+impl Connection {
+    /// The longest body of the request that is being read: only the platform's reports are long.
+    fn max_body_len(&self) -> usize {
+        let is_place_report = self.head.as_ref().is_some_and(|head| head.target.starts_with("/v1/places"));
+        if is_place_report { places::LINE_MOST } else { desk::LINE_MOST }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/serve/leadership.rs
@@ -0,0 +1,164 @@
+//! The lease, beginning a term and stepping down.
+
+use super::batches::{Batch, QueuedEvent};
+use super::responses::Origin;
+use super::{Controller, ServeError};
+use crate::control::Response;
+use crate::journal::{JournalError, NewTerm};
+use crate::writer_thread::{self, WriteRequest};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::mpsc::Sender;
+use std::time::Instant;
+use violetseam_release::{Allowance, Release};
+
+/// Heartbeats within one lease.
+const HEARTBEATS_PER_LEASE: u32 = 4;
+/// Checks by a standby within one lease.
+const CHECKS_PER_LEASE: u32 = 8;
+/// The highest rate of the vote allowance, for releases without a plan.
+const MAX_VOTE_RATE: f64 = 1e9;
+
+/// The leader's lease, as a standby sees it.
+pub(super) struct ObservedLease {
+    /// The latest heartbeat; `None` if the lease was released.
+    pub text: Option<String>,
+    /// Since when it has not changed.
+    pub since: Instant,
+}
+
+/// The state of a leader.
+pub(super) struct Term {
+    pub number: u64,
+    /// The state in force: all of it is durable.
+    pub release: Arc<Release>,
+    /// Which build each place is to run.
+    pub desired_builds: BTreeSet<(u32, u16)>,
+    /// Grows with each change of the desired builds, and when they are sent again.
+    pub desired_version: u64,
+    pub desired_sent_at: Instant,
+    pub vote_allowance: Allowance,
+    pub queue: Vec<QueuedEvent>,
+    pub writer: Sender<WriteRequest>,
+    /// The batch that becomes durable now.
+    pub in_flight: Option<Batch>,
+    pub next_tick: Instant,
+    /// No batch is submitted before this, after one that failed.
+    pub retry_at: Instant,
+    pub write_error: Option<String>,
+    pub heartbeat_count: u64,
+    pub next_heartbeat: Instant,
+}
+
+impl Term {
+    /// When something is due by time alone.
+    pub fn next_wakeup(&self) -> Instant {
+        if self.in_flight.is_some() {
+            self.next_heartbeat
+        } else if !self.queue.is_empty() {
+            self.retry_at
+        } else {
+            self.next_tick.max(self.retry_at).min(self.next_heartbeat)
+        }
+    }
+}
+
+impl Controller {
+    /// On a standby: begins a term if the leader's lease has expired or was released.
+    pub(super) fn check_lease(&mut self) -> Result<(), ServeError> {
+        let now = Instant::now();
+        self.next_lease_check = now + self.settings.lease / CHECKS_PER_LEASE;
+        let text = self.state_dir.read_lease();
+        if text != self.observed_lease.text {
+            self.observed_lease = ObservedLease { text, since: now };
+        }
+        let released = self.observed_lease.text.is_none();
+        if !released && now < self.observed_lease.since + self.settings.lease {
+            return Ok(());
+        }
+        match self.state_dir.begin_term(&self.settings.name, self.settings.build, self.event_time()) {
+            Ok(new_term) => self.lead(new_term),
+            Err(JournalError::TermTaken) => {
+                self.observed_lease.since = now;
+                Ok(())
+            }
+            // A full disk is waited for; a journal that cannot be replayed needs a person.
+            Err(error @ JournalError::Io { .. }) => {
+                tracing::error!("cannot begin a term: {error}");
+                self.next_lease_check = now + self.settings.lease;
+                Ok(())
+            }
+            Err(error) => Err(error.into()),
+        }
+    }
+
+    fn lead(&mut self, new_term: NewTerm) -> Result<(), ServeError> {
+        let NewTerm { number, release, writer, replayed_events, torn } = new_term;
+        tracing::info!(
+            term = number,
+            events = replayed_events,
+            torn,
+            "this controller speaks: {}",
+            release.standing()
+        );
+        let now = Instant::now();
+        let vote_rate = release.plan().map_or(f64::INFINITY, |plan| plan.fleet.votes_per_s);
+        let writer =
+            writer_thread::spawn(writer, self.completions.clone()).map_err(ServeError::WriterThread)?;
+        self.term = Some(Term {
+            number,
+            desired_builds: release.wanted(),
+            desired_version: 1,
+            desired_sent_at: now,
+            release: Arc::new(release),
+            vote_allowance: Allowance::new(vote_rate.min(MAX_VOTE_RATE), self.steady_micros()),
+            queue: Vec::new(),
+            writer,
+            in_flight: None,
+            next_tick: now,
+            retry_at: now,
+            write_error: None,
+            heartbeat_count: 0,
+            next_heartbeat: now,
+        });
+        self.send_heartbeat(now);
+        Ok(())
+    }
+
+    /// Renews the lease, or steps down if another controller has begun a later term.
+    pub(super) fn send_heartbeat(&mut self, now: Instant) {
+        let Some(term) = &mut self.term else { return };
+        term.heartbeat_count += 1;
+        term.next_heartbeat = now + self.settings.lease / HEARTBEATS_PER_LEASE;
+        let number = term.number;
+        if self.state_dir.latest_term().is_ok_and(|latest| latest > number) {
+            return self.step_down("another controller has begun a later term");
+        }
+        if let Err(error) = self.state_dir.renew_lease(number, &self.settings.name, term.heartbeat_count) {
+            tracing::warn!("cannot renew the lease: {error}");
+        }
+    }
+
+    /// Becomes a standby: another controller leads. All connections close, and operators learn that the outcome of
+    /// their requests is unknown.
+    pub(super) fn step_down(&mut self, reason: &str) {
+        let Some(term) = self.term.take() else { return };
+        tracing::warn!(term = term.number, "standing by: {reason}");
+        let in_flight = term.in_flight.map(|batch| batch.replies).unwrap_or_default();
+        let in_flight = in_flight.into_iter().map(|pending| pending.origin);
+        let queued = term.queue.into_iter().map(|queued| queued.origin);
+        for origin in in_flight.chain(queued) {
+            if let Origin::Operator(response) = origin {
+                let unknown = "another controller has taken over; it may count";
+                let _ = response.send(Response::Failed(unknown.into()));
+            }
+        }
+        let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
+        for key in keys {
+            self.close(key);
+        }
+        let now = Instant::now();
+        self.observed_lease = ObservedLease { text: self.state_dir.read_lease(), since: now };
+        self.next_lease_check = now + self.settings.lease / CHECKS_PER_LEASE;
+    }
+}
--- /dev/null
+++ b/crates/controller/src/serve/responses.rs
@@ -0,0 +1,70 @@
+//! The outcome of each event, to whoever waits for it.
+
+use super::Controller;
+use super::connections::ConnectionId;
+use crate::control::Response;
+use http::StatusCode;
+use std::sync::mpsc::Sender;
+use violetseam_release::Reply;
+use violetseam_site::desk::{VoteOutcome, VoteReply};
+
+/// Where an event came from: who waits for its outcome.
+pub(super) enum Origin {
+    /// Nobody waits.
+    Internal,
+    /// A proxy's vote.
+    Vote(ConnectionId),
+    /// The last of the platform's reports in one request.
+    PlaceReport(ConnectionId),
+    /// A request on the control socket.
+    Operator(Sender<Response>),
+}
+
+/// A reply that is sent once its batch is durable.
+pub(super) struct PendingReply {
+    pub origin: Origin,
+    pub reply: Reply,
+}
+
+impl Controller {
+    pub(super) fn send_replies(&mut self, replies: Vec<PendingReply>) {
+        for pending in replies {
+            self.send_reply(pending.origin, Ok(pending.reply));
+        }
+    }
+
+    /// Sends the outcome of an event; an error says why its batch is not durable.
+    pub(super) fn send_reply(&mut self, origin: Origin, reply: Result<Reply, &str>) {
+        match origin {
+            Origin::Internal => {}
+            Origin::Operator(sender) => {
+                let response = match reply {
+                    Ok(reply) => Response::Reply(reply),
+                    Err(reason) => Response::Failed(format!("not kept, it does not count: {reason}")),
+                };
+                let _ = sender.send(response);
+            }
+            Origin::Vote(id) => {
+                let outcome = match reply {
+                    Ok(Reply::Ok) => VoteOutcome::Ok,
+                    Ok(Reply::Moot(_)) => VoteOutcome::Moot,
+                    Ok(Reply::Refused(_)) | Err(_) => VoteOutcome::Error,
+                };
+                self.respond_to_vote(id, outcome);
+            }
+            Origin::PlaceReport(id) => {
+                if self.is_open(id) {
+                    let status = if reply.is_ok() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+                    self.respond(id.key, status, b"{}");
+                }
+            }
+        }
+    }
+
+    pub(super) fn respond_to_vote(&mut self, id: ConnectionId, outcome: VoteOutcome) {
+        if self.is_open(id) {
+            let news = self.announcement().filter(|_| outcome == VoteOutcome::Ok);
+            self.respond(id.key, StatusCode::OK, &VoteReply { outcome, news }.write());
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/serve/watches.rs
@@ -0,0 +1,124 @@
+//! Watches: streams of changes to proxies (the release) and the platform (the desired builds).
+
+use super::Controller;
+use super::connections::Connection;
+use super::leadership::Term;
+use http::{HeaderMap, StatusCode};
+use std::time::{Duration, Instant};
+use violetseam_http1::Framing;
+use violetseam_release::{News, Phase};
+use violetseam_site::desk::{self, PhaseName};
+use violetseam_site::places::Wanted;
+
+/// A connection without a watch or a request for so many heartbeats is closed, so that idle ones keep nobody out.
+const MAX_IDLE_HEARTBEATS: u32 = 30;
+/// The desired builds are sent again this often, changed or not.
+const DESIRED_RESEND_INTERVAL: Duration = Duration::from_secs(5);
+/// The line that shows that a watch is alive.
+const HEARTBEAT_LINE: &[u8] = b"\n";
+
+/// What a connection watches, and what it was sent last.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Watch {
+    /// Nothing.
+    None,
+    /// The release.
+    Release(Option<desk::News>),
+    /// The version of the desired builds.
+    DesiredBuilds(u64),
+}
+
+impl Controller {
+    /// The announcement to proxies; all of it is durable.
+    pub(super) fn announcement(&self) -> Option<desk::News> {
+        let term = self.term.as_ref()?;
+        let News { build, stage, phase, cap } = term.release.news();
+        let phase = match phase {
+            Phase::Trial => PhaseName::Trial,
+            Phase::RollingBack => PhaseName::RollingBack,
+            Phase::Released => PhaseName::Released,
+            Phase::Withdrawn => PhaseName::Withdrawn,
+        };
+        Some(desk::News { build, stage, phase, cap, fence: term.number })
+    }
+
+    pub(super) fn watch_release(&mut self, key: usize) {
+        let announcement = self.announcement();
+        self.start_watch(key, Watch::Release(announcement), &announcement_line(announcement));
+    }
+
+    pub(super) fn watch_desired_builds(&mut self, key: usize) {
+        let Some(term) = &self.term else { return };
+        let watch = Watch::DesiredBuilds(term.desired_version);
+        let line = desired_builds_line(term);
+        self.start_watch(key, watch, &line);
+    }
+
+    fn start_watch(&mut self, key: usize, watch: Watch, line: &[u8]) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        connection.watch = watch;
+        connection.last_active = Instant::now();
+        let Connection { socket, http, .. } = connection;
+        http.start_answer(socket.out(), StatusCode::OK, &HeaderMap::new(), &[], Framing::Chunked, false);
+        http.write_body(socket.out(), line);
+        self.flush(key);
+    }
+
+    /// Closes idle connections, and writes changes and heartbeats to the others.
+    pub(super) fn update_connections(&mut self, now: Instant) {
+        self.close_idle_connections(now);
+        let announcement = self.announcement();
+        let heartbeat = self.settings.heartbeat;
+        let Some(term) = &mut self.term else { return };
+        if now >= term.desired_sent_at + DESIRED_RESEND_INTERVAL {
+            term.desired_sent_at = now;
+            term.desired_version += 1;
+        }
+        let version = term.desired_version;
+        let mut desired_line = None;
+        let mut written = Vec::new();
+        for (key, connection) in &mut self.connections {
+            let heartbeat_due = now >= connection.last_active + heartbeat;
+            let line = match &mut connection.watch {
+                Watch::None => continue,
+                Watch::Release(sent) if *sent != announcement => {
+                    *sent = announcement;
+                    announcement_line(announcement)
+                }
+                Watch::DesiredBuilds(sent) if *sent != version => {
+                    *sent = version;
+                    desired_line.get_or_insert_with(|| desired_builds_line(term)).clone()
+                }
+                Watch::Release(_) | Watch::DesiredBuilds(_) if heartbeat_due => HEARTBEAT_LINE.to_vec(),
+                Watch::Release(_) | Watch::DesiredBuilds(_) => continue,
+            };
+            connection.last_active = now;
+            connection.http.write_body(connection.socket.out(), &line);
+            written.push(key);
+        }
+        for key in written {
+            self.flush(key);
+        }
+    }
+
+    fn close_idle_connections(&mut self, now: Instant) {
+        let max_idle = self.settings.heartbeat * MAX_IDLE_HEARTBEATS;
+        let mut idle = Vec::new();
+        for (key, connection) in &self.connections {
+            if connection.watch == Watch::None && now >= connection.last_active + max_idle {
+                idle.push(key);
+            }
+        }
+        for key in idle {
+            self.close(key);
+        }
+    }
+}
+
+fn announcement_line(announcement: Option<desk::News>) -> Vec<u8> {
+    announcement.map(|news| news.write()).unwrap_or_default()
+}
+
+fn desired_builds_line(term: &Term) -> Vec<u8> {
+    Wanted { fence: term.number, wanted: term.desired_builds.iter().copied().collect() }.write()
+}
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -2,9 +2,17 @@
 
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam_script::{Fault, Placed, Span, evaluate_file, needed};
+use violetseam_script::{Call, Fault, Placed, Span, evaluate_file, needed};
+
+/// The longest name, in bytes.
+const MAX_NAME_LEN: usize = 64;
+/// The bounds of a lease.
+const LEASE_MICROS: RangeInclusive<u64> = 100_000..=600_000_000;
+/// The shortest interval of heartbeats.
+const MIN_HEARTBEAT_MICROS: u64 = 10_000;
 
 violetseam_script::functions! { functions: controller }
 
@@ -15,58 +23,67 @@
     listen: SocketAddr,
     build: u16,
     control: String,
-    #[serde(default = "two_seconds")]
+    #[serde(default = "default_lease")]
     lease: Span,
-    #[serde(default = "one_second")]
+    #[serde(default = "default_heartbeat")]
     beat: Span,
 }
 
-fn two_seconds() -> Span {
+fn default_lease() -> Span {
     Span::ms(2_000)
 }
-fn one_second() -> Span {
+
+fn default_heartbeat() -> Span {
     Span::ms(1_000)
 }
 
-/// What a controller runs by.
+/// A controller's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Its name, in logs and in the lease.
     pub name: String,
-    /// Where proxies and the platform find it.
+    /// The address for proxies and the platform.
     pub listen: SocketAddr,
-    /// The build that runs everywhere when its state begins; later the state knows.
+    /// The build that runs everywhere when the state is created; later the state knows it.
     pub build: u16,
-    /// The path of its control socket.
+    /// The path of the control socket.
     pub control: PathBuf,
-    /// A controller that gives no sign of life for so long is replaced by one that stands by.
+    /// A leader that has not renewed its lease for so long is replaced by a standby.
     pub lease: Duration,
-    /// Watches that have nothing to tell get a blank line this often.
-    pub beat: Duration,
+    /// A watch without changes gets a blank line this often.
+    pub heartbeat: Duration,
 }
 
 /// Reads and checks a settings file.
+///
+/// # Errors
+/// The script fails, has no `controller(...)` call or more than one, or a value is out of bounds.
 pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, Fault> {
     let calls = evaluate_file(path, options, functions)?;
-    let sections: Result<Vec<Placed<Section>>, Fault> = calls.into_iter().map(|call| call.read()).collect();
+    let sections: Result<Vec<Placed<Section>>, Fault> = calls.into_iter().map(Call::read).collect();
     let sections = sections?;
     let placed = needed(&path.display().to_string(), "controller", &sections)?;
-    let s = &placed.is;
-    if s.name.is_empty() || s.name.len() > 64 || s.name.chars().any(|c| c.is_whitespace() || c.is_control()) {
+    let section = &placed.is;
+    if !is_valid_name(&section.name) {
         return placed.fault("controller: a name has 1 to 64 characters without spaces");
     }
-    if s.lease.0 < 100_000 || s.lease.0 > 600_000_000 {
+    if !LEASE_MICROS.contains(&section.lease.0) {
         return placed.fault("controller: a lease is 100ms to 10m");
     }
-    if s.beat.0 < 10_000 {
+    if section.beat.0 < MIN_HEARTBEAT_MICROS {
         return placed.fault("controller: a beat is at least 10ms");
     }
     Ok(Settings {
-        name: s.name.clone(),
-        listen: s.listen,
-        build: s.build,
-        control: PathBuf::from(&s.control),
-        lease: Duration::from_micros(s.lease.0),
-        beat: Duration::from_micros(s.beat.0),
+        name: section.name.clone(),
+        listen: section.listen,
+        build: section.build,
+        control: PathBuf::from(&section.control),
+        lease: Duration::from_micros(section.lease.0),
+        heartbeat: Duration::from_micros(section.beat.0),
     })
 }
+
+fn is_valid_name(name: &str) -> bool {
+    let is_separator = |character: char| character.is_whitespace() || character.is_control();
+    (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(is_separator)
+}
--- a/crates/controller/tests/journal.rs
+++ b/crates/controller/tests/journal.rs
@@ -1,7 +1,9 @@
-//! The journal: torn at any byte, damaged, of a later version, of an earlier holder; terms and snapshots.
+//! The journal: torn at any byte, damaged, of a later version, of an earlier leader; terms and snapshots.
 
 use std::path::{Path, PathBuf};
-use violetseam_controller::journal::{Begun, Fault, Folder, Line, NotKept, SNAPSHOT_EVERY, encode};
+use violetseam_controller::journal::{
+    AppendError, JournalError, NewTerm, Record, SNAPSHOT_INTERVAL, StateDir, encode,
+};
 use violetseam_plan::read_text;
 use violetseam_release::{Event, Now, PlaceState, Release, Reply, Verdict, Vote};
 
@@ -35,7 +37,7 @@
     let (_, kept) = release.on_event(at, &event);
     let news = release.news();
     let after = (news != before).then_some(news);
-    if kept { encode(&Line::Event { now: at, event, after }) } else { Vec::new() }
+    if kept { encode(&Record::Event { now: at, event, after }) } else { Vec::new() }
 }
 
 fn journal(path: &Path, term: u64) -> PathBuf {
@@ -43,9 +45,9 @@
 }
 
 /// A term with an offer, its first wave and two votes.
-fn played(path: &Path) -> (Begun, Release) {
-    let mut begun = Folder::open(path).unwrap().begin("one", 1, now(0)).unwrap();
-    let mut release = begun.release.clone();
+fn played(path: &Path) -> (NewTerm, Release) {
+    let mut new_term = StateDir::open(path).unwrap().begin_term("one", 1, now(0)).unwrap();
+    let mut release = new_term.release.clone();
     let events = [
         offer(),
         Event::Tick,
@@ -55,22 +57,22 @@
     ];
     for (n, event) in events.into_iter().enumerate() {
         let bytes = decide(&mut release, now(n as u64 + 1), event);
-        begun.writer.keep(&bytes, usize::from(!bytes.is_empty()), &release).unwrap();
+        new_term.writer.append(&bytes, usize::from(!bytes.is_empty()), &release).unwrap();
     }
-    (begun, release)
+    (new_term, release)
 }
 
 #[test]
 fn a_successor_goes_on_where_the_last_one_stood() {
     let path = folder("goes-on");
     let (_, release) = played(&path);
-    let read = Folder::open(&path).unwrap().read().unwrap().unwrap();
+    let read = StateDir::open(&path).unwrap().read().unwrap().unwrap();
     assert_eq!((read.release.clone(), read.torn), (release.clone(), false));
-    let begun = Folder::open(&path).unwrap().begin("two", 1, now(20)).unwrap();
-    assert_eq!((begun.term, begun.release.news(), begun.release.votes()), (2, release.news(), 2));
+    let new_term = StateDir::open(&path).unwrap().begin_term("two", 1, now(20)).unwrap();
+    assert_eq!((new_term.number, new_term.release.news(), new_term.release.votes()), (2, release.news(), 2));
     // Two minutes away: the votes are past their time.
-    let late = Folder::open(&path).unwrap().begin("three", 1, now(140)).unwrap();
-    assert_eq!((late.term, late.release.news(), late.release.votes()), (3, release.news(), 0));
+    let late = StateDir::open(&path).unwrap().begin_term("three", 1, now(140)).unwrap();
+    assert_eq!((late.number, late.release.news(), late.release.votes()), (3, release.news(), 0));
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -85,12 +87,12 @@
     let mut known = 0;
     for cut in state_end..=whole.len() {
         std::fs::write(&file, &whole[..cut]).unwrap();
-        let read = Folder::open(&path).unwrap().read().unwrap().unwrap();
+        let read = StateDir::open(&path).unwrap().read().unwrap().unwrap();
         let wholes = lines.iter().filter(|end| **end <= cut).count() - 2;
-        assert_eq!(read.events, wholes, "cut at {cut}");
+        assert_eq!(read.event_count, wholes, "cut at {cut}");
         assert_eq!(read.torn, !lines.contains(&cut), "cut at {cut}");
         assert_eq!(std::fs::read(&file).unwrap(), &whole[..cut]);
-        known = known.max(read.events);
+        known = known.max(read.event_count);
     }
     assert!(known >= 4);
     // A bit turned in any line but the last is damage, and nothing is begun past it.
@@ -98,8 +100,8 @@
         let mut bytes = whole.clone();
         bytes[at] ^= 0x10;
         std::fs::write(&file, &bytes).unwrap();
-        let fault = Folder::open(&path).unwrap().begin("two", 1, now(9)).unwrap_err();
-        assert!(matches!(fault, Fault::Damaged(..)), "at {at}: {fault}");
+        let fault = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
+        assert!(matches!(fault, JournalError::Damaged { .. }), "at {at}: {fault}");
     }
     std::fs::remove_dir_all(path).unwrap();
 }
@@ -108,13 +110,16 @@
 fn a_later_versions_journal_is_refused_and_left_alone() {
     let path = folder("newer");
     std::fs::create_dir_all(&path).unwrap();
-    let header = encode(&Line::Header { version: 9, holder: "later".into() });
+    let header = encode(&Record::Header { version: 9, leader: "later".into() });
     let mut bytes = header.clone();
     bytes.extend_from_slice(b"something of another layout\n");
     std::fs::write(journal(&path, 4), &bytes).unwrap();
     std::fs::write(path.join("term-4"), "later").unwrap();
-    let fault = Folder::open(&path).unwrap().begin("one", 1, now(0)).unwrap_err();
-    assert!(matches!(fault, Fault::Newer(_, 9)) && fault.to_string().contains("Nothing was touched"));
+    let fault = StateDir::open(&path).unwrap().begin_term("one", 1, now(0)).unwrap_err();
+    assert!(
+        matches!(fault, JournalError::NewerFormat { version: 9, .. })
+            && fault.to_string().contains("Nothing was touched")
+    );
     let mut names: Vec<String> =
         std::fs::read_dir(&path).unwrap().flatten().map(|e| e.file_name().into_string().unwrap()).collect();
     names.sort();
@@ -129,13 +134,13 @@
     let (_, release) = played(&path);
     // What another version may have written: news that this one does not come to.
     let after = Some(violetseam_release::News { stage: 1, ..release.news() });
-    let line = encode(&Line::Event { now: now(7), event: Event::Tick, after });
+    let line = encode(&Record::Event { now: now(7), event: Event::Tick, after });
     let mut bytes = std::fs::read(journal(&path, 1)).unwrap();
     bytes.extend(line);
-    bytes.extend(encode(&Line::Event { now: now(8), event: vote(2), after: None }));
+    bytes.extend(encode(&Record::Event { now: now(8), event: vote(2), after: None }));
     std::fs::write(journal(&path, 1), bytes).unwrap();
-    let fault = Folder::open(&path).unwrap().begin("two", 1, now(9)).unwrap_err();
-    assert!(matches!(fault, Fault::Otherwise(..)), "{fault}");
+    let fault = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
+    assert!(matches!(fault, JournalError::Diverged { .. }), "{fault}");
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -143,16 +148,16 @@
 fn a_term_has_one_holder_and_a_replaced_one_is_told_so_after_its_write() {
     let path = folder("terms");
     let (mut old, mut release) = played(&path);
-    let one = Folder::open(&path).unwrap();
-    let new = one.begin("two", 1, now(10)).unwrap();
-    assert_eq!((old.term, new.term), (1, 2));
+    let one = StateDir::open(&path).unwrap();
+    let new = one.begin_term("two", 1, now(10)).unwrap();
+    assert_eq!((old.number, new.number), (1, 2));
     let bytes = decide(&mut release, now(11), vote(2));
-    assert_eq!(old.writer.keep(&bytes, 1, &release), Err(NotKept::Superseded));
+    assert!(matches!(old.writer.append(&bytes, 1, &release), Err(AppendError::Superseded)));
     // The old one's late write is in its own journal, which no successor reads any more.
     assert_eq!(one.read().unwrap().unwrap().release.votes(), 2);
     std::fs::write(path.join("term-3"), "three").unwrap();
-    let fourth = one.begin("four", 1, now(12)).unwrap();
-    assert_eq!(fourth.term, 4, "a term that was begun and never used is passed over");
+    let fourth = one.begin_term("four", 1, now(12)).unwrap();
+    assert_eq!(fourth.number, 4, "a term that was begun and never used is passed over");
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -163,12 +168,14 @@
     for _ in 0..20 {
         let begin = |name: &'static str| {
             let path = path.clone();
-            std::thread::spawn(move || Folder::open(&path).unwrap().begin(name, 1, now(20)).map(|b| b.term))
+            std::thread::spawn(move || {
+                StateDir::open(&path).unwrap().begin_term(name, 1, now(20)).map(|new_term| new_term.number)
+            })
         };
         let (a, b) = (begin("a"), begin("b"));
         match (a.join().unwrap(), b.join().unwrap()) {
             (Ok(a), Ok(b)) => assert_ne!(a, b),
-            (Ok(_), Err(Fault::Taken)) | (Err(Fault::Taken), Ok(_)) => {}
+            (Ok(_), Err(JournalError::TermTaken)) | (Err(JournalError::TermTaken), Ok(_)) => {}
             other => panic!("{other:?}"),
         }
     }
@@ -178,20 +185,20 @@
 #[test]
 fn a_journal_is_begun_anew_with_the_whole_state_and_only_that_is_read() {
     let path = folder("anew");
-    let (mut begun, mut release) = played(&path);
+    let (mut new_term, mut release) = played(&path);
     let mut kept = 0;
-    while kept < 2 * SNAPSHOT_EVERY + 10 {
+    while kept < 2 * SNAPSHOT_INTERVAL + 10 {
         let mut bytes = Vec::new();
         for n in 0..1_000u64 {
             let at = now(10 + (kept as u64 + n) / 1_000);
             bytes.extend(decide(&mut release, at, vote((n % 4) as u32)));
         }
-        begun.writer.keep(&bytes, 1_000, &release).unwrap();
+        new_term.writer.append(&bytes, 1_000, &release).unwrap();
         kept += 1_000;
     }
-    let folder = Folder::open(&path).unwrap();
+    let folder = StateDir::open(&path).unwrap();
     let read = folder.read().unwrap().unwrap();
-    assert!(read.events < SNAPSHOT_EVERY, "{}", read.events);
+    assert!(read.event_count < SNAPSHOT_INTERVAL, "{}", read.event_count);
     assert_eq!(read.release, release);
     let reply = release.on_event(now(100), &vote(1)).0;
     assert!(matches!(reply, Reply::Ok | Reply::Moot(_)));
@@ -208,7 +215,7 @@
     };
     for events in [1_000usize, 10_000, 100_000, 1_000_000] {
         let path = folder("measure");
-        let (mut begun, mut release) = played(&path);
+        let (mut new_term, mut release) = played(&path);
         // One file with all events and no state between them, beside what the writer makes of the same.
         let one = path.join("one");
         std::fs::create_dir_all(&one).unwrap();
@@ -221,7 +228,7 @@
                 let at = now(10 + (done as u64 + n) / 100_000);
                 bytes.extend(decide(&mut release, at, vote((n % 4) as u32)));
             }
-            begun.writer.keep(&bytes, many, &release).unwrap();
+            new_term.writer.append(&bytes, many, &release).unwrap();
             all.extend(bytes);
             done += many;
         }
@@ -230,7 +237,7 @@
             let rounds = if events > 100_000 { 3 } else { 7 };
             let times = (0..rounds).map(|_| {
                 let began = std::time::Instant::now();
-                let read = Folder::open(path).unwrap().read().unwrap().unwrap();
+                let read = StateDir::open(path).unwrap().read().unwrap().unwrap();
                 assert_eq!(read.release, release);
                 began.elapsed().as_secs_f64() * 1e3
             });
@@ -245,12 +252,12 @@
     }
     for batch in [1usize, 10, 100, 1_000] {
         let path = folder("votes");
-        let (mut begun, mut release) = played(&path);
+        let (mut new_term, mut release) = played(&path);
         let (began, mut kept) = (std::time::Instant::now(), 0);
         while began.elapsed().as_secs_f64() < 2.0 {
             let bytes: Vec<u8> =
                 (0..batch as u64).flat_map(|n| decide(&mut release, now(10), vote((n % 4) as u32))).collect();
-            begun.writer.keep(&bytes, batch, &release).unwrap();
+            new_term.writer.append(&bytes, batch, &release).unwrap();
             kept += batch;
         }
         println!(
--- a/crates/lab/src/controller.rs
+++ b/crates/lab/src/controller.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use violetseam_controller::control::{Answer, Word, say};
+use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::{Order, Reply};
 use violetseam_standin::Clock;
 use violetseam_standin::day::{Day, Gate};
@@ -67,8 +67,9 @@
     fn wait_to_speak(&self, within: Duration) -> Result<(), String> {
         let until = Instant::now() + within;
         while Instant::now() < until {
-            if let Ok(Answer::State(standing)) = say(&self.control, &Word::State, Duration::from_secs(1))
-                && standing.term > 0
+            if let Ok(Response::Status(status)) =
+                send_request(&self.control, &Request::Status, Duration::from_secs(1))
+                && status.term > 0
             {
                 return Ok(());
             }
@@ -149,13 +150,13 @@
             if clock.now() < release.at {
                 continue;
             }
-            let offer = Word::Offer { name: format!("build {n}"), text: text.clone() };
-            match say(control, &offer, Duration::from_secs(2)) {
-                Ok(Answer::Reply(Reply::Ok | Reply::Moot(_))) => break,
-                Ok(Answer::Faults(faults)) => return Err(faults.join("; ")),
-                Ok(Answer::Reply(Reply::Refused(why))) if why.contains("on trial") => {
-                    let order = Word::Order { who: "lab".into(), order: Order::Back };
-                    let _ = say(control, &order, Duration::from_secs(2));
+            let offer = Request::SubmitPlan { name: format!("build {n}"), text: text.clone() };
+            match send_request(control, &offer, Duration::from_secs(2)) {
+                Ok(Response::Reply(Reply::Ok | Reply::Moot(_))) => break,
+                Ok(Response::InvalidPlan(faults)) => return Err(faults.join("; ")),
+                Ok(Response::Reply(Reply::Refused(why))) if why.contains("on trial") => {
+                    let order = Request::Order { operator: "lab".into(), order: Order::Back };
+                    let _ = send_request(control, &order, Duration::from_secs(2));
                 }
                 // Gone for a while, or something else waits: again.
                 _ => {}
--- a/crates/lab/src/scale/hollow_controller.rs
+++ b/crates/lab/src/scale/hollow_controller.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use violetseam::interface::Micros;
-use violetseam_controller::control::{Answer, Word, say};
+use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::Reply;
 
 /// Longest wait for the controller to begin its term.
@@ -58,16 +58,16 @@
         Ok(controller)
     }
 
-    fn say(&self, word: &Word) -> Result<Answer, ScaleError> {
-        say(&self.folder.join("control"), word, Duration::from_secs(5))
+    fn send(&self, request: &Request) -> Result<Response, ScaleError> {
+        send_request(&self.folder.join("control"), request, Duration::from_secs(5))
             .map_err(|e| ScaleError::Failed(e.to_string()))
     }
 
     fn await_term(&self) -> Result<(), ScaleError> {
         let until = Instant::now() + PATIENCE;
         while Instant::now() < until {
-            if let Ok(Answer::State(standing)) = self.say(&Word::State)
-                && standing.term > 0
+            if let Ok(Response::Status(status)) = self.send(&Request::Status)
+                && status.term > 0
             {
                 return Ok(());
             }
@@ -87,8 +87,8 @@
              wave(name = \"all\", share = 1.0, cap = 1.0, soak = \"1s\", gate = \"share\", votes = 0.5)\n",
             self.vote_life
         );
-        match self.say(&Word::Offer { name: "hollow".into(), text })? {
-            Answer::Reply(Reply::Ok) => Ok(()),
+        match self.send(&Request::SubmitPlan { name: "hollow".into(), text })? {
+            Response::Reply(Reply::Ok) => Ok(()),
             other => Err(ScaleError::Failed(format!("the plan was not taken: {other:?}"))),
         }
     }
