--- /dev/null
+++ b/crates/release/src/allowance.rs
@@ -0,0 +1,40 @@
+//! The rate limit of votes.
+
+use violetseam_plan::Micros;
+
+/// Seconds of the rate that a full bucket holds.
+const BURST_SECONDS: f64 = 2.0;
+
+/// A token bucket that limits the votes of all proxies together. It is not part of the durable state: a vote over
+/// the limit is answered `full` and never becomes an event.
+#[derive(Clone, Copy, Debug)]
+pub struct Allowance {
+    votes_per_s: f64,
+    tokens: f64,
+    refilled_at: Micros,
+}
+
+impl Allowance {
+    /// A full bucket.
+    pub fn new(votes_per_s: f64, steady: Micros) -> Self {
+        Allowance { votes_per_s, tokens: BURST_SECONDS * votes_per_s, refilled_at: steady }
+    }
+
+    /// Changes the rate, when another plan says so.
+    pub fn set_rate(&mut self, votes_per_s: f64) {
+        self.votes_per_s = votes_per_s;
+    }
+
+    /// Takes a token for one vote; `false` if there is none.
+    pub fn takes(&mut self, steady: Micros) -> bool {
+        let elapsed_s = steady.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = self.refilled_at.max(steady);
+        let refilled = self.tokens + elapsed_s * self.votes_per_s;
+        self.tokens = refilled.min(BURST_SECONDS * self.votes_per_s);
+        let is_granted = self.tokens >= 1.0;
+        if is_granted {
+            self.tokens -= 1.0;
+        }
+        is_granted
+    }
+}
--- /dev/null
+++ b/crates/release/src/release/progress.rs
@@ -0,0 +1,160 @@
+//! When a wave moves on, and when a build is rolled back.
+
+use super::Release;
+use crate::plan_run::RollbackReason;
+use crate::trial::Trial;
+use crate::{News, Now, Phase, Verdict};
+use std::collections::BTreeSet;
+use violetseam_plan::{Gate, OnClose};
+
+/// Builds that were rolled back and are remembered.
+const MAX_ROLLED_BACK: usize = 1_000;
+
+impl Release {
+    /// Decides what follows from the state; whether anything changed.
+    pub(super) fn decide(&mut self, now: Now, may_progress: bool) -> bool {
+        match self.announcement.phase {
+            Phase::Trial => self.decide_trial(now, may_progress),
+            Phase::RollingBack => self.continue_rollback(),
+            Phase::Released | Phase::Withdrawn => {
+                let rolled_back = self.roll_back_after_release();
+                rolled_back || (may_progress && self.begin_pending(now))
+            }
+        }
+    }
+
+    /// Begins to roll the newest build back.
+    pub(super) fn begin_rollback(&mut self, reason: &RollbackReason) {
+        self.rolled_back.insert(self.announcement.build);
+        while self.rolled_back.len() > MAX_ROLLED_BACK {
+            self.rolled_back.pop_first();
+        }
+        self.announcement.phase = Phase::RollingBack;
+        self.votes.clear();
+        if let Some(trial) = &mut self.trial {
+            trial.rollback_reason = Some(reason.to_string());
+            trial.wave_elapsed = 0;
+        }
+    }
+
+    /// Proxies can still roll a released build back, while the one before it is known.
+    fn roll_back_after_release(&mut self) -> bool {
+        let Some(trial) = &self.trial else { return false };
+        let plan = &trial.run.plan;
+        let needed = plan.waves.last().map_or(usize::MAX, |wave| plan.votes_back(wave));
+        let is_due = self.announcement.phase == Phase::Released
+            && self.previous_build != self.announcement.build
+            && self.count_votes(Verdict::Back) >= needed;
+        if is_due {
+            self.begin_rollback(&RollbackReason::ProxiesAfterRelease);
+        }
+        is_due
+    }
+
+    /// Begins the first wave of the build that waits.
+    fn begin_pending(&mut self, now: Now) -> bool {
+        let Some(pending) = &self.pending else { return false };
+        if pending.expired(0).is_some() {
+            self.pending = None;
+            return true;
+        }
+        let newest = self.announcement.build;
+        let is_released = self.announcement.phase == Phase::Released;
+        let replaced = if is_released { self.previous_build } else { newest };
+        let current = if is_released { newest } else { self.previous_build };
+        // Places that still drain what was replaced are waited for: none has three builds.
+        let is_drained = replaced == current || self.places.count_with(replaced) == 0;
+        if !is_drained || !pending.may_begin(now, 0) {
+            return false;
+        }
+        let Some(run) = self.pending.take() else { return false };
+        self.previous_build = current;
+        let cap = run.plan.waves[0].cap;
+        self.announcement = News { build: run.plan.build, stage: 0, phase: Phase::Trial, cap };
+        self.votes.clear();
+        self.trial = Some(Trial::new(run));
+        true
+    }
+
+    fn decide_trial(&mut self, now: Now, may_progress: bool) -> bool {
+        if let Some(reason) = self.rollback_reason() {
+            self.begin_rollback(&reason);
+            return true;
+        }
+        let Some(trial) = &mut self.trial else { return false };
+        let started_running = trial.note_running(&self.places, self.announcement.build);
+        let moved_on = may_progress && self.is_wave_complete() && self.finish_wave(now);
+        moved_on || started_running
+    }
+
+    /// Why the build on trial is to be rolled back, if it is.
+    fn rollback_reason(&self) -> Option<RollbackReason> {
+        let trial = self.trial.as_ref()?;
+        let wave = trial.current_wave();
+        if self.count_votes(Verdict::Back) >= trial.run.plan.votes_back(wave) {
+            return Some(RollbackReason::Proxies);
+        }
+        if let Some(reason) = trial.run.expired(trial.wave + 1) {
+            return Some(reason);
+        }
+        let is_window_over = !trial.run.window_open && wave.on_close == OnClose::Back;
+        is_window_over.then(|| RollbackReason::WindowClosed { wave: wave.name.clone() })
+    }
+
+    /// Whether the current wave has settled, soaked and got its votes.
+    fn is_wave_complete(&self) -> bool {
+        let Some(trial) = &self.trial else { return false };
+        let wave = trial.current_wave();
+        let needed = trial.run.plan.votes_of(wave);
+        let has_votes = match wave.gate {
+            Gate::Timer => self.count_votes(Verdict::Hold) < needed,
+            Gate::Any | Gate::Share => self.count_votes(Verdict::On) >= needed,
+        };
+        let has_soaked = trial.soaked >= wave.soak;
+        trial.is_settled() && has_votes && has_soaked && trial.run.operator_hold.is_none()
+    }
+
+    /// Begins the next wave, or releases the build after the last; whether holds and windows permit it.
+    fn finish_wave(&mut self, now: Now) -> bool {
+        let Some(trial) = &mut self.trial else { return false };
+        let run = &trial.run;
+        let next = trial.wave + 1;
+        if let Some(next_wave) = run.plan.waves.get(next) {
+            if !run.may_begin(now, next) {
+                return false;
+            }
+            self.announcement.stage = next as u8;
+            self.announcement.cap = next_wave.cap;
+            trial.begin_wave(next);
+        } else {
+            if !run.window_open && trial.current_wave().on_close != OnClose::Finish {
+                return false;
+            }
+            self.announcement.phase = Phase::Released;
+            self.announcement.cap = 1.0;
+        }
+        self.votes.clear();
+        true
+    }
+
+    /// Continues a rollback: the cap falls with the places that still have something of the build.
+    fn continue_rollback(&mut self) -> bool {
+        let Some(trial) = &self.trial else { return false };
+        let fleet = &trial.run.plan.fleet;
+        let everywhere: BTreeSet<u32> = (0..fleet.places).collect();
+        let remaining = self.places.count_with(self.announcement.build);
+        let restored = self.places.count_running(&everywhere, self.previous_build);
+        // Places that do not start hold up the end of a rollback only for so long.
+        let is_restored = restored == everywhere.len() || trial.wave_elapsed >= fleet.launch;
+        if remaining == 0 && is_restored {
+            self.announcement.phase = Phase::Withdrawn;
+            self.announcement.cap = 0.0;
+            return true;
+        }
+        let wave = trial.current_wave();
+        let fair_cap = wave.cap * remaining as f64 / wave.places.len().max(1) as f64;
+        let old_cap = self.announcement.cap;
+        self.announcement.cap = if remaining == 0 { 0.0 } else { old_cap.min(fair_cap) };
+        self.announcement.cap != old_cap
+    }
+}
