--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -35,7 +35,8 @@
     Whole,
     /// With nothing: under a higher term. The one before may still run somewhere.
     LogLost,
-    /// Without the newest versions, under the same term.
+    /// Without the newest versions, as from an old copy of its disk. Where a term began among them, it goes on
+    /// under the term before.
     EndLost(usize),
 }
 
@@ -317,8 +318,10 @@
                 self.begin_term();
                 return self.disconnect(index);
             }
-            Answer::Superseded { .. } => {
-                assert_eq!(reach, Reach::Replaced, "no term is above the current publisher's");
+            Answer::Superseded { term } => {
+                if reach == Reach::Current {
+                    self.begin_term_after_loss(term);
+                }
                 return self.disconnect(index);
             }
         };
@@ -335,6 +338,15 @@
         self.end_watches(Reach::Current);
     }
 
+    /// What an operator does whose publisher is halted because a subscriber follows a higher term. For the
+    /// current publisher this must be a term that it began itself and that its disk has lost.
+    fn begin_term_after_loss(&mut self, followed: Term) {
+        let stored = self.publisher.version().term;
+        assert!(stored < Term(self.term), "superseded by {followed}, although the disk has lost no term");
+        assert!(followed <= Term(self.term), "superseded by {followed}, a term that no publisher began");
+        self.begin_term();
+    }
+
     /// Restores the publisher from its disk, without the newest versions.
     fn restore(&mut self, lost: usize) {
         let kept = self.stored.len().saturating_sub(lost).max(1);
