--- a/crates/cli/src/publisher.rs
+++ b/crates/cli/src/publisher.rs
@@ -169,11 +169,11 @@
     let version = status.version.map_or("none".to_owned(), |version| version.to_string());
     let behind = status.behind.map_or("?".to_owned(), |behind| behind.to_string());
     let seconds = |micros: u64| format!("{:.1} s", micros as f64 / MICROS_IN_SECOND);
-    let (age, heard) = (seconds(status.held_for), seconds(status.silent_for));
+    let (age, heard) = (seconds(status.version_age), seconds(status.last_contact_age));
     let watch = if row.watching { "open" } else { "closed" };
     print!("{:<32} {version:>22} {behind:>8} {age:>10} {heard:>10}  {watch}", status.subscriber);
-    match &status.refused {
-        Some(refusal) => println!("  refused {}: {}", refusal.version, refusal.reason),
+    match &status.rejected {
+        Some(rejection) => println!("  refused {}: {}", rejection.version, rejection.reason),
         None => println!(),
     }
 }
--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -164,7 +164,7 @@
 impl Watch {
     /// Calls, and reads the answer's head.
     pub fn open(publisher: SocketAddr, name: &str, known: Option<Version>) -> Watch {
-        let subscribe = Subscribe { subscriber: name.to_owned(), known, whole: false };
+        let subscribe = Subscribe { subscriber: name.to_owned(), known, snapshot_required: false };
         Watch::call(TcpStream::connect(publisher).unwrap(), &subscribe)
     }
 
--- a/crates/cli/tests/distribution.rs
+++ b/crates/cli/tests/distribution.rs
@@ -360,7 +360,7 @@
         }
         wait_for("the publisher's word on it", || {
             let status = site.publisher.client().status().unwrap();
-            status.subscribers.iter().all(|row| row.status.refused.is_some())
+            status.subscribers.iter().all(|row| row.status.rejected.is_some())
         });
         make(&mut site.routes, &[put_route("/a", "keyed")]);
         let mended = site.publish(&[Change::Remove(faulty.key())]);
--- a/crates/cli/tests/publisher.rs
+++ b/crates/cli/tests/publisher.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
-use violetseam_distribution::message::{CHANGES_MOST, Change};
+use violetseam_distribution::message::{Change, MAX_DELTA_CHANGES};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{Message, Micros, Report, Resource, Subscribe, Term, Version};
 use violetseam_publisher::client::ClientError;
@@ -62,7 +62,7 @@
     assert_eq!((row.status.version, row.status.behind, row.watching), (Some(first), Some(0), true));
 
     let second = publisher.publish(&[remove_route("/a")]);
-    assert_eq!(report(publisher.address, &Report::refuse("proxy-1", second, "class unknown")), 200);
+    assert_eq!(report(publisher.address, &Report::reject("proxy-1", second, "class unknown")), 200);
     let output = publisher.run_publish(&["--status"]);
     let shown = text(&output.stdout);
     assert!(output.status.success() && shown.contains("1 of 1 subscribers behind"), "{shown}");
@@ -258,7 +258,7 @@
     arguments.extend(more);
     let publisher = start(&state, &arguments);
     let known = publisher.publish(&[put_route("/start", "read")]);
-    let subscribe = Subscribe { subscriber: "slow".into(), known: Some(known), whole: false };
+    let subscribe = Subscribe { subscriber: "slow".into(), known: Some(known), snapshot_required: false };
     let mut slow = Watch::call(connect_with_small_buffer(publisher.address), &subscribe);
     let mut quick = Watch::open(publisher.address, "quick", Some(known));
     // More than the kernel's buffers hold.
@@ -311,7 +311,8 @@
     let digest = publisher.client().status().unwrap().digest;
     let mut watch = Watch::open(publisher.address, "proxy-1", Some(version));
     let good = text(&json_lines(&[put_route("/good", "read")]));
-    let too_many: Vec<Change> = (0..=CHANGES_MOST).map(|n| put_route(&format!("/{n}"), "read")).collect();
+    let too_many: Vec<Change> =
+        (0..=MAX_DELTA_CHANGES).map(|n| put_route(&format!("/{n}"), "read")).collect();
     let faulty = [
         (format!("{good}{}", text(&json_lines(&[put_route("no-slash", "read")]))), "line 2: prefix"),
         (format!("{good}{{\"put\":"), "line 2: "),
@@ -417,7 +418,7 @@
         let mut watch = Watch::call(TcpStream::connect(publisher).unwrap(), &subscribe);
         loop {
             let Heard::Message(message) = watch.next(Duration::from_secs(5)) else {
-                subscriber.on_closed(now());
+                subscriber.on_watch_closed(now());
                 break;
             };
             let effects = subscriber.on_message(now(), message, &mut |_| Ok(()));
--- a/crates/distribution/src/admission.rs
+++ b/crates/distribution/src/admission.rs
@@ -1,52 +1,53 @@
-//! Admission of snapshots at a stated rate: who does not get one now is told when to come back.
+//! Admission control: rate limiting of snapshots by reserved time slots.
 //!
-//! Each subscriber that calls gets a slot of its own in time; slots lie one interval apart. The slot is kept
-//! under the subscriber's name: a call before it changes nothing and is told what is left of the wait, a
-//! call within the grace after it is served. So every caller that comes back when it was told is served on
-//! its second call, whoever else calls and however often, and no more snapshots are served in any span than
-//! the span and one grace have slots. A caller that comes later than the grace gets a new slot at the end.
+//! Each subscriber that requests a snapshot reserves a slot of its own in time; slots lie one interval apart.
+//! The slot is reserved under the subscriber's name: a request before it changes nothing and returns the rest
+//! of the wait, a request within the grace after it is admitted. So a caller that comes back in time is
+//! admitted at its second request, whoever else calls and however often, and no more snapshots are admitted
+//! in any span than the span and one grace have slots. A caller later than the grace gets a new slot at the
+//! end.
 
 use crate::Micros;
-use crate::message::RETRY_AFTER_MOST;
+use crate::message::MAX_RETRY_AFTER;
 use std::collections::{BTreeMap, HashMap};
 
-const SECOND: Micros = 1_000_000;
+const MICROS_PER_SECOND: Micros = 1_000_000;
 
 /// The bounds of an admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
     /// The span between two slots, in microseconds; at least 1.
     pub interval: Micros,
-    /// How long after its slot a caller is still served, in microseconds.
+    /// How long after its slot a caller is still admitted, in microseconds.
     pub grace: Micros,
-    /// The most slots that are kept. Beyond it callers are told to come when the last one has passed, and
-    /// no slot is kept for them.
-    pub reservations: usize,
+    /// The maximum number of reserved slots. Beyond it callers wait until the last one has passed, without a
+    /// reservation.
+    pub max_reservations: usize,
 }
 
 impl AdmissionLimits {
     /// Default grace: 2 s, so that a subscriber's own delay does not cost it its slot.
-    pub const GRACE: Micros = 2 * SECOND;
-    /// Default bound of slots kept: three times a fleet of 4,700.
-    pub const RESERVATIONS: usize = 16_384;
+    pub const GRACE: Micros = 2 * MICROS_PER_SECOND;
+    /// Default maximum of reserved slots: three times a fleet of 4,700.
+    pub const MAX_RESERVATIONS: usize = 16_384;
 
     /// This many snapshots a second (at least one), with the default grace and bound.
     pub fn per_second(rate: u32) -> AdmissionLimits {
-        let interval = (SECOND / Micros::from(rate.max(1))).max(1);
-        AdmissionLimits { interval, grace: Self::GRACE, reservations: Self::RESERVATIONS }
+        let interval = (MICROS_PER_SECOND / Micros::from(rate.max(1))).max(1);
+        AdmissionLimits { interval, grace: Self::GRACE, max_reservations: Self::MAX_RESERVATIONS }
     }
 }
 
-/// What a call for a snapshot is told.
+/// The decision on a request for a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
-    /// A snapshot now.
-    Now,
-    /// Come back in this many microseconds, at most [`RETRY_AFTER_MOST`].
-    After(Micros),
+pub enum AdmissionDecision {
+    /// Send the snapshot now.
+    Admit,
+    /// The caller retries after this many microseconds, at most [`MAX_RETRY_AFTER`].
+    RetryAfter(Micros),
 }
 
-/// Slots for snapshots.
+/// The reserved slots.
 #[derive(Debug)]
 pub struct Admission {
     limits: AdmissionLimits,
@@ -56,41 +57,41 @@
 }
 
 impl Admission {
-    /// No slot is taken yet.
+    /// An admission without reservations.
     pub fn new(limits: AdmissionLimits) -> Admission {
         let limits = AdmissionLimits { interval: limits.interval.max(1), ..limits };
         Admission { limits, next_slot: 0, slot_of: HashMap::new(), holder_of: BTreeMap::new() }
     }
 
-    /// A subscriber calls for a snapshot.
-    pub fn call(&mut self, now: Micros, subscriber: &str) -> Admitted {
+    /// Decides on the request of a subscriber for a snapshot.
+    pub fn request(&mut self, now: Micros, subscriber: &str) -> AdmissionDecision {
         self.expire(now);
         if let Some(slot) = self.slot_of.get(subscriber).copied() {
-            return self.call_with_slot(now, slot);
+            return self.admit_reserved(now, slot);
         }
         let slot = self.next_slot.max(now);
         if slot == now {
             self.next_slot = now + self.limits.interval;
-            return Admitted::Now;
+            return AdmissionDecision::Admit;
         }
-        if self.slot_of.len() >= self.limits.reservations {
-            return after(slot - now);
+        if self.slot_of.len() >= self.limits.max_reservations {
+            return retry_after(slot - now);
         }
         self.reserve(slot, subscriber);
-        after(slot - now)
+        retry_after(slot - now)
     }
 
-    /// The number of slots that are kept.
-    pub fn reserved(&self) -> usize {
+    /// The number of reserved slots.
+    pub fn reserved_slots(&self) -> usize {
         self.slot_of.len()
     }
 
-    fn call_with_slot(&mut self, now: Micros, slot: Micros) -> Admitted {
+    fn admit_reserved(&mut self, now: Micros, slot: Micros) -> AdmissionDecision {
         if now < slot {
-            return after(slot - now);
+            return retry_after(slot - now);
         }
         self.release(slot);
-        Admitted::Now
+        AdmissionDecision::Admit
     }
 
     fn reserve(&mut self, slot: Micros, subscriber: &str) {
@@ -117,6 +118,6 @@
     }
 }
 
-fn after(wait: Micros) -> Admitted {
-    Admitted::After(wait.min(RETRY_AFTER_MOST))
+fn retry_after(wait: Micros) -> AdmissionDecision {
+    AdmissionDecision::RetryAfter(wait.min(MAX_RETRY_AFTER))
 }
--- a/crates/distribution/src/configuration.rs
+++ b/crates/distribution/src/configuration.rs
@@ -1,62 +1,72 @@
-//! A configuration: the resources in force at one version, with their digest.
+//! A configuration: the resources of one version, with their digest.
 
 use crate::digest::Digest;
 use crate::message::{Change, Delta};
 use crate::resource::{
-    CONFIGURATION_BYTES_MOST, ROUTES_MOST, Resource, ResourceError, ResourceKey, Route, RouteKey, RouteValue,
-    TENANTS_MOST, Tenant, TenantValue, route_weight, tenant_weight,
+    MAX_CONFIGURATION_BYTES, MAX_ROUTES, MAX_TENANTS, Resource, ResourceError, ResourceKey, Route, RouteKey,
+    RouteValue, Tenant, TenantValue, max_route_bytes, max_tenant_bytes,
 };
 use crate::version::Version;
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
-/// Resources of one version, their digest and what they weigh. A change costs time by its own size and the
+/// The resources of one version, their digest and their size. A change takes time by its own size and the
 /// logarithm of the number of resources.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     version: Version,
-    /// Of the resources alone.
-    sum: Digest,
+    /// The digest of the resources, without the version.
+    resource_digest: Digest,
     bytes: usize,
     routes: BTreeMap<RouteKey, RouteValue>,
     tenants: BTreeMap<String, TenantValue>,
 }
 
-/// Why changes do not go onto a configuration; it is then as it was.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why changes do not apply to a configuration, which is left unchanged.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ApplyError {
-    /// The delta goes onto another version than the one held.
-    Base {
-        /// The version held.
-        held: Version,
-        /// The version that the delta goes onto.
+    /// The delta is based on another version than the current one.
+    #[error("goes onto version {base}, held is {current}")]
+    BaseMismatch {
+        /// The current version.
+        current: Version,
+        /// The version that the delta is based on.
         base: Version,
     },
     /// The delta's version is not above its base, or is of another term.
-    Order,
-    /// The digest after the changes is another than the one stated.
-    Digest {
-        /// What the digest would be.
-        found: Digest,
-        /// What was stated.
+    #[error("the version is not above its base in the same term")]
+    VersionOrder,
+    /// The digest after the changes differs from the stated one.
+    #[error("digest {computed}, stated {stated}")]
+    DigestMismatch {
+        /// The digest of the configuration after the changes.
+        computed: Digest,
+        /// The digest that was stated.
         stated: Digest,
     },
-    /// Two changes, or two resources, of one key.
-    Repeated(ResourceKey),
-    /// The removal of a resource that is not there.
-    Unknown(ResourceKey),
-    /// More routes than [`ROUTES_MOST`].
-    Routes,
-    /// More tenants than [`TENANTS_MOST`].
-    Tenants,
-    /// More bytes than [`CONFIGURATION_BYTES_MOST`].
-    Bytes,
+    /// Two changes, or two resources, have the same key.
+    #[error("{0} twice")]
+    DuplicateKey(ResourceKey),
+    /// The removal of a resource that does not exist.
+    #[error("{0} is not there to remove")]
+    UnknownKey(ResourceKey),
+    /// More routes than [`MAX_ROUTES`].
+    #[error("more than {MAX_ROUTES} routes")]
+    TooManyRoutes,
+    /// More tenants than [`MAX_TENANTS`].
+    #[error("more than {MAX_TENANTS} tenants")]
+    TooManyTenants,
+    /// More bytes than [`MAX_CONFIGURATION_BYTES`].
+    #[error("more than {MAX_CONFIGURATION_BYTES} bytes")]
+    TooLarge,
     /// A resource or key that is not well formed.
-    Resource(ResourceError),
+    #[error(transparent)]
+    InvalidResource(#[from] ResourceError),
 }
 
-/// What a configuration would be after changes, before they are made.
-struct Outcome {
-    sum: Digest,
+/// The totals of a configuration after changes that are not applied yet.
+struct ChangePreview {
+    resource_digest: Digest,
     routes: usize,
     tenants: usize,
     bytes: usize,
@@ -68,17 +78,20 @@
         Configuration { version, ..Configuration::default() }
     }
 
-    /// A configuration of these resources; each is checked, and no two may share a key.
+    /// A configuration of these resources.
+    ///
+    /// # Errors
+    /// A resource is not well formed, two share a key, or there are more than a configuration may have.
     pub fn from_resources(
         version: Version,
         resources: impl IntoIterator<Item = Resource>,
     ) -> Result<Configuration, ApplyError> {
         let mut configuration = Configuration::empty(version);
         for resource in resources {
-            resource.check().map_err(ApplyError::Resource)?;
+            resource.validate()?;
             let key = resource.key();
             if configuration.contains(&key) {
-                return Err(ApplyError::Repeated(key));
+                return Err(ApplyError::DuplicateKey(key));
             }
             configuration.put(resource);
             configuration.check_bounds()?;
@@ -86,17 +99,20 @@
         Ok(configuration)
     }
 
-    /// As [`Configuration::from_resources`], and the digest must be the one stated: for what comes from a
-    /// disk or a wire.
+    /// As [`Configuration::from_resources`], for resources from a disk or the network, whose digest must be
+    /// the stated one.
+    ///
+    /// # Errors
+    /// As for [`Configuration::from_resources`], or the digest differs.
     pub fn from_resources_with_digest(
         version: Version,
         resources: impl IntoIterator<Item = Resource>,
         stated: Digest,
     ) -> Result<Configuration, ApplyError> {
         let configuration = Configuration::from_resources(version, resources)?;
-        let found = configuration.digest();
-        if found != stated {
-            return Err(ApplyError::Digest { found, stated });
+        let computed = configuration.digest();
+        if computed != stated {
+            return Err(ApplyError::DigestMismatch { computed, stated });
         }
         Ok(configuration)
     }
@@ -108,7 +124,7 @@
 
     /// The digest of its version and its resources.
     pub fn digest(&self) -> Digest {
-        Digest::of_version(self.version).with(self.sum)
+        Digest::of_version(self.version).with(self.resource_digest)
     }
 
     /// The number of resources.
@@ -121,7 +137,7 @@
         self.len() == 0
     }
 
-    /// What its resources weigh together, in bytes ([`Resource::weight`]).
+    /// The size of all resources, in bytes ([`Resource::max_encoded_bytes`]).
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -161,38 +177,48 @@
         }
     }
 
-    /// Checks changes, makes none: the digest that the configuration would have after them, as `version`.
-    pub fn check_changes(&self, version: Version, changes: &[Change]) -> Result<Digest, ApplyError> {
-        self.outcome(changes).map(|outcome| Digest::of_version(version).with(outcome.sum))
+    /// Checks changes without applying them. Returns the digest that the configuration would have after them
+    /// as `version`.
+    ///
+    /// # Errors
+    /// A change is not well formed or does not apply.
+    pub fn validate_changes(&self, version: Version, changes: &[Change]) -> Result<Digest, ApplyError> {
+        self.preview(changes).map(|preview| Digest::of_version(version).with(preview.resource_digest))
     }
 
-    /// Checks a delta, applies nothing: whether [`Configuration::apply`] would take it.
-    pub fn check_delta(&self, delta: &Delta) -> Result<(), ApplyError> {
+    /// Checks a delta without applying it.
+    ///
+    /// # Errors
+    /// [`Configuration::apply`] would fail.
+    pub fn validate_delta(&self, delta: &Delta) -> Result<(), ApplyError> {
         if delta.base != self.version {
-            return Err(ApplyError::Base { held: self.version, base: delta.base });
+            return Err(ApplyError::BaseMismatch { current: self.version, base: delta.base });
         }
         if delta.version <= delta.base || delta.version.term != delta.base.term {
-            return Err(ApplyError::Order);
+            return Err(ApplyError::VersionOrder);
         }
-        let found = self.check_changes(delta.version, &delta.changes)?;
-        if found != delta.digest {
-            return Err(ApplyError::Digest { found, stated: delta.digest });
+        let computed = self.validate_changes(delta.version, &delta.changes)?;
+        if computed != delta.digest {
+            return Err(ApplyError::DigestMismatch { computed, stated: delta.digest });
         }
         Ok(())
     }
 
-    /// Applies a delta whole, or leaves everything as it was.
+    /// Applies all changes of a delta, or none.
+    ///
+    /// # Errors
+    /// The delta is based on another version, a change does not apply, or the digest differs.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), ApplyError> {
-        self.check_delta(delta)?;
+        self.validate_delta(delta)?;
         for change in &delta.changes {
-            self.make(change);
+            self.apply_change(change);
         }
         self.version = delta.version;
         Ok(())
     }
 
     /// The changes that lead from this configuration to `target`, in the order of their keys.
-    pub fn changes_to(&self, target: &Configuration) -> Vec<Change> {
+    pub fn diff(&self, target: &Configuration) -> Vec<Change> {
         let removed_routes = self.routes.keys().filter(|key| !target.routes.contains_key(*key));
         let removed_tenants = self.tenants.keys().filter(|name| !target.tenants.contains_key(*name));
         let put_routes = target.routes.iter().filter(|(key, value)| self.routes.get(*key) != Some(*value));
@@ -214,33 +240,33 @@
         self.version = version;
     }
 
-    fn outcome(&self, changes: &[Change]) -> Result<Outcome, ApplyError> {
+    fn preview(&self, changes: &[Change]) -> Result<ChangePreview, ApplyError> {
         let mut seen = BTreeSet::new();
-        let mut outcome = Outcome {
-            sum: self.sum,
+        let mut preview = ChangePreview {
+            resource_digest: self.resource_digest,
             routes: self.routes.len(),
             tenants: self.tenants.len(),
             bytes: self.bytes,
         };
         for change in changes {
-            change.check().map_err(ApplyError::Resource)?;
+            change.validate()?;
             let key = change.key();
             if !seen.insert(key.clone()) {
-                return Err(ApplyError::Repeated(key));
+                return Err(ApplyError::DuplicateKey(key));
             }
             let before = self.resource(&key);
             if before.is_none() && matches!(change, Change::Remove(_)) {
-                return Err(ApplyError::Unknown(key));
+                return Err(ApplyError::UnknownKey(key));
             }
             if let Some(before) = &before {
-                outcome.leave(before);
+                preview.remove(before);
             }
             if let Change::Put(after) = change {
-                outcome.enter(after);
+                preview.add(after);
             }
         }
-        check_bounds(outcome.routes, outcome.tenants, outcome.bytes)?;
-        Ok(outcome)
+        check_bounds(preview.routes, preview.tenants, preview.bytes)?;
+        Ok(preview)
     }
 
     fn resource(&self, key: &ResourceKey) -> Option<Resource> {
@@ -254,7 +280,7 @@
         check_bounds(self.routes.len(), self.tenants.len(), self.bytes)
     }
 
-    fn make(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(resource) => self.put(resource.clone()),
             Change::Remove(key) => self.remove(key),
@@ -263,8 +289,8 @@
 
     fn put(&mut self, resource: Resource) {
         self.remove(&resource.key());
-        self.bytes += resource.weight();
-        self.sum = self.sum.with(Digest::of_resource(&resource));
+        self.bytes += resource.max_encoded_bytes();
+        self.resource_digest = self.resource_digest.with(Digest::of_resource(&resource));
         match resource {
             Resource::Route(route) => {
                 self.routes.insert(route.key, route.value);
@@ -279,28 +305,28 @@
         match key {
             ResourceKey::Route(key) => {
                 let Some(value) = self.routes.remove(key) else { return };
-                self.bytes -= route_weight(key, &value);
-                self.sum = self.sum.without(Digest::of_route(key, &value));
+                self.bytes -= max_route_bytes(key, &value);
+                self.resource_digest = self.resource_digest.without(Digest::of_route(key, &value));
             }
             ResourceKey::Tenant(name) => {
                 let Some(value) = self.tenants.remove(name) else { return };
-                self.bytes -= tenant_weight(name);
-                self.sum = self.sum.without(Digest::of_tenant(name, &value));
+                self.bytes -= max_tenant_bytes(name);
+                self.resource_digest = self.resource_digest.without(Digest::of_tenant(name, &value));
             }
         }
     }
 }
 
-impl Outcome {
-    fn enter(&mut self, resource: &Resource) {
-        self.sum = self.sum.with(Digest::of_resource(resource));
-        self.bytes += resource.weight();
+impl ChangePreview {
+    fn add(&mut self, resource: &Resource) {
+        self.resource_digest = self.resource_digest.with(Digest::of_resource(resource));
+        self.bytes += resource.max_encoded_bytes();
         *self.count(resource) += 1;
     }
 
-    fn leave(&mut self, resource: &Resource) {
-        self.sum = self.sum.without(Digest::of_resource(resource));
-        self.bytes = self.bytes.saturating_sub(resource.weight());
+    fn remove(&mut self, resource: &Resource) {
+        self.resource_digest = self.resource_digest.without(Digest::of_resource(resource));
+        self.bytes = self.bytes.saturating_sub(resource.max_encoded_bytes());
         *self.count(resource) -= 1;
     }
 
@@ -313,14 +339,14 @@
 }
 
 fn check_bounds(routes: usize, tenants: usize, bytes: usize) -> Result<(), ApplyError> {
-    if routes > ROUTES_MOST {
-        return Err(ApplyError::Routes);
+    if routes > MAX_ROUTES {
+        return Err(ApplyError::TooManyRoutes);
     }
-    if tenants > TENANTS_MOST {
-        return Err(ApplyError::Tenants);
+    if tenants > MAX_TENANTS {
+        return Err(ApplyError::TooManyTenants);
     }
-    if bytes > CONFIGURATION_BYTES_MOST {
-        return Err(ApplyError::Bytes);
+    if bytes > MAX_CONFIGURATION_BYTES {
+        return Err(ApplyError::TooLarge);
     }
     Ok(())
 }
@@ -332,21 +358,3 @@
 fn tenant_resource(name: &str, value: &TenantValue) -> Resource {
     Resource::Tenant(Tenant { name: name.to_owned(), value: *value })
 }
-
-impl std::fmt::Display for ApplyError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ApplyError::Base { held, base } => write!(f, "goes onto version {base}, held is {held}"),
-            ApplyError::Order => f.write_str("the version is not above its base in the same term"),
-            ApplyError::Digest { found, stated } => write!(f, "digest {found}, stated {stated}"),
-            ApplyError::Repeated(key) => write!(f, "{key} twice"),
-            ApplyError::Unknown(key) => write!(f, "{key} is not there to remove"),
-            ApplyError::Routes => write!(f, "more than {ROUTES_MOST} routes"),
-            ApplyError::Tenants => write!(f, "more than {TENANTS_MOST} tenants"),
-            ApplyError::Bytes => write!(f, "more than {CONFIGURATION_BYTES_MOST} bytes"),
-            ApplyError::Resource(error) => error.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for ApplyError {}
--- a/crates/distribution/src/digest.rs
+++ b/crates/distribution/src/digest.rs
@@ -1,15 +1,15 @@
 //! A digest over a set of resources that a change updates at the cost of the change alone.
 //!
 //! The digest is the sum, modulo 2^128, of XXH3-128 over each resource's canonical bytes and over those of
-//! the version, so the order of resources does not matter and one resource is added or taken out by itself.
-//! It finds loss, damage and divergence; it is no defence against a publisher that means harm.
+//! the version, so the order of resources does not matter and one resource is added or removed by itself.
+//! It detects loss, damage and divergence; it does not protect against a malicious publisher.
 
 use crate::resource::{Resource, RouteKey, RouteValue, TenantValue};
 use crate::version::Version;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Digits of a digest in its written form.
+/// Digits of an encoded digest.
 const HEX_DIGITS: usize = 32;
 const ROUTE_TAG: u8 = 1;
 const TENANT_TAG: u8 = 2;
@@ -56,7 +56,7 @@
         Digest(self.0.wrapping_add(other.0))
     }
 
-    /// With another digest taken out.
+    /// With another digest removed.
     pub fn without(self, other: Digest) -> Digest {
         Digest(self.0.wrapping_sub(other.0))
     }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,25 +1,27 @@
 //! Incremental distribution of configuration: routes and tenants as versioned resources.
 //!
 //! A [`publisher::Publisher`] numbers changes, keeps a bounded log of them over a configuration with a
-//! digest, and answers subscriptions with the deltas since a known version or with a snapshot. A
-//! [`subscriber::Subscriber`] holds the last good configuration, applies a delta whole or not at all,
-//! acknowledges or refuses it, and asks for a snapshot when deltas no longer lead to the newest version.
+//! digest, and responds to subscriptions with the deltas since a known version or with a snapshot. A
+//! [`subscriber::Subscriber`] keeps the last good configuration, applies a delta whole or not at all,
+//! acknowledges or rejects it, and asks for a snapshot when deltas no longer lead to the newest version.
 //! [`admission::Admission`] spreads snapshots over time. Nothing here does I/O or reads a clock: time comes
 //! in as [`Micros`]. `docs/distribution.md` is the design note.
 
 pub mod admission;
+pub mod backoff;
 pub mod configuration;
 pub mod digest;
 pub mod message;
 pub mod publisher;
 pub mod resource;
-pub mod retry;
 pub mod subscriber;
 pub mod version;
 
-mod collection;
 mod log;
-mod status;
+mod rejected;
+mod snapshot;
+mod snapshot_assembly;
+mod subscriber_table;
 
 pub use configuration::{ApplyError, Configuration};
 pub use digest::Digest;
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -7,19 +7,19 @@
 
 /// A delta of the log with its line, encoded once for all subscribers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Published {
+pub struct LogEntry {
     /// The delta.
     pub delta: Delta,
-    /// The delta as a line, its end included.
+    /// The delta as a line, with its line feed.
     pub line: Line,
 }
 
-/// The bounds of a log; the oldest deltas leave it first.
+/// The bounds of a log; the oldest deltas are dropped first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLimits {
-    /// The most deltas.
+    /// The maximum number of deltas.
     pub deltas: usize,
-    /// The most bytes of lines.
+    /// The maximum size of all lines, in bytes.
     pub bytes: usize,
 }
 
@@ -33,16 +33,14 @@
 #[derive(Debug)]
 pub(crate) struct Log {
     limits: LogLimits,
-    entries: VecDeque<Arc<Published>>,
+    entries: VecDeque<Arc<LogEntry>>,
     bytes: usize,
 }
 
-impl Published {
-    pub(crate) fn encode(delta: Delta) -> Arc<Published> {
-        let message = Message::Delta(delta);
-        let line = message.write();
-        let Message::Delta(delta) = message else { unreachable!("made as a delta above") };
-        Arc::new(Published { delta, line })
+impl LogEntry {
+    pub(crate) fn encode(delta: Delta) -> Arc<LogEntry> {
+        let line = Message::Delta(delta.clone()).write();
+        Arc::new(LogEntry { delta, line })
     }
 }
 
@@ -51,7 +49,7 @@
         Log { limits, entries: VecDeque::new(), bytes: 0 }
     }
 
-    pub(crate) fn push(&mut self, entry: Arc<Published>) {
+    pub(crate) fn push(&mut self, entry: Arc<LogEntry>) {
         self.bytes += entry.line.len();
         self.entries.push_back(entry);
         while self.entries.len() > self.limits.deltas || self.bytes > self.limits.bytes {
@@ -65,13 +63,13 @@
         self.bytes = 0;
     }
 
-    /// The deltas that lead on from a version, oldest first; none where the log does not reach back to it.
-    pub(crate) fn since(&self, version: Version) -> Option<Vec<Arc<Published>>> {
+    /// The deltas after a version, oldest first; none where the log does not reach back to it.
+    pub(crate) fn since(&self, version: Version) -> Option<Vec<Arc<LogEntry>>> {
         let from = self.entries.binary_search_by_key(&version, |entry| entry.delta.base).ok()?;
         Some(self.entries.range(from..).cloned().collect())
     }
 
-    /// The version that the oldest delta goes onto.
+    /// The version that the oldest delta is based on.
     pub(crate) fn oldest_base(&self) -> Option<Version> {
         self.entries.front().map(|entry| entry.delta.base)
     }
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,66 +1,56 @@
-//! The publisher: numbers changes, keeps their log, answers subscriptions.
+//! The publisher: numbers changes, keeps their log, responds to subscriptions.
 
-pub use crate::log::{LogLimits, Published};
-pub use crate::status::{Refusal, SUBSCRIBERS_MOST, SubscriberStatus};
+pub use crate::log::{LogEntry, LogLimits};
+pub use crate::snapshot::EncodedSnapshot;
+pub use crate::subscriber_table::{MAX_TRACKED_SUBSCRIBERS, Rejection, SubscriberStatus};
 
 use crate::Micros;
 use crate::configuration::{ApplyError, Configuration};
 use crate::log::Log;
-use crate::message::{
-    CHANGES_MOST, Change, DELTA_BYTES_MOST, Delta, Line, Message, PART_BYTES_MOST, Report, SnapshotPart,
-    Subscribe,
-};
+use crate::message::{Change, Delta, MAX_DELTA_BYTES, MAX_DELTA_CHANGES, Message, Report, Subscribe};
 use crate::resource::Resource;
-use crate::status::SubscriberTable;
-use crate::version::{NUMBER_MOST, Term, Version};
+use crate::subscriber_table::SubscriberTable;
+use crate::version::{MAX_VERSION_NUMBER, Term, Version};
 use std::sync::Arc;
+use thiserror::Error;
 
-/// An encoded snapshot is used again while no more deltas than this lead on from it.
-pub const SNAPSHOT_DELTAS_MOST: usize = 64;
-/// As [`SNAPSHOT_DELTAS_MOST`], in bytes of the deltas' lines.
-pub const SNAPSHOT_DELTA_BYTES_MOST: usize = 1 << 20;
+/// An encoded snapshot is reused while at most this many deltas follow it.
+pub const MAX_DELTAS_AFTER_SNAPSHOT: usize = 64;
+/// As [`MAX_DELTAS_AFTER_SNAPSHOT`], in bytes of the deltas' lines.
+pub const MAX_DELTA_BYTES_AFTER_SNAPSHOT: usize = 1 << 20;
 
-/// A publisher's whole state. What it holds is bounded: the configuration, the log, one encoded snapshot
+/// The state of a publisher. All of it is bounded: the configuration, the log, one encoded snapshot
 /// and the table of subscribers.
 #[derive(Debug)]
 pub struct Publisher {
     configuration: Configuration,
     log: Log,
     subscribers: SubscriberTable,
-    snapshot: Option<Arc<SnapshotLines>>,
+    snapshot: Option<Arc<EncodedSnapshot>>,
 }
 
-/// A snapshot as lines, encoded once for all that ask while it is new enough.
-#[derive(Debug, PartialEq)]
-pub struct SnapshotLines {
-    /// Its version.
-    pub version: Version,
-    /// One line a part, in their order.
-    pub parts: Vec<Line>,
-}
-
-/// What a subscription is answered with. In each case the watch stays open for what is published later,
-/// but for [`Answer::Ahead`] and [`Answer::Superseded`].
+/// The response to a subscription. The watch stays open for what is published later, except after
+/// [`SubscribeResponse::Ahead`] and [`SubscribeResponse::Superseded`].
 #[derive(Debug)]
-pub enum Answer {
-    /// Nothing is missing; a heartbeat says so.
+pub enum SubscribeResponse {
+    /// Nothing is missing; a heartbeat states it.
     UpToDate,
     /// The deltas that are missing, oldest first.
-    Deltas(Vec<Arc<Published>>),
+    Deltas(Vec<Arc<LogEntry>>),
     /// A snapshot, if admission allows, then the deltas published since it.
     Snapshot {
         /// The snapshot.
-        snapshot: Arc<SnapshotLines>,
-        /// What leads on from it, oldest first.
-        then: Vec<Arc<Published>>,
+        snapshot: Arc<EncodedSnapshot>,
+        /// The deltas that follow it, oldest first.
+        deltas: Vec<Arc<LogEntry>>,
     },
     /// The subscriber knows a version of this term that was never published here: the end of this log was
-    /// lost. Nothing can be sent that it would take until [`Publisher::begin_term`].
+    /// lost. Nothing can be sent that it would accept until [`Publisher::begin_term`].
     Ahead {
-        /// What the subscriber knows.
+        /// The version that the subscriber has.
         known: Version,
     },
-    /// The subscriber follows a later publisher: this one must publish no more.
+    /// The subscriber follows a later publisher: this one must not publish any more.
     Superseded {
         /// The later publisher's term.
         term: Term,
@@ -68,41 +58,50 @@
 }
 
 /// Why changes were not published; nothing has changed.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// No change at all.
-    Empty,
-    /// More changes than [`CHANGES_MOST`] or more bytes than [`DELTA_BYTES_MOST`] for one delta.
-    Size,
-    /// The changes do not go onto the configuration.
-    Apply(ApplyError),
-    /// The term's numbers are used up.
-    Numbers,
+    /// There are no changes.
+    #[error("no change")]
+    NoChanges,
+    /// More changes than [`MAX_DELTA_CHANGES`] or more bytes than [`MAX_DELTA_BYTES`] for one delta.
+    #[error("more than {MAX_DELTA_CHANGES} changes or {MAX_DELTA_BYTES} bytes for one delta")]
+    TooLarge,
+    /// The changes do not apply to the configuration.
+    #[error(transparent)]
+    Apply(#[from] ApplyError),
+    /// The term has no higher version number.
+    #[error("the term's numbers are used up")]
+    NumbersExhausted,
 }
 
 /// Why a stored publisher could not be restored.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// A delta of the log does not go onto the one before.
-    Gap {
+    /// A delta of the log is not based on the one before.
+    #[error("the log has a gap before version {version}")]
+    LogGap {
         /// The delta's version.
         version: Version,
     },
-    /// The log ends before the configuration's version, so that it cannot lead on to it.
-    Short,
+    /// The log ends before the configuration's version, so that it cannot lead to it.
+    #[error("the log ends before the configuration's version")]
+    LogTooShort,
     /// A delta after the configuration's version does not apply.
-    Apply(ApplyError),
+    #[error("a delta of the log does not apply: {0}")]
+    Apply(#[from] ApplyError),
 }
 
 /// A term that is not above the present one, or out of bounds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("a new term is above the present one, {present}, and at most {MAX_VERSION_NUMBER}")]
 pub struct TermNotHigher {
     /// The present term.
     pub present: Term,
 }
 
 /// A report on a version that this publisher never published.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("version {0} was not published here")]
 pub struct UnknownVersion(pub Version);
 
 impl Publisher {
@@ -114,6 +113,9 @@
 
     /// A publisher as it was stored: a configuration, and the log of deltas. Deltas up to the
     /// configuration's version serve subscribers that are behind, later ones are applied.
+    ///
+    /// # Errors
+    /// The log has a gap, ends before the configuration's version, or holds a delta that does not apply.
     pub fn restore(
         mut configuration: Configuration,
         deltas: impl IntoIterator<Item = Delta>,
@@ -123,16 +125,16 @@
         let mut last: Option<Version> = None;
         for delta in deltas {
             if last.is_some_and(|last| last != delta.base) || delta.version != delta.base.next() {
-                return Err(RestoreError::Gap { version: delta.version });
+                return Err(RestoreError::LogGap { version: delta.version });
             }
             if delta.version > configuration.version() {
-                configuration.apply(&delta).map_err(RestoreError::Apply)?;
+                configuration.apply(&delta)?;
             }
             last = Some(delta.version);
-            log.push(Published::encode(delta));
+            log.push(LogEntry::encode(delta));
         }
         if last.is_some_and(|last| last != configuration.version()) {
-            return Err(RestoreError::Short);
+            return Err(RestoreError::LogTooShort);
         }
         Ok(Publisher::with_log(configuration, log))
     }
@@ -147,57 +149,73 @@
         &self.configuration
     }
 
-    /// The oldest version from which the log leads on; the newest version where the log is empty.
+    /// The oldest version from which the log leads to the newest one, which it is itself where the log is empty.
     pub fn oldest_known(&self) -> Version {
         self.log.oldest_base().unwrap_or(self.version())
     }
 
     /// Checks changes and makes the delta that would publish them; nothing changes. To be stored durably
     /// before [`Publisher::commit`].
+    ///
+    /// # Errors
+    /// There are no changes, too many, or they do not apply, or the term's numbers are used up.
     pub fn propose(&self, changes: Vec<Change>) -> Result<Delta, PublishError> {
         if changes.is_empty() {
-            return Err(PublishError::Empty);
+            return Err(PublishError::NoChanges);
         }
-        let bytes: usize = changes.iter().map(Change::weight).sum();
-        if changes.len() > CHANGES_MOST || bytes > DELTA_BYTES_MOST {
-            return Err(PublishError::Size);
+        let bytes: usize = changes.iter().map(Change::max_encoded_bytes).sum();
+        if changes.len() > MAX_DELTA_CHANGES || bytes > MAX_DELTA_BYTES {
+            return Err(PublishError::TooLarge);
         }
         let version = self.next_version()?;
-        let digest = self.configuration.check_changes(version, &changes).map_err(PublishError::Apply)?;
+        let digest = self.configuration.validate_changes(version, &changes)?;
         Ok(Delta { base: self.version(), version, changes, digest })
     }
 
-    /// Puts a proposed delta into the configuration and the log; to be sent to all open watches.
-    pub fn commit(&mut self, delta: Delta) -> Result<Arc<Published>, ApplyError> {
+    /// Applies a proposed delta to the configuration and appends it to the log; to be sent to all open watches.
+    ///
+    /// # Errors
+    /// The delta does not apply; nothing has changed.
+    pub fn commit(&mut self, delta: Delta) -> Result<Arc<LogEntry>, ApplyError> {
         self.configuration.apply(&delta)?;
-        let published = Published::encode(delta);
-        self.log.push(published.clone());
-        Ok(published)
+        let entry = LogEntry::encode(delta);
+        self.log.push(entry.clone());
+        Ok(entry)
     }
 
     /// [`Publisher::propose`] and [`Publisher::commit`] in one, where nothing is stored between.
-    pub fn publish(&mut self, changes: Vec<Change>) -> Result<Arc<Published>, PublishError> {
+    ///
+    /// # Errors
+    /// As for [`Publisher::propose`]; nothing has changed.
+    pub fn publish(&mut self, changes: Vec<Change>) -> Result<Arc<LogEntry>, PublishError> {
         let delta = self.propose(changes)?;
-        self.commit(delta).map_err(PublishError::Apply)
+        Ok(self.commit(delta)?)
     }
 
-    /// Checks a whole configuration that is to replace the present one as the next version; nothing
+    /// Checks a complete configuration that is to replace the present one as the next version; nothing
     /// changes. For what is too large for one delta, such as the first load. To be stored durably before
-    /// [`Publisher::install`].
-    pub fn propose_whole(
+    /// [`Publisher::replace`].
+    ///
+    /// # Errors
+    /// The resources make no valid configuration, or the term's numbers are used up.
+    pub fn propose_replacement(
         &self,
         resources: impl IntoIterator<Item = Resource>,
     ) -> Result<Configuration, PublishError> {
         let version = self.next_version()?;
-        Configuration::from_resources(version, resources).map_err(PublishError::Apply)
+        Ok(Configuration::from_resources(version, resources)?)
     }
 
     /// Replaces the configuration. The log starts anew, so that every subscriber needs a snapshot: open
-    /// watches are to be ended, and their callers pass admission as they come back.
-    pub fn install(&mut self, configuration: Configuration) -> Result<(), ApplyError> {
-        let (held, next) = (self.version(), configuration.version());
-        if next <= held {
-            return Err(ApplyError::Base { held, base: next });
+    /// watches are to be closed, and their callers pass admission as they come back.
+    ///
+    /// # Errors
+    /// The configuration's version is not above the present one; nothing has changed.
+    pub fn replace(&mut self, configuration: Configuration) -> Result<(), ApplyError> {
+        let current = self.version();
+        let next = configuration.version();
+        if next <= current {
+            return Err(ApplyError::BaseMismatch { current, base: next });
         }
         self.configuration = configuration;
         self.log.clear();
@@ -205,11 +223,14 @@
         Ok(())
     }
 
-    /// Goes on with the same resources and number under a higher term: after the end of the log was lost.
+    /// Continues with the same resources and number under a higher term, after the end of the log was lost.
     /// The log starts anew. To be stored durably before anything is sent.
+    ///
+    /// # Errors
+    /// The term is not above the present one, or out of bounds; nothing has changed.
     pub fn begin_term(&mut self, term: Term) -> Result<(), TermNotHigher> {
         let present = self.version().term;
-        if term <= present || term.0 > NUMBER_MOST {
+        if term <= present || term.0 > MAX_VERSION_NUMBER {
             return Err(TermNotHigher { present });
         }
         let number = self.version().number;
@@ -219,27 +240,27 @@
         Ok(())
     }
 
-    /// Answers a subscription and notes what its subscriber holds. A snapshot is to be sent only as
+    /// SubscribeResponses a subscription and notes what its subscriber holds. A snapshot is to be sent only as
     /// [`crate::admission::Admission`] allows.
-    pub fn answer(&mut self, now: Micros, subscribe: &Subscribe) -> Answer {
+    pub fn subscribe(&mut self, now: Micros, subscribe: &Subscribe) -> SubscribeResponse {
         self.subscribers.on_subscribe(now, &subscribe.subscriber, subscribe.known);
         let newest = self.version();
-        let Some(known) = subscribe.known else { return self.snapshot(None) };
+        let Some(known) = subscribe.known else { return self.snapshot_response(None) };
         if known.term > newest.term {
-            return Answer::Superseded { term: known.term };
+            return SubscribeResponse::Superseded { term: known.term };
         }
         if known > newest {
-            return Answer::Ahead { known };
+            return SubscribeResponse::Ahead { known };
         }
-        if subscribe.whole {
-            return self.snapshot(Some(known));
+        if subscribe.snapshot_required {
+            return self.snapshot_response(Some(known));
         }
         if known == newest {
-            return Answer::UpToDate;
+            return SubscribeResponse::UpToDate;
         }
         match self.log.since(known) {
-            Some(deltas) => Answer::Deltas(deltas),
-            None => self.snapshot(Some(known)),
+            Some(deltas) => SubscribeResponse::Deltas(deltas),
+            None => self.snapshot_response(Some(known)),
         }
     }
 
@@ -248,9 +269,12 @@
         Message::Heartbeat { version: self.version(), digest: self.configuration.digest() }
     }
 
-    /// Takes a subscriber's report. One on a version that was never published here is not taken.
+    /// Records a subscriber's report.
+    ///
+    /// # Errors
+    /// The report names a version that was never published here; it is not recorded.
     pub fn on_report(&mut self, now: Micros, report: &Report) -> Result<(), UnknownVersion> {
-        let (Report::Acknowledge { version, .. } | Report::Refuse { version, .. }) = report;
+        let (Report::Acknowledge { version, .. } | Report::Reject { version, .. }) = report;
         if *version > self.version() {
             return Err(UnknownVersion(*version));
         }
@@ -258,7 +282,7 @@
         Ok(())
     }
 
-    /// All subscribers that are known, by name: what each holds, and who is behind.
+    /// All known subscribers, by name: which version each has, and how far it is behind.
     pub fn subscribers(&self, now: Micros) -> Vec<SubscriberStatus> {
         self.subscribers.statuses(now, self.version())
     }
@@ -269,109 +293,29 @@
 
     fn next_version(&self) -> Result<Version, PublishError> {
         let next = self.version().next();
-        if next.is_bounded() { Ok(next) } else { Err(PublishError::Numbers) }
+        if next.is_bounded() { Ok(next) } else { Err(PublishError::NumbersExhausted) }
     }
 
-    /// A snapshot that is not older than what the subscriber knows.
-    fn snapshot(&mut self, known: Option<Version>) -> Answer {
+    /// A snapshot that is not older than what the subscriber has.
+    fn snapshot_response(&mut self, known: Option<Version>) -> SubscribeResponse {
         if let Some(snapshot) = self.snapshot.clone().filter(|snapshot| known <= Some(snapshot.version))
-            && let Some(then) = self.deltas_after(snapshot.version)
+            && let Some(deltas) = self.deltas_after(snapshot.version)
         {
-            return Answer::Snapshot { snapshot, then };
+            return SubscribeResponse::Snapshot { snapshot, deltas };
         }
-        let snapshot = Arc::new(SnapshotLines::encode(&self.configuration));
+        let snapshot = Arc::new(EncodedSnapshot::encode(&self.configuration));
         self.snapshot = Some(snapshot.clone());
-        Answer::Snapshot { snapshot, then: Vec::new() }
+        SubscribeResponse::Snapshot { snapshot, deltas: Vec::new() }
     }
 
-    /// What leads on from an encoded snapshot; none where that is too much, or no longer in the log.
-    fn deltas_after(&self, version: Version) -> Option<Vec<Arc<Published>>> {
+    /// The deltas after an encoded snapshot; none where they are too many, or no longer in the log.
+    fn deltas_after(&self, version: Version) -> Option<Vec<Arc<LogEntry>>> {
         if version == self.version() {
             return Some(Vec::new());
         }
         let deltas = self.log.since(version)?;
-        let bytes: usize = deltas.iter().map(|published| published.line.len()).sum();
-        let few = deltas.len() <= SNAPSHOT_DELTAS_MOST && bytes <= SNAPSHOT_DELTA_BYTES_MOST;
-        few.then_some(deltas)
-    }
-}
-
-impl SnapshotLines {
-    /// A configuration as the lines of its snapshot.
-    pub fn encode(configuration: &Configuration) -> SnapshotLines {
-        let chunks = chunks_by_weight(configuration.resources());
-        let parts = chunks.len() as u32;
-        let part = |(index, resources): (usize, Vec<Resource>)| SnapshotPart {
-            version: configuration.version(),
-            part: index as u32,
-            parts,
-            digest: configuration.digest(),
-            resources,
-        };
-        let line = |part: SnapshotPart| Message::SnapshotPart(part).write();
-        let parts = chunks.into_iter().enumerate().map(part).map(line).collect();
-        SnapshotLines { version: configuration.version(), parts }
-    }
-
-    /// The length of all lines, in bytes.
-    pub fn bytes(&self) -> usize {
-        self.parts.iter().map(|line| line.len()).sum()
-    }
-}
-
-/// Resources in groups of at most [`PART_BYTES_MOST`]; one empty group where there is none.
-fn chunks_by_weight(resources: impl Iterator<Item = Resource>) -> Vec<Vec<Resource>> {
-    let mut chunks = vec![Vec::new()];
-    let mut weight = 0;
-    for resource in resources {
-        weight += resource.weight();
-        if weight > PART_BYTES_MOST {
-            weight = resource.weight();
-            chunks.push(Vec::new());
-        }
-        if let Some(chunk) = chunks.last_mut() {
-            chunk.push(resource);
-        }
-    }
-    chunks
-}
-
-impl std::fmt::Display for PublishError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            PublishError::Empty => f.write_str("no change"),
-            PublishError::Size => {
-                write!(f, "more than {CHANGES_MOST} changes or {DELTA_BYTES_MOST} bytes for one delta")
-            }
-            PublishError::Apply(error) => error.fmt(f),
-            PublishError::Numbers => f.write_str("the term's numbers are used up"),
-        }
-    }
-}
-
-impl std::fmt::Display for RestoreError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            RestoreError::Gap { version } => write!(f, "the log has a gap before version {version}"),
-            RestoreError::Short => f.write_str("the log ends before the configuration's version"),
-            RestoreError::Apply(error) => write!(f, "a delta of the log does not apply: {error}"),
-        }
+        let bytes: usize = deltas.iter().map(|entry| entry.line.len()).sum();
+        let is_bounded = deltas.len() <= MAX_DELTAS_AFTER_SNAPSHOT && bytes <= MAX_DELTA_BYTES_AFTER_SNAPSHOT;
+        is_bounded.then_some(deltas)
     }
 }
-
-impl std::fmt::Display for TermNotHigher {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "a new term is above the present one, {}, and at most {NUMBER_MOST}", self.present)
-    }
-}
-
-impl std::fmt::Display for UnknownVersion {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "version {} was not published here", self.0)
-    }
-}
-
-impl std::error::Error for PublishError {}
-impl std::error::Error for RestoreError {}
-impl std::error::Error for TermNotHigher {}
-impl std::error::Error for UnknownVersion {}
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -1,31 +1,31 @@
 //! Resources of a configuration: routes and tenants, their keys, values and bounds.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// The most routes of a configuration.
-pub const ROUTES_MOST: usize = 65_536;
-/// The most tenants of a configuration.
-pub const TENANTS_MOST: usize = 262_144;
-/// The most that a configuration's resources may weigh together, in bytes of [`Resource::weight`].
-pub const CONFIGURATION_BYTES_MOST: usize = 32 << 20;
+/// The maximum number of routes of a configuration.
+pub const MAX_ROUTES: usize = 65_536;
+/// The maximum number of tenants of a configuration.
+pub const MAX_TENANTS: usize = 262_144;
+/// The maximum size of a configuration, in bytes of [`Resource::max_encoded_bytes`].
+pub const MAX_CONFIGURATION_BYTES: usize = 32 << 20;
 /// The longest path prefix, in bytes.
-pub const PREFIX_BYTES_MOST: usize = 512;
+pub const MAX_PREFIX_BYTES: usize = 512;
 /// The longest name of a request method, in bytes.
-pub const METHOD_BYTES_MOST: usize = 32;
+pub const MAX_METHOD_BYTES: usize = 32;
 /// The longest name of a request class, in bytes.
-pub const CLASS_BYTES_MOST: usize = 64;
+pub const MAX_CLASS_BYTES: usize = 64;
 /// The longest name of a tenant, in bytes.
-pub const TENANT_BYTES_MOST: usize = 256;
+pub const MAX_TENANT_NAME_BYTES: usize = 256;
 /// The highest quota, in requests a second.
-pub const QUOTA_MOST: f64 = 1e9;
-/// Quotas are whole multiples of 1 / `QUOTA_STEPS` requests a second: such a number below [`QUOTA_MOST`]
+pub const MAX_QUOTA: f64 = 1e9;
+/// Quotas are whole multiples of 1 / `QUOTA_STEPS` requests a second: such a number below [`MAX_QUOTA`]
 /// has at most 15 significant digits and comes through JSON unchanged.
 pub const QUOTA_STEPS: f64 = 1e6;
-/// What a resource's names and punctuation weigh on the wire beside its texts, in bytes; no resource has
-/// more.
-const FRAME_BYTES: usize = 80;
+/// Upper bound of the field names and punctuation of a resource in JSON, in bytes.
+const MAX_FRAMING_BYTES: usize = 80;
 
-/// Which requests a route takes.
+/// Which requests a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteKey {
@@ -36,7 +36,7 @@
     pub prefix: String,
 }
 
-/// Where a route leads.
+/// The value of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteValue {
@@ -44,11 +44,11 @@
     pub class: String,
 }
 
-/// A tenant's allowance.
+/// The value of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantValue {
-    /// Requests a second; 0 to [`QUOTA_MOST`], in steps of a millionth.
+    /// Requests a second; 0 to [`MAX_QUOTA`], in steps of a millionth.
     pub quota: f64,
 }
 
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Which requests it takes.
+    /// Its key.
     pub key: RouteKey,
-    /// Where it leads.
+    /// Its value.
     pub value: RouteValue,
 }
 
@@ -79,7 +79,7 @@
 pub struct Tenant {
     /// Its name, as requests carry it.
     pub name: String,
-    /// Its allowance.
+    /// Its value.
     pub value: TenantValue,
 }
 
@@ -93,7 +93,7 @@
     Tenant(Tenant),
 }
 
-/// What a resource is known by.
+/// The key of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResourceKey {
@@ -103,17 +103,21 @@
     Tenant(String),
 }
 
-/// Why a resource or key is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a resource or key is not well formed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResourceError {
     /// A field is empty, or longer than this many bytes.
-    Length(Field, usize),
+    #[error("{0}: 1 to {1} bytes")]
+    InvalidLength(Field, usize),
     /// A field holds a byte that it may not.
-    Character(Field),
+    #[error("{0}: a character that is not allowed")]
+    InvalidCharacter(Field),
     /// A path prefix that does not start with `/`.
-    PrefixStart,
-    /// A quota that is negative, above [`QUOTA_MOST`], no number, or between two steps.
-    Quota,
+    #[error("prefix: starts with /")]
+    MissingLeadingSlash,
+    /// A quota that is negative, above [`MAX_QUOTA`], no number, or between two steps.
+    #[error("quota: 0 to {MAX_QUOTA} in steps of a millionth")]
+    InvalidQuota,
 }
 
 /// A text field of a resource.
@@ -141,7 +145,7 @@
         Resource::Tenant(Tenant { name: name.to_owned(), value: TenantValue::rounded(quota) })
     }
 
-    /// What it is known by.
+    /// Its key.
     pub fn key(&self) -> ResourceKey {
         match self {
             Resource::Route(route) => ResourceKey::Route(route.key.clone()),
@@ -150,23 +154,26 @@
     }
 
     /// Upper bound of its length in JSON, in bytes; also what it counts against
-    /// [`CONFIGURATION_BYTES_MOST`].
-    pub fn weight(&self) -> usize {
+    /// [`MAX_CONFIGURATION_BYTES`].
+    pub fn max_encoded_bytes(&self) -> usize {
         match self {
-            Resource::Route(route) => route_weight(&route.key, &route.value),
-            Resource::Tenant(tenant) => tenant_weight(&tenant.name),
+            Resource::Route(route) => max_route_bytes(&route.key, &route.value),
+            Resource::Tenant(tenant) => max_tenant_bytes(&tenant.name),
         }
     }
 
     /// Checks lengths, characters and numbers.
-    pub fn check(&self) -> Result<(), ResourceError> {
+    ///
+    /// # Errors
+    /// A field is out of bounds.
+    pub fn validate(&self) -> Result<(), ResourceError> {
         match self {
             Resource::Route(route) => {
                 check_route_key(&route.key)?;
-                check_text(Field::Class, &route.value.class, CLASS_BYTES_MOST)
+                check_text(Field::Class, &route.value.class, MAX_CLASS_BYTES)
             }
             Resource::Tenant(tenant) => {
-                check_text(Field::Tenant, &tenant.name, TENANT_BYTES_MOST)?;
+                check_text(Field::Tenant, &tenant.name, MAX_TENANT_NAME_BYTES)?;
                 check_quota(tenant.value.quota)
             }
         }
@@ -175,28 +182,31 @@
 
 impl ResourceKey {
     /// Checks lengths and characters.
-    pub fn check(&self) -> Result<(), ResourceError> {
+    ///
+    /// # Errors
+    /// A field is out of bounds.
+    pub fn validate(&self) -> Result<(), ResourceError> {
         match self {
             ResourceKey::Route(key) => check_route_key(key),
-            ResourceKey::Tenant(name) => check_text(Field::Tenant, name, TENANT_BYTES_MOST),
+            ResourceKey::Tenant(name) => check_text(Field::Tenant, name, MAX_TENANT_NAME_BYTES),
         }
     }
 
     /// Upper bound of its length in JSON, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_bytes(&self) -> usize {
         match self {
-            ResourceKey::Route(key) => FRAME_BYTES + route_key_bytes(key),
-            ResourceKey::Tenant(name) => FRAME_BYTES + name.len(),
+            ResourceKey::Route(key) => MAX_FRAMING_BYTES + route_key_bytes(key),
+            ResourceKey::Tenant(name) => MAX_FRAMING_BYTES + name.len(),
         }
     }
 }
 
-pub(crate) fn route_weight(key: &RouteKey, value: &RouteValue) -> usize {
-    FRAME_BYTES + route_key_bytes(key) + value.class.len()
+pub(crate) fn max_route_bytes(key: &RouteKey, value: &RouteValue) -> usize {
+    MAX_FRAMING_BYTES + route_key_bytes(key) + value.class.len()
 }
 
-pub(crate) fn tenant_weight(name: &str) -> usize {
-    FRAME_BYTES + name.len()
+pub(crate) fn max_tenant_bytes(name: &str) -> usize {
+    MAX_FRAMING_BYTES + name.len()
 }
 
 fn route_key_bytes(key: &RouteKey) -> usize {
@@ -205,17 +215,17 @@
 
 fn check_route_key(key: &RouteKey) -> Result<(), ResourceError> {
     if let Some(method) = &key.method {
-        check_text(Field::Method, method, METHOD_BYTES_MOST)?;
+        check_text(Field::Method, method, MAX_METHOD_BYTES)?;
         if !method.bytes().all(is_token_byte) {
-            return Err(ResourceError::Character(Field::Method));
+            return Err(ResourceError::InvalidCharacter(Field::Method));
         }
     }
-    check_text(Field::Prefix, &key.prefix, PREFIX_BYTES_MOST)?;
+    check_text(Field::Prefix, &key.prefix, MAX_PREFIX_BYTES)?;
     if !key.prefix.starts_with('/') {
-        return Err(ResourceError::PrefixStart);
+        return Err(ResourceError::MissingLeadingSlash);
     }
     if !key.prefix.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(ResourceError::Character(Field::Prefix));
+        return Err(ResourceError::InvalidCharacter(Field::Prefix));
     }
     Ok(())
 }
@@ -226,20 +236,20 @@
 }
 
 /// Texts hold nothing that JSON writes as an escape, so that lengths on the wire are known beforehand.
-fn check_text(field: Field, text: &str, most: usize) -> Result<(), ResourceError> {
-    if text.is_empty() || text.len() > most {
-        return Err(ResourceError::Length(field, most));
+fn check_text(field: Field, text: &str, max_bytes: usize) -> Result<(), ResourceError> {
+    if text.is_empty() || text.len() > max_bytes {
+        return Err(ResourceError::InvalidLength(field, max_bytes));
     }
     if text.chars().any(|c| c.is_control() || c == '"' || c == '\\') {
-        return Err(ResourceError::Character(field));
+        return Err(ResourceError::InvalidCharacter(field));
     }
     Ok(())
 }
 
 fn check_quota(quota: f64) -> Result<(), ResourceError> {
-    let in_range = (0.0..=QUOTA_MOST).contains(&quota);
+    let in_range = (0.0..=MAX_QUOTA).contains(&quota);
     if !in_range || TenantValue::rounded(quota).quota != quota {
-        return Err(ResourceError::Quota);
+        return Err(ResourceError::InvalidQuota);
     }
     Ok(())
 }
@@ -265,16 +275,3 @@
         })
     }
 }
-
-impl std::fmt::Display for ResourceError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ResourceError::Length(field, most) => write!(f, "{field}: 1 to {most} bytes"),
-            ResourceError::Character(field) => write!(f, "{field}: a character that is not allowed"),
-            ResourceError::PrefixStart => f.write_str("prefix: starts with /"),
-            ResourceError::Quota => write!(f, "quota: 0 to {QUOTA_MOST} in steps of a millionth"),
-        }
-    }
-}
-
-impl std::error::Error for ResourceError {}
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/subscriber_table.rs
@@ -1,4 +1,4 @@
-//! What a publisher knows of its subscribers: who holds which version, and who refused one.
+//! What a publisher knows of its subscribers: which version each has, and which one it rejected.
 
 use crate::Micros;
 use crate::message::Report;
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// The most subscribers that are known at once; the one that was silent longest leaves first.
-pub const SUBSCRIBERS_MOST: usize = 8_192;
+/// The maximum number of subscribers known at once; the one heard least recently is evicted.
+pub const MAX_TRACKED_SUBSCRIBERS: usize = 8_192;
 
-/// A refusal that still stands.
+/// A rejection that no later acknowledgement has superseded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
-    /// The version that was not taken.
+pub struct Rejection {
+    /// The version that was rejected.
     pub version: Version,
-    /// Why, in the subscriber's words.
+    /// The reason as the subscriber reported it.
     pub reason: String,
 }
 
@@ -23,38 +23,42 @@
 pub struct SubscriberStatus {
     /// Its name.
     pub subscriber: String,
-    /// The version it holds: acknowledged, or stated in its latest call; none: nothing.
+    /// The version it has: acknowledged, or stated in its latest call; none: nothing.
     pub version: Option<Version>,
-    /// How many versions it is behind; none where it holds nothing or a version of another term.
+    /// How many versions it is behind; none where it has nothing or a version of another term.
     pub behind: Option<u64>,
-    /// Microseconds since it held that version, as reported.
-    pub held_for: Micros,
+    /// Microseconds since it reported that version.
+    #[serde(rename = "held_for")]
+    pub version_age: Micros,
     /// Microseconds since its latest call or report.
-    pub silent_for: Micros,
-    /// The newest version that it refused, if it has not acknowledged that or a later one since.
-    pub refused: Option<Refusal>,
+    #[serde(rename = "silent_for")]
+    pub last_contact_age: Micros,
+    /// The newest version that it rejected, if it has not acknowledged that or a later one since.
+    #[serde(rename = "refused")]
+    pub rejected: Option<Rejection>,
 }
 
 #[derive(Debug)]
 struct Entry {
     version: Option<Version>,
-    held_since: Micros,
-    heard_at: Micros,
-    refused: Option<Refusal>,
+    version_since: Micros,
+    last_contact_at: Micros,
+    rejected: Option<Rejection>,
 }
 
+/// The subscribers by name.
 #[derive(Debug, Default)]
 pub(crate) struct SubscriberTable {
     entries: HashMap<String, Entry>,
 }
 
 impl SubscriberTable {
-    /// A call states what its subscriber holds, also when that is less than before.
+    /// A call states what its subscriber has, also when that is less than before.
     pub(crate) fn on_subscribe(&mut self, now: Micros, subscriber: &str, known: Option<Version>) {
         let entry = self.entry(now, subscriber);
         if entry.version != known {
             entry.version = known;
-            entry.held_since = now;
+            entry.version_since = now;
         }
     }
 
@@ -62,7 +66,7 @@
         let entry = self.entry(now, report.subscriber());
         match report {
             Report::Acknowledge { version, .. } => entry.acknowledge(now, *version),
-            Report::Refuse { version, reason, .. } => entry.refuse(*version, reason),
+            Report::Reject { version, reason, .. } => entry.reject(*version, reason),
         }
     }
 
@@ -75,45 +79,45 @@
     }
 
     fn entry(&mut self, now: Micros, subscriber: &str) -> &mut Entry {
-        if !self.entries.contains_key(subscriber) && self.entries.len() >= SUBSCRIBERS_MOST {
-            self.drop_most_silent();
+        if !self.entries.contains_key(subscriber) && self.entries.len() >= MAX_TRACKED_SUBSCRIBERS {
+            self.evict_least_recent();
         }
         let entry = self.entries.entry(subscriber.to_owned()).or_insert(Entry {
             version: None,
-            held_since: now,
-            heard_at: now,
-            refused: None,
+            version_since: now,
+            last_contact_at: now,
+            rejected: None,
         });
-        entry.heard_at = now;
+        entry.last_contact_at = now;
         entry
     }
 
-    fn drop_most_silent(&mut self) {
-        let most_silent = self.entries.iter().min_by_key(|(_, entry)| entry.heard_at);
-        if let Some(name) = most_silent.map(|(name, _)| name.clone()) {
+    fn evict_least_recent(&mut self) {
+        let least_recent = self.entries.iter().min_by_key(|(_, entry)| entry.last_contact_at);
+        if let Some(name) = least_recent.map(|(name, _)| name.clone()) {
             self.entries.remove(&name);
         }
     }
 }
 
 impl Entry {
-    /// A report that was overtaken by a later one changes nothing.
+    /// A report that a later one has overtaken changes nothing.
     fn acknowledge(&mut self, now: Micros, version: Version) {
-        if self.version.is_some_and(|held| held >= version) {
+        if self.version.is_some_and(|current| current >= version) {
             return;
         }
         self.version = Some(version);
-        self.held_since = now;
-        if self.refused.as_ref().is_some_and(|refusal| refusal.version <= version) {
-            self.refused = None;
+        self.version_since = now;
+        if self.rejected.as_ref().is_some_and(|rejection| rejection.version <= version) {
+            self.rejected = None;
         }
     }
 
-    fn refuse(&mut self, version: Version, reason: &str) {
-        let overtaken = self.version.is_some_and(|held| held > version)
-            || self.refused.as_ref().is_some_and(|refusal| refusal.version > version);
-        if !overtaken {
-            self.refused = Some(Refusal { version, reason: reason.to_owned() });
+    fn reject(&mut self, version: Version, reason: &str) {
+        let is_overtaken = self.version.is_some_and(|current| current > version)
+            || self.rejected.as_ref().is_some_and(|rejection| rejection.version > version);
+        if !is_overtaken {
+            self.rejected = Some(Rejection { version, reason: reason.to_owned() });
         }
     }
 
@@ -123,9 +127,9 @@
             subscriber: name.to_owned(),
             version: self.version,
             behind: same_term.map(|version| newest.number.saturating_sub(version.number)),
-            held_for: now.saturating_sub(self.held_since),
-            silent_for: now.saturating_sub(self.heard_at),
-            refused: self.refused.clone(),
+            version_age: now.saturating_sub(self.version_since),
+            last_contact_age: now.saturating_sub(self.last_contact_at),
+            rejected: self.rejected.clone(),
         }
     }
 }
--- a/crates/distribution/src/version.rs
+++ b/crates/distribution/src/version.rs
@@ -2,12 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The highest term and the highest number that are taken: integers above it are not exact in every JSON
-/// reader.
-pub const NUMBER_MOST: u64 = (1 << 53) - 1;
+/// The highest term and the highest number: integers above it are not exact in every JSON reader.
+pub const MAX_VERSION_NUMBER: u64 = (1 << 53) - 1;
 
-/// One life of a publisher's log. A publisher whose log was lost starts under a higher term, and a
-/// subscriber that holds a configuration of a term takes nothing of a lower one.
+/// One incarnation of a publisher's log. A publisher whose log was lost starts under a higher term, and a
+/// subscriber with a configuration of a term accepts nothing of a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Term(pub u64);
@@ -33,9 +32,9 @@
         Version { number: self.number + 1, ..self }
     }
 
-    /// Whether term and number are within [`NUMBER_MOST`].
+    /// Whether term and number are within [`MAX_VERSION_NUMBER`].
     pub fn is_bounded(self) -> bool {
-        self.term.0 <= NUMBER_MOST && self.number <= NUMBER_MOST
+        self.term.0 <= MAX_VERSION_NUMBER && self.number <= MAX_VERSION_NUMBER
     }
 }
 
--- a/crates/distribution/tests/admission.rs
+++ b/crates/distribution/tests/admission.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use violetseam_distribution::Micros;
-use violetseam_distribution::admission::{Admission, AdmissionLimits, Admitted};
+use violetseam_distribution::admission::{Admission, AdmissionDecision, AdmissionLimits};
 
 const SECOND: Micros = 1_000_000;
 const FLEET: usize = 4_700;
@@ -45,12 +45,12 @@
             let caller = self.callers.get_mut(&name).unwrap();
             caller.calls += 1;
             assert!(caller.calls < 100, "{name} calls without end");
-            match self.admission.call(now, &name) {
-                Admitted::Now => {
+            match self.admission.request(now, &name) {
+                AdmissionDecision::Admit => {
                     caller.served_at = Some(now);
                     self.served.push(now);
                 }
-                Admitted::After(wait) => {
+                AdmissionDecision::RetryAfter(wait) => {
                     let at = now + wait + delay(&name, caller.calls);
                     self.agenda.insert((at, name));
                 }
@@ -86,7 +86,7 @@
     assert!(last - SECOND <= span, "the last after {} us, {span} are enough", last - SECOND);
     assert!(fleet.callers.values().all(|caller| caller.calls <= 2));
     assert!(fleet.most_within(SECOND) <= RATE as usize + 1, "{} within a second", fleet.most_within(SECOND));
-    assert_eq!(fleet.admission.reserved(), 0);
+    assert_eq!(fleet.admission.reserved_slots(), 0);
 }
 
 #[test]
@@ -123,7 +123,7 @@
             if hasty.contains_key(&name) {
                 continue;
             }
-            if fleet.admission.call(now, &name) == Admitted::Now {
+            if fleet.admission.request(now, &name) == AdmissionDecision::Admit {
                 hasty.insert(name, now);
             }
         }
@@ -132,12 +132,12 @@
             let (at, name) = fleet.agenda.pop_first().unwrap();
             let caller = fleet.callers.get_mut(&name).unwrap();
             caller.calls += 1;
-            match fleet.admission.call(at, &name) {
-                Admitted::Now => {
+            match fleet.admission.request(at, &name) {
+                AdmissionDecision::Admit => {
                     caller.served_at = Some(at);
                     fleet.served.push(at);
                 }
-                Admitted::After(wait) => {
+                AdmissionDecision::RetryAfter(wait) => {
                     fleet.agenda.insert((at + wait, name));
                 }
             }
@@ -159,16 +159,20 @@
 
 #[test]
 fn a_caller_that_comes_too_late_gets_a_new_slot() {
-    let limits = AdmissionLimits { interval: SECOND, grace: 2 * SECOND, reservations: 8 };
+    let limits = AdmissionLimits { interval: SECOND, grace: 2 * SECOND, max_reservations: 8 };
     let mut admission = Admission::new(limits);
-    assert_eq!(admission.call(SECOND, "a"), Admitted::Now);
-    assert_eq!(admission.call(SECOND, "b"), Admitted::After(SECOND));
-    assert_eq!(admission.call(SECOND, "c"), Admitted::After(2 * SECOND));
+    assert_eq!(admission.request(SECOND, "a"), AdmissionDecision::Admit);
+    assert_eq!(admission.request(SECOND, "b"), AdmissionDecision::RetryAfter(SECOND));
+    assert_eq!(admission.request(SECOND, "c"), AdmissionDecision::RetryAfter(2 * SECOND));
     // At its slot's grace to the microsecond: served.
-    assert_eq!(admission.call(4 * SECOND, "b"), Admitted::Now);
+    assert_eq!(admission.request(4 * SECOND, "b"), AdmissionDecision::Admit);
     // After it: as if it called for the first time, and at once as nobody waits.
-    assert_eq!(admission.call(6 * SECOND, "c"), Admitted::Now);
-    assert_eq!(admission.call(6 * SECOND, "c"), Admitted::After(SECOND), "a second snapshot queues again");
+    assert_eq!(admission.request(6 * SECOND, "c"), AdmissionDecision::Admit);
+    assert_eq!(
+        admission.request(6 * SECOND, "c"),
+        AdmissionDecision::RetryAfter(SECOND),
+        "a second snapshot queues again"
+    );
 }
 
 #[test]
@@ -184,9 +188,9 @@
     while let Some((now, name)) = first_calls.pop_first() {
         let caller = fleet.callers.get_mut(&name).unwrap();
         caller.calls += 1;
-        match fleet.admission.call(now, &name) {
-            Admitted::Now => fleet.served.push(now),
-            Admitted::After(wait) => {
+        match fleet.admission.request(now, &name) {
+            AdmissionDecision::Admit => fleet.served.push(now),
+            AdmissionDecision::RetryAfter(wait) => {
                 fleet.agenda.insert(((now + wait).max(resumed), name));
             }
         }
@@ -202,18 +206,18 @@
 
 #[test]
 fn slots_are_bounded_and_those_beyond_are_served_later() {
-    let limits = AdmissionLimits { interval: SECOND / 100, grace: SECOND, reservations: 100 };
+    let limits = AdmissionLimits { interval: SECOND / 100, grace: SECOND, max_reservations: 100 };
     let mut fleet = Fleet::new(limits);
     for index in 0..1_000 {
         fleet.call_at(SECOND, &format!("proxy-{index}"));
     }
     while let Some((now, name)) = fleet.agenda.pop_first() {
-        assert!(fleet.admission.reserved() <= 100);
+        assert!(fleet.admission.reserved_slots() <= 100);
         let caller = fleet.callers.get_mut(&name).unwrap();
         caller.calls += 1;
-        match fleet.admission.call(now, &name) {
-            Admitted::Now => caller.served_at = Some(now),
-            Admitted::After(wait) => {
+        match fleet.admission.request(now, &name) {
+            AdmissionDecision::Admit => caller.served_at = Some(now),
+            AdmissionDecision::RetryAfter(wait) => {
                 fleet.agenda.insert((now + wait, name));
             }
         }
@@ -230,7 +234,7 @@
         delays in prop::collection::vec(0..4 * SECOND, 1..50),
         interval in 1_000..SECOND,
     ) {
-        let limits = AdmissionLimits { interval, grace: 2 * SECOND, reservations: 1_000 };
+        let limits = AdmissionLimits { interval, grace: 2 * SECOND, max_reservations: 1_000 };
         let mut fleet = Fleet::new(limits);
         for (index, at) in arrivals.iter().enumerate() {
             fleet.call_at(*at, &format!("proxy-{index}"));
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -15,7 +15,9 @@
         Proposal::Changes(changes) => changes.iter().any(
             |change| matches!(change, Change::Put(Resource::Route(route)) if is_unknown(&route.value.class)),
         ),
-        Proposal::Whole(configuration) => configuration.routes().any(|(_, value)| is_unknown(&value.class)),
+        Proposal::Replacement(configuration) => {
+            configuration.routes().any(|(_, value)| is_unknown(&value.class))
+        }
     };
     if refused { Err(format!("no class {UNKNOWN_CLASS:?}")) } else { Ok(()) }
 }
@@ -38,7 +40,7 @@
             match effect {
                 Effect::Apply { version, changes } => {
                     let held = self.configuration.as_mut().expect("changes go onto something");
-                    let digest = held.check_changes(*version, changes).expect("changes check");
+                    let digest = held.validate_changes(*version, changes).expect("changes check");
                     let delta = violetseam_distribution::Delta {
                         base: held.version(),
                         version: *version,
--- a/crates/distribution/tests/messages.rs
+++ b/crates/distribution/tests/messages.rs
@@ -2,14 +2,14 @@
 
 use proptest::prelude::*;
 use violetseam_distribution::message::{
-    CHANGES_MOST, DELTA_BYTES_MOST, LINE_BYTES_MOST, PART_BYTES_MOST, PARTS_MOST, REASON_BYTES_MOST,
-    REPORT_BYTES_MOST, RETRY_AFTER_MOST, SUBSCRIBER_BYTES_MOST,
+    MAX_DELTA_BYTES, MAX_DELTA_CHANGES, MAX_LINE_BYTES, MAX_PART_BYTES, MAX_REASON_BYTES, MAX_REPORT_BYTES,
+    MAX_RETRY_AFTER, MAX_SNAPSHOT_PARTS, MAX_SUBSCRIBER_NAME_BYTES,
 };
 use violetseam_distribution::resource::{
-    CLASS_BYTES_MOST, METHOD_BYTES_MOST, PREFIX_BYTES_MOST, QUOTA_MOST, QUOTA_STEPS, ResourceError,
-    TENANT_BYTES_MOST,
+    MAX_CLASS_BYTES, MAX_METHOD_BYTES, MAX_PREFIX_BYTES, MAX_QUOTA, MAX_TENANT_NAME_BYTES, QUOTA_STEPS,
+    ResourceError,
 };
-use violetseam_distribution::version::NUMBER_MOST;
+use violetseam_distribution::version::MAX_VERSION_NUMBER;
 use violetseam_distribution::{
     Change, Configuration, Delta, Digest, Message, ParseError, Report, Resource, ResourceKey, RouteKey,
     SnapshotPart, Subscribe, Tenant, TenantValue, Term, Version,
@@ -39,8 +39,11 @@
     let messages = [
         Message::Delta(delta(vec![Change::Put(route.clone()), removal])),
         Message::SnapshotPart(part(vec![route, tenant])),
-        Message::Heartbeat { version: version(NUMBER_MOST, NUMBER_MOST), digest: Digest(u128::MAX) },
-        Message::RetryAfter { micros: RETRY_AFTER_MOST },
+        Message::Heartbeat {
+            version: version(MAX_VERSION_NUMBER, MAX_VERSION_NUMBER),
+            digest: Digest(u128::MAX),
+        },
+        Message::RetryAfter { micros: MAX_RETRY_AFTER },
     ];
     for message in messages {
         let line = message.write();
@@ -78,44 +81,44 @@
         r#"{"retry_after":{"micros":1}} x"#.to_owned(),
     ];
     for line in lines {
-        assert!(matches!(Message::parse(line.as_bytes()), Err(ParseError::Json(_))), "{line}");
+        assert!(matches!(Message::parse(line.as_bytes()), Err(ParseError::InvalidJson(_))), "{line}");
     }
-    let long = vec![b' '; LINE_BYTES_MOST + 1];
-    assert_eq!(Message::parse(&long), Err(ParseError::Length(LINE_BYTES_MOST)));
+    let long = vec![b' '; MAX_LINE_BYTES + 1];
+    assert_eq!(Message::parse(&long), Err(ParseError::LineTooLong(MAX_LINE_BYTES)));
 }
 
 #[test]
 fn versions_out_of_bounds_or_order_are_refused() {
     let put = vec![Change::Put(Resource::tenant("a", 1.0))];
-    let beyond = Message::Heartbeat { version: version(1, NUMBER_MOST + 1), digest: Digest(1) };
-    assert_eq!(parse(&beyond), Err(ParseError::Version));
-    let standing = Delta { version: version(1, 4), ..delta(put.clone()) };
-    assert_eq!(parse(&Message::Delta(standing)), Err(ParseError::Order));
+    let beyond = Message::Heartbeat { version: version(1, MAX_VERSION_NUMBER + 1), digest: Digest(1) };
+    assert_eq!(parse(&beyond), Err(ParseError::VersionOutOfRange));
+    let unchanged = Delta { version: version(1, 4), ..delta(put.clone()) };
+    assert_eq!(parse(&Message::Delta(unchanged)), Err(ParseError::VersionOrder));
     let across_terms = Delta { version: version(2, 5), ..delta(put) };
-    assert_eq!(parse(&Message::Delta(across_terms)), Err(ParseError::Order));
-    let long_wait = Message::RetryAfter { micros: RETRY_AFTER_MOST + 1 };
-    assert_eq!(parse(&long_wait), Err(ParseError::Wait));
+    assert_eq!(parse(&Message::Delta(across_terms)), Err(ParseError::VersionOrder));
+    let long_wait = Message::RetryAfter { micros: MAX_RETRY_AFTER + 1 };
+    assert_eq!(parse(&long_wait), Err(ParseError::WaitTooLong));
 }
 
 #[test]
 fn deltas_and_parts_of_too_much_are_refused() {
-    assert_eq!(parse(&Message::Delta(delta(Vec::new()))), Err(ParseError::Changes));
+    assert_eq!(parse(&Message::Delta(delta(Vec::new()))), Err(ParseError::InvalidChanges));
     let tenant = |index: usize| Resource::tenant(&format!("t{index}"), 1.0);
-    let too_many: Vec<Change> = (0..=CHANGES_MOST).map(tenant).map(Change::Put).collect();
-    assert_eq!(parse(&Message::Delta(delta(too_many))), Err(ParseError::Changes));
+    let too_many: Vec<Change> = (0..=MAX_DELTA_CHANGES).map(tenant).map(Change::Put).collect();
+    assert_eq!(parse(&Message::Delta(delta(too_many))), Err(ParseError::InvalidChanges));
     let wide = |index: usize| Resource::tenant(&format!("{index:0250}"), 1.0);
-    let count = DELTA_BYTES_MOST / wide(0).weight() + 1;
+    let count = MAX_DELTA_BYTES / wide(0).max_encoded_bytes() + 1;
     let too_heavy: Vec<Change> = (0..count).map(wide).map(Change::Put).collect();
-    assert!(too_heavy.len() <= CHANGES_MOST, "the weight is what is refused");
-    assert_eq!(parse(&Message::Delta(delta(too_heavy))), Err(ParseError::Changes));
+    assert!(too_heavy.len() <= MAX_DELTA_CHANGES, "the weight is what is refused");
+    assert_eq!(parse(&Message::Delta(delta(too_heavy))), Err(ParseError::InvalidChanges));
 
-    let count = PART_BYTES_MOST / wide(0).weight() + 1;
+    let count = MAX_PART_BYTES / wide(0).max_encoded_bytes() + 1;
     let heavy_part = part((0..count).map(wide).collect());
-    assert_eq!(parse(&Message::SnapshotPart(heavy_part)), Err(ParseError::Part));
-    let many = PARTS_MOST as u32 + 1;
+    assert_eq!(parse(&Message::SnapshotPart(heavy_part)), Err(ParseError::InvalidPart));
+    let many = MAX_SNAPSHOT_PARTS as u32 + 1;
     for (number, parts) in [(0, 0), (1, 1), (2, 1), (0, many)] {
         let odd = SnapshotPart { part: number, parts, ..part(Vec::new()) };
-        assert_eq!(parse(&Message::SnapshotPart(odd)), Err(ParseError::Part), "{number} of {parts}");
+        assert_eq!(parse(&Message::SnapshotPart(odd)), Err(ParseError::InvalidPart), "{number} of {parts}");
     }
 }
 
@@ -124,59 +127,59 @@
     let long = |length: usize| "x".repeat(length);
     let refused = [
         Resource::route(Some(""), "/", "c"),
-        Resource::route(Some(&long(METHOD_BYTES_MOST + 1)), "/", "c"),
+        Resource::route(Some(&long(MAX_METHOD_BYTES + 1)), "/", "c"),
         Resource::route(Some("GE T"), "/", "c"),
         Resource::route(None, "", "c"),
         Resource::route(None, "api", "c"),
         Resource::route(None, "/a b", "c"),
         Resource::route(None, "/é", "c"),
-        Resource::route(None, &format!("/{}", long(PREFIX_BYTES_MOST)), "c"),
+        Resource::route(None, &format!("/{}", long(MAX_PREFIX_BYTES)), "c"),
         Resource::route(None, "/", ""),
-        Resource::route(None, "/", &long(CLASS_BYTES_MOST + 1)),
+        Resource::route(None, "/", &long(MAX_CLASS_BYTES + 1)),
         Resource::route(None, "/", "a\"b"),
         Resource::tenant("", 1.0),
-        Resource::tenant(&long(TENANT_BYTES_MOST + 1), 1.0),
+        Resource::tenant(&long(MAX_TENANT_NAME_BYTES + 1), 1.0),
         Resource::tenant("a\nb", 1.0),
         Resource::tenant("a\\b", 1.0),
         Resource::tenant("a", -1.0),
-        Resource::tenant("a", QUOTA_MOST * 1.01),
+        Resource::tenant("a", MAX_QUOTA * 1.01),
         Resource::tenant("a", f64::NAN),
         Resource::tenant("a", f64::INFINITY),
         Resource::Tenant(Tenant { name: "a".to_owned(), value: TenantValue { quota: 1.0 / 3.0 } }),
     ];
     for resource in refused {
-        assert!(resource.check().is_err(), "{resource:?}");
+        assert!(resource.validate().is_err(), "{resource:?}");
     }
     let taken = [
-        Resource::route(Some(&long(METHOD_BYTES_MOST)), "/", &long(CLASS_BYTES_MOST)),
-        Resource::route(None, &format!("/{}", long(PREFIX_BYTES_MOST - 1)), "c"),
-        Resource::tenant(&long(TENANT_BYTES_MOST), QUOTA_MOST),
+        Resource::route(Some(&long(MAX_METHOD_BYTES)), "/", &long(MAX_CLASS_BYTES)),
+        Resource::route(None, &format!("/{}", long(MAX_PREFIX_BYTES - 1)), "c"),
+        Resource::tenant(&long(MAX_TENANT_NAME_BYTES), MAX_QUOTA),
         Resource::tenant("a", 0.0),
     ];
     for resource in taken {
-        assert_eq!(resource.check(), Ok(()), "{resource:?}");
+        assert_eq!(resource.validate(), Ok(()), "{resource:?}");
     }
     let message = Message::Delta(delta(vec![Change::Put(Resource::tenant("a", -1.0))]));
-    assert_eq!(parse(&message), Err(ParseError::Resource(ResourceError::Quota)));
+    assert_eq!(parse(&message), Err(ParseError::InvalidResource(ResourceError::InvalidQuota)));
     let removal = Change::Remove(ResourceKey::Tenant(String::new()));
-    assert!(matches!(parse(&Message::Delta(delta(vec![removal]))), Err(ParseError::Resource(_))));
+    assert!(matches!(parse(&Message::Delta(delta(vec![removal]))), Err(ParseError::InvalidResource(_))));
 }
 
 #[test]
 fn the_heaviest_delta_and_part_fit_their_line() {
     // The shortest names and the longest numbers: most punctuation for the weight.
-    let tenant = |index: usize| Resource::tenant(&format!("{index:x}"), QUOTA_MOST - 1.0 / QUOTA_STEPS);
+    let tenant = |index: usize| Resource::tenant(&format!("{index:x}"), MAX_QUOTA - 1.0 / QUOTA_STEPS);
     let within = |most: usize| {
         let mut weight = 0;
-        (0..CHANGES_MOST).map(tenant).take_while(move |resource| {
-            weight += resource.weight();
+        (0..MAX_DELTA_CHANGES).map(tenant).take_while(move |resource| {
+            weight += resource.max_encoded_bytes();
             weight <= most
         })
     };
-    let changes: Vec<Change> = within(DELTA_BYTES_MOST).map(Change::Put).collect();
-    let resources: Vec<Resource> = within(PART_BYTES_MOST).collect();
+    let changes: Vec<Change> = within(MAX_DELTA_BYTES).map(Change::Put).collect();
+    let resources: Vec<Resource> = within(MAX_PART_BYTES).collect();
     for message in [Message::Delta(delta(changes)), Message::SnapshotPart(part(resources))] {
-        assert!(message.write().len() <= LINE_BYTES_MOST);
+        assert!(message.write().len() <= MAX_LINE_BYTES);
         assert_eq!(parse(&message), Ok(message));
     }
 }
@@ -184,33 +187,34 @@
 #[test]
 fn reports_are_read_as_written_and_bounded() {
     let acknowledge = Report::Acknowledge { subscriber: "proxy-1.a_b".to_owned(), version: version(2, 9) };
-    let refuse = Report::refuse("proxy-1", version(2, 9), "no class \"x\"\n");
+    let refuse = Report::reject("proxy-1", version(2, 9), "no class \"x\"\n");
     for report in [acknowledge, refuse.clone()] {
         assert_eq!(Report::parse(&report.write()), Ok(report));
     }
-    let Report::Refuse { reason, .. } = refuse else { panic!("a refusal") };
+    let Report::Reject { reason, .. } = refuse else { panic!("a rejection") };
     assert_eq!(reason, "no class \"x\" ", "control characters become spaces");
 
-    let wordy = Report::refuse("proxy-1", version(2, 9), &"ü\"".repeat(REASON_BYTES_MOST));
-    assert!(wordy.write().len() <= REPORT_BYTES_MOST, "the longest reason fits");
+    let wordy = Report::reject("proxy-1", version(2, 9), &"ü\"".repeat(MAX_REASON_BYTES));
+    assert!(wordy.write().len() <= MAX_REPORT_BYTES, "the longest reason fits");
     assert!(Report::parse(&wordy.write()).is_ok());
 
     let nameless = Report::Acknowledge { subscriber: String::new(), version: version(1, 1) };
-    assert_eq!(Report::parse(&nameless.write()), Err(ParseError::Subscriber));
-    let beyond = Report::Acknowledge { subscriber: "a".to_owned(), version: version(1, NUMBER_MOST + 1) };
-    assert_eq!(Report::parse(&beyond.write()), Err(ParseError::Version));
-    let reason = "x".repeat(REASON_BYTES_MOST + 1);
-    let long = Report::Refuse { subscriber: "a".to_owned(), version: version(1, 1), reason };
-    assert_eq!(Report::parse(&long.write()), Err(ParseError::Reason));
-    assert_eq!(Report::parse(&[b' '; REPORT_BYTES_MOST + 1]), Err(ParseError::Length(REPORT_BYTES_MOST)));
+    assert_eq!(Report::parse(&nameless.write()), Err(ParseError::InvalidSubscriberName));
+    let beyond =
+        Report::Acknowledge { subscriber: "a".to_owned(), version: version(1, MAX_VERSION_NUMBER + 1) };
+    assert_eq!(Report::parse(&beyond.write()), Err(ParseError::VersionOutOfRange));
+    let reason = "x".repeat(MAX_REASON_BYTES + 1);
+    let long = Report::Reject { subscriber: "a".to_owned(), version: version(1, 1), reason };
+    assert_eq!(Report::parse(&long.write()), Err(ParseError::InvalidReason));
+    assert_eq!(Report::parse(&[b' '; MAX_REPORT_BYTES + 1]), Err(ParseError::LineTooLong(MAX_REPORT_BYTES)));
 }
 
 #[test]
 fn subscriptions_are_read_as_written_and_bounded() {
-    let name = "p".repeat(SUBSCRIBER_BYTES_MOST);
-    for known in [None, Some(version(0, 0)), Some(version(NUMBER_MOST, NUMBER_MOST))] {
+    let name = "p".repeat(MAX_SUBSCRIBER_NAME_BYTES);
+    for known in [None, Some(version(0, 0)), Some(version(MAX_VERSION_NUMBER, MAX_VERSION_NUMBER))] {
         for whole in [false, true] {
-            let subscribe = Subscribe { subscriber: name.clone(), known, whole };
+            let subscribe = Subscribe { subscriber: name.clone(), known, snapshot_required: whole };
             assert_eq!(Subscribe::from_query(&subscribe.to_query()), Ok(subscribe));
         }
     }
@@ -232,10 +236,10 @@
     for query in refused {
         assert!(Subscribe::from_query(query).is_err(), "{query}");
     }
-    let beyond = format!("subscriber=a&term=1&number={}", NUMBER_MOST + 1);
-    assert_eq!(Subscribe::from_query(&beyond), Err(ParseError::Version));
+    let beyond = format!("subscriber=a&term=1&number={}", MAX_VERSION_NUMBER + 1);
+    assert_eq!(Subscribe::from_query(&beyond), Err(ParseError::VersionOutOfRange));
     let long = format!("subscriber={name}p");
-    assert_eq!(Subscribe::from_query(&long), Err(ParseError::Subscriber));
+    assert_eq!(Subscribe::from_query(&long), Err(ParseError::InvalidSubscriberName));
 }
 
 #[test]
@@ -267,7 +271,7 @@
     fn quotas_come_through_the_wire_unchanged(millionths in 0u64..=1_000_000_000_000_000) {
         let quota = millionths as f64 / QUOTA_STEPS;
         let resource = Resource::tenant("t", quota);
-        prop_assert_eq!(resource.check(), Ok(()));
+        prop_assert_eq!(resource.validate(), Ok(()));
         let message = Message::SnapshotPart(part(vec![resource]));
         prop_assert_eq!(parse(&message), Ok(message));
     }
@@ -279,7 +283,7 @@
         let position = position % line.len();
         line[position] = byte;
         if let Ok(read) = Message::parse(&line) {
-            prop_assert_eq!(read.check(), Ok(()));
+            prop_assert_eq!(read.validate(), Ok(()));
         }
     }
 }
--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -7,13 +7,13 @@
 
 use common::{SECOND, UNKNOWN_CLASS};
 use proptest::prelude::*;
-use violetseam_distribution::message::RETRY_AFTER_MOST;
+use violetseam_distribution::message::MAX_RETRY_AFTER;
 use violetseam_distribution::{Change, Resource, ResourceKey, RouteKey};
 use world::{Fault, Reach, Restart, World};
 
 const SUBSCRIBERS: usize = 3;
 /// How soon all agree after the last fault: a damaged retry-after may tell the longest wait.
-const SETTLED_WITHIN: u64 = RETRY_AFTER_MOST + 60 * SECOND;
+const SETTLED_WITHIN: u64 = MAX_RETRY_AFTER + 60 * SECOND;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -1,12 +1,12 @@
 //! The publisher: what it refuses to publish, what its log answers, what it knows of its subscribers.
 
-use violetseam_distribution::message::{CHANGES_MOST, DELTA_BYTES_MOST, PARTS_MOST};
+use violetseam_distribution::message::{MAX_DELTA_BYTES, MAX_DELTA_CHANGES, MAX_SNAPSHOT_PARTS};
 use violetseam_distribution::publisher::{
-    Answer, LogLimits, PublishError, Publisher, RestoreError, SNAPSHOT_DELTAS_MOST, SUBSCRIBERS_MOST,
-    TermNotHigher, UnknownVersion,
+    LogLimits, MAX_DELTAS_AFTER_SNAPSHOT, MAX_TRACKED_SUBSCRIBERS, PublishError, Publisher, RestoreError,
+    SubscribeResponse, TermNotHigher, UnknownVersion,
 };
 use violetseam_distribution::resource::{
-    CONFIGURATION_BYTES_MOST, ROUTES_MOST, ResourceError, TENANT_BYTES_MOST, TENANTS_MOST,
+    MAX_CONFIGURATION_BYTES, MAX_ROUTES, MAX_TENANT_NAME_BYTES, MAX_TENANTS, ResourceError,
 };
 use violetseam_distribution::{
     ApplyError, Change, Configuration, Delta, Message, Report, Resource, ResourceKey, SnapshotPart,
@@ -32,17 +32,19 @@
 }
 
 fn call(known: Option<Version>) -> Subscribe {
-    Subscribe { subscriber: "proxy-1".to_owned(), known, whole: false }
+    Subscribe { subscriber: "proxy-1".to_owned(), known, snapshot_required: false }
 }
 
-fn deltas(answer: Answer) -> Vec<u64> {
-    let Answer::Deltas(deltas) = answer else { panic!("not deltas: {answer:?}") };
+fn deltas(answer: SubscribeResponse) -> Vec<u64> {
+    let SubscribeResponse::Deltas(deltas) = answer else { panic!("not deltas: {answer:?}") };
     deltas.iter().map(|published| published.delta.version.number).collect()
 }
 
 /// The configuration that a snapshot answer carries, and the number of the deltas after it.
-fn snapshot(answer: Answer) -> (Configuration, Vec<u64>) {
-    let Answer::Snapshot { snapshot, then } = answer else { panic!("not a snapshot: {answer:?}") };
+fn snapshot(answer: SubscribeResponse) -> (Configuration, Vec<u64>) {
+    let SubscribeResponse::Snapshot { snapshot, deltas: then } = answer else {
+        panic!("not a snapshot: {answer:?}")
+    };
     let part = |line: &[u8]| match Message::parse(line) {
         Ok(Message::SnapshotPart(part)) => part,
         other => panic!("not a part: {other:?}"),
@@ -78,20 +80,23 @@
     let tenant = |name: &str| ResourceKey::Tenant(name.to_owned());
     let apply = PublishError::Apply;
     let refused = [
-        (vec![], PublishError::Empty),
-        (vec![put("b", 1.0), remove("c")], apply(ApplyError::Unknown(tenant("c")))),
-        (vec![put("b", 1.0), put("b", 2.0)], apply(ApplyError::Repeated(tenant("b")))),
-        (vec![put("b", 1.0), remove("b")], apply(ApplyError::Repeated(tenant("b")))),
-        (vec![remove("a"), remove("a")], apply(ApplyError::Repeated(tenant("a")))),
-        (vec![put("b", 1.0), put("c", -1.0)], apply(ApplyError::Resource(ResourceError::Quota))),
-        ((0..=CHANGES_MOST).map(|n| put(&format!("t{n}"), 1.0)).collect(), PublishError::Size),
+        (vec![], PublishError::NoChanges),
+        (vec![put("b", 1.0), remove("c")], apply(ApplyError::UnknownKey(tenant("c")))),
+        (vec![put("b", 1.0), put("b", 2.0)], apply(ApplyError::DuplicateKey(tenant("b")))),
+        (vec![put("b", 1.0), remove("b")], apply(ApplyError::DuplicateKey(tenant("b")))),
+        (vec![remove("a"), remove("a")], apply(ApplyError::DuplicateKey(tenant("a")))),
+        (
+            vec![put("b", 1.0), put("c", -1.0)],
+            apply(ApplyError::InvalidResource(ResourceError::InvalidQuota)),
+        ),
+        ((0..=MAX_DELTA_CHANGES).map(|n| put(&format!("t{n}"), 1.0)).collect(), PublishError::TooLarge),
     ];
     for (changes, error) in refused {
         assert_eq!(publisher.publish(changes).unwrap_err(), error);
     }
     let wide = |n: usize| put(&format!("{n:0250}"), 1.0);
-    let count = DELTA_BYTES_MOST / wide(0).weight() + 1;
-    assert_eq!(publisher.publish((0..count).map(wide).collect()).unwrap_err(), PublishError::Size);
+    let count = MAX_DELTA_BYTES / wide(0).max_encoded_bytes() + 1;
+    assert_eq!(publisher.publish((0..count).map(wide).collect()).unwrap_err(), PublishError::TooLarge);
     assert_eq!(*publisher.configuration(), before);
 }
 
@@ -99,25 +104,25 @@
 fn a_configuration_is_bounded_in_routes_tenants_and_bytes() {
     let route = |n: usize| Resource::route(None, &format!("/{n}"), "c");
     let tenant = |n: usize| Resource::tenant(&format!("t{n}"), 1.0);
-    let wide = |n: usize| Resource::tenant(&format!("{n:0width$}", width = TENANT_BYTES_MOST), 1.0);
+    let wide = |n: usize| Resource::tenant(&format!("{n:0width$}", width = MAX_TENANT_NAME_BYTES), 1.0);
     let mut publisher = publisher();
 
-    let full = publisher.propose_whole((0..ROUTES_MOST).map(route)).unwrap();
-    publisher.install(full).unwrap();
-    let one_more = publisher.publish(vec![Change::Put(route(ROUTES_MOST))]).unwrap_err();
-    assert_eq!(one_more, PublishError::Apply(ApplyError::Routes));
+    let full = publisher.propose_replacement((0..MAX_ROUTES).map(route)).unwrap();
+    publisher.replace(full).unwrap();
+    let one_more = publisher.publish(vec![Change::Put(route(MAX_ROUTES))]).unwrap_err();
+    assert_eq!(one_more, PublishError::Apply(ApplyError::TooManyRoutes));
     publisher.publish(vec![Change::Put(Resource::route(None, "/1", "d"))]).unwrap();
 
-    let too_many = publisher.propose_whole((0..=TENANTS_MOST).map(tenant)).unwrap_err();
-    assert_eq!(too_many, PublishError::Apply(ApplyError::Tenants));
-    let count = CONFIGURATION_BYTES_MOST / wide(0).weight();
-    let heavy = publisher.propose_whole((0..=count).map(wide)).unwrap_err();
-    assert_eq!(heavy, PublishError::Apply(ApplyError::Bytes));
+    let too_many = publisher.propose_replacement((0..=MAX_TENANTS).map(tenant)).unwrap_err();
+    assert_eq!(too_many, PublishError::Apply(ApplyError::TooManyTenants));
+    let count = MAX_CONFIGURATION_BYTES / wide(0).max_encoded_bytes();
+    let heavy = publisher.propose_replacement((0..=count).map(wide)).unwrap_err();
+    assert_eq!(heavy, PublishError::Apply(ApplyError::TooLarge));
 
-    let heaviest = publisher.propose_whole((0..count).map(wide)).unwrap();
-    publisher.install(heaviest).unwrap();
-    let (configuration, _) = snapshot(publisher.answer(0, &call(None)));
-    assert_eq!(configuration, *publisher.configuration(), "the heaviest fits {PARTS_MOST} parts");
+    let heaviest = publisher.propose_replacement((0..count).map(wide)).unwrap();
+    publisher.replace(heaviest).unwrap();
+    let (configuration, _) = snapshot(publisher.subscribe(0, &call(None)));
+    assert_eq!(configuration, *publisher.configuration(), "the heaviest fits {MAX_SNAPSHOT_PARTS} parts");
 }
 
 #[test]
@@ -126,15 +131,15 @@
     for n in 1..=5 {
         publisher.publish(vec![put("a", n as f64)]).unwrap();
     }
-    assert!(matches!(publisher.answer(0, &call(Some(version(5)))), Answer::UpToDate));
-    assert_eq!(deltas(publisher.answer(0, &call(Some(version(3))))), [4, 5]);
-    assert_eq!(deltas(publisher.answer(0, &call(Some(version(0))))), [1, 2, 3, 4, 5]);
-    let (configuration, then) = snapshot(publisher.answer(0, &call(None)));
+    assert!(matches!(publisher.subscribe(0, &call(Some(version(5)))), SubscribeResponse::UpToDate));
+    assert_eq!(deltas(publisher.subscribe(0, &call(Some(version(3))))), [4, 5]);
+    assert_eq!(deltas(publisher.subscribe(0, &call(Some(version(0))))), [1, 2, 3, 4, 5]);
+    let (configuration, then) = snapshot(publisher.subscribe(0, &call(None)));
     assert_eq!((configuration, then), (publisher.configuration().clone(), vec![]));
     let older_term = Version::new(Term(2), 9);
-    assert_eq!(snapshot(publisher.answer(0, &call(Some(older_term)))).0.version(), version(5));
-    let whole = Subscribe { whole: true, ..call(Some(version(5))) };
-    assert_eq!(snapshot(publisher.answer(0, &whole)).0.version(), version(5));
+    assert_eq!(snapshot(publisher.subscribe(0, &call(Some(older_term)))).0.version(), version(5));
+    let whole = Subscribe { snapshot_required: true, ..call(Some(version(5))) };
+    assert_eq!(snapshot(publisher.subscribe(0, &whole)).0.version(), version(5));
 }
 
 #[test]
@@ -142,14 +147,19 @@
     let mut publisher = publisher();
     publisher.publish(vec![put("a", 1.0)]).unwrap();
     let known = version(2);
-    assert!(matches!(publisher.answer(0, &call(Some(known))), Answer::Ahead { known: k } if k == known));
+    assert!(
+        matches!(publisher.subscribe(0, &call(Some(known))), SubscribeResponse::Ahead { known: k } if k == known)
+    );
     let later = Version::new(Term(4), 0);
-    assert!(matches!(publisher.answer(0, &call(Some(later))), Answer::Superseded { term: Term(4) }));
+    assert!(matches!(
+        publisher.subscribe(0, &call(Some(later))),
+        SubscribeResponse::Superseded { term: Term(4) }
+    ));
 
     assert_eq!(publisher.begin_term(Term(3)), Err(TermNotHigher { present: Term(3) }));
     publisher.begin_term(Term(5)).unwrap();
     assert_eq!(publisher.version(), Version::new(Term(5), 1), "the numbering goes on");
-    let (configuration, _) = snapshot(publisher.answer(0, &call(Some(known))));
+    let (configuration, _) = snapshot(publisher.subscribe(0, &call(Some(known))));
     assert_eq!(configuration.version(), Version::new(Term(5), 1));
     assert_eq!(configuration.tenant("a").map(|value| value.quota), Some(1.0));
 }
@@ -165,8 +175,8 @@
             publisher.publish(vec![put("a", n as f64)]).unwrap();
         }
         assert_eq!(publisher.oldest_known(), version(2));
-        assert_eq!(deltas(publisher.answer(0, &call(Some(version(2))))), [3, 4, 5]);
-        let (configuration, _) = snapshot(publisher.answer(0, &call(Some(version(1)))));
+        assert_eq!(deltas(publisher.subscribe(0, &call(Some(version(2))))), [3, 4, 5]);
+        let (configuration, _) = snapshot(publisher.subscribe(0, &call(Some(version(1)))));
         assert_eq!(configuration, *publisher.configuration());
     }
 }
@@ -175,17 +185,17 @@
 fn an_encoded_snapshot_is_used_again_while_it_is_new_enough() {
     let mut publisher = publisher();
     publisher.publish(vec![put("a", 1.0)]).unwrap();
-    assert_eq!(snapshot(publisher.answer(0, &call(None))).0.version(), version(1));
+    assert_eq!(snapshot(publisher.subscribe(0, &call(None))).0.version(), version(1));
     publisher.publish(vec![put("a", 2.0)]).unwrap();
-    let (older, then) = snapshot(publisher.answer(0, &call(None)));
+    let (older, then) = snapshot(publisher.subscribe(0, &call(None)));
     assert_eq!((older.version(), then), (version(1), vec![2]));
     // Never one that is older than what its caller holds.
-    let whole = Subscribe { whole: true, ..call(Some(version(2))) };
-    assert_eq!(snapshot(publisher.answer(0, &whole)).0.version(), version(2));
-    for n in 0..=SNAPSHOT_DELTAS_MOST {
+    let whole = Subscribe { snapshot_required: true, ..call(Some(version(2))) };
+    assert_eq!(snapshot(publisher.subscribe(0, &whole)).0.version(), version(2));
+    for n in 0..=MAX_DELTAS_AFTER_SNAPSHOT {
         publisher.publish(vec![put("a", n as f64)]).unwrap();
     }
-    let (newest, then) = snapshot(publisher.answer(0, &call(None)));
+    let (newest, then) = snapshot(publisher.subscribe(0, &call(None)));
     assert_eq!((newest.version(), then), (publisher.version(), vec![]));
 }
 
@@ -203,22 +213,22 @@
     for configuration in [&base, &newest] {
         let mut restored = restore(configuration, &published).unwrap();
         assert_eq!(*restored.configuration(), newest);
-        assert_eq!(deltas(restored.answer(0, &call(Some(version(2))))), [3, 4]);
+        assert_eq!(deltas(restored.subscribe(0, &call(Some(version(2))))), [3, 4]);
         assert_eq!(restored.publish(vec![put("b", 1.0)]).unwrap().delta.version, version(5));
     }
     let mut without_log = restore(&newest, &[]).unwrap();
     assert_eq!(without_log.version(), version(4));
-    assert_eq!(snapshot(without_log.answer(0, &call(Some(version(2))))).0, newest);
+    assert_eq!(snapshot(without_log.subscribe(0, &call(Some(version(2))))).0, newest);
 
     let gap = [published[0].clone(), published[2].clone()];
-    assert_eq!(restore(&base, &gap).unwrap_err(), RestoreError::Gap { version: version(3) });
-    assert_eq!(restore(&newest, &published[..2]).unwrap_err(), RestoreError::Short);
+    assert_eq!(restore(&base, &gap).unwrap_err(), RestoreError::LogGap { version: version(3) });
+    assert_eq!(restore(&newest, &published[..2]).unwrap_err(), RestoreError::LogTooShort);
     let late = restore(&base, &published[1..]).unwrap_err();
-    assert_eq!(late, RestoreError::Apply(ApplyError::Base { held: version(0), base: version(1) }));
+    assert_eq!(late, RestoreError::Apply(ApplyError::BaseMismatch { current: version(0), base: version(1) }));
     let mut damaged = published.clone();
     damaged[3].changes = vec![put("a", 5.0)];
     let error = restore(&base, &damaged).unwrap_err();
-    assert!(matches!(error, RestoreError::Apply(ApplyError::Digest { .. })), "{error:?}");
+    assert!(matches!(error, RestoreError::Apply(ApplyError::DigestMismatch { .. })), "{error:?}");
 }
 
 #[test]
@@ -230,27 +240,30 @@
     let report = |version| Report::Acknowledge { subscriber: "proxy-1".to_owned(), version };
     let status = |publisher: &Publisher, now| publisher.subscribers(now).remove(0);
 
-    publisher.answer(SECOND, &call(None));
+    publisher.subscribe(SECOND, &call(None));
     let first = status(&publisher, 2 * SECOND);
-    assert_eq!((first.version, first.behind, first.silent_for), (None, None, SECOND));
+    assert_eq!((first.version, first.behind, first.last_contact_age), (None, None, SECOND));
 
     publisher.on_report(3 * SECOND, &report(version(2))).unwrap();
     let second = status(&publisher, 5 * SECOND);
     assert_eq!((second.version, second.behind), (Some(version(2)), Some(1)));
-    assert_eq!((second.held_for, second.silent_for), (2 * SECOND, 2 * SECOND));
+    assert_eq!((second.version_age, second.last_contact_age), (2 * SECOND, 2 * SECOND));
 
-    publisher.on_report(5 * SECOND, &Report::refuse("proxy-1", version(3), "no class")).unwrap();
+    publisher.on_report(5 * SECOND, &Report::reject("proxy-1", version(3), "no class")).unwrap();
     publisher.on_report(6 * SECOND, &report(version(1))).unwrap();
-    let refused = status(&publisher, 6 * SECOND);
-    assert_eq!(refused.version, Some(version(2)), "an overtaken report changes nothing");
-    assert_eq!(refused.refused.map(|refusal| (refusal.version, refusal.reason)).unwrap().1, "no class");
+    let rejected = status(&publisher, 6 * SECOND);
+    assert_eq!(rejected.version, Some(version(2)), "an overtaken report changes nothing");
+    assert_eq!(
+        rejected.rejected.map(|rejection| (rejection.version, rejection.reason)).unwrap().1,
+        "no class"
+    );
 
     publisher.on_report(7 * SECOND, &report(version(3))).unwrap();
     let current = status(&publisher, 7 * SECOND);
-    assert_eq!((current.behind, current.refused), (Some(0), None));
+    assert_eq!((current.behind, current.rejected), (Some(0), None));
     assert_eq!(publisher.on_report(7 * SECOND, &report(version(4))), Err(UnknownVersion(version(4))));
 
-    publisher.answer(8 * SECOND, &call(Some(version(1))));
+    publisher.subscribe(8 * SECOND, &call(Some(version(1))));
     assert_eq!(status(&publisher, 8 * SECOND).behind, Some(2), "a call states what is held");
     publisher.begin_term(Term(4)).unwrap();
     assert_eq!(status(&publisher, 8 * SECOND).behind, None, "a version of another term");
@@ -259,12 +272,12 @@
 #[test]
 fn the_table_of_subscribers_is_bounded() {
     let mut publisher = publisher();
-    for n in 0..=SUBSCRIBERS_MOST {
+    for n in 0..=MAX_TRACKED_SUBSCRIBERS {
         let subscriber = format!("proxy-{n:05}");
-        publisher.answer(n as u64, &Subscribe { subscriber, known: None, whole: false });
+        publisher.subscribe(n as u64, &Subscribe { subscriber, known: None, snapshot_required: false });
     }
     let statuses = publisher.subscribers(SECOND);
-    assert_eq!(statuses.len(), SUBSCRIBERS_MOST);
+    assert_eq!(statuses.len(), MAX_TRACKED_SUBSCRIBERS);
     assert_eq!(statuses[0].subscriber, "proxy-00001", "the longest silent has left");
 }
 
@@ -280,11 +293,11 @@
         [Resource::route(None, "/a", "d"), Resource::tenant("b", 1.0), Resource::tenant("c", 1.0)],
     )
     .unwrap();
-    let changes = held.changes_to(&target);
+    let changes = held.diff(&target);
     let expected = [remove("a"), Change::Put(Resource::route(None, "/a", "d")), put("c", 1.0)];
     assert_eq!(changes, expected);
     let mut reached = held.clone();
-    let digest = held.check_changes(version(2), &changes).unwrap();
+    let digest = held.validate_changes(version(2), &changes).unwrap();
     reached.apply(&Delta { base: version(1), version: version(2), changes, digest }).unwrap();
     assert_eq!(reached, target);
 }
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -3,11 +3,13 @@
 mod common;
 
 use common::{InForce, SECOND, UNKNOWN_CLASS, receive};
-use violetseam_distribution::publisher::{Answer, LogLimits, Published, Publisher, SnapshotLines};
+use violetseam_distribution::backoff::{Backoff, INITIAL_BACKOFF, MAX_BACKOFF};
+use violetseam_distribution::publisher::{
+    EncodedSnapshot, LogEntry, LogLimits, Publisher, SubscribeResponse,
+};
 use violetseam_distribution::resource::ResourceError;
-use violetseam_distribution::retry::{Backoff, RETRY_FIRST, RETRY_MOST};
 use violetseam_distribution::subscriber::{
-    Effect, REFUSED_DELTAS_MOST, REFUSED_WAIT, SILENCE_MOST, Subscriber,
+    Effect, MAX_REJECTED_DELTAS, REJECTED_SNAPSHOT_DELAY, Subscriber, WATCH_TIMEOUT,
 };
 use violetseam_distribution::{
     Change, Configuration, Delta, Digest, Message, Micros, ParseError, Report, Resource, ResourceKey,
@@ -51,8 +53,8 @@
         self.subscriber.call(self.now).expect("the time has come")
     }
 
-    fn answer(&mut self, subscribe: &Subscribe) -> Answer {
-        self.publisher.answer(self.now, subscribe)
+    fn answer(&mut self, subscribe: &Subscribe) -> SubscribeResponse {
+        self.publisher.subscribe(self.now, subscribe)
     }
 
     /// Takes a message; what is in force by the effects is what the subscriber holds.
@@ -86,7 +88,7 @@
 }
 
 fn parts_of(configuration: &Configuration) -> Vec<SnapshotPart> {
-    let lines = SnapshotLines::encode(configuration).parts;
+    let lines = EncodedSnapshot::encode(configuration).parts;
     let read = |line: &[u8]| match Message::parse(line) {
         Ok(Message::SnapshotPart(part)) => part,
         other => panic!("not a part: {other:?}"),
@@ -111,9 +113,9 @@
     Effect::Report(Report::Acknowledge { subscriber: NAME.to_owned(), version })
 }
 
-fn refusal(effects: &[Effect]) -> Option<(Version, &str)> {
+fn rejection(effects: &[Effect]) -> Option<(Version, &str)> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Report(Report::Refuse { version, reason, .. }) => Some((*version, reason.as_str())),
+        Effect::Report(Report::Reject { version, reason, .. }) => Some((*version, reason.as_str())),
         _ => None,
     })
 }
@@ -137,8 +139,8 @@
     let mut pair = Pair::new(Term(3), None);
     pair.publish(vec![tenant("a", 1.0)]);
     let subscribe = pair.open();
-    assert_eq!(subscribe, Subscribe { subscriber: NAME.to_owned(), known: None, whole: false });
-    assert!(matches!(pair.answer(&subscribe), Answer::Snapshot { .. }));
+    assert_eq!(subscribe, Subscribe { subscriber: NAME.to_owned(), known: None, snapshot_required: false });
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::Snapshot { .. }));
     let effects = pair.deliver_snapshot();
     let version = pair.publisher.version();
     assert_eq!(effects, [Effect::Replace { version }, acknowledgement(version)]);
@@ -155,7 +157,7 @@
     assert_eq!(pair.subscriber.version(), known, "what was stored is in force at once");
     let subscribe = pair.open();
     assert_eq!(subscribe.known, known);
-    let Answer::Deltas(deltas) = pair.answer(&subscribe) else { panic!("not deltas") };
+    let SubscribeResponse::Deltas(deltas) = pair.answer(&subscribe) else { panic!("not deltas") };
     assert_eq!(deltas.len(), 1);
     pair.receive_delta(&deltas[0].delta);
     assert!(pair.holds_what_was_published());
@@ -190,7 +192,7 @@
     assert_eq!(pair.held(), Some(1));
     assert_eq!(pair.receive_delta(&third), [], "nothing is taken without a watch");
     let subscribe = pair.open();
-    let Answer::Deltas(deltas) = pair.answer(&subscribe) else { panic!("not deltas") };
+    let SubscribeResponse::Deltas(deltas) = pair.answer(&subscribe) else { panic!("not deltas") };
     for published in deltas {
         pair.receive_delta(&published.delta);
     }
@@ -212,12 +214,12 @@
     let before = pair.subscriber.configuration().cloned();
     let damaged = Delta { changes: vec![tenant("b", 2.0), tenant("c", 2.5)], ..good.clone() };
     let effects = pair.receive_delta(&damaged);
-    assert!(refusal(&effects).is_some_and(|(version, _)| version == good.version));
+    assert!(rejection(&effects).is_some_and(|(version, _)| version == good.version));
     assert!(closes(&effects));
     assert_eq!(pair.subscriber.configuration().cloned(), before, "nothing of it is in force");
     let subscribe = pair.open();
-    assert!(subscribe.whole);
-    assert!(matches!(pair.answer(&subscribe), Answer::Snapshot { .. }));
+    assert!(subscribe.snapshot_required);
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::Snapshot { .. }));
     pair.deliver_snapshot();
     assert!(pair.holds_what_was_published());
     let next = pair.publish(vec![tenant("d", 1.0)]);
@@ -230,7 +232,7 @@
     let good = pair.publish(vec![tenant("b", 2.0)]);
     let later = Version { number: good.version.number + 1, ..good.version };
     let effects = pair.receive_delta(&Delta { version: later, ..good });
-    assert!(refusal(&effects).is_some());
+    assert!(rejection(&effects).is_some());
     assert_eq!(pair.held(), Some(1));
 }
 
@@ -242,15 +244,15 @@
     let mended = pair.publish(vec![remove_route("/x")]);
 
     let effects = pair.receive_delta(&bad);
-    let (version, reason) = refusal(&effects).expect("a refusal");
+    let (version, reason) = rejection(&effects).expect("a rejection");
     assert_eq!((version, reason), (bad.version, "no class \"unknown\""));
     assert!(!closes(&effects), "the watch stays open for what makes it good");
     assert_eq!(pair.held(), Some(1));
-    let standing = pair.subscriber.standing(pair.now);
-    assert_eq!(standing.refused.map(|refusal| refusal.version), Some(bad.version));
+    let status = pair.subscriber.status(pair.now);
+    assert_eq!(status.rejected.map(|rejection| rejection.version), Some(bad.version));
 
     let effects = pair.receive_delta(&more);
-    assert_eq!(refusal(&effects).map(|(version, _)| version), Some(more.version));
+    assert_eq!(rejection(&effects).map(|(version, _)| version), Some(more.version));
     assert_eq!(pair.held(), Some(1), "nothing that goes onto a refused one is in force");
 
     let effects = pair.receive_delta(&mended);
@@ -258,7 +260,7 @@
     let apply = Effect::Apply { version: mended.version, changes };
     assert_eq!(effects, [apply, acknowledgement(mended.version)]);
     assert!(pair.holds_what_was_published());
-    assert_eq!(pair.subscriber.standing(pair.now).refused, None);
+    assert_eq!(pair.subscriber.status(pair.now).rejected, None);
 }
 
 #[test]
@@ -271,27 +273,27 @@
         let next = pair.publish(vec![tenant("b", kept as f64)]);
         effects = pair.receive_delta(&next);
         kept += 1;
-        assert!(kept <= REFUSED_DELTAS_MOST + 1, "{kept} are kept");
+        assert!(kept <= MAX_REJECTED_DELTAS + 1, "{kept} are kept");
     }
-    assert_eq!(kept, REFUSED_DELTAS_MOST + 1);
+    assert_eq!(kept, MAX_REJECTED_DELTAS + 1);
     let wait = pair.subscriber.deadline() - pair.now;
-    assert!((REFUSED_WAIT / 2..=REFUSED_WAIT).contains(&wait), "{wait}");
-    assert!(pair.open().whole);
+    assert!((REJECTED_SNAPSHOT_DELAY / 2..=REJECTED_SNAPSHOT_DELAY).contains(&wait), "{wait}");
+    assert!(pair.open().snapshot_required);
 }
 
 #[test]
 fn a_refused_snapshot_leaves_the_last_good_in_force_and_a_delta_makes_it_good() {
     let mut pair = Pair::following();
-    let bad = pair.publisher.propose_whole([Resource::route(None, "/x", UNKNOWN_CLASS)]).unwrap();
-    pair.publisher.install(bad).unwrap();
+    let bad = pair.publisher.propose_replacement([Resource::route(None, "/x", UNKNOWN_CLASS)]).unwrap();
+    pair.publisher.replace(bad).unwrap();
     let effects = pair.deliver_snapshot();
-    assert_eq!(refusal(&effects).map(|(version, _)| version), Some(pair.publisher.version()));
+    assert_eq!(rejection(&effects).map(|(version, _)| version), Some(pair.publisher.version()));
     assert!(!closes(&effects));
     let heartbeat = pair.publisher.heartbeat();
     assert_eq!(pair.receive(heartbeat), []);
     let still_bad = pair.publish(vec![tenant("b", 1.0)]);
     let effects = pair.receive_delta(&still_bad);
-    assert_eq!(refusal(&effects).map(|(version, _)| version), Some(still_bad.version));
+    assert_eq!(rejection(&effects).map(|(version, _)| version), Some(still_bad.version));
     assert_eq!(pair.held(), Some(1));
 
     let mended = pair.publish(vec![remove_route("/x")]);
@@ -308,7 +310,7 @@
     pair.publish(vec![route("/x", UNKNOWN_CLASS), tenant("a", 1.0)]);
     pair.open();
     pair.deliver_snapshot();
-    pair.subscriber.on_closed(pair.now);
+    pair.subscriber.on_watch_closed(pair.now);
     let old_parts = pair.parts();
     let mended = pair.publish(vec![remove_route("/x")]);
     pair.open();
@@ -324,8 +326,8 @@
 fn a_snapshot_is_in_force_only_when_it_is_whole() {
     let mut pair = Pair::following();
     let many = (0..30_000).map(|n| Resource::tenant(&format!("tenant-{n}"), 1.0));
-    let large = pair.publisher.propose_whole(many).unwrap();
-    pair.publisher.install(large).unwrap();
+    let large = pair.publisher.propose_replacement(many).unwrap();
+    pair.publisher.replace(large).unwrap();
     let mut parts = pair.parts();
     assert!(parts.len() >= 3, "{} parts", parts.len());
     parts.rotate_left(1);
@@ -344,11 +346,11 @@
 fn parts_of_two_snapshots_are_never_mixed() {
     let many = |quota: f64| (0..30_000).map(move |n| Resource::tenant(&format!("tenant-{n}"), quota));
     let mut pair = Pair::following();
-    let older = pair.publisher.propose_whole(many(1.0)).unwrap();
-    pair.publisher.install(older).unwrap();
+    let older = pair.publisher.propose_replacement(many(1.0)).unwrap();
+    pair.publisher.replace(older).unwrap();
     let older = pair.parts();
-    let newer = pair.publisher.propose_whole(many(2.0)).unwrap();
-    pair.publisher.install(newer).unwrap();
+    let newer = pair.publisher.propose_replacement(many(2.0)).unwrap();
+    pair.publisher.replace(newer).unwrap();
     let newer = pair.parts();
     assert_eq!(older.len(), newer.len());
 
@@ -370,7 +372,7 @@
     let mut part = pair.parts().remove(0);
     part.resources[1] = Resource::tenant("b", 2.0);
     let effects = pair.receive(Message::SnapshotPart(part));
-    assert!(refusal(&effects).is_some() && closes(&effects));
+    assert!(rejection(&effects).is_some() && closes(&effects));
     assert_eq!(pair.held(), None);
     pair.open();
     pair.deliver_snapshot();
@@ -426,7 +428,7 @@
     let heartbeat = pair.publisher.heartbeat();
     assert_eq!(pair.receive(heartbeat), [Effect::CloseWatch]);
     let subscribe = pair.open();
-    assert!(matches!(pair.answer(&subscribe), Answer::Snapshot { .. }));
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::Snapshot { .. }));
     pair.deliver_snapshot();
     assert!(pair.holds_what_was_published());
 }
@@ -440,13 +442,13 @@
     let stored = Configuration::from_resources(Version::new(Term(3), 1), [Resource::tenant("a", 1.0)]);
     pair.publisher = Publisher::restore(stored.unwrap(), [], LogLimits::default()).unwrap();
     pair.publish(vec![tenant("b", 7.0)]);
-    pair.subscriber.on_closed(pair.now);
+    pair.subscriber.on_watch_closed(pair.now);
     let subscribe = pair.open();
-    assert!(matches!(pair.answer(&subscribe), Answer::UpToDate));
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::UpToDate));
     let heartbeat = pair.publisher.heartbeat();
     assert!(closes(&pair.receive(heartbeat)));
     let subscribe = pair.open();
-    assert!(matches!(pair.answer(&subscribe), Answer::Snapshot { .. }));
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::Snapshot { .. }));
     pair.deliver_snapshot();
     assert!(pair.holds_what_was_published());
 }
@@ -455,18 +457,18 @@
 fn a_silent_watch_is_given_up_and_heartbeats_keep_it() {
     let mut pair = Pair::following();
     for _ in 0..5 {
-        pair.now += SILENCE_MOST - 1;
+        pair.now += WATCH_TIMEOUT - 1;
         assert_eq!(pair.subscriber.on_tick(pair.now), []);
         let heartbeat = pair.publisher.heartbeat();
         assert_eq!(pair.receive(heartbeat), []);
     }
-    let standing = pair.subscriber.standing(pair.now + SECOND);
-    assert_eq!((standing.age, standing.watching), (Some(SECOND), true));
-    pair.now += SILENCE_MOST;
+    let status = pair.subscriber.status(pair.now + SECOND);
+    assert_eq!((status.age, status.watching), (Some(SECOND), true));
+    pair.now += WATCH_TIMEOUT;
     assert_eq!(pair.subscriber.deadline(), pair.now);
     assert_eq!(pair.subscriber.on_tick(pair.now), [Effect::CloseWatch]);
-    let standing = pair.subscriber.standing(pair.now);
-    assert_eq!((standing.age, standing.watching), (Some(SILENCE_MOST), false));
+    let status = pair.subscriber.status(pair.now);
+    assert_eq!((status.age, status.watching), (Some(WATCH_TIMEOUT), false));
     assert_eq!(pair.held(), Some(1), "the last good stays in force");
 }
 
@@ -482,9 +484,9 @@
         pair.now += SECOND;
         pair.receive(Message::SnapshotPart(part.clone()));
         pair.receive(Message::Heartbeat { version, digest: Digest(1) });
-        assert!(pair.now <= begun + SILENCE_MOST, "the snapshot is waited for without end");
+        assert!(pair.now <= begun + WATCH_TIMEOUT, "the snapshot is waited for without end");
     }
-    assert_eq!(pair.now, begun + SILENCE_MOST);
+    assert_eq!(pair.now, begun + WATCH_TIMEOUT);
 }
 
 #[test]
@@ -493,7 +495,7 @@
     pair.open();
     let told = 12 * SECOND;
     assert_eq!(pair.receive(Message::RetryAfter { micros: told }), [Effect::CloseWatch]);
-    pair.subscriber.on_closed(pair.now);
+    pair.subscriber.on_watch_closed(pair.now);
     assert_eq!(pair.subscriber.deadline(), pair.now + told, "the end of the watch changes nothing");
     assert_eq!(pair.subscriber.call(pair.now + told - 1), None);
     assert!(pair.subscriber.call(pair.now + told).is_some());
@@ -504,36 +506,36 @@
 fn waits_between_failed_calls_are_drawn_growing_and_bounded() {
     let waits = |seed| {
         let mut backoff = Backoff::new(seed);
-        (0..40).map(|_| backoff.next_wait()).collect::<Vec<Micros>>()
+        (0..40).map(|_| backoff.next_delay()).collect::<Vec<Micros>>()
     };
     for seed in 0..100 {
         let drawn = waits(seed);
-        assert!(drawn.iter().all(|wait| (RETRY_FIRST / 2..=RETRY_MOST).contains(wait)));
-        assert!(drawn[0] <= RETRY_FIRST);
-        assert!(drawn[10..].iter().all(|wait| *wait >= RETRY_MOST / 2), "it has grown");
+        assert!(drawn.iter().all(|wait| (INITIAL_BACKOFF / 2..=MAX_BACKOFF).contains(wait)));
+        assert!(drawn[0] <= INITIAL_BACKOFF);
+        assert!(drawn[10..].iter().all(|wait| *wait >= MAX_BACKOFF / 2), "it has grown");
     }
     assert_eq!(waits(1), waits(1));
     assert_ne!(waits(1), waits(2));
 
     let mut pair = Pair::following();
     for _ in 0..10 {
-        pair.subscriber.on_closed(pair.now);
+        pair.subscriber.on_watch_closed(pair.now);
         pair.open();
     }
     let heartbeat = pair.publisher.heartbeat();
     pair.receive(heartbeat);
-    pair.subscriber.on_closed(pair.now);
-    assert!(pair.subscriber.deadline() - pair.now <= RETRY_FIRST, "a good watch resets it");
+    pair.subscriber.on_watch_closed(pair.now);
+    assert!(pair.subscriber.deadline() - pair.now <= INITIAL_BACKOFF, "a good watch resets it");
 }
 
 #[test]
 fn a_malformed_line_ends_the_watch_and_nothing_else() {
     let mut pair = Pair::following();
-    let error = ParseError::Resource(ResourceError::PrefixStart);
+    let error = ParseError::InvalidResource(ResourceError::MissingLeadingSlash);
     assert_eq!(pair.subscriber.on_malformed(pair.now, &error), [Effect::CloseWatch]);
     assert_eq!(pair.held(), Some(1));
     let subscribe = pair.open();
-    assert!(matches!(pair.answer(&subscribe), Answer::UpToDate));
+    assert!(matches!(pair.answer(&subscribe), SubscribeResponse::UpToDate));
 }
 
 #[test]
@@ -543,8 +545,8 @@
     let (base, version) = (held.version(), held.version().next());
     let changes = vec![Change::Remove(ResourceKey::Tenant("nobody".to_owned()))];
     let effects = pair.receive_delta(&Delta { base, version, changes, digest: Digest(1) });
-    assert!(refusal(&effects).is_some_and(|(_, reason)| reason.contains("nobody")));
-    assert!(pair.open().whole);
+    assert!(rejection(&effects).is_some_and(|(_, reason)| reason.contains("nobody")));
+    assert!(pair.open().snapshot_required);
 }
 
 #[test]
@@ -553,7 +555,7 @@
     let published: Vec<_> = (0..3)
         .map(|n| pair.publisher.publish(vec![tenant("b", n as f64), route("/r", "c")]).unwrap())
         .collect();
-    let read = |published: &Published| Message::parse(&published.line).unwrap();
+    let read = |published: &LogEntry| Message::parse(&published.line).unwrap();
     for one in &published {
         pair.receive(read(one));
     }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{InForce, receive};
 use std::collections::{BTreeMap, VecDeque};
-use violetseam_distribution::admission::{Admission, AdmissionLimits, Admitted};
-use violetseam_distribution::publisher::{Answer, LogLimits, Publisher};
+use violetseam_distribution::admission::{Admission, AdmissionDecision, AdmissionLimits};
+use violetseam_distribution::publisher::{LogLimits, Publisher, SubscribeResponse};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{
     Change, Configuration, Delta, Message, Micros, Report, Resource, SnapshotPart, Subscribe, Term, Version,
@@ -11,7 +11,8 @@
 
 /// Short, so that calls from long ago need a snapshot.
 const LOG: LogLimits = LogLimits { deltas: 6, bytes: 1 << 20 };
-const ADMISSION: AdmissionLimits = AdmissionLimits { interval: 400_000, grace: 2_000_000, reservations: 64 };
+const ADMISSION: AdmissionLimits =
+    AdmissionLimits { interval: 400_000, grace: 2_000_000, max_reservations: 64 };
 /// Parts that a snapshot comes in, small as it is.
 const PARTS: usize = 3;
 const STEP: Micros = 100_000;
@@ -113,8 +114,8 @@
 
     /// Replaces the whole configuration.
     pub fn install(&mut self, resources: Vec<Resource>) {
-        let Ok(configuration) = self.publisher.propose_whole(resources) else { return };
-        self.publisher.install(configuration).unwrap();
+        let Ok(configuration) = self.publisher.propose_replacement(resources) else { return };
+        self.publisher.replace(configuration).unwrap();
         self.note_published(Reach::Current);
         self.end_watches(Reach::Current);
     }
@@ -302,23 +303,27 @@
         let now = self.now;
         let Some(publisher) = self.publisher_mut(reach) else { return self.disconnect(index) };
         let heartbeat = publisher.heartbeat().write();
-        let lines = match publisher.answer(now, &subscribe) {
-            Answer::UpToDate => Vec::new(),
-            Answer::Deltas(deltas) => deltas.iter().map(|published| published.line.to_vec()).collect(),
-            Answer::Snapshot { snapshot, then } => match self.admission.call(now, &subscribe.subscriber) {
-                Admitted::Now => {
-                    let parts = snapshot.parts.iter().flat_map(|line| split(line));
-                    parts.chain(then.iter().map(|published| published.line.to_vec())).collect()
-                }
-                Admitted::After(micros) => {
-                    vec![Message::RetryAfter { micros }.write().to_vec()]
+        let lines = match publisher.subscribe(now, &subscribe) {
+            SubscribeResponse::UpToDate => Vec::new(),
+            SubscribeResponse::Deltas(deltas) => {
+                deltas.iter().map(|published| published.line.to_vec()).collect()
+            }
+            SubscribeResponse::Snapshot { snapshot, deltas: then } => {
+                match self.admission.request(now, &subscribe.subscriber) {
+                    AdmissionDecision::Admit => {
+                        let parts = snapshot.parts.iter().flat_map(|line| split(line));
+                        parts.chain(then.iter().map(|published| published.line.to_vec())).collect()
+                    }
+                    AdmissionDecision::RetryAfter(micros) => {
+                        vec![Message::RetryAfter { micros }.write().to_vec()]
+                    }
                 }
-            },
-            Answer::Ahead { .. } => {
+            }
+            SubscribeResponse::Ahead { .. } => {
                 self.begin_term();
                 return self.disconnect(index);
             }
-            Answer::Superseded { term } => {
+            SubscribeResponse::Superseded { term } => {
                 if reach == Reach::Current {
                     self.begin_term_after_loss(term);
                 }
@@ -388,7 +393,7 @@
     fn end_watch(&mut self, now: Micros) {
         self.watching = false;
         self.lines.clear();
-        self.subscriber.on_closed(now);
+        self.subscriber.on_watch_closed(now);
     }
 }
 
@@ -399,9 +404,9 @@
 /// The publisher's log, as its answer to a caller that knows its oldest version.
 fn log_of(publisher: &mut Publisher) -> Vec<Delta> {
     let known = Some(publisher.oldest_known());
-    let subscribe = Subscribe { subscriber: "store".to_owned(), known, whole: false };
-    match publisher.answer(0, &subscribe) {
-        Answer::Deltas(deltas) => deltas.iter().map(|published| published.delta.clone()).collect(),
+    let subscribe = Subscribe { subscriber: "store".to_owned(), known, snapshot_required: false };
+    match publisher.subscribe(0, &subscribe) {
+        SubscribeResponse::Deltas(deltas) => deltas.iter().map(|published| published.delta.clone()).collect(),
         _ => Vec::new(),
     }
 }
--- a/crates/lab/src/scale/distribution/subscriber.rs
+++ b/crates/lab/src/scale/distribution/subscriber.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use std::{io, thread};
-use violetseam_distribution::message::LINE_BYTES_MOST;
+use violetseam_distribution::message::MAX_LINE_BYTES;
 use violetseam_distribution::subscriber::{Effect, Proposal, Subscriber};
 use violetseam_distribution::{Message, Micros, Report, Subscribe};
 use violetseam_http1::Limits;
@@ -147,7 +147,7 @@
         shared.counters.calls.fetch_add(1, Ordering::Relaxed);
         // However the watch ends, the subscriber says when to call again.
         let _ended = watch(shared, index, &mut subscriber, &mut reporter, &call);
-        subscriber.on_closed(shared.now());
+        subscriber.on_watch_closed(shared.now());
     }
 }
 
@@ -194,7 +194,7 @@
             Err(error) => subscriber.on_malformed(shared.now(), &error),
         });
     }
-    if lines.len() > LINE_BYTES_MOST {
+    if lines.len() > MAX_LINE_BYTES {
         return Err(ErrorKind::InvalidData.into());
     }
     Ok(effects)
--- a/crates/proxy/src/distributed_routes.rs
+++ b/crates/proxy/src/distributed_routes.rs
@@ -36,7 +36,7 @@
     pub fn check(&self, proposal: Proposal<'_>) -> Result<(), String> {
         match proposal {
             Proposal::Changes(changes) => changes.iter().try_for_each(|change| self.check_change(change)),
-            Proposal::Whole(configuration) => self.check_whole(configuration),
+            Proposal::Replacement(configuration) => self.check_whole(configuration),
         }
     }
 
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use violetseam::interface::Micros;
 use violetseam_control::state::{ConfigurationVersion, Distributed, RefusedVersion};
-use violetseam_distribution::message::{LINE_BYTES_MOST, REPORT_BYTES_MOST};
+use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{Message, Report, Subscribe, Version};
 use violetseam_http1::client::{ClientConn, ClientEvent};
@@ -95,7 +95,7 @@
     fn note(&mut self, report: Report) {
         match report {
             Report::Acknowledge { .. } => self.acknowledgement = Some(report),
-            Report::Refuse { .. } => self.refusal = Some(report),
+            Report::Reject { .. } => self.refusal = Some(report),
         }
     }
 
@@ -103,7 +103,7 @@
     fn note_again(&mut self, report: Report) {
         let waiting = match report {
             Report::Acknowledge { .. } => &mut self.acknowledgement,
-            Report::Refuse { .. } => &mut self.refusal,
+            Report::Reject { .. } => &mut self.refusal,
         };
         waiting.get_or_insert(report);
     }
@@ -113,15 +113,16 @@
     }
 
     fn reading(&self, now: Micros) -> Distributed {
-        let standing = self.subscriber.standing(now);
-        let refused = standing
-            .refused
-            .map(|refusal| RefusedVersion { version: version_read(refusal.version), reason: refusal.reason });
+        let status = self.subscriber.status(now);
+        let refused = status.rejected.map(|rejection| RefusedVersion {
+            version: version_read(rejection.version),
+            reason: rejection.reason,
+        });
         Distributed {
-            version: standing.version.map(version_read),
+            version: status.version.map(version_read),
             routes: self.table().map_or(0, |table| table.len() as u64),
-            age_us: standing.age,
-            watching: standing.watching,
+            age_us: status.age,
+            watching: status.watching,
             refused,
         }
     }
@@ -293,7 +294,7 @@
         socket.out().extend_from_slice(body);
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
-        let line_most = if purpose == Purpose::Watch { LINE_BYTES_MOST } else { REPORT_BYTES_MOST };
+        let line_most = if purpose == Purpose::Watch { MAX_LINE_BYTES } else { MAX_REPORT_BYTES };
         let exchange = Exchange { generation, socket, http, lines: Lines::new(line_most), accepted: false };
         *subscription.exchange(purpose) = Some(exchange);
         true
@@ -445,7 +446,7 @@
 
     fn log_refusal(&mut self, report: &Report) {
         let now = self.now();
-        if let Report::Refuse { version, reason, .. } = report
+        if let Report::Reject { version, reason, .. } = report
             && self.quiet.allows(now)
         {
             tracing::warn!(target: "configuration", %version, "refused: {reason}");
@@ -462,7 +463,7 @@
 
     fn watch_closed(&mut self) {
         let now = self.now();
-        self.subscription.iter_mut().for_each(|subscription| subscription.subscriber.on_closed(now));
+        self.subscription.iter_mut().for_each(|subscription| subscription.subscriber.on_watch_closed(now));
     }
 
     /// Nothing failed where the report was heard.
@@ -488,7 +489,7 @@
 
 /// Whether a stored configuration can be in force with these settings, which may have changed since.
 fn is_usable(routes: &DistributedRoutes, configuration: &violetseam_distribution::Configuration) -> bool {
-    let checked = routes.check(violetseam_distribution::subscriber::Proposal::Whole(configuration));
+    let checked = routes.check(violetseam_distribution::subscriber::Proposal::Replacement(configuration));
     if let Err(why) = &checked {
         tracing::warn!(version = %configuration.version(), "the stored configuration is not used: {why}");
     }
--- a/crates/publisher/src/connections.rs
+++ b/crates/publisher/src/connections.rs
@@ -9,7 +9,7 @@
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
 use violetseam_distribution::Micros;
-use violetseam_distribution::message::REPORT_BYTES_MOST;
+use violetseam_distribution::message::MAX_REPORT_BYTES;
 use violetseam_distribution::subscriber::HEARTBEAT_INTERVAL;
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
@@ -158,7 +158,7 @@
         let most = self.settings.bounds.body_bytes;
         let Some(connection) = self.connections.get_mut(key) else { return true };
         let is_report = connection.head.as_ref().is_some_and(|head| head.target == ACKNOWLEDGE_PATH);
-        let body_most = if is_report { REPORT_BYTES_MOST } else { most };
+        let body_most = if is_report { MAX_REPORT_BYTES } else { most };
         if connection.body.len() + bytes.len() > body_most
             || self.body_bytes + bytes.len() > most * BODIES_AT_ONCE
         {
--- a/crates/publisher/src/requests.rs
+++ b/crates/publisher/src/requests.rs
@@ -9,10 +9,10 @@
 use http::header::HeaderName;
 use http::{Method, StatusCode};
 use serde::Serialize;
-use violetseam_distribution::admission::Admitted;
-use violetseam_distribution::message::{CHANGES_MOST, Line};
-use violetseam_distribution::publisher::Answer;
-use violetseam_distribution::resource::{ROUTES_MOST, TENANTS_MOST};
+use violetseam_distribution::admission::AdmissionDecision;
+use violetseam_distribution::message::{Line, MAX_DELTA_CHANGES};
+use violetseam_distribution::publisher::SubscribeResponse;
+use violetseam_distribution::resource::{MAX_ROUTES, MAX_TENANTS};
 use violetseam_distribution::{Change, Message, Micros, Report, Resource, Subscribe};
 
 /// Missing deltas of more bytes than this pass admission as a snapshot does.
@@ -99,37 +99,37 @@
 
     fn watch_answer(&mut self, subscribe: &Subscribe) -> Result<WatchAnswer, Refusal> {
         let now = self.now();
-        match self.publisher.answer(now, subscribe) {
-            Answer::UpToDate => Ok(WatchAnswer::Lines(Vec::new())),
-            Answer::Deltas(deltas) => {
-                let lines: Vec<Line> = deltas.iter().map(|published| published.line.clone()).collect();
+        match self.publisher.subscribe(now, subscribe) {
+            SubscribeResponse::UpToDate => Ok(WatchAnswer::Lines(Vec::new())),
+            SubscribeResponse::Deltas(deltas) => {
+                let lines: Vec<Line> = deltas.iter().map(|entry| entry.line.clone()).collect();
                 let bytes: usize = lines.iter().map(|line| line.len()).sum();
                 if bytes <= DELTAS_UNADMITTED_BYTES {
                     return Ok(WatchAnswer::Lines(lines));
                 }
                 Ok(self.admit(now, &subscribe.subscriber, lines))
             }
-            Answer::Snapshot { .. } if self.is_unpublished() && subscribe.known.is_some() => {
+            SubscribeResponse::Snapshot { .. } if self.is_unpublished() && subscribe.known.is_some() => {
                 Ok(WatchAnswer::RetryAfter(UNPUBLISHED_WAIT))
             }
-            Answer::Snapshot { snapshot, then } => {
-                let later = then.iter().map(|published| published.line.clone());
+            SubscribeResponse::Snapshot { snapshot, deltas } => {
+                let later = deltas.iter().map(|entry| entry.line.clone());
                 let lines = snapshot.parts.iter().cloned().chain(later).collect();
                 Ok(self.admit(now, &subscribe.subscriber, lines))
             }
-            Answer::Ahead { known } => {
+            SubscribeResponse::Ahead { known } => {
                 Err(self.halt(Halt::Ahead { subscriber: subscribe.subscriber.clone(), known }))
             }
-            Answer::Superseded { term } => {
+            SubscribeResponse::Superseded { term } => {
                 Err(self.halt(Halt::Superseded { subscriber: subscribe.subscriber.clone(), term }))
             }
         }
     }
 
     fn admit(&mut self, now: Micros, subscriber: &str, lines: Vec<Line>) -> WatchAnswer {
-        match self.admission.call(now, subscriber) {
-            Admitted::Now => WatchAnswer::Lines(lines),
-            Admitted::After(micros) => WatchAnswer::RetryAfter(micros),
+        match self.admission.request(now, subscriber) {
+            AdmissionDecision::Admit => WatchAnswer::Lines(lines),
+            AdmissionDecision::RetryAfter(micros) => WatchAnswer::RetryAfter(micros),
         }
     }
 
@@ -161,7 +161,7 @@
             Err(error) => return self.refuse(key, StatusCode::BAD_REQUEST, &error.to_string(), false),
         };
         let now = self.now();
-        if let Report::Refuse { subscriber, version, reason } = &report
+        if let Report::Reject { subscriber, version, reason } = &report
             && self.log_rate.allows(now)
         {
             tracing::warn!(subscriber, %version, "refused: {reason}");
@@ -174,7 +174,7 @@
 
     fn publish_changes(&mut self, body: &[u8]) -> Result<Published, Refusal> {
         self.check_not_halted()?;
-        let changes = read_lines(body, CHANGES_MOST, Change::check)
+        let changes = read_lines(body, MAX_DELTA_CHANGES, Change::validate)
             .map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))?;
         let delta = self
             .publisher
@@ -191,16 +191,16 @@
 
     fn publish_whole(&mut self, body: &[u8]) -> Result<Published, Refusal> {
         self.check_not_halted()?;
-        let resources = read_lines(body, ROUTES_MOST + TENANTS_MOST, Resource::check)
+        let resources = read_lines(body, MAX_ROUTES + MAX_TENANTS, Resource::validate)
             .map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))?;
         let configuration = self
             .publisher
-            .propose_whole(resources)
+            .propose_replacement(resources)
             .map_err(|error| Refusal::new(StatusCode::UNPROCESSABLE_ENTITY, error))?;
         let published = Published { version: configuration.version(), digest: configuration.digest() };
         let stored = self.store.replace(&configuration);
         stored.map_err(|error| self.fail(&error))?;
-        self.publisher.install(configuration).map_err(|error| self.fail(&error))?;
+        self.publisher.replace(configuration).map_err(|error| self.fail(&error))?;
         self.close_watches();
         tracing::info!(version = %published.version, "published whole");
         Ok(published)
@@ -233,7 +233,7 @@
             resources: configuration.len(),
             oldest_known: self.publisher.oldest_known(),
             watches: self.watch_of.len(),
-            snapshots_waiting: self.admission.reserved(),
+            snapshots_waiting: self.admission.reserved_slots(),
             halted: self.halted.as_ref().map(Halt::to_string),
             subscribers: self.publisher.subscribers(self.now()).into_iter().map(row).collect(),
         }
--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -9,7 +9,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 use violetseam_distribution::publisher::{LogLimits, Publisher};
-use violetseam_distribution::version::NUMBER_MOST;
+use violetseam_distribution::version::MAX_VERSION_NUMBER;
 use violetseam_distribution::{Change, Configuration, Delta, Digest, Resource, ResourceKey, Term, Version};
 
 /// The store's file in the state folder.
@@ -177,7 +177,7 @@
 pub fn term_of_wall_clock() -> Term {
     let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
     let milliseconds = since_epoch.map_or(1, |span| span.as_millis().max(1));
-    Term(u64::try_from(milliseconds).map_or(NUMBER_MOST, |term| term.min(NUMBER_MOST)))
+    Term(u64::try_from(milliseconds).map_or(MAX_VERSION_NUMBER, |term| term.min(MAX_VERSION_NUMBER)))
 }
 
 fn open_error(path: PathBuf, error: DatabaseError) -> StoreError {
