--- a/crates/publisher/src/client.rs
+++ b/crates/publisher/src/client.rs
@@ -1,4 +1,4 @@
-//! One request to a publisher within a time-out, for the command line.
+//! The client: one request to a publisher within a timeout, for the command line.
 
 use crate::protocol::{CHANGES_PATH, Published, Refused, STATUS_PATH, StatusReport, WHOLE_PATH};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Version as HttpVersion, header};
@@ -6,100 +6,118 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use violetseam_http1::client::{ClientConn, ClientEvent, write_request_head};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
-/// The longest answer that is read, in bytes.
-const ANSWER_BYTES_MOST: usize = 32 << 20;
+/// The longest body of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 const READ_BYTES: usize = 64 * 1024;
 
 /// Why a request had no result.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Debug, Error)]
 pub enum ClientError {
-    /// The publisher refused it, with its reason.
+    /// The publisher refused it, with this reason.
+    #[error("refused: {0}")]
     Refused(String),
-    /// It was not reached: nothing has changed.
-    Unreachable(String),
-    /// The connection ended without an answer: what was asked may have been done.
-    NoAnswer(String),
+    /// The publisher was not reached: nothing has changed.
+    #[error("the publisher was not reached: {0}")]
+    Unreachable(#[source] std::io::Error),
+    /// The connection ended without a response: the request may have been carried out.
+    #[error("no answer, what was sent may stand; see --status: {0}")]
+    NoAnswer(#[source] ExchangeError),
 }
 
-impl std::fmt::Display for ClientError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ClientError::Refused(reason) => write!(f, "refused: {reason}"),
-            ClientError::Unreachable(reason) => write!(f, "the publisher was not reached: {reason}"),
-            ClientError::NoAnswer(reason) => {
-                write!(f, "no answer, what was sent may stand; see --status: {reason}")
-            }
-        }
-    }
+/// Why there was no valid response to a request that was sent.
+#[derive(Debug, Error)]
+pub enum ExchangeError {
+    /// The connection failed or timed out.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The response is not HTTP.
+    #[error("{reason}")]
+    InvalidHttp {
+        /// What is wrong with it.
+        reason: &'static str,
+    },
+    /// The body of the response is too long.
+    #[error("the answer is too long")]
+    TooLong,
+    /// The body of the response is not the expected JSON.
+    #[error("not understood: {0}")]
+    InvalidJson(#[from] serde_json::Error),
 }
 
-impl std::error::Error for ClientError {}
-
-/// Speaks to one publisher, one connection a request.
+/// A client of one publisher, with a connection for each request.
 #[derive(Clone, Copy, Debug)]
 pub struct Client {
-    /// Where it listens.
+    /// The address of the publisher.
     pub publisher: SocketAddr,
     /// How long a request may take.
     pub timeout: Duration,
 }
 
-struct HttpAnswer {
+struct Response {
     status: StatusCode,
     body: Vec<u8>,
 }
 
 impl Client {
     /// Publishes JSON lines of `Change` as the next version.
+    ///
+    /// # Errors
+    /// The publisher was not reached, did not respond, or refused the request.
     pub fn publish_changes(&self, lines: &[u8]) -> Result<Published, ClientError> {
         self.call(Method::POST, CHANGES_PATH, lines)
     }
 
     /// Publishes JSON lines of `Resource` as the whole configuration, in place of the present one.
+    ///
+    /// # Errors
+    /// The publisher was not reached, did not respond, or refused the request.
     pub fn publish_whole(&self, lines: &[u8]) -> Result<Published, ClientError> {
         self.call(Method::POST, WHOLE_PATH, lines)
     }
 
-    /// Who has which version.
+    /// Which version each subscriber has.
+    ///
+    /// # Errors
+    /// The publisher was not reached, did not respond, or refused the request.
     pub fn status(&self) -> Result<StatusReport, ClientError> {
         self.call(Method::GET, STATUS_PATH, &[])
     }
 
     fn call<T: DeserializeOwned>(&self, method: Method, path: &str, body: &[u8]) -> Result<T, ClientError> {
-        let until = Instant::now() + self.timeout;
-        let stream = TcpStream::connect_timeout(&self.publisher, self.timeout)
-            .map_err(|error| ClientError::Unreachable(error.to_string()))?;
-        let answer = self.exchange(stream, until, method, path, body)?;
-        let malformed = |error: serde_json::Error| ClientError::NoAnswer(format!("not understood: {error}"));
-        if answer.status == StatusCode::OK {
-            return serde_json::from_slice(&answer.body).map_err(malformed);
+        let deadline = Instant::now() + self.timeout;
+        let stream =
+            TcpStream::connect_timeout(&self.publisher, self.timeout).map_err(ClientError::Unreachable)?;
+        let response = self.exchange(stream, deadline, method, path, body).map_err(ClientError::NoAnswer)?;
+        if response.status == StatusCode::OK {
+            return parse_body(&response.body);
         }
-        let refused: Refused = serde_json::from_slice(&answer.body).map_err(malformed)?;
+        let refused: Refused = parse_body(&response.body)?;
         Err(ClientError::Refused(refused.reason))
     }
 
     fn exchange(
         &self,
         mut stream: TcpStream,
-        until: Instant,
+        deadline: Instant,
         method: Method,
         path: &str,
         body: &[u8],
-    ) -> Result<HttpAnswer, ClientError> {
-        let no_answer = |error: std::io::Error| ClientError::NoAnswer(error.to_string());
+    ) -> Result<Response, ExchangeError> {
         let mut request = self.request_head(method, path, body.len());
         request.extend_from_slice(body);
-        stream.set_write_timeout(Some(self.timeout)).map_err(no_answer)?;
-        // The publisher may answer before it has read everything; that answer counts.
+        stream.set_write_timeout(Some(self.timeout))?;
+        // The publisher may respond before it has read everything; that response counts.
         let sent = stream.write_all(&request);
         let mut http = ClientConn::new(Limits::default());
         http.expect_answer(false);
-        match read_answer(&mut stream, &mut http, until) {
-            Ok(answer) => Ok(answer),
-            Err(error) => Err(no_answer(sent.err().unwrap_or(error))),
+        match (read_response(&mut stream, &mut http, deadline), sent) {
+            (Ok(response), _) => Ok(response),
+            (Err(_), Err(error)) => Err(error.into()),
+            (Err(error), Ok(())) => Err(error),
         }
     }
 
@@ -124,30 +142,45 @@
     }
 }
 
-fn read_answer(stream: &mut TcpStream, http: &mut ClientConn, until: Instant) -> std::io::Result<HttpAnswer> {
-    let invalid = |reason: &str| std::io::Error::new(ErrorKind::InvalidData, reason.to_owned());
-    let mut answer = HttpAnswer { status: StatusCode::OK, body: Vec::new() };
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
+    serde_json::from_slice(body).map_err(|error| ClientError::NoAnswer(error.into()))
+}
+
+fn read_response(
+    stream: &mut TcpStream,
+    http: &mut ClientConn,
+    deadline: Instant,
+) -> Result<Response, ExchangeError> {
+    let mut response = Response { status: StatusCode::OK, body: Vec::new() };
     let mut bytes = vec![0; READ_BYTES];
     loop {
         match http.next_event() {
-            Some(ClientEvent::Head(head)) => answer.status = head.status,
-            Some(ClientEvent::Body(part)) if answer.body.len() + part.len() > ANSWER_BYTES_MOST => {
-                return Err(invalid("the answer is too long"));
+            Some(ClientEvent::Head(head)) => response.status = head.status,
+            Some(ClientEvent::Body(part)) if response.body.len() + part.len() > MAX_RESPONSE_BYTES => {
+                return Err(ExchangeError::TooLong);
+            }
+            Some(ClientEvent::Body(part)) => response.body.extend_from_slice(&part),
+            Some(ClientEvent::End { .. }) => return Ok(response),
+            Some(ClientEvent::Fault(fault)) => {
+                return Err(ExchangeError::InvalidHttp { reason: fault.reason });
             }
-            Some(ClientEvent::Body(part)) => answer.body.extend_from_slice(&part),
-            Some(ClientEvent::End { .. }) => return Ok(answer),
-            Some(ClientEvent::Fault(fault)) => return Err(invalid(fault.reason)),
             None => {
-                let left = until.saturating_duration_since(Instant::now());
-                if left.is_zero() {
-                    return Err(ErrorKind::TimedOut.into());
-                }
-                stream.set_read_timeout(Some(left))?;
-                match stream.read(&mut bytes)? {
-                    0 => return Err(ErrorKind::UnexpectedEof.into()),
-                    count => http.feed(&bytes[..count]),
-                }
+                let count = read_before(stream, deadline, &mut bytes)?;
+                http.feed(&bytes[..count]);
             }
         }
     }
 }
+
+/// Reads at least one byte before the deadline.
+fn read_before(stream: &mut TcpStream, deadline: Instant, bytes: &mut [u8]) -> std::io::Result<usize> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
+        return Err(ErrorKind::TimedOut.into());
+    }
+    stream.set_read_timeout(Some(remaining))?;
+    match stream.read(bytes)? {
+        0 => Err(ErrorKind::UnexpectedEof.into()),
+        count => Ok(count),
+    }
+}
