--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -46,7 +46,7 @@
 use violetseam_loopio::quiet::RateLimit;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
-use violetseam_shared::budgets::Budgets;
+use violetseam_shared::fleet_quotas::FleetQuotas;
 use violetseam_site::peer::Kind;
 use violetseam_site::roster::Roster;
 
@@ -438,7 +438,7 @@
         // Of the moment and the process whatever the seed, as no two lives of a position may be alike.
         let (now, drawn) = (self.now(), fresh_seed());
         let life = (drawn ^ (drawn >> 32)) as u32;
-        self.engine.share(now, Budgets::new(now, plan, life));
+        self.engine.share(now, FleetQuotas::new(now, plan, life));
         self.pump();
     }
 
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -25,7 +25,7 @@
 use violetseam_control::wire::{self, Answer, Ask, Command, Reply};
 use violetseam_loopio::Got;
 use violetseam_settings::ProxySettings;
-use violetseam_shared::budgets::Sight;
+use violetseam_shared::fleet_quotas::QuotaStatus;
 
 /// Operators' connections at once, of each kind, so that a flood from the network leaves the local socket
 /// free; further ones are closed unread.
@@ -626,10 +626,18 @@
         }
     }
 
-    fn rights(&self, sight: Sight) -> Rights {
-        let Sight { class, budget, floor, lot, lent, borrowed, rate, spent, denied } = sight;
-        let class = self.settings.class_names.get(class).cloned().unwrap_or_default();
-        Rights { class, budget, floor, lot, lent, borrowed, rate, spent, denied }
+    fn rights(&self, status: QuotaStatus) -> Rights {
+        Rights {
+            class: self.settings.class_names.get(status.class).cloned().unwrap_or_default(),
+            budget: status.quota,
+            floor: status.guaranteed_quota,
+            lot: status.lendable_quota,
+            lent: status.granted,
+            borrowed: status.borrowed,
+            rate: status.rate,
+            spent: status.spent,
+            denied: status.denied,
+        }
     }
 
     /// The state at this moment: all of it from one turn of the loop.
@@ -677,7 +685,7 @@
             list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
             servers: self.roster_lines.len() as u64,
             distributed: self.configuration_reading(),
-            rights: self.engine.budgets(now).into_iter().map(|sight| self.rights(sight)).collect(),
+            rights: self.engine.budgets(now).into_iter().map(|status| self.rights(status)).collect(),
         }
     }
 }
--- a/crates/proxy/src/engine.rs
+++ b/crates/proxy/src/engine.rs
@@ -11,7 +11,7 @@
 use violetseam::interface::*;
 use violetseam::permission::{AttemptFacts, Denial, Lifetime, ListLease, Permissions};
 use violetseam_recorder::Recorder;
-use violetseam_shared::budgets::{Budgets, Sight};
+use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaStatus};
 
 /// Something the driver must do.
 #[derive(Clone, Debug, PartialEq)]
@@ -178,7 +178,7 @@
     busy: bool,
     permissions: Permissions,
     /// What this proxy may spend of the fleet's budgets of further attempts.
-    budgets: Option<Budgets>,
+    budgets: Option<FleetQuotas>,
     counts: Counts,
     news: Option<StageNews>,
     module_time: std::time::Duration,
@@ -270,14 +270,14 @@
 
     /// Keeps to the fleet's budgets from now on: an attempt beyond a request's first is started only with a right to it,
     /// whatever the module asks for. Before the first request of a life.
-    pub fn share(&mut self, now: Micros, budgets: Budgets) {
+    pub fn share(&mut self, now: Micros, budgets: FleetQuotas) {
         self.budgets = Some(budgets);
         self.turn_budgets(now);
     }
 
     /// What is held of the fleet's budgets.
-    pub fn budgets(&self, now: Micros) -> Vec<Sight> {
-        self.budgets.as_ref().map_or_else(Vec::new, |b| b.sights(now))
+    pub fn budgets(&self, now: Micros) -> Vec<QuotaStatus> {
+        self.budgets.as_ref().map_or_else(Vec::new, |b| b.status(now))
     }
 
     /// Measures from now on how long the module takes.
@@ -535,9 +535,11 @@
     /// Asks peers for rights where they are short, and looks again later.
     fn turn_budgets(&mut self, now: Micros) {
         let Some(budgets) = &mut self.budgets else { return };
-        let asks = budgets.turn(now);
-        let next = now + budgets.every();
-        self.orders.extend(asks.into_iter().map(|(to, payload)| Order::Rights { to, payload }));
+        let asks = budgets.poll_requests(now);
+        let next = now + budgets.poll_interval();
+        let requests =
+            asks.into_iter().map(|message| Order::Rights { to: message.to, payload: message.payload });
+        self.orders.extend(requests);
         self.schedule(next, Due::Budgets);
     }
 
@@ -714,7 +716,7 @@
             return true;
         }
         let class = r.class;
-        self.budgets.as_mut().is_none_or(|budgets| budgets.spend(now, class))
+        self.budgets.as_mut().is_none_or(|budgets| budgets.try_spend(now, class))
     }
 
     fn cancel(&mut self, now: Micros, id: RequestId, number: usize) {
--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use violetseam::interface::*;
 use violetseam_proxy::engine::{Engine, Final, Order};
-use violetseam_shared::budgets::{Budgets, Plan};
+use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaPlan};
 
 const MS: Micros = 1_000;
 
@@ -149,16 +149,16 @@
 #[test]
 fn attempts_beyond_the_first_need_a_right_and_the_rest_end_with_their_answer() {
     let mut engine = engine(6);
-    let plan = Plan {
+    let plan = QuotaPlan {
         members: 1,
         position: 0,
-        by_class: vec![2_000, 0],
-        floor_percent: 25,
-        lease: 1_000 * MS,
-        drift_ppm: 0,
+        quota_by_class: vec![2_000, 0],
+        guaranteed_percent: 25,
+        lease_duration: 1_000 * MS,
+        max_drift_ppm: 0,
         burst: 2_000 * MS,
     };
-    engine.share(2_000 * MS, Budgets::new(2_000 * MS, plan, 1));
+    engine.share(2_000 * MS, FleetQuotas::new(2_000 * MS, plan, 1));
     let (mut further, mut answered, mut taken) = (Vec::new(), 0, 0);
     for step in 0..1_000 {
         let now = 2_000 * MS + step * 10 * MS;
--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -2,7 +2,7 @@
 
 use crate::sections::{BudgetParts, Fleet, RequestClass};
 use violetseam_script::{Fault, Placed};
-use violetseam_shared::budgets::Plan;
+use violetseam_shared::fleet_quotas::QuotaPlan;
 
 /// The largest budget of further attempts, a second.
 const FURTHER_MOST: f64 = 1e6;
@@ -12,7 +12,7 @@
     fleet: &Placed<Fleet>,
     classes: &[Placed<RequestClass>],
     parts: Option<&Placed<BudgetParts>>,
-) -> Result<Option<Plan>, Fault> {
+) -> Result<Option<QuotaPlan>, Fault> {
     if let Some(class) = classes.iter().find(|c| !(0.0..=FURTHER_MOST).contains(&c.is.further)) {
         return class.fault(format!("request_class {:?}: further is 0 to {FURTHER_MOST}", class.is.name));
     }
@@ -24,17 +24,18 @@
         };
     }
     let is = parts.map(|p| p.is.clone()).unwrap_or_default();
-    let plan = Plan {
+    let plan = QuotaPlan {
         members: fleet.is.size,
         position: fleet.is.position,
-        by_class,
-        floor_percent: is.floor_percent,
-        lease: is.lease.0,
-        drift_ppm: is.drift_ppm,
+        quota_by_class: by_class,
+        guaranteed_percent: is.floor_percent,
+        lease_duration: is.lease.0,
+        max_drift_ppm: is.drift_ppm,
         burst: is.burst.0,
     };
-    match plan.fault() {
-        Some((class, why)) => classes[class].fault(format!("budgets of {:?}: {why}", classes[class].is.name)),
-        None => Ok(Some(plan)),
+    if let Err(error) = plan.validate() {
+        let class = &classes[error.class];
+        return class.fault(format!("budgets of {:?}: {}", class.is.name, error.reason));
     }
+    Ok(Some(plan))
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use violetseam::interface::{Micros, Settings};
-use violetseam_shared::budgets::Plan;
+use violetseam_shared::fleet_quotas::QuotaPlan;
 
 /// Requests with this method and path prefix are of this class.
 #[derive(Clone, Debug)]
@@ -120,7 +120,7 @@
     /// Control over TCP under mutual TLS: where it listens, and the daemon's files.
     pub control_tls: Option<(SocketAddr, Identity)>,
     /// Budgets that the whole fleet keeps, if any class has one.
-    pub budgets: Option<Plan>,
+    pub budgets: Option<QuotaPlan>,
     /// What the decisions run by.
     pub decisions: Settings,
 }
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -1,15 +1,21 @@
-//! State that proxies of one fleet hold in common, without I/O and without a clock: time is passed in, messages go in
-//! and out as plain values, and a message may be lost, late, repeated or out of order.
+//! State that the proxies of one fleet share, without I/O and without a clock of its own: the caller passes the time in,
+//! messages go in and out as plain values, and a message may be lost, late, repeated or out of order.
 //!
-//! - [`rights`]: a budget of the whole fleet (so many a second), parted into rights that move between proxies
-//! - [`budgets`]: all budgets that one proxy holds, by class of requests, and what it asks of whom
-//! - [`servers`]: what proxies tell each other of servers, and which they set aside for it
-//! - [`wire`]: the budgets' messages as bytes
+//! - [`quota_leases`]: one fleet-wide rate limit, divided into quotas that members lend each other by leases
+//! - [`fleet_quotas`]: all rate limits of one member, by request class, and the messages that they exchange
+//! - [`lease_messages`]: those messages as bytes
+//! - [`outlier_gossip`]: gossip about failing servers, and which servers are ejected because of it
 //!
-//! What holds for all of it: whoever hears nothing takes the safe side, and whatever is shared may only sharpen what
-//! each proxy keeps alone, never loosen it. `docs/shared.md` says what was weighed.
+//! Both protocols fail safe: a member that receives nothing falls back to its guaranteed quota and to its own
+//! observations. Shared state may only restrict what a member would do alone, never permit more. `docs/shared.md`
+//! describes the design and the alternatives.
 
-pub mod budgets;
-pub mod rights;
-pub mod servers;
-pub mod wire;
+mod demand;
+pub mod fleet_quotas;
+pub mod lease_messages;
+pub mod outlier_gossip;
+pub mod quota_leases;
+mod token_bucket;
+mod types;
+
+pub use types::{Micros, OutgoingMessage, Rate};
--- /dev/null
+++ b/crates/shared/tests/fleet_quotas.rs
@@ -0,0 +1,171 @@
+//! Members' messages: what they carry arrives, and whatever else arrives changes nothing.
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64;
+use violetseam_shared::OutgoingMessage;
+use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaPlan, QuotaStatus};
+use violetseam_shared::lease_messages::{self, ClassMessage, LeaseMessage, LeasePayload};
+use violetseam_shared::quota_leases::{LeaseGrant, LeaseRequest};
+
+const SECOND: u64 = 1_000_000;
+
+fn plan(position: usize) -> QuotaPlan {
+    QuotaPlan {
+        members: 3,
+        position,
+        quota_by_class: vec![30_000, 0, 9_000],
+        guaranteed_percent: 25,
+        lease_duration: 2 * SECOND,
+        max_drift_ppm: 1_000,
+        burst: SECOND,
+    }
+}
+
+/// Tries to spend ten tokens at once.
+fn spend_ten(member: &mut FleetQuotas, now: u64) {
+    for _ in 0..10 {
+        member.try_spend(now, 0);
+    }
+}
+
+/// A member that may lend by now, and wants far more of class 0 than it has.
+fn short_member(position: usize) -> FleetQuotas {
+    let mut member = FleetQuotas::new(0, plan(position), 7);
+    for n in 0..300 {
+        member.try_spend(3 * SECOND + n * 10_000, 0);
+    }
+    member
+}
+
+#[test]
+fn encoded_messages_decode_to_the_same_and_stay_within_the_size_limit() {
+    let request = LeaseMessage::Request(LeaseRequest { incarnation: 1, number: u32::MAX, wanted: u64::MAX });
+    let grant = LeaseMessage::Grant(LeaseGrant { incarnation: u32::MAX, number: 0, amount: 1 });
+    let alternating = |class| if class % 2 == 0 { request } else { grant };
+    let messages: Vec<ClassMessage> = (0..lease_messages::MAX_MESSAGES)
+        .map(|class| ClassMessage { class, message: alternating(class) })
+        .collect();
+    let bytes = lease_messages::encode(0xfeed, &messages).unwrap();
+    assert!(bytes.len() <= lease_messages::MAX_PAYLOAD_BYTES, "{}", bytes.len());
+    let payload = LeasePayload { plan_digest: 0xfeed, messages: messages.clone() };
+    assert_eq!(lease_messages::decode(&bytes), Some(payload));
+    let too_many = [messages, vec![ClassMessage { class: 0, message: request }]].concat();
+    let class_out_of_range = ClassMessage { class: lease_messages::MAX_CLASSES, message: request };
+    assert_eq!(lease_messages::encode(1, &[]), None);
+    assert_eq!(lease_messages::encode(1, &too_many), None);
+    assert_eq!(lease_messages::encode(1, &[class_out_of_range]), None);
+    // Cut, longer, of another layout, or of another count: nothing of it is read.
+    for changed in
+        [&bytes[..bytes.len() - 1], &[&bytes[..], &[0]].concat(), &[&[2], &bytes[1..]].concat(), &[]]
+    {
+        assert_eq!(lease_messages::decode(changed), None);
+    }
+}
+
+#[test]
+fn unneeded_quota_is_lent_to_the_requester_and_comes_back() {
+    let (mut owner, mut member) = (FleetQuotas::new(0, plan(0), 1), short_member(1));
+    let mut now = 6 * SECOND;
+    // It sends requests to its peers in turn.
+    let requested = (0..8).find_map(|_| {
+        now += 300_000;
+        spend_ten(&mut member, now);
+        member.poll_requests(now).into_iter().find(|message| message.to == 0)
+    });
+    let request = requested.expect("the first member is asked");
+    assert_eq!(owner.on_message(now, 2, b"no message"), None);
+    let grant = owner.on_message(now + 1_000, 1, &request.payload).expect("it lends");
+    let before = member.status(now + 2_000)[0];
+    assert_eq!(member.on_message(now + 2_000, 0, &grant), None);
+    let after = member.status(now + 2_000)[0];
+    assert!(after.rate > before.rate && after.borrowed > 0, "{before:?} {after:?}");
+    let lender = owner.status(now + 2_000)[0];
+    assert!(lender.granted >= after.borrowed && lender.rate + after.rate <= 20_000, "{lender:?} {after:?}");
+    // The same answer again, and to another member: nothing more.
+    member.on_message(now + 3_000, 0, &grant);
+    assert_eq!(member.status(now + 3_000)[0], after);
+    // After the lease all is as before, the borrower's end first.
+    let end = now + 2 * SECOND;
+    assert_eq!(member.status(end)[0].borrowed, 0);
+    assert_eq!(owner.status(end + SECOND / 100)[0].granted, 0);
+}
+
+#[test]
+fn members_with_different_plans_ignore_each_other() {
+    let other = QuotaPlan { quota_by_class: vec![30_000, 0, 10_000], ..plan(0) };
+    let (mut owner, mut member) = (FleetQuotas::new(0, other, 1), short_member(1));
+    let mut now = 6 * SECOND;
+    for _ in 0..16 {
+        now += 300_000;
+        spend_ten(&mut member, now);
+        for OutgoingMessage { payload, .. } in member.poll_requests(now) {
+            assert_eq!(owner.on_message(now, 1, &payload), None);
+        }
+    }
+    assert_eq!(owner.status(now)[0].granted, 0);
+}
+
+#[test]
+fn garbage_forged_incarnations_and_unsolicited_grants_change_nothing() {
+    let mut rng = Pcg64::seed_from_u64(5);
+    let (mut member, mut untouched) = (short_member(1), short_member(1));
+    let digest = {
+        let mut requesting = short_member(1);
+        let requests = requesting.poll_requests(7 * SECOND);
+        lease_messages::decode(&requests[0].payload).unwrap().plan_digest
+    };
+    let now = 7 * SECOND;
+    let forged = |rng: &mut Pcg64| {
+        let amount = if rng.random() { u64::MAX } else { rng.random_range(0..20_000) };
+        let grant = LeaseGrant {
+            incarnation: if rng.random() { 7 } else { rng.random() },
+            number: rng.random_range(0..64),
+            amount,
+        };
+        let class = rng.random_range(0..4);
+        lease_messages::encode(digest, &[ClassMessage { class, message: LeaseMessage::Grant(grant) }])
+            .unwrap()
+    };
+    for n in 0..20_000 {
+        let bytes: Vec<u8> = match n % 3 {
+            0 => (0..rng.random_range(0..300)).map(|_| rng.random()).collect(),
+            1 => forged(&mut rng),
+            _ => {
+                let mut bytes = forged(&mut rng);
+                let at = rng.random_range(0..bytes.len());
+                bytes[at] ^= 1 << rng.random_range(0..8);
+                bytes
+            }
+        };
+        // From any number, also none that is a member's.
+        let _ = member.on_message(now, rng.random_range(0..5), &bytes);
+    }
+    // Changed bytes may have made a request: what was lent for it is all that may differ, and it only takes away.
+    let status = |b: &mut FleetQuotas| -> Vec<QuotaStatus> { b.status(now) };
+    for (was, is) in status(&mut untouched).iter().zip(status(&mut member)) {
+        assert!(
+            is.borrowed == 0 && is.rate <= was.rate && is.guaranteed_quota == was.guaranteed_quota,
+            "{was:?} {is:?}"
+        );
+    }
+}
+
+/// The exact bytes, as members of different versions talk to each other.
+#[test]
+fn the_layout_of_a_payload_stays() {
+    let request = LeaseRequest { incarnation: 0x0102_0304, number: 5, wanted: 0x0607 };
+    let grant = LeaseGrant { incarnation: 8, number: 9, amount: 10 };
+    let messages = [
+        ClassMessage { class: 2, message: LeaseMessage::Request(request) },
+        ClassMessage { class: 3, message: LeaseMessage::Grant(grant) },
+    ];
+    let header = [1, 0xed, 0xfe, 0, 0, 2];
+    let request_bytes = [2, 4, 3, 2, 1, 5, 0, 0, 0, 7, 6, 0, 0, 0, 0, 0, 0];
+    let grant_bytes = [0x83, 8, 0, 0, 0, 9, 0, 0, 0, 10, 0, 0, 0, 0, 0, 0, 0];
+    let expected = [&header[..], &request_bytes, &grant_bytes].concat();
+    assert_eq!(lease_messages::encode(0xfeed, &messages), Some(expected));
+    // The digest of the plan, which members compare.
+    let message = short_member(1).poll_requests(7 * SECOND).remove(0);
+    let digest = lease_messages::decode(&message.payload).unwrap().plan_digest;
+    assert_eq!(digest, 3_210_875_541);
+}
