--- a/crates/controller/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -143,7 +143,9 @@
         Word::State => Asked::State(tell),
         Word::Offer { name, text } => match violetseam_plan::read_text(&name, &text, &[], wall_clock()) {
             Ok(plan) => Asked::Event(Event::Offer(Box::new(plan)), tell),
-            Err(faults) => return say(Answer::Faults(faults.into_iter().map(|f| f.0).collect())),
+            Err(faults) => {
+                return say(Answer::Faults(faults.into_iter().map(|fault| fault.to_string()).collect()));
+            }
         },
         Word::Sign { who, wave } if plain(&who) && plain(&wave) => {
             Asked::Event(Event::Sign { who, wave }, tell)
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam_script::{Fault, Placed, Span, evaluate_file, needed};
+use violetseam_script::{Call, Placed, ScriptError, Span, evaluate_file, needed};
 
 violetseam_script::functions! { functions: controller }
 
@@ -46,9 +46,9 @@
 }
 
 /// Reads and checks a settings file.
-pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, Fault> {
+pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
-    let sections: Result<Vec<Placed<Section>>, Fault> = calls.into_iter().map(|call| call.read()).collect();
+    let sections: Result<Vec<Placed<Section>>, ScriptError> = calls.into_iter().map(Call::read).collect();
     let sections = sections?;
     let placed = needed(&path.display().to_string(), "controller", &sections)?;
     let s = &placed.is;
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -7,13 +7,13 @@
 use crate::document::{Sections, WaveSection};
 use crate::{Gate, Micros, OnClose, Plan, Power, Wave};
 use std::collections::BTreeSet;
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
-struct Faults(Vec<Fault>);
+struct Faults(Vec<ScriptError>);
 
 impl Faults {
     fn at<T>(&mut self, placed: &Placed<T>, reason: impl std::fmt::Display) {
-        self.0.push(Fault(format!("{}: {reason}", placed.at)));
+        self.0.push(ScriptError::invalid(&placed.at, reason));
     }
 }
 
@@ -27,7 +27,7 @@
 }
 
 /// All faults, in the order of the script as far as it goes.
-pub(crate) fn check(script: &str, s: &Sections, plan: &Plan, at: Micros) -> Vec<Fault> {
+pub(crate) fn check(script: &str, s: &Sections, plan: &Plan, at: Micros) -> Vec<ScriptError> {
     let mut faults = Faults(Vec::new());
     let (Some(head), Some(fleet)) = (s.plan.first(), s.fleet.first()) else { return faults.0 };
     if !plain(&plan.name) {
@@ -38,7 +38,7 @@
     }
     check_fleet(&mut faults, fleet, plan);
     if s.waves.is_empty() {
-        faults.0.push(Fault(format!("{script}: no wave(...)")));
+        faults.0.push(ScriptError::missing_section(script, "wave"));
         return faults.0;
     }
     for (n, placed) in s.waves.iter().enumerate() {
@@ -211,7 +211,10 @@
     let open = plan.calendar.open_spans(at, until);
     if open.is_empty() {
         let place = s.windows.first().map_or(&head.at, |w| &w.at);
-        faults.0.push(Fault(format!("{place}: no window opens within the plan's {}", span(plan.longest))));
+        faults.0.push(ScriptError::invalid(
+            place,
+            format!("no window opens within the plan's {}", span(plan.longest)),
+        ));
         return;
     }
     let longest_open = open.iter().map(|s| s.1 - s.0).max().unwrap_or(0);
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
-use violetseam_script::{Call, Fault, Placed, Span, evaluate, evaluate_file, needed};
+use violetseam_script::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, needed};
 
 violetseam_script::functions! { functions: plan, fleet, wave, hold, window, freeze, sign_off, allow }
 
@@ -141,7 +141,7 @@
     pub allows: Vec<Placed<AllowSection>>,
 }
 
-fn sort(calls: Vec<Call>) -> Result<Sections, Fault> {
+fn sort(calls: Vec<Call>) -> Result<Sections, ScriptError> {
     let mut s = Sections::default();
     for call in calls {
         match call.function {
@@ -153,7 +153,7 @@
             "freeze" => s.freezes.push(call.read()?),
             "sign_off" => s.sign_offs.push(call.read()?),
             "allow" => s.allows.push(call.read()?),
-            other => return Err(Fault(format!("{}: {other}: no such section", call.at))),
+            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such section"))),
         }
     }
     Ok(s)
@@ -161,7 +161,7 @@
 
 /// Reads and checks a plan for a release that is offered at `at`. `options` are what `option(...)` gives.
 /// All faults that can be found together are told together.
-pub fn read_file(path: &Path, options: &[(String, String)], at: Micros) -> Result<Plan, Vec<Fault>> {
+pub fn read_file(path: &Path, options: &[(String, String)], at: Micros) -> Result<Plan, Vec<ScriptError>> {
     let name = path.display().to_string();
     let calls = evaluate_file(path, options, functions).map_err(|f| vec![f])?;
     read(&name, calls, at)
@@ -173,12 +173,12 @@
     text: &str,
     options: &[(String, String)],
     at: Micros,
-) -> Result<Plan, Vec<Fault>> {
+) -> Result<Plan, Vec<ScriptError>> {
     let calls = evaluate(name, text.to_owned(), None, options, functions).map_err(|f| vec![f])?;
     read(name, calls, at)
 }
 
-fn read(name: &str, calls: Vec<Call>, at: Micros) -> Result<Plan, Vec<Fault>> {
+fn read(name: &str, calls: Vec<Call>, at: Micros) -> Result<Plan, Vec<ScriptError>> {
     let sections = sort(calls).map_err(|f| vec![f])?;
     let plan = build(name, &sections)?;
     let faults = crate::check::check(name, &sections, &plan, at);
@@ -186,9 +186,9 @@
 }
 
 /// Makes the plan; what cannot be made is a fault.
-fn build(name: &str, s: &Sections) -> Result<Plan, Vec<Fault>> {
+fn build(name: &str, s: &Sections) -> Result<Plan, Vec<ScriptError>> {
     let mut faults = Vec::new();
-    let mut keep = |fault: Fault| faults.push(fault);
+    let mut keep = |fault: ScriptError| faults.push(fault);
     let plan = needed(name, "plan", &s.plan).map_err(&mut keep).ok();
     let fleet = needed(name, "fleet", &s.fleet).map_err(&mut keep).ok();
     let windows: Vec<Window> = s.windows.iter().filter_map(|w| window(w).map_err(&mut keep).ok()).collect();
@@ -259,7 +259,7 @@
     chosen
 }
 
-fn wave(placed: &Placed<WaveSection>, fleet: &FleetSection) -> Result<Wave, Fault> {
+fn wave(placed: &Placed<WaveSection>, fleet: &FleetSection) -> Result<Wave, ScriptError> {
     let w = &placed.is;
     let places = match (w.share, &w.groups) {
         (Some(share), None) if share > 0.0 && share <= 1.0 => spread(share, fleet.places),
@@ -315,7 +315,7 @@
     (minutes < 60 && total <= 1_440).then_some(total)
 }
 
-fn window(placed: &Placed<WindowSection>) -> Result<Window, Fault> {
+fn window(placed: &Placed<WindowSection>) -> Result<Window, ScriptError> {
     let w = &placed.is;
     let Some(days) = days(&w.days) else {
         return placed.fault(format!("window: {:?} are no days: mon-fri, or sat,sun", w.days));
@@ -332,7 +332,7 @@
     Ok(Window { days, start, end, zone: w.zone.clone() })
 }
 
-fn freeze(placed: &Placed<FreezeSection>) -> Result<Freeze, Fault> {
+fn freeze(placed: &Placed<FreezeSection>) -> Result<Freeze, ScriptError> {
     let f = &placed.is;
     if calendar::zone(&f.zone).is_none() {
         return placed.fault(format!("freeze: no time zone {:?}", f.zone));
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -18,7 +18,8 @@
 }
 
 fn read(text: &str) -> Result<Plan, Vec<String>> {
-    read_text("t", text, &[], tuesday()).map_err(|faults| faults.into_iter().map(|f| f.0).collect())
+    read_text("t", text, &[], tuesday())
+        .map_err(|faults| faults.into_iter().map(|fault| fault.to_string()).collect())
 }
 
 fn sound(more: &str) -> Plan {
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use violetseam_plan::{Micros, Plan, Power};
 use violetseam_release::Verdict;
-use violetseam_script::{Call, Fault, Placed, Span, evaluate, evaluate_file, one};
+use violetseam_script::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, one};
 
 violetseam_script::functions! {
     functions: start, votes, sign, unsign, order, lose, clock, away, end
@@ -166,16 +166,16 @@
 }
 
 /// Reads a script from a file.
-pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Script, Fault> {
+pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Script, ScriptError> {
     read(&path.display().to_string(), evaluate_file(path, options, functions)?)
 }
 
 /// Reads a script from a text, which can load no files.
-pub fn read_text(name: &str, text: &str) -> Result<Script, Fault> {
+pub fn read_text(name: &str, text: &str) -> Result<Script, ScriptError> {
     read(name, evaluate(name, text.to_owned(), None, &[], functions)?)
 }
 
-fn read(name: &str, calls: Vec<Call>) -> Result<Script, Fault> {
+fn read(name: &str, calls: Vec<Call>) -> Result<Script, ScriptError> {
     let mut script = Script::default();
     let (mut starts, mut ends): (Vec<Placed<Start>>, Vec<Placed<End>>) = (Vec::new(), Vec::new());
     for call in calls {
@@ -189,12 +189,12 @@
             "clock" => script.clocks.push(call.read()?.is),
             "away" => script.aways.push(call.read()?.is),
             "end" => ends.push(call.read()?),
-            other => return Err(Fault(format!("{}: {other}: no such function", call.at))),
+            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such function"))),
         }
     }
-    let Some(start) = one("start", &starts)? else { return Err(Fault(format!("{name}: no start(...)"))) };
+    let Some(start) = one("start", &starts)? else { return Err(ScriptError::missing_section(name, "start")) };
     if script.votes.iter().any(|v| v.every.0 < 1_000) {
-        return Err(Fault(format!("{name}: votes come every millisecond at most")));
+        return Err(ScriptError::invalid(name, "votes come every millisecond at most"));
     }
     let Some(at) = violetseam_plan::moment_of(&start.is.at, &start.is.zone) else {
         return start.fault("start: at is YYYY-MM-DDTHH:MM, zone the IANA name of a time zone");
--- a/crates/rehearsal/tests/random.rs
+++ b/crates/rehearsal/tests/random.rs
@@ -216,10 +216,10 @@
             Ok(plan) => plan,
             Err(faults) => {
                 for fault in faults {
-                    if kind(&fault.0) == "other" {
+                    if kind(&fault.to_string()) == "other" {
                         eprintln!("{fault}");
                     }
-                    *tally.refused.entry(kind(&fault.0)).or_default() += 1;
+                    *tally.refused.entry(kind(&fault.to_string())).or_default() += 1;
                 }
                 continue;
             }
--- a/crates/script/src/span.rs
+++ b/crates/script/src/span.rs
@@ -1,13 +1,16 @@
-//! Spans of time as people write them: `"300ms"`, `"1.5s"`.
+//! Durations as scripts write them: `"300ms"`, `"1.5s"`.
 
 use serde::de::{Deserialize, Deserializer, Error};
 
-/// A span in microseconds, read from a number with its unit: us, ms, s, m, h or d.
+/// The longest duration of a script, in microseconds: 90 days, so that sums of durations stay far from overflow.
+const MAX_MICROS: f64 = 90.0 * 24.0 * 3600e6;
+
+/// A duration in microseconds, read from a number with its unit: us, ms, s, m, h or d. At most 90 days.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// So many milliseconds.
+    /// A duration of `n` milliseconds.
     pub const fn ms(n: u64) -> Span {
         Span(n * 1_000)
     }
@@ -24,10 +27,9 @@
             "d" => 24.0 * 3600e6,
             _ => return None,
         };
-        let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-        let value = number.parse::<f64>().ok().filter(|_| plain)? * scale;
-        // Past any span here, and sums of spans stay far from overflow.
-        (value <= 90.0 * 24.0 * 3600e6).then_some(Span(value.round() as u64))
+        let is_decimal = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+        let value = number.parse::<f64>().ok().filter(|_| is_decimal)? * scale;
+        (value <= MAX_MICROS).then_some(Span(value.round() as u64))
     }
 }
 
@@ -39,17 +41,3 @@
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::Span;
-
-    #[test]
-    fn spans_need_a_unit_and_keep_fractions() {
-        assert_eq!(Span::parse("1.5s"), Some(Span(1_500_000)));
-        assert_eq!(Span::parse("250us"), Some(Span(250)));
-        for bad in ["", "5", "ms", "-1s", "1e9s", "1 s", "infs", "91d"] {
-            assert_eq!(Span::parse(bad), None, "{bad}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/script/tests/span.rs
@@ -0,0 +1,16 @@
+//! Durations in the form that scripts write them.
+
+use violetseam_script::Span;
+
+fn parse(text: &str) -> Option<Span> {
+    serde_json::from_value(serde_json::Value::String(text.to_owned())).ok()
+}
+
+#[test]
+fn spans_need_a_unit_and_keep_fractions() {
+    assert_eq!(parse("1.5s"), Some(Span(1_500_000)));
+    assert_eq!(parse("250us"), Some(Span(250)));
+    for bad in ["", "5", "ms", "-1s", "1e9s", "1 s", "infs", "91d"] {
+        assert_eq!(parse(bad), None, "{bad}");
+    }
+}
--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -1,7 +1,7 @@
 //! Budgets of further attempts that the whole fleet keeps.
 
 use crate::sections::{BudgetParts, Fleet, RequestClass};
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 use violetseam_shared::fleet_quotas::QuotaPlan;
 
 /// The largest budget of further attempts, a second.
@@ -12,7 +12,7 @@
     fleet: &Placed<Fleet>,
     classes: &[Placed<RequestClass>],
     parts: Option<&Placed<BudgetParts>>,
-) -> Result<Option<QuotaPlan>, Fault> {
+) -> Result<Option<QuotaPlan>, ScriptError> {
     if let Some(class) = classes.iter().find(|c| !(0.0..=FURTHER_MOST).contains(&c.is.further)) {
         return class.fault(format!("request_class {:?}: further is 0 to {FURTHER_MOST}", class.is.name));
     }
--- a/crates/settings/src/check/classes.rs
+++ b/crates/settings/src/check/classes.rs
@@ -1,9 +1,12 @@
 //! Classes of requests.
 
 use crate::sections::{EffectName, RequestClass};
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
-pub(super) fn check_classes(script: &str, classes: &[Placed<RequestClass>]) -> Result<Vec<String>, Fault> {
+pub(super) fn check_classes(
+    script: &str,
+    classes: &[Placed<RequestClass>],
+) -> Result<Vec<String>, ScriptError> {
     let mut names: Vec<String> = Vec::new();
     for class in classes {
         let c = &class.is;
@@ -30,7 +33,7 @@
         names.push(name.clone());
     }
     match names.len() {
-        0 => Err(Fault(format!("{script}: no request_class(...)"))),
+        0 => Err(ScriptError::missing_section(script, "request_class")),
         1..=64 => Ok(names),
         n => classes[64].fault(format!("request_class: {n} classes, 64 at most")),
     }
--- a/crates/settings/src/check/connections.rs
+++ b/crates/settings/src/check/connections.rs
@@ -3,14 +3,14 @@
 use crate::sections::{ConnectionLimits, HeaderNames};
 use crate::settings::{Connections, Headers};
 use http::HeaderName;
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
-pub(super) fn check_headers(names: Option<&Placed<HeaderNames>>) -> Result<Headers, Fault> {
+pub(super) fn check_headers(names: Option<&Placed<HeaderNames>>) -> Result<Headers, ScriptError> {
     let is = names.map(|n| n.is.clone()).unwrap_or_default();
     let read = |text: &str| {
         HeaderName::from_bytes(text.as_bytes()).map_err(|_| {
             let at = names.map_or("headers", |n| n.at.as_str());
-            Fault(format!("{at}: headers: {text:?} is no field name"))
+            ScriptError::invalid(at, format!("headers: {text:?} is no field name"))
         })
     };
     let headers = Headers {
@@ -29,7 +29,9 @@
     Ok(headers)
 }
 
-pub(super) fn check_connections(section: Option<&Placed<ConnectionLimits>>) -> Result<Connections, Fault> {
+pub(super) fn check_connections(
+    section: Option<&Placed<ConnectionLimits>>,
+) -> Result<Connections, ScriptError> {
     let is = section.map(|c| c.is.clone()).unwrap_or_default();
     if let Some(c) = section {
         let spans = [is.head_timeout, is.body_timeout, is.client_idle, is.server_idle, is.stream_idle];
--- a/crates/settings/src/check/fleet.rs
+++ b/crates/settings/src/check/fleet.rs
@@ -4,9 +4,9 @@
 use crate::sections::{ControlTls, Fleet, Identity, Member, Peers, Publisher};
 use crate::settings::FleetFile;
 use std::net::SocketAddr;
-use violetseam_script::{Fault, Placed, one};
+use violetseam_script::{Placed, ScriptError, one};
 
-pub(super) fn check_fleet(fleet: &Placed<Fleet>, peers: Option<&Placed<Peers>>) -> Result<(), Fault> {
+pub(super) fn check_fleet(fleet: &Placed<Fleet>, peers: Option<&Placed<Peers>>) -> Result<(), ScriptError> {
     let Fleet { name, size, position, .. } = &fleet.is;
     let plain = !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
     if !plain || name.len() > 64 {
@@ -32,7 +32,7 @@
 pub(super) fn check_control_tls(
     fleet: &Placed<Fleet>,
     tls: Option<&Placed<ControlTls>>,
-) -> Result<Option<(SocketAddr, Identity)>, Fault> {
+) -> Result<Option<(SocketAddr, Identity)>, ScriptError> {
     let Some(tls) = tls else { return Ok(None) };
     if fleet.is.control.is_none() {
         return tls.fault("control_tls: needs fleet(control = ...), which takeovers and commands go by");
@@ -48,7 +48,7 @@
 pub(super) fn check_publisher(
     fleet: &Placed<Fleet>,
     publisher: Option<&Placed<Publisher>>,
-) -> Result<Option<SocketAddr>, Fault> {
+) -> Result<Option<SocketAddr>, ScriptError> {
     let Some(publisher) = publisher else { return Ok(None) };
     let Fleet { name, position, state_dir, .. } = &fleet.is;
     if state_dir.is_none() {
@@ -64,7 +64,7 @@
 }
 
 /// The daemons of a fleet file.
-pub(crate) fn members(script: &str, s: &Sections) -> Result<FleetFile, Fault> {
+pub(crate) fn members(script: &str, s: &Sections) -> Result<FleetFile, ScriptError> {
     let identity = one("identity", &s.identity)?.map(|placed| placed.is.clone());
     let mut members: Vec<Member> = Vec::new();
     for placed in &s.members {
@@ -90,7 +90,7 @@
         members.push(m.clone());
     }
     if members.is_empty() {
-        return Err(Fault(format!("{script}: no member(...)")));
+        return Err(ScriptError::missing_section(script, "member"));
     }
     Ok(FleetFile { members, identity })
 }
--- a/crates/settings/src/check/mod.rs
+++ b/crates/settings/src/check/mod.rs
@@ -21,9 +21,9 @@
 use routes::check_routes;
 use std::path::PathBuf;
 use tenants::check_tenants;
-use violetseam_script::{Fault, needed, one};
+use violetseam_script::{ScriptError, needed, one};
 
-pub(crate) fn check(script: &str, s: &Sections) -> Result<ProxySettings, Fault> {
+pub(crate) fn check(script: &str, s: &Sections) -> Result<ProxySettings, ScriptError> {
     let fleet = needed(script, "fleet", &s.fleet)?;
     let roster = needed(script, "roster", &s.roster)?;
     let desk = needed(script, "desk", &s.desk)?;
@@ -33,7 +33,7 @@
     let limits = one("limits", &s.limits)?;
     let connections = one("connections", &s.connections)?;
     if s.listen.is_empty() {
-        return Err(Fault(format!("{script}: no listen(...)")));
+        return Err(ScriptError::missing_section(script, "listen"));
     }
     check_fleet(fleet, peers)?;
     let class_names = check_classes(script, &s.classes)?;
--- a/crates/settings/src/check/rollout.rs
+++ b/crates/settings/src/check/rollout.rs
@@ -1,12 +1,12 @@
 //! How a release goes on, what servers promise, and the limits of attempts.
 
 use crate::sections::{Contract, EffectName, Limits, RequestClass, Rollout};
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
 pub(super) fn check_rollout(
     rollout: &Placed<Rollout>,
     classes: &[Placed<RequestClass>],
-) -> Result<(), Fault> {
+) -> Result<(), ScriptError> {
     let r = &rollout.is;
     if r.stage_caps.is_empty() || r.stage_caps.len() > 64 {
         return rollout.fault("rollout: 1 to 64 stage_caps");
@@ -46,7 +46,7 @@
 pub(super) fn check_contract(
     contract: &Placed<Contract>,
     classes: &[Placed<RequestClass>],
-) -> Result<(), Fault> {
+) -> Result<(), ScriptError> {
     let c = &contract.is;
     if !(c.cold_from > 0.0 && c.cold_from <= 1.0) {
         return contract.fault("contract: cold_from is over 0, at most 1");
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-pub(super) fn check_limits(limits: &Placed<Limits>) -> Result<(), Fault> {
+pub(super) fn check_limits(limits: &Placed<Limits>) -> Result<(), ScriptError> {
     let l = &limits.is;
     if l.max_attempts == 0 || l.max_attempts > 100 {
         return limits.fault("limits: max_attempts is 1 to 100");
--- a/crates/settings/src/check/routes.rs
+++ b/crates/settings/src/check/routes.rs
@@ -5,7 +5,7 @@
 use crate::settings::Route;
 use http::Method;
 use std::collections::HashMap;
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
 /// The routes in the order of the script, and their table. A route that an earlier one covers is refused:
 /// it could never match.
@@ -13,7 +13,7 @@
     script: &str,
     routes: &[Placed<RouteTo>],
     classes: &[String],
-) -> Result<(Vec<Route>, RouteTable), Fault> {
+) -> Result<(Vec<Route>, RouteTable), ScriptError> {
     let indices: HashMap<&str, usize> =
         classes.iter().enumerate().map(|(i, name)| (name.as_str(), i)).collect();
     let (mut list, mut table) = (Vec::new(), RouteTable::default());
@@ -30,12 +30,14 @@
         list.push(route);
     }
     match has_route.iter().position(|has| !has) {
-        Some(class) => Err(Fault(format!("{script}: no route leads to class {:?}", classes[class]))),
+        Some(class) => {
+            Err(ScriptError::invalid(script, format!("no route leads to class {:?}", classes[class])))
+        }
         None => Ok((list, table)),
     }
 }
 
-fn check_route(placed: &Placed<RouteTo>, classes: &HashMap<&str, usize>) -> Result<Route, Fault> {
+fn check_route(placed: &Placed<RouteTo>, classes: &HashMap<&str, usize>) -> Result<Route, ScriptError> {
     let RouteTo { method, prefix, to } = &placed.is;
     let Some(class) = classes.get(to.as_str()).copied() else {
         return placed.fault(format!("route: no class {to:?}"));
--- a/crates/settings/src/check/tenants.rs
+++ b/crates/settings/src/check/tenants.rs
@@ -2,10 +2,10 @@
 
 use crate::sections::Tenant;
 use std::collections::BTreeMap;
-use violetseam_script::{Fault, Placed};
+use violetseam_script::{Placed, ScriptError};
 
 /// Tenants' indices by name, in the order of the script.
-pub(super) fn check_tenants(calls: &[Placed<Tenant>]) -> Result<BTreeMap<String, usize>, Fault> {
+pub(super) fn check_tenants(calls: &[Placed<Tenant>]) -> Result<BTreeMap<String, usize>, ScriptError> {
     let mut tenants = BTreeMap::new();
     for (index, tenant) in calls.iter().enumerate() {
         if !(tenant.is.quota >= 0.0 && tenant.is.quota.is_finite()) {
--- a/crates/settings/src/collect.rs
+++ b/crates/settings/src/collect.rs
@@ -1,7 +1,7 @@
 //! The calls of a script, gathered by section.
 
 use crate::sections::*;
-use violetseam_script::{Call, Fault, Placed};
+use violetseam_script::{Call, Placed, ScriptError};
 
 /// All sections of a script, as called.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
 }
 
 /// Reads each call as the section that it names.
-pub(crate) fn collect(calls: Vec<Call>) -> Result<Sections, Fault> {
+pub(crate) fn collect(calls: Vec<Call>) -> Result<Sections, ScriptError> {
     let mut s = Sections::default();
     for call in calls {
         match call.function {
@@ -49,7 +49,7 @@
             "member" => s.members.push(call.read()?),
             "identity" => s.identity.push(call.read()?),
             "control_tls" => s.control_tls.push(call.read()?),
-            other => return Err(Fault(format!("{}: {other}: no such section", call.at))),
+            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such section"))),
         }
     }
     Ok(s)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,6 +13,6 @@
 mod settings;
 
 pub use route_table::{Rank, RouteTable, Target};
-pub use script::{Fault, read_file, read_fleet, read_text};
+pub use script::{ScriptError, read_file, read_fleet, read_text};
 pub use sections::{HalfClose, Identity, Member};
 pub use settings::{Connections, FleetFile, Headers, ProxySettings, Route};
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -4,25 +4,25 @@
 use crate::collect::collect;
 use crate::settings::{FleetFile, ProxySettings};
 use std::path::Path;
-pub use violetseam_script::Fault;
+pub use violetseam_script::ScriptError;
 use violetseam_script::{evaluate, evaluate_file};
 
 violetseam_script::functions! { functions: fleet, listen, roster, desk, publisher, peers, request_class, route, tenant, headers, budgets, rollout, limits, contract, connections, member, identity, control_tls }
 
 /// Reads and checks a settings file. `options` are what `option(...)` gives.
-pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<ProxySettings, Fault> {
+pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<ProxySettings, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
     check::check(&path.display().to_string(), &collect(calls)?)
 }
 
 /// Reads and checks a fleet file: the daemons that it lists and what it speaks to them with.
-pub fn read_fleet(path: &Path, options: &[(String, String)]) -> Result<FleetFile, Fault> {
+pub fn read_fleet(path: &Path, options: &[(String, String)]) -> Result<FleetFile, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
     check::members(&path.display().to_string(), &collect(calls)?)
 }
 
 /// Reads and checks settings from a text, which can load no files.
-pub fn read_text(name: &str, text: &str, options: &[(String, String)]) -> Result<ProxySettings, Fault> {
+pub fn read_text(name: &str, text: &str, options: &[(String, String)]) -> Result<ProxySettings, ScriptError> {
     let calls = evaluate(name, text.to_owned(), None, options, functions)?;
     check::check(name, &collect(calls)?)
 }
--- a/crates/settings/tests/scripts.rs
+++ b/crates/settings/tests/scripts.rs
@@ -43,7 +43,7 @@
 fn refused(piece: &str, by: &str, reason: &str) {
     let at = SOUND.find(piece).unwrap_or_else(|| panic!("{piece:?} is not in the script"));
     let line = SOUND[..at].matches('\n').count() + 1;
-    let fault = read_text("s.star", &SOUND.replacen(piece, by, 1), &[]).expect_err(by).0;
+    let fault = read_text("s.star", &SOUND.replacen(piece, by, 1), &[]).expect_err(by).to_string();
     assert!(fault.contains(reason), "{by}: {fault}");
     assert!(fault.starts_with(&format!("s.star:{line}:")), "{by}: {fault}, wanted line {line}");
 }
@@ -75,7 +75,7 @@
 #[test]
 fn scripts_that_would_run_or_grow_without_end_are_stopped() {
     let grows = SOUND.replace("PORT = 7000", "PORT = [0 for a in range(100000) for b in range(100000)]");
-    assert!(read_text("s.star", &grows, &[]).unwrap_err().0.contains("limit"));
+    assert!(read_text("s.star", &grows, &[]).unwrap_err().to_string().contains("limit"));
     let deep = SOUND.replace("PORT = 7000", "def f(n):\n    return f(n + 1)\nPORT = f(0)");
     assert!(read_text("s.star", &deep, &[]).is_err());
 }
@@ -83,16 +83,19 @@
 #[test]
 fn missing_sections_unknown_options_and_routes_that_cannot_match_are_refused() {
     let without = |piece: &str| SOUND.replacen(piece, "", 1);
-    let fault = |text: &str| read_text("s.star", text, &[]).unwrap_err().0;
+    let fault = |text: &str| read_text("s.star", text, &[]).unwrap_err().to_string();
     assert!(fault(&without("desk(addr = \"127.0.0.1:7200\")")).contains("no desk(...)"));
     assert!(fault(&without("route(prefix = \"/log\", to = \"log\")")).contains("no route leads to class"));
     let hidden = SOUND
         .replace("route(prefix = \"/log\"", "route(prefix = \"/\", to = \"read\")\nroute(prefix = \"/log\"");
     assert!(fault(&hidden).contains("can never match"));
-    let unknown = read_text("s.star", SOUND, &options(&[("positon", "1")])).unwrap_err().0;
+    let unknown = read_text("s.star", SOUND, &options(&[("positon", "1")])).unwrap_err().to_string();
     assert!(unknown.contains("asks for no option \"positon\""));
     assert!(
-        read_text("s.star", SOUND, &options(&[("position", "x")])).unwrap_err().0.contains("is no number")
+        read_text("s.star", SOUND, &options(&[("position", "x")]))
+            .unwrap_err()
+            .to_string()
+            .contains("is no number")
     );
 }
 
@@ -110,10 +113,10 @@
     let sound = write("load(\"common.star\", \"CAPS\")", "CAPS").unwrap();
     assert_eq!(sound.decisions.rollout.stage_cap, [0.1, 1.0]);
     for outside in ["../common.star", "/etc/hostname", ".hidden", "sub/common.star"] {
-        let fault = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().0;
+        let fault = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().to_string();
         assert!(fault.contains("only plain names"), "{fault}");
     }
-    assert!(write("load(\"round.star\", \"X\")", "[1.0]").unwrap_err().0.contains("in a circle"));
+    assert!(write("load(\"round.star\", \"X\")", "[1.0]").unwrap_err().to_string().contains("in a circle"));
     assert!(write("load(\"none.star\", \"X\")", "[1.0]").is_err());
     std::fs::remove_dir_all(&folder).unwrap();
 }
