--- a/crates/controller/src/control/server.rs
+++ b/crates/controller/src/control/server.rs
@@ -102,7 +102,7 @@
         Request::SubmitPlan { name, text } => {
             let plan = violetseam_plan::read_text(&name, &text, &[], crate::wall_clock());
             let plan = plan
-                .map_err(|faults| Response::InvalidPlan(faults.into_iter().map(|fault| fault.0).collect()))?;
+                .map_err(|faults| Response::InvalidPlan(faults.iter().map(ToString::to_string).collect()))?;
             Event::Offer(Box::new(plan))
         }
         Request::Approve { operator, wave } if is_valid_name(&operator) && is_valid_name(&wave) => {
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam_script::{Call, Fault, Placed, Span, evaluate_file, needed};
+use violetseam_script::{Call, Placed, ScriptError, Span, evaluate_file, needed};
 
 /// The longest name, in bytes.
 const MAX_NAME_LEN: usize = 64;
@@ -58,9 +58,9 @@
 ///
 /// # Errors
 /// The script fails, has no `controller(...)` call or more than one, or a value is out of bounds.
-pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, Fault> {
+pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
-    let sections: Result<Vec<Placed<Section>>, Fault> = calls.into_iter().map(Call::read).collect();
+    let sections: Result<Vec<Placed<Section>>, ScriptError> = calls.into_iter().map(Call::read).collect();
     let sections = sections?;
     let placed = needed(&path.display().to_string(), "controller", &sections)?;
     let section = &placed.is;
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -29,7 +29,7 @@
 };
 use violetseam_loopio::Got;
 use violetseam_settings::ProxySettings;
-use violetseam_shared::budgets::Sight;
+use violetseam_shared::fleet_quotas::QuotaStatus;
 
 /// Operators' connections at once, of each kind, so that a flood from the network leaves the local socket
 /// free; further ones are closed unread.
@@ -645,10 +645,18 @@
         }
     }
 
-    fn rights(&self, sight: Sight) -> QuotaState {
-        let Sight { class, budget, floor, lot, lent, borrowed, rate, spent, denied } = sight;
-        let class = self.settings.class_names.get(class).cloned().unwrap_or_default();
-        QuotaState { class, budget, guaranteed: floor, lendable: lot, lent, borrowed, rate, spent, denied }
+    fn quota_state(&self, status: QuotaStatus) -> QuotaState {
+        QuotaState {
+            class: self.settings.class_names.get(status.class).cloned().unwrap_or_default(),
+            budget: status.quota,
+            guaranteed: status.guaranteed_quota,
+            lendable: status.lendable_quota,
+            lent: status.granted,
+            borrowed: status.borrowed,
+            rate: status.rate,
+            spent: status.spent,
+            denied: status.denied,
+        }
     }
 
     /// The state at this moment: all of it from one turn of the loop.
@@ -699,7 +707,7 @@
             endpoint_list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
             servers: self.roster_lines.len() as u64,
             configuration: self.configuration_reading(),
-            quotas: self.engine.budgets(now).into_iter().map(|sight| self.rights(sight)).collect(),
+            quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
     }
 }
