--- a/crates/loopio/src/lib.rs
+++ b/crates/loopio/src/lib.rs
@@ -62,7 +62,7 @@
 
 /// What a read gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadOutcome {
     /// So many bytes.
     Bytes(usize),
     /// Nothing now.
@@ -73,6 +73,9 @@
     Broken,
 }
 
+/// The former name of [`ReadOutcome`], for callers that have not moved to it yet.
+pub use ReadOutcome as Got;
+
 /// A connection: its stream, its registration and its unwritten bytes.
 pub struct Socket<S = TcpStream> {
     stream: Rc<S>,
@@ -171,14 +174,14 @@
     }
 
     /// Reads once.
-    pub fn read(&self, buffer: &mut [u8]) -> Got {
+    pub fn read(&self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             return match (&*self.stream).read(buffer) {
-                Ok(0) => Got::Closed,
-                Ok(n) => Got::Bytes(n),
+                Ok(0) => ReadOutcome::Closed,
+                Ok(n) => ReadOutcome::Bytes(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => Got::Nothing,
-                Err(_) => Got::Broken,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::Nothing,
+                Err(_) => ReadOutcome::Broken,
             };
         }
     }
--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -1,16 +1,19 @@
-//! What the limits leave for each kind of connection and for bytes held, and who gives way first.
+//! What the limits leave for each kind of connection and for buffered bytes, and what is evicted first.
 
-use super::Proxy;
+use crate::client::Client;
+use crate::proxy::Proxy;
 use violetseam::interface::Micros;
 use violetseam_platform::config::Limits;
 
 /// Descriptors for the loop, the log, signals, listener, datagrams, discovery, pipeline and votes.
-const OWN: usize = 24;
-/// An idle connection may be closed to make room once it has rested so long: a client that has just been
+const RESERVED_DESCRIPTORS: usize = 24;
+/// An idle connection may be closed to make room once it has been idle for this span: a client that has just been
 /// answered is likely to go on.
-const RESTED: Micros = 2_000_000;
-/// A connection that has sent nothing so long after it came up gives way before any other.
-const SILENT: Micros = 100_000;
+const MIN_IDLE_BEFORE_EVICTION: Micros = 2_000_000;
+/// A connection that has sent no call for this span since it came up is evicted before any other.
+const MIN_SILENCE_BEFORE_EVICTION: Micros = 100_000;
+/// The most requests in flight, whatever the settings say.
+const MAX_OPEN_REQUESTS: usize = 4096;
 
 /// Shares of the limits.
 #[derive(Clone, Copy, Debug)]
@@ -19,50 +22,70 @@
     pub clients: usize,
     /// Server connections.
     pub servers: usize,
-    /// Requests open at once.
-    pub open: usize,
-    /// Bytes that open requests may hold.
-    pub held_bytes: usize,
+    /// Requests in flight.
+    pub open_requests: usize,
+    /// Bytes that requests in flight may hold.
+    pub request_bytes: usize,
 }
 
 impl Budgets {
+    /// Divides the limits; `open_cap` is the settings' bound on requests in flight.
     pub fn new(limits: &Limits, open_cap: usize) -> Self {
-        let left = limits.sockets.saturating_sub(OWN).max(8);
+        let available = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         // Clients hold a third of all descriptors for requests; the rest of their share is for those that
-        // never ask anything.
-        let clients = left * 11 / 20;
-        let held_bytes = (limits.memory_mb.clamp(8.0, 65_536.0) * 1024.0 * 1024.0 / 8.0) as usize;
-        Budgets { clients, servers: left - clients, open: open_cap.min(4096), held_bytes }
+        // never send any.
+        let clients = available * 11 / 20;
+        let request_bytes = (limits.memory_mb.clamp(8.0, 65_536.0) * 1024.0 * 1024.0 / 8.0) as usize;
+        Budgets {
+            clients,
+            servers: available - clients,
+            open_requests: open_cap.min(MAX_OPEN_REQUESTS),
+            request_bytes,
+        }
     }
 }
 
+/// Whether a connection may be closed to make room for another.
+fn is_evictable(client: &Client, now: Micros) -> bool {
+    let min_idle = if client.has_sent_call { MIN_IDLE_BEFORE_EVICTION } else { MIN_SILENCE_BEFORE_EVICTION };
+    client.is_idle() && now >= client.idle_since + min_idle
+}
+
 impl Proxy {
-    /// Makes room for a client: one that said nothing yet goes first, then the one that rested longest.
-    pub(super) fn room_for_client(&mut self) -> bool {
+    /// Makes room for a client: a connection that has sent no call is evicted first, then the one that has been idle
+    /// longest. Whether there is room.
+    pub(super) fn make_room_for_client(&mut self) -> bool {
         if self.clients.len() < self.budgets.clients {
             return true;
         }
         let now = self.now();
-        let gives_way = |c: &super::Client| {
-            let span = if c.is_proven() { RESTED } else { SILENT };
-            c.is_free() && now >= c.quiet_since() + span
-        };
-        let oldest = self.clients.iter().filter(|(_, c)| gives_way(c));
-        let oldest = oldest.min_by_key(|(_, c)| (c.is_proven(), c.quiet_since()));
+        let candidate = self
+            .clients
+            .iter()
+            .filter(|(_, client)| is_evictable(client, now))
+            .min_by_key(|(_, client)| (client.has_sent_call, client.idle_since));
+        let Some((key, client)) = candidate else { return false };
         // What lies unread on it may be a request: it is read in the next turn.
-        let key = oldest.filter(|(_, c)| !c.has_unread()).map(|(key, _)| key);
-        key.into_iter().for_each(|key| self.close_client(key));
-        key.is_some()
+        if client.has_unread() {
+            return false;
+        }
+        self.close_client(key);
+        true
     }
 
-    /// Makes room for a connection to a server: the idle one that rested longest goes, to whichever server.
-    pub(super) fn room_for_server(&mut self) -> bool {
+    /// Makes room for a connection to a server: the idle one that has been idle longest is closed, to whichever server.
+    /// Whether there is room.
+    pub(super) fn make_room_for_server(&mut self) -> bool {
         if self.servers.len() < self.budgets.servers {
             return true;
         }
-        let rested = self.idle.values().filter_map(|keys| keys.front().copied());
-        let oldest = rested.min_by_key(|key| self.servers.get(*key).map_or(0, |s| s.idle_since()));
-        oldest.into_iter().for_each(|key| self.close_server(key));
-        oldest.is_some()
+        let idle_longest = self
+            .idle_servers
+            .values()
+            .filter_map(|slots| slots.front().copied())
+            .min_by_key(|slot| self.servers.get(*slot).map_or(0, |server| server.idle_since()));
+        let Some(key) = idle_longest else { return false };
+        self.close_server(key);
+        true
     }
 }
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -1,261 +1,79 @@
-//! Client connections: from bytes to a whole call for the engine, and from an answer to bytes.
+//! Client connections: from bytes to commands, and from responses to bytes.
 //!
-//! Answers go out in the order of a connection's commands. What is no sound call is answered with an error
-//! here, and the connection ends after that: nothing of it reaches the decisions or a server.
-
-use super::{Ending, Proxy, What};
-use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
-use std::collections::VecDeque;
-use std::net::{TcpListener, TcpStream};
-use std::rc::Rc;
-use violetseam::interface::{Micros, Request, RequestId};
-use violetseam_loopio::{Got, HIGH_WATER, Socket, listen};
+//! Responses are written in the order of a connection's commands. A malformed call is answered with an error here, and
+//! the connection ends after that: nothing of it reaches the engine or a server.
+
+use crate::client::{Client, ClientState, MAX_LINGER_BYTES, MAX_PIPELINED_COMMANDS, PendingResponse};
+use crate::event_loop::ConnectionId;
+use crate::proxy::Proxy;
+use calloop::Readiness;
+use violetseam::interface::Micros;
+use violetseam_loopio::ReadOutcome;
 use violetseam_platform::answer;
-use violetseam_platform::call::{self, Call, Command};
-use violetseam_proxy::engine::Final;
-use violetseam_resp::command;
-
-/// Connections accepted in one turn of the loop.
-const ACCEPTS_MOST: usize = 64;
-/// A listener that ran out of room or descriptors pauses so long.
-const ACCEPT_PAUSE: Micros = 20_000;
-/// Commands of one connection that wait for their answers at once, and that one read may bring: clients open
-/// more connections where all are busy, so a burst of more is none of theirs.
-const PIPELINED_MOST: usize = 32;
-/// A connection that has not sent one whole command by then is closed.
-const UNPROVEN: Micros = 1_500_000;
-/// A command must be whole so long after its first byte.
-const HALF_COMMAND: Micros = 1_500_000;
-/// After the last answer a connection is read and its input dropped for so long and so many bytes: closed at
-/// once over unread bytes, it would be reset, and the answer could be lost with it.
-const LINGER: Micros = 300_000;
-const LINGER_BYTES: usize = 256 * 1024;
-/// Answers that a client does not take are held for so long.
-const UNREAD: Micros = 3_000_000;
-
-/// A client connection.
-pub(super) struct Client {
-    generation: u64,
-    socket: Socket,
-    /// Input that no command has taken yet.
-    input: Vec<u8>,
-    /// Answers in the order of their commands.
-    owed: VecDeque<Owed>,
-    state: State,
-    /// Its input is being taken apart, and lies elsewhere meanwhile.
-    reading: bool,
-    /// Commands wait in its input until there is room for their answers.
-    waiting: bool,
-    /// A whole sound command has come.
-    proven: bool,
-    /// Since when nothing has been owed, or the present command is on its way.
-    quiet_since: Micros,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    Open,
-    /// Nothing more is read: the connection ends after the answers that are owed.
-    Closing,
-    /// An error was the last answer, and this side is closed; so many bytes have been dropped.
-    Lingering(usize),
-    /// This side has ended the connection between two requests. Nothing is read any more: a request that crossed the
-    /// end has not been taken, and its client sends it elsewhere.
-    Ended,
-}
-
-/// A place in the order of answers.
-enum Owed {
-    Request(RequestId),
-    Ready(Vec<u8>),
-}
-
-/// A request that the engine has: what it takes to send it, and where its answer goes.
-pub(super) struct Held {
-    client: usize,
-    client_generation: u64,
-    pub call: Call,
-    /// Connections of the attempts, by number.
-    pub attempts: Vec<Option<usize>>,
-}
-
-impl Ending {
-    /// Whether this side may end a connection now: on the way out, between two requests.
-    fn may_end(self, client: &Client) -> bool {
-        match self {
-            Ending::No | Ending::Told => false,
-            Ending::Leaving => client.is_free(),
-            Ending::LastAnswers => client.is_answered(),
-        }
-    }
+use violetseam_platform::call::{self, Command};
+use violetseam_resp::{Bounds, command};
+
+/// The reason given for a burst of more commands than may wait on one connection.
+const TOO_MANY_COMMANDS: &str = "too many commands at once";
+
+/// The commands that were parsed from a connection's input.
+struct ParsedCommands<'a> {
+    /// Each command's words.
+    commands: Vec<command::Words<'a>>,
+    /// Bytes that they took.
+    consumed: usize,
+    /// Why the input after them cannot be parsed, if it cannot.
+    fault: Option<String>,
 }
 
-impl Client {
-    /// A whole sound command has come on it.
-    pub fn is_proven(&self) -> bool {
-        self.proven
-    }
-
-    /// Nothing is owed on it, and no part of a command has come: it may be closed without a request's loss once
-    /// nothing lies unread either.
-    pub fn is_free(&self) -> bool {
-        self.is_answered() && self.input.is_empty()
-    }
-
-    /// Nothing is owed on it: at a process's last answers it may be closed, also over a part of a command.
-    pub fn is_answered(&self) -> bool {
-        self.owed.is_empty() && !self.socket.waits() && !self.reading
-    }
-
-    /// Bytes, or its end, lie unread in the kernel.
-    pub fn has_unread(&self) -> bool {
-        self.socket.is_stale()
-    }
-
-    /// Tells it from others that had its place.
-    pub fn generation(&self) -> u64 {
-        self.generation
-    }
-
-    /// No further command is taken before an answer has gone.
-    fn is_full(&self) -> bool {
-        self.owed.len() >= PIPELINED_MOST || self.socket.unwritten() > HIGH_WATER
-    }
-
-    /// Since when nothing has been owed on it.
-    pub fn quiet_since(&self) -> Micros {
-        self.quiet_since
-    }
-}
-
-impl Proxy {
-    pub(super) fn listen(&mut self) -> std::io::Result<()> {
-        let listener: Rc<TcpListener> = Rc::new(listen(self.config.listen, 1024)?);
-        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-        let token = self
-            .handle
-            .insert_source(source, |_, listener, proxy: &mut Proxy| {
-                proxy.accept(listener);
-                Ok(PostAction::Continue)
-            })
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
-        self.listener = Some((listener, token));
-        Ok(())
-    }
-
-    fn accept(&mut self, listener: &TcpListener) {
-        self.heard = true;
-        for _ in 0..ACCEPTS_MOST {
-            if !self.room_for_client() {
-                return self.pause_accepting();
+/// Parses all complete commands of the input.
+fn parse_commands<'a>(input: &'a [u8], bounds: &Bounds) -> ParsedCommands<'a> {
+    let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, fault: None };
+    loop {
+        match command::read(&input[parsed.consumed..], bounds) {
+            Ok(Some((words, length))) => {
+                parsed.consumed += length;
+                parsed.commands.push(words);
             }
-            match listener.accept() {
-                Ok((stream, _)) => {
-                    if let Err(e) = self.add_client(stream)
-                        && self.may_say()
-                    {
-                        tracing::warn!("client not taken: {e}");
-                    }
-                }
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                    return if self.is_leaving() {
-                        self.stop_listening()
-                    };
-                }
-                // The client left before it was accepted.
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
-                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                // Out of descriptors or memory: connections wait in the kernel's queue, none is lost.
-                Err(e) => {
-                    if self.may_say() {
-                        tracing::warn!("accepting pauses: {e}");
-                    }
-                    return self.pause_accepting();
-                }
-            }
-        }
-    }
-
-    fn pause_accepting(&mut self) {
-        if let Some((_, token)) = &self.listener
-            && std::mem::replace(&mut self.accepting, false)
-        {
-            drop(self.handle.disable(token));
-            self.timers.set(self.now() + ACCEPT_PAUSE, What::Accept);
-        }
-    }
-
-    pub(super) fn accept_again(&mut self) {
-        if let Some((_, token)) = &self.listener {
-            drop(self.handle.enable(token));
-            self.accepting = true;
-            if self.is_leaving() {
-                self.accept_rest();
+            Ok(None) => return parsed,
+            Err(fault) => {
+                parsed.fault = Some(fault.to_string());
+                return parsed;
             }
         }
-    }
-
-    /// On the way out: takes what waits in the kernel's queue, and listens no more once that is empty. One in the
-    /// queue would else be neither taken nor free to go elsewhere.
-    fn accept_rest(&mut self) {
-        if let Some((listener, _)) = &self.listener {
-            let listener = listener.clone();
-            self.accept(&listener);
-        }
-    }
-
-    fn stop_listening(&mut self) {
-        if let Some((_, token)) = self.listener.take() {
-            self.handle.remove(token);
+        if parsed.commands.len() > MAX_PIPELINED_COMMANDS {
+            parsed.commands.clear();
+            parsed.fault = Some(TOO_MANY_COMMANDS.to_owned());
+            return parsed;
         }
     }
+}
 
-    fn add_client(&mut self, stream: TcpStream) -> std::io::Result<()> {
-        stream.set_nonblocking(true)?;
-        stream.set_nodelay(true)?;
-        let (generation, quiet_since) = (self.next_generation(), self.now());
-        let entry = self.clients.vacant_entry();
-        let key = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
-        let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
-        entry.insert(Client {
-            generation,
-            socket,
-            input: Vec::new(),
-            owed: VecDeque::new(),
-            state: State::Open,
-            reading: false,
-            waiting: false,
-            proven: false,
-            quiet_since,
-        });
-        Ok(())
-    }
-
-    /// Takes a connection off the loop and tells nobody.
+impl Proxy {
+    /// Takes a connection off the loop without a message to the engine.
     pub(super) fn close_client(&mut self, key: usize) {
         if let Some(client) = self.clients.try_remove(key) {
-            self.closed_while_owed += u64::from(!client.is_answered());
+            self.closed_while_pending += u64::from(!client.is_answered());
             client.socket.remove(&self.handle);
         }
     }
 
-    /// The connection broke, or its client closed it: nothing is owed any more.
-    fn client_gone(&mut self, key: usize) {
+    /// The connection broke, or its client closed it: its requests need no response any more.
+    fn disconnect_client(&mut self, key: usize) {
         let Some(client) = self.clients.try_remove(key) else { return };
         client.socket.remove(&self.handle);
         let now = self.now();
-        for owed in client.owed {
-            if let Owed::Request(id) = owed {
+        for pending in client.pending_responses {
+            if let PendingResponse::Request(id) = pending {
                 self.engine.client_gone(now, id);
             }
         }
     }
 
-    fn on_client(&mut self, key: usize, readiness: Readiness) {
-        if self.clients.get(key).is_some_and(|client| client.state == State::Ended) {
-            // Nothing is asked for: the other side has ended, too.
+    /// Handles a connection's readiness.
+    pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
+        if self.clients.get(key).is_some_and(|client| client.state == ClientState::Ended) {
+            // No event is wanted in this state: the other side has ended the connection, too.
             return self.close_client(key);
         }
         if readiness.writable {
@@ -264,279 +82,185 @@
         if readiness.readable || readiness.error {
             self.read_client(key);
         }
-        self.pump();
+        self.run_engine_orders();
     }
 
-    /// Reads once; whether anything was there.
+    /// Reads once; whether there was anything to read.
     fn read_client(&mut self, key: usize) -> bool {
         let mut scratch = std::mem::take(&mut self.scratch);
-        let mut got = Got::Nothing;
+        let mut outcome = ReadOutcome::Nothing;
         if let Some(client) = self.clients.get_mut(key) {
-            got = client.socket.read(&mut scratch);
-            match (got, client.state) {
-                (Got::Bytes(n), State::Open) => {
+            outcome = client.socket.read(&mut scratch);
+            match (outcome, client.state) {
+                (ReadOutcome::Bytes(n), ClientState::Open) => {
                     client.input.extend_from_slice(&scratch[..n]);
-                    self.client_commands(key);
+                    self.handle_input(key);
                 }
-                (Got::Bytes(n), State::Lingering(dropped)) if dropped + n < LINGER_BYTES => {
-                    client.state = State::Lingering(dropped + n);
+                (ReadOutcome::Bytes(n), ClientState::Lingering(dropped))
+                    if dropped + n < MAX_LINGER_BYTES =>
+                {
+                    client.state = ClientState::Lingering(dropped + n);
                 }
-                (Got::Bytes(_), State::Lingering(_)) => self.close_client(key),
-                (Got::Bytes(_) | Got::Nothing, _) => {}
-                (Got::Closed | Got::Broken, _) => self.client_gone(key),
+                (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(key),
+                (ReadOutcome::Bytes(_) | ReadOutcome::Nothing, _) => {}
+                (ReadOutcome::Closed | ReadOutcome::Broken, _) => self.disconnect_client(key),
             }
         }
         self.scratch = scratch;
-        self.rest_client(key);
-        got != Got::Nothing
+        self.update_client_interest(key);
+        outcome != ReadOutcome::Nothing
     }
 
-    /// Takes the commands that the input holds. All are read before the first is taken, as what is taken must
-    /// be answered: of a burst none is.
-    fn client_commands(&mut self, key: usize) {
+    /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request must be
+    /// answered: of a burst that is too long none is accepted.
+    fn handle_input(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.waiting = client.is_full();
-        if client.waiting {
+        client.is_backpressured = client.is_full();
+        if client.is_backpressured {
             return;
         }
         let input = std::mem::take(&mut client.input);
-        client.reading = true;
-        let (mut commands, mut used) = (Vec::new(), 0);
-        let fault = loop {
-            match command::read(&input[used..], &self.bounds) {
-                Ok(Some((words, length))) => {
-                    used += length;
-                    commands.push(words);
-                }
-                Ok(None) => break None,
-                Err(fault) => break Some(fault.to_string()),
-            }
-            if commands.len() > PIPELINED_MOST {
-                commands.clear();
-                break Some("too many commands at once".into());
-            }
-        };
+        client.is_parsing = true;
+        let ParsedCommands { commands, consumed, fault } = parse_commands(&input, &self.bounds);
         for words in commands {
-            self.client_command(key, &words);
+            self.handle_command(key, &words);
         }
-        if let Some(why) = fault
+        if let Some(reason) = fault
             && self.is_open(key)
         {
-            self.decline(key, &why);
+            self.reject_malformed(key, &reason);
         }
         let now = self.now();
         if let Some(client) = self.clients.get_mut(key) {
-            client.reading = false;
-            if client.state == State::Open {
-                client.quiet_since = if used > 0 { now } else { client.quiet_since };
-                client.input = if used == 0 { input } else { input[used..].to_vec() };
+            client.is_parsing = false;
+            if client.state == ClientState::Open {
+                client.idle_since = if consumed > 0 { now } else { client.idle_since };
+                client.input = if consumed == 0 { input } else { input[consumed..].to_vec() };
             }
         }
         self.flush_client(key);
     }
 
     fn is_open(&self, key: usize) -> bool {
-        self.clients.get(key).is_some_and(|c| c.state == State::Open)
+        self.clients.get(key).is_some_and(|client| client.state == ClientState::Open)
     }
 
-    fn client_command(&mut self, key: usize, words: &[&[u8]]) {
+    fn handle_command(&mut self, key: usize, words: &[&[u8]]) {
         if !self.is_open(key) {
             return;
         }
-        if self.clients[key].owed.len() >= PIPELINED_MOST {
-            return self.decline(key, "too many commands at once");
+        if self.clients[key].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
+            return self.reject_malformed(key, TOO_MANY_COMMANDS);
         }
         match call::read(words, &self.config.instance) {
-            Ok(Command::Ping) if self.is_ready() => self.reply(key, b"+PONG\r\n"),
-            Ok(Command::Ping) => self.reply(key, b"-LOADING no server list yet\r\n"),
-            Ok(Command::Courtesy) => self.reply(key, b"+OK\r\n"),
-            Ok(Command::Call(call)) => self.take_call(key, *call),
-            Err(why) => self.decline(key, &why.0),
+            Ok(Command::Ping) if self.is_ready() => self.respond_at_once(key, b"+PONG\r\n"),
+            Ok(Command::Ping) => self.respond_at_once(key, b"-LOADING no server list yet\r\n"),
+            Ok(Command::Courtesy) => self.respond_at_once(key, b"+OK\r\n"),
+            Ok(Command::Call(call)) => self.admit_call(key, *call),
+            Err(malformed) => self.reject_malformed(key, &malformed.0),
         }
     }
 
-    /// Answers at once what is no request.
-    fn reply(&mut self, key: usize, bytes: &[u8]) {
+    /// Responds to a command that needs no decision.
+    pub(super) fn respond_at_once(&mut self, key: usize, bytes: &[u8]) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.owed.push_back(Owed::Ready(bytes.to_vec()));
+            client.pending_responses.push_back(PendingResponse::Ready(bytes.to_vec()));
         }
     }
 
-    /// Answers what cannot be taken, and ends the connection after that.
-    fn decline(&mut self, key: usize, why: &str) {
-        tracing::debug!(client = key, "declined: {why}");
+    /// Responds with an error to a command that cannot be accepted; the connection ends after that.
+    pub(super) fn reject_malformed(&mut self, key: usize, reason: &str) {
+        tracing::debug!(client = key, "declined: {reason}");
         if let Some(client) = self.clients.get_mut(key) {
             let mut bytes = Vec::new();
-            answer::write_malformed(&mut bytes, why);
-            client.owed.push_back(Owed::Ready(bytes));
-            client.state = State::Closing;
+            answer::write_malformed(&mut bytes, reason);
+            client.pending_responses.push_back(PendingResponse::Ready(bytes));
+            client.state = ClientState::Closing;
         }
     }
 
-    fn take_call(&mut self, key: usize, call: Call) {
-        if self.open_ids.contains_key(&call.id) {
-            return self.decline(key, "a request with this id is open");
-        }
+    /// Writes the responses whose turn has come.
+    pub(super) fn flush_client(&mut self, key: usize) {
+        let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.proven = true;
-        let client_generation = client.generation;
-        if self.held.len() >= self.budgets.open || self.held_bytes + call.size() > self.budgets.held_bytes {
-            // Bounds of this process, not of the service: it never ran.
-            return self.reply(key, b"-BUSY\r\n");
+        let any_queued = client.queue_ready_responses();
+        if any_queued || client.socket.waits() {
+            client.idle_since = now;
         }
-        let now = self.now();
-        // The client's wait began when it sent; how late this loop is, the call may have lain unread.
-        let unread = self.timers.behind(now, self.engine.due());
-        let request = Request {
-            id: 0,
-            deadline: now + call.wait.saturating_sub(unread),
-            class: call.class,
-            cost_hint: None,
-            key: Some(call.key),
-            tenant: call.tenant,
-            is_retry: call.is_retry,
-        };
-        self.held_bytes += call.size();
-        let (class, wait, is_retry) = (call.class, call.wait, call.is_retry);
-        let id = self.engine.request(now, request, true);
-        let client_id = String::from_utf8_lossy(&call.id);
-        tracing::debug!(request = id, %client_id, client = key, class, wait, unread, is_retry, "request");
-        self.open_ids.insert(call.id.clone(), id);
-        self.held.insert(id, Held { client: key, client_generation, call, attempts: Vec::new() });
-        if let Some(client) = self.clients.get_mut(key) {
-            client.owed.push_back(Owed::Request(id));
+        if client.socket.flush().is_err() {
+            return self.disconnect_client(key);
         }
-        self.pump();
-    }
-
-    /// A final answer of the proxy's own.
-    pub(super) fn answer_own(&mut self, request: RequestId, last: Final) {
-        let mut bytes = Vec::new();
-        tracing::debug!(request, ?last, "own answer");
-        match last {
-            Final::Refused { come_back } => answer::write_refused(&mut bytes, come_back),
-            Final::Failed { .. } => answer::write_failed(&mut bytes),
+        if client.state == ClientState::Closing
+            && client.pending_responses.is_empty()
+            && !client.socket.waits()
+        {
+            client.socket.close_write();
+            client.state = ClientState::Lingering(0);
         }
-        self.answer(request, bytes);
-    }
-
-    /// Puts a final answer in its place and writes what is in turn.
-    pub(super) fn answer(&mut self, request: RequestId, bytes: Vec<u8>) {
-        let Some(held) = self.held.get(&request) else { return };
-        let (key, generation) = (held.client, held.client_generation);
-        let Some(client) = self.clients.get_mut(key).filter(|c| c.generation == generation) else { return };
-        let place = client.owed.iter_mut().find(|o| matches!(o, Owed::Request(id) if *id == request));
-        if let Some(place) = place {
-            *place = Owed::Ready(bytes);
+        let may_end = self.shutdown_phase.may_end(client);
+        let may_continue = client.is_backpressured && !client.is_full();
+        if client.state == ClientState::Open && (may_end || may_continue) {
+            self.clients_to_revisit.push(ConnectionId { slot: key, generation: client.generation });
         }
-        self.flush_client(key);
-        self.rest_client(key);
     }
 
-    /// Nothing about the request is in hand any more.
-    pub(super) fn forget(&mut self, request: RequestId) {
-        if let Some(held) = self.held.remove(&request) {
-            self.held_bytes -= held.call.size();
-            self.open_ids.remove(&held.call.id);
+    /// Revisits connections on which commands waited for room, or that may end in a shutdown.
+    pub(super) fn revisit_clients(&mut self) {
+        for connection in std::mem::take(&mut self.clients_to_revisit) {
+            self.revisit_client(connection);
         }
     }
 
-    /// Writes the answers that are in turn.
-    fn flush_client(&mut self, key: usize) {
-        let now = self.now();
-        let Some(client) = self.clients.get_mut(key) else { return };
-        let mut moved = false;
-        while let Some(Owed::Ready(_)) = client.owed.front() {
-            if let Some(Owed::Ready(bytes)) = client.owed.pop_front() {
-                client.socket.out().extend_from_slice(&bytes);
-                moved = true;
-            }
-        }
-        if moved || client.socket.waits() {
-            client.quiet_since = now;
+    /// Goes on with the commands that waited, and ends the connection if the shutdown is that far. What has arrived is
+    /// read first, as requests before it were accepted: a connection that closes over unread bytes is reset, and a
+    /// response that its client has not read yet may be lost with it.
+    fn revisit_client(&mut self, connection: ConnectionId) {
+        let key = connection.slot;
+        let Some(client) = self.open_client(connection) else { return };
+        if client.is_backpressured && !client.is_full() {
+            self.handle_input(key);
+            self.update_client_interest(key);
         }
-        if client.socket.flush().is_err() {
-            return self.client_gone(key);
-        }
-        if client.state == State::Closing && client.owed.is_empty() && !client.socket.waits() {
-            client.socket.close_write();
-            client.state = State::Lingering(0);
+        let any_read = self.read_client(key);
+        self.run_engine_orders();
+        let now = self.now();
+        let shutdown_phase = self.shutdown_phase;
+        let Some(client) = self.open_client(connection) else { return };
+        if !shutdown_phase.may_end(client) {
+            return;
         }
-        let ends = self.ending.may_end(client);
-        let goes_on = client.waiting && !client.is_full();
-        if client.state == State::Open && (ends || goes_on) {
-            self.revisit.push((key, client.generation));
+        if any_read {
+            self.clients_to_revisit.push(connection);
+            return;
         }
+        client.socket.close_write();
+        client.state = ClientState::Ended;
+        client.idle_since = now;
+        self.update_client_interest(key);
     }
 
-    /// Looks again at connections on which commands waited for room, or that may end as this process does. What
-    /// has come is read first, as the request in it was taken: a connection that closes over unread bytes is reset,
-    /// and an answer that its client has not read yet may be lost with it.
-    pub(super) fn revisit_clients(&mut self) {
-        for (key, generation) in std::mem::take(&mut self.revisit) {
-            let is = |c: &&mut Client| c.generation == generation && c.state == State::Open;
-            let Some(client) = self.clients.get_mut(key).filter(is) else { continue };
-            if client.waiting && !client.is_full() {
-                self.client_commands(key);
-                self.rest_client(key);
-            }
-            let came = self.read_client(key);
-            self.pump();
-            let now = self.now();
-            let ending = self.ending;
-            let Some(client) = self.clients.get_mut(key).filter(is).filter(|c| ending.may_end(c)) else {
-                continue;
-            };
-            if came {
-                self.revisit.push((key, generation));
-            } else {
-                client.socket.close_write();
-                (client.state, client.quiet_since) = (State::Ended, now);
-                self.rest_client(key);
-            }
-        }
+    /// The connection, if it is still the same one and open.
+    fn open_client(&mut self, connection: ConnectionId) -> Option<&mut Client> {
+        self.clients
+            .get_mut(connection.slot)
+            .filter(|client| client.generation == connection.generation && client.state == ClientState::Open)
     }
 
-    /// Sets what the connection is to be woken for.
-    fn rest_client(&mut self, key: usize) {
-        let Some(client) = self.clients.get_mut(key) else { return };
-        let read = match client.state {
-            // Read on while commands wait, within the bound of one: that the client has left shows in nothing else.
-            State::Open => !client.is_full() || client.input.len() < self.bounds.whole,
-            // What comes now is read for its end only.
-            State::Closing => false,
-            State::Lingering(_) => true,
-            State::Ended => false,
-        };
-        client.socket.want(&self.handle, read);
+    /// Sets the events that a connection is to be woken for.
+    pub(super) fn update_client_interest(&mut self, key: usize) {
+        if let Some(client) = self.clients.get(key) {
+            client.update_interest(&self.handle, self.bounds.whole);
+        }
     }
 
-    /// Closes what has had its time: silent connections, half commands, answers that nobody takes.
-    pub(super) fn clients_upkeep(&mut self, now: Micros) {
-        let over = |c: &Client| {
-            let quiet = now.saturating_sub(c.quiet_since);
-            match c.state {
-                State::Lingering(_) | State::Ended => quiet >= LINGER,
-                _ if c.socket.waits() => quiet >= UNREAD,
-                _ if !c.owed.is_empty() => false,
-                _ if !c.proven => quiet >= UNPROVEN,
-                _ => !c.input.is_empty() && quiet >= HALF_COMMAND,
-            }
-        };
-        let over: Vec<usize> = self.clients.iter().filter(|(_, c)| over(c)).map(|(key, _)| key).collect();
-        for key in over {
-            let state = self.clients.get(key).map(|client| (client.state, client.owed.len()));
+    /// Closes the connections whose time-outs have expired.
+    pub(super) fn close_timed_out_clients(&mut self, now: Micros) {
+        let timed_out: Vec<usize> =
+            self.clients.iter().filter(|(_, client)| client.is_timed_out(now)).map(|(key, _)| key).collect();
+        for key in timed_out {
+            let state = self.clients.get(key).map(|client| (client.state, client.pending_responses.len()));
             tracing::debug!(client = key, ?state, "closed: its time is over");
-            self.client_gone(key);
+            self.disconnect_client(key);
         }
     }
-
-    /// Takes nothing new but what is on its way: connections in the kernel's queue, commands on those that have
-    /// none yet. The others end between two requests.
-    pub(super) fn leave(&mut self) {
-        self.ending = self.ending.max(Ending::Leaving);
-        self.accept_rest();
-        let free = self.clients.iter().filter(|(_, c)| c.proven && c.is_free());
-        self.revisit.extend(free.map(|(key, c)| (key, c.generation)));
-    }
 }
--- /dev/null
+++ b/crates/platform-proxy/src/configuration.rs
@@ -0,0 +1,60 @@
+//! The configuration file: read at the start, and again at SIGHUP.
+
+use crate::error::ConfigError;
+use crate::event_loop::TimerKind;
+use crate::proxy::Proxy;
+use crate::start::retry_transient_errors;
+use std::path::Path;
+use violetseam::interface::Micros;
+use violetseam_platform::config::Config;
+
+/// A configuration that cannot be read at a reload is read again after this span ...
+const RELOAD_RETRY_INTERVAL: Micros = 200_000;
+/// ... and at most this many times in all.
+pub(super) const MAX_RELOAD_ATTEMPTS: u32 = 25;
+
+/// Reads the configuration at a start. An error that is likely to be transient is retried for ten seconds.
+///
+/// # Errors
+/// [`ConfigError::Read`] if the file cannot be read, [`ConfigError::Parse`] if its text is no valid configuration.
+pub fn read_config(file: &Path) -> Result<Config, ConfigError> {
+    parse_config(file, retry_transient_errors("configuration", || std::fs::read(file)))
+}
+
+fn parse_config(file: &Path, text: std::io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
+    let text = text.map_err(|source| ConfigError::Read { file: file.into(), source })?;
+    Config::parse(&text).map_err(|source| ConfigError::Parse { file: file.into(), source })
+}
+
+impl Proxy {
+    /// Continues a reload, unless a later one has begun.
+    pub(super) fn retry_reload(&mut self, generation: u64, attempts_left: u32) {
+        if generation == self.reload_generation {
+            self.reload(attempts_left);
+        }
+    }
+
+    /// Handles SIGHUP: the new addresses are in force at once. A file that cannot be read, or is only partly written, leaves
+    /// the old ones in force and is read again later while attempts are left: discovery takes what it sends to the new
+    /// address as received either way.
+    pub(super) fn reload(&mut self, attempts_left: u32) {
+        self.reload_generation = self.next_generation();
+        match parse_config(&self.config_file, std::fs::read(&self.config_file)) {
+            Err(error) if attempts_left > 1 => {
+                tracing::warn!("reload: {error}; the old configuration stays for now");
+                let retry = TimerKind::RetryReload {
+                    generation: self.reload_generation,
+                    attempts_left: attempts_left - 1,
+                };
+                self.timers.set(self.now() + RELOAD_RETRY_INTERVAL, retry);
+            }
+            Err(error) => tracing::error!("reload: {error}; the old configuration stays"),
+            Ok(config) => {
+                tracing::info!(discovery = %config.discovery, pipeline = %config.pipeline, "reload");
+                self.move_discovery(config.discovery);
+                self.move_pipeline(config.pipeline);
+            }
+        }
+        self.run_engine_orders();
+    }
+}
--- a/crates/platform-proxy/src/discovery.rs
+++ b/crates/platform-proxy/src/discovery.rs
@@ -7,7 +7,8 @@
 //! list costs a service that works through its calls one by one a multiple of what a delta does, so it is asked for
 //! only where a delta would not be sound.
 
-use super::{Proxy, What};
+use crate::event_loop::TimerKind;
+use crate::proxy::Proxy;
 use calloop::{Interest, Readiness};
 use rand::RngExt;
 use std::io::ErrorKind;
@@ -15,21 +16,21 @@
 use violetseam::interface::Micros;
 use violetseam_http1::Limits;
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 use violetseam_platform::discovery::{ANSWER_MOST, List, WHOLE_PATH, watch_path};
 
 /// What is drawn below is counted in parts of the time that the settings let a proxy go without a word, within these
 /// bounds; a watch waits for 4 tenths of it at most, the decisions ask again after 7 tenths. What a watch misses that has
 /// fallen silent counts as told 2 s after its wait is over or 6 s after it fell silent: 4 s of waiting give both.
-const SILENCE_LEAST: Micros = 500_000;
-const SILENCE_MOST: Micros = 10_000_000;
-const WAIT_TENTHS: Micros = 4;
+const MIN_SILENCE: Micros = 500_000;
+const MAX_SILENCE: Micros = 10_000_000;
+const WATCH_WAIT_TENTHS: Micros = 4;
 /// A new watch costs the service work, and one that it has declined costs it as much; only a watch that is renewed at
 /// once is free. So proxies that all start, lose their watches or move together spread their next calls: the first
 /// call of a life and the first one at another address within so many tenths, further ones after a failed call after
 /// about so many (half to one and a half times).
-const START_TENTHS: Micros = 4;
-const MOVE_TENTHS: Micros = 2;
+const START_SPREAD_TENTHS: Micros = 4;
+const MOVE_SPREAD_TENTHS: Micros = 2;
 const RETRY_TENTHS: Micros = 3;
 /// Discovery is one service with one count of versions, so that a move of its address is followed from the version held.
 /// Should a service behind another address count otherwise, that would stay wrong: the whole list is asked for once
@@ -38,31 +39,31 @@
 const VERIFY_FROM_TENTHS: Micros = 100;
 const VERIFY_UNTIL_TENTHS: Micros = 400;
 /// The first watch at an address waits no longer than this: its answer soon tells where the service's versions stand.
-const FIRST_WAIT: Micros = 1_000_000;
+const MAX_FIRST_WATCH_WAIT: Micros = 1_000_000;
 /// A call for the whole list has so long, a watch so long beyond its wait. The service declines a call by itself that
 /// waited for too long; one that is given up before that costs it as much, and is made again.
 const CALL_TIMEOUT: Micros = 3_500_000;
 /// A watch that was renewed in time and has said nothing so long after its wait is dead, and another one is opened after
 /// about so long: the lease on the list ends soon.
-const WATCH_LATE: Micros = 1_500_000;
-const WATCH_AGAIN: Micros = 300_000;
+const WATCH_GRACE: Micros = 1_500_000;
+const WATCH_RETRY_INTERVAL: Micros = 300_000;
 /// Each call that fails doubles the wait for the next one, so many times at most: a service that works through its calls
 /// one by one and has too many spends its time on calls that have waited for too long, until fewer come.
-const DOUBLINGS_MOST: u32 = 1;
+const MAX_BACKOFF_DOUBLINGS: u32 = 1;
 /// Where the lease on the list would end before that, a call is made this long before the lease ends, or up to half as long
 /// again: it may wait in the service's queue for seconds.
-const BEFORE_LEASE_ENDS: Micros = 2_000_000;
+const LEASE_RENEWAL_MARGIN: Micros = 2_000_000;
 /// Where lists are pushed, what the service has counts at once, and its calls are free of cost: one that failed is made
 /// again after about so long, and a watch is replaced after seven tenths of the second figure without a word.
-const PUSHED_AGAIN: Micros = 300_000;
-pub(super) const PUSHED_ASK_WITHIN: Micros = 5_000_000;
+const PUSHED_RETRY_INTERVAL: Micros = 300_000;
+pub(super) const PUSHED_POLL_INTERVAL_MAX: Micros = 5_000_000;
 /// The same without any list, where nothing can be served: quicker than the decisions' back-off, so that a process
 /// that starts while the service is down is ready soon after that.
-const EMPTY_AGAIN: Micros = 1_000_000;
+const EMPTY_LIST_RETRY_INTERVAL: Micros = 1_000_000;
 /// The status of an answer that carries a list.
 const STATUS_OK: u16 = 200;
 /// A watch that has nothing new to say so soon is not waiting: it would be asked without end.
-const ANSWERED_AT_ONCE: Micros = 100_000;
+const MIN_WATCH_DURATION: Micros = 100_000;
 
 /// Discovery as this proxy speaks to it.
 pub(super) struct Discovery {
@@ -82,7 +83,7 @@
     /// The exchange that is out.
     call: Option<Call>,
     /// When the next call is planned, if it is.
-    again: Option<Micros>,
+    next_query_at: Option<Micros>,
     /// From then on the next call is for the whole list, as the address was another before.
     verify_at: Option<Micros>,
     /// The first call of this life has been made or planned.
@@ -106,25 +107,25 @@
     /// It follows an answer on the same connection at once, so that the watch goes on.
     renewed: bool,
     /// What it asks for.
-    asked: Asked,
+    query: Query,
 }
 
 /// What a call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum Query {
     /// The whole list.
-    Whole,
+    FullList,
     /// What is newer than this version, waited for.
-    NewerThan(u64),
+    ChangesSince(u64),
 }
 
 /// How a call ended that brought no list.
 #[derive(Debug)]
-enum CallEnd {
+enum QueryFailure {
     /// No socket, or no way there from this machine.
-    NotDialled,
+    NotStarted,
     /// Nobody listens there.
-    Refused,
+    ConnectionRefused,
     NotConnected,
     Closed,
     Reset,
@@ -133,60 +134,62 @@
     TimedOut,
     Unreadable(String),
     /// The service has less than was held.
-    CountedAnew,
+    VersionReset,
     /// A watch that does not wait.
-    NothingNew,
+    EmptyWatch,
 }
 
-impl std::fmt::Display for CallEnd {
+impl std::fmt::Display for QueryFailure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            CallEnd::NotDialled => "no connection could be begun",
-            CallEnd::Refused => "connection refused",
-            CallEnd::NotConnected => "no connection",
-            CallEnd::Closed => "closed",
-            CallEnd::Reset => "connection lost",
-            CallEnd::Declined => "declined",
-            CallEnd::TimedOut => "no answer in time",
-            CallEnd::Unreadable(why) => why,
-            CallEnd::CountedAnew => "versions counted anew",
-            CallEnd::NothingNew => "a watch that answers with nothing new",
+            QueryFailure::NotStarted => "no connection could be begun",
+            QueryFailure::ConnectionRefused => "connection refused",
+            QueryFailure::NotConnected => "no connection",
+            QueryFailure::Closed => "closed",
+            QueryFailure::Reset => "connection lost",
+            QueryFailure::Declined => "declined",
+            QueryFailure::TimedOut => "no answer in time",
+            QueryFailure::Unreadable(why) => why,
+            QueryFailure::VersionReset => "versions counted anew",
+            QueryFailure::EmptyWatch => "a watch that answers with nothing new",
         })
     }
 }
 
 /// What the end of a call says of the list held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
+enum ListEvidence {
     /// The watch was alive until then: whatever had changed before that was told on it.
-    Alive,
+    WatchAlive,
     /// Discovery was away when the call began, and told nobody of a change.
-    Away,
+    ServiceAway,
     /// A part of a list has come: it was written, and counts as told though it cannot be read.
-    Cut,
-    Nothing,
+    PartialList,
+    None,
 }
 
 impl Call {
     /// Writes the request once the connection is up; how the call has ended, if it has.
-    fn write_what_waits(&mut self) -> Option<CallEnd> {
+    fn flush_request(&mut self) -> Option<QueryFailure> {
         match (self.socket.connect_error(), self.connected) {
-            (Some(_), true) => return Some(CallEnd::Reset),
-            (Some(e), false) if e.kind() == ErrorKind::ConnectionRefused => return Some(CallEnd::Refused),
-            (Some(_), false) => return Some(CallEnd::NotConnected),
+            (Some(_), true) => return Some(QueryFailure::Reset),
+            (Some(e), false) if e.kind() == ErrorKind::ConnectionRefused => {
+                return Some(QueryFailure::ConnectionRefused);
+            }
+            (Some(_), false) => return Some(QueryFailure::NotConnected),
             (None, _) => self.connected = true,
         }
-        self.socket.flush().is_err().then_some(CallEnd::Reset)
+        self.socket.flush().is_err().then_some(QueryFailure::Reset)
     }
 
-    fn word(&self, end: &CallEnd) -> Word {
+    fn list_evidence(&self, end: &QueryFailure) -> ListEvidence {
         match end {
-            CallEnd::Declined if self.renewed => Word::Alive,
-            CallEnd::NothingNew => Word::Alive,
+            QueryFailure::Declined if self.renewed => ListEvidence::WatchAlive,
+            QueryFailure::EmptyWatch => ListEvidence::WatchAlive,
             // A call that is declined or reset, even at once, may have met a service that is there and has too many.
-            CallEnd::Refused => Word::Away,
-            _ if self.status == Some(STATUS_OK) => Word::Cut,
-            _ => Word::Nothing,
+            QueryFailure::ConnectionRefused => ListEvidence::ServiceAway,
+            _ if self.status == Some(STATUS_OK) => ListEvidence::PartialList,
+            _ => ListEvidence::None,
         }
     }
 }
@@ -194,7 +197,7 @@
 impl Discovery {
     /// `ask_within`: how long the settings let a proxy go without a word from discovery.
     pub fn new(address: SocketAddr, pushed: bool, ask_within: Micros) -> Self {
-        let silence = ask_within.clamp(SILENCE_LEAST, SILENCE_MOST);
+        let silence = ask_within.clamp(MIN_SILENCE, MAX_SILENCE);
         Discovery {
             address,
             silence,
@@ -204,7 +207,7 @@
             confirmed: false,
             failures: 0,
             call: None,
-            again: None,
+            next_query_at: None,
             verify_at: None,
             started: false,
         }
@@ -222,7 +225,7 @@
 
     /// A call for the whole list is out.
     fn is_fetching(&self) -> bool {
-        self.call.as_ref().is_some_and(|call| call.asked == Asked::Whole)
+        self.call.as_ref().is_some_and(|call| call.query == Query::FullList)
     }
 
     fn call(&mut self, generation: u64) -> Option<&mut Call> {
@@ -233,43 +236,43 @@
 impl Proxy {
     /// The decisions want the list, or have heard nothing for long. A call that is planned, or is out for the whole
     /// list, answers for this one; a watch that is out is taken for dead and replaced.
-    pub(super) fn follow_list(&mut self) {
-        if self.discovery.again.is_some() || self.discovery.is_fetching() {
+    pub(super) fn poll_server_list(&mut self) {
+        if self.discovery.next_query_at.is_some() || self.discovery.is_fetching() {
             return;
         }
-        if self.discovery.started || self.discovery.pushed || self.roster.is_empty() {
-            return self.ask_discovery(None);
+        if self.discovery.started || self.discovery.pushed || self.server_list.is_empty() {
+            return self.start_query(None);
         }
         self.discovery.started = true;
-        self.ask_discovery_within(self.discovery.tenths(START_TENTHS));
+        self.schedule_query_within(self.discovery.tenths(START_SPREAD_TENTHS));
     }
 
     /// Draws when the whole list is asked for once more.
-    fn verify_later(&mut self) {
+    fn schedule_verification(&mut self) {
         let [from, until] =
             [VERIFY_FROM_TENTHS, VERIFY_UNTIL_TENTHS].map(|tenths| self.discovery.tenths(tenths));
         self.discovery.verify_at = Some(self.now() + self.rng.random_range(from..until));
     }
 
     /// Plans a call at a drawn time within the span.
-    fn ask_discovery_within(&mut self, span: Micros) {
+    fn schedule_query_within(&mut self, span: Micros) {
         let at = self.now() + self.rng.random_range(0..span.max(1));
-        self.discovery.again = Some(at);
-        self.timers.set(at, What::ListAgain);
+        self.discovery.next_query_at = Some(at);
+        self.timers.set(at, TimerKind::DiscoveryRetry);
     }
 
     /// A planned call may be due.
-    pub(super) fn discovery_due(&mut self) {
+    pub(super) fn start_scheduled_query(&mut self) {
         let now = self.now();
-        if self.discovery.again.is_some_and(|at| at <= now) {
-            self.ask_discovery(None);
+        if self.discovery.next_query_at.is_some_and(|at| at <= now) {
+            self.start_query(None);
         }
     }
 
     /// Asks for what is newer than the version held, or for the whole list, on a connection that has just answered or
     /// on a new one.
-    fn ask_discovery(&mut self, on: Option<Call>) {
-        self.discovery.again = None;
+    fn start_query(&mut self, on: Option<Call>) {
+        self.discovery.next_query_at = None;
         if let Some(dead) = self.discovery.call.take() {
             dead.socket.remove(&self.handle);
         }
@@ -277,15 +280,15 @@
         let whole_first = self.discovery.pushed && !self.discovery.confirmed;
         let verify = self.discovery.verify_at.is_some_and(|at| at <= self.now());
         if verify {
-            self.verify_later();
+            self.schedule_verification();
         }
-        let asked = match self.roster.version().filter(|_| !whole_first && !verify) {
-            Some(version) => Asked::NewerThan(version),
-            None => Asked::Whole,
+        let query = match self.server_list.version().filter(|_| !whole_first && !verify) {
+            Some(version) => Query::ChangesSince(version),
+            None => Query::FullList,
         };
-        match self.call_discovery(asked, on) {
+        match self.send_query(query, on) {
             Some(call) => self.discovery.call = Some(call),
-            None => self.list_failed(&CallEnd::NotDialled),
+            None => self.retry_query(&QueryFailure::NotStarted),
         }
     }
 
@@ -302,25 +305,25 @@
         }
         let now = self.now();
         self.engine.change_list_lease(now, |lease| lease.move_discovery(now));
-        self.verify_later();
+        self.schedule_verification();
         match self.discovery.pushed {
-            true => self.ask_discovery(None),
-            false => self.ask_discovery_within(self.discovery.tenths(MOVE_TENTHS)),
+            true => self.start_query(None),
+            false => self.schedule_query_within(self.discovery.tenths(MOVE_SPREAD_TENTHS)),
         }
     }
 
     /// Begins an exchange, on a connection that has just answered or on a new one.
-    fn call_discovery(&mut self, asked: Asked, on: Option<Call>) -> Option<Call> {
+    fn send_query(&mut self, query: Query, on: Option<Call>) -> Option<Call> {
         let generation = self.next_generation();
         let Discovery { address, confirmed, .. } = self.discovery;
-        let (path, within) = match asked {
-            Asked::Whole => (WHOLE_PATH.to_owned(), CALL_TIMEOUT),
-            Asked::NewerThan(version) => {
-                let wait = self.discovery.tenths(WAIT_TENTHS);
+        let (path, within) = match query {
+            Query::FullList => (WHOLE_PATH.to_owned(), CALL_TIMEOUT),
+            Query::ChangesSince(version) => {
+                let wait = self.discovery.tenths(WATCH_WAIT_TENTHS);
                 // Drawn: watches that were all answered by one change come apart again.
                 let wait = self.rng.random_range(wait / 4 * 3..=wait);
-                let wait = if confirmed { wait } else { wait.min(FIRST_WAIT) };
-                let late = if on.is_some() { WATCH_LATE } else { CALL_TIMEOUT };
+                let wait = if confirmed { wait } else { wait.min(MAX_FIRST_WATCH_WAIT) };
+                let late = if on.is_some() { WATCH_GRACE } else { CALL_TIMEOUT };
                 (watch_path(version, wait), wait + late)
             }
         };
@@ -345,7 +348,7 @@
                     began: 0,
                     connected: false,
                     renewed: false,
-                    asked,
+                    query,
                 }
             }
         };
@@ -354,47 +357,47 @@
         call.http.expect_answer(false);
         call.status = None;
         call.socket.want_connected(&self.handle);
-        (call.began, call.asked) = (self.now(), asked);
-        call.renewed = renewed && asked != Asked::Whole;
+        (call.began, call.query) = (self.now(), query);
+        call.renewed = renewed && query != Query::FullList;
         call.until = call.began + within;
-        self.timers.set(call.until, What::Discovery(call.generation));
+        self.timers.set(call.until, TimerKind::DiscoveryTimeout(call.generation));
         Some(call)
     }
 
     fn on_discovery(&mut self, generation: u64, readiness: Readiness) {
         let Some(call) = self.discovery.call(generation) else { return };
         if readiness.writable {
-            if let Some(end) = call.write_what_waits() {
-                return self.discovery_ended(generation, end);
+            if let Some(end) = call.flush_request() {
+                return self.end_query(generation, end);
             }
             call.socket.want(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_discovery(generation);
         }
-        self.pump();
+        self.run_engine_orders();
     }
 
     fn read_discovery(&mut self, generation: u64) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(call) = self.discovery.call(generation) {
             match call.socket.read(&mut scratch) {
-                Got::Bytes(n) => {
+                ReadOutcome::Bytes(n) => {
                     call.http.feed(&scratch[..n]);
-                    self.discovery_events(generation);
+                    self.handle_discovery_events(generation);
                 }
-                Got::Nothing => {}
-                Got::Closed => match call.http.close() {
-                    Some(ClientEvent::End { .. }) => self.discovery_answer(generation, false),
-                    _ => self.discovery_ended(generation, CallEnd::Closed),
+                ReadOutcome::Nothing => {}
+                ReadOutcome::Closed => match call.http.close() {
+                    Some(ClientEvent::End { .. }) => self.handle_discovery_answer(generation, false),
+                    _ => self.end_query(generation, QueryFailure::Closed),
                 },
-                Got::Broken => self.discovery_ended(generation, CallEnd::Reset),
+                ReadOutcome::Broken => self.end_query(generation, QueryFailure::Reset),
             }
         }
         self.scratch = scratch;
     }
 
-    fn discovery_events(&mut self, generation: u64) {
+    fn handle_discovery_events(&mut self, generation: u64) {
         while let Some(call) = self.discovery.call(generation) {
             match call.http.next_event() {
                 None => return,
@@ -402,64 +405,66 @@
                 Some(ClientEvent::Body(bytes)) => {
                     call.body.extend_from_slice(&bytes);
                     if call.body.len() > ANSWER_MOST {
-                        return self.discovery_ended(
+                        return self.end_query(
                             generation,
-                            CallEnd::Unreadable("an answer over the limit".into()),
+                            QueryFailure::Unreadable("an answer over the limit".into()),
                         );
                     }
                 }
-                Some(ClientEvent::End { reusable }) => return self.discovery_answer(generation, reusable),
+                Some(ClientEvent::End { reusable }) => {
+                    return self.handle_discovery_answer(generation, reusable);
+                }
                 Some(ClientEvent::Fault(fault)) => {
-                    return self.discovery_ended(generation, CallEnd::Unreadable(fault.reason.into()));
+                    return self.end_query(generation, QueryFailure::Unreadable(fault.reason.into()));
                 }
             }
         }
     }
 
     /// An answer has come whole.
-    fn discovery_answer(&mut self, generation: u64, reusable: bool) {
+    fn handle_discovery_answer(&mut self, generation: u64, reusable: bool) {
         let now = self.now();
         let Some(call) = self.discovery.call(generation) else { return };
         if call.status != Some(STATUS_OK) {
-            return self.discovery_ended(generation, CallEnd::Declined);
+            return self.end_query(generation, QueryFailure::Declined);
         }
         let body = std::mem::take(&mut call.body);
-        let (began, asked) = (call.began, call.asked);
+        let (began, query) = (call.began, call.query);
         let list = match List::parse(&body) {
             Ok(list) => list,
-            Err(why) => return self.discovery_ended(generation, CallEnd::Unreadable(why.0)),
+            Err(why) => return self.end_query(generation, QueryFailure::Unreadable(why.0)),
         };
-        if let Asked::NewerThan(held) = asked {
+        if let Query::ChangesSince(held) = query {
             if list.revision < held {
                 // Whatever it waited for, the service has less than was held: it counts its versions anew.
-                self.roster.forget_version();
+                self.server_list.forget_version();
                 if !list.complete {
-                    return self.discovery_ended(generation, CallEnd::CountedAnew);
+                    return self.end_query(generation, QueryFailure::VersionReset);
                 }
             }
             let is_new = list.revision > held || !list.members.is_empty();
-            if !list.complete && !is_new && now < began + ANSWERED_AT_ONCE {
-                return self.discovery_ended(generation, CallEnd::NothingNew);
+            if !list.complete && !is_new && now < began + MIN_WATCH_DURATION {
+                return self.end_query(generation, QueryFailure::EmptyWatch);
             }
         }
         let version = list.revision;
-        let overtaken = self.roster.version().is_some_and(|held| version < held);
-        let applied = match self.roster.apply(&list) {
+        let overtaken = self.server_list.version().is_some_and(|held| version < held);
+        let applied = match self.server_list.apply(&list) {
             Ok(applied) => applied,
-            Err(why) => return self.discovery_ended(generation, CallEnd::Unreadable(why.0)),
+            Err(why) => return self.end_query(generation, QueryFailure::Unreadable(why.0)),
         };
-        tracing::debug!(version, lines = applied.entries.len(), kind = ?applied.kind, ?asked, "server list");
+        tracing::debug!(version, lines = applied.entries.len(), kind = ?applied.kind, ?query, "server list");
         self.discovery.confirmed = true;
         self.discovery.failures = 0;
         if !overtaken {
-            self.list_confirmed(now, self.looked_before);
+            self.confirm_list(now, self.previous_poll_at);
         }
         if list.complete {
             self.discovery.verify_at = None;
         }
         self.servers_changed(&applied.changed);
         self.engine.list(now, applied.kind, &applied.entries);
-        self.pump();
+        self.run_engine_orders();
         // The decisions may have asked for the list meanwhile.
         if self.discovery.call(generation).is_none() {
             return;
@@ -469,51 +474,51 @@
         if let Some(ended) = ended {
             ended.socket.remove(&self.handle);
         }
-        self.ask_discovery(kept);
+        self.start_query(kept);
     }
 
     pub(super) fn discovery_timeout(&mut self, generation: u64) {
         let now = self.now();
         if self.discovery.call(generation).is_some_and(|call| now >= call.until) {
-            self.discovery_ended(generation, CallEnd::TimedOut);
+            self.end_query(generation, QueryFailure::TimedOut);
         }
     }
 
     /// A call is over without an answer that can be used.
-    fn discovery_ended(&mut self, generation: u64, end: CallEnd) {
+    fn end_query(&mut self, generation: u64, end: QueryFailure) {
         let Some(call) = self.discovery.call.take_if(|call| call.generation == generation) else { return };
         let now = self.now();
         let after = now - call.began;
-        tracing::debug!(asked = ?call.asked, after_us = after, status = call.status, renewed = call.renewed, %end, "list call failed");
+        tracing::debug!(asked = ?call.query, after_us = after, status = call.status, renewed = call.renewed, %end, "list call failed");
         call.socket.remove(&self.handle);
-        match call.word(&end) {
-            Word::Alive => self.list_confirmed(now, self.looked_before),
-            Word::Away => self.engine.change_list_lease(now, |lease| lease.away(call.began)),
-            Word::Cut => self.engine.change_list_lease(now, |lease| lease.missed(now)),
-            Word::Nothing => {}
+        match call.list_evidence(&end) {
+            ListEvidence::WatchAlive => self.confirm_list(now, self.previous_poll_at),
+            ListEvidence::ServiceAway => self.engine.change_list_lease(now, |lease| lease.away(call.began)),
+            ListEvidence::PartialList => self.engine.change_list_lease(now, |lease| lease.missed(now)),
+            ListEvidence::None => {}
         }
         match end {
-            CallEnd::TimedOut if call.renewed => self.list_failed_until(&end, WATCH_AGAIN),
-            CallEnd::NothingNew => self.list_failed(&end),
-            _ if call.status == Some(STATUS_OK) => self.list_failed_until(&end, WATCH_AGAIN),
-            _ => self.list_failed(&end),
+            QueryFailure::TimedOut if call.renewed => self.schedule_retry(&end, WATCH_RETRY_INTERVAL),
+            QueryFailure::EmptyWatch => self.retry_query(&end),
+            _ if call.status == Some(STATUS_OK) => self.schedule_retry(&end, WATCH_RETRY_INTERVAL),
+            _ => self.retry_query(&end),
         }
     }
 
     /// The last moment at which a call may still be answered before the list may be used no more.
     fn before_lease_ends(&mut self, now: Micros) -> Option<Micros> {
-        let early = self.jittered(BEFORE_LEASE_ENDS / 2) + BEFORE_LEASE_ENDS / 2;
+        let early = self.with_jitter(LEASE_RENEWAL_MARGIN / 2) + LEASE_RENEWAL_MARGIN / 2;
         let at = self.engine.permissions().list.until().saturating_sub(early);
-        (at > now + EMPTY_AGAIN).then_some(at)
+        (at > now + EMPTY_LIST_RETRY_INTERVAL).then_some(at)
     }
 
     /// The list was current at that moment.
-    fn list_confirmed(&mut self, now: Micros, at: Micros) {
+    fn confirm_list(&mut self, now: Micros, at: Micros) {
         let held = self.engine.permissions().list.holds(now);
         self.engine.change_list_lease(now, |lease| lease.confirm(at));
         let holds = self.engine.permissions().list.holds(now);
         if holds && !held {
-            tracing::info!(version = self.roster.version(), "the server list may be used");
+            tracing::info!(version = self.server_list.version(), "the server list may be used");
         }
     }
 
@@ -521,38 +526,38 @@
     pub(super) fn is_ready(&mut self) -> bool {
         let now = self.now();
         let may_use = self.engine.permissions().list.holds(now);
-        let listed = !self.roster.is_empty();
+        let listed = !self.server_list.is_empty();
         self.discovery.ready |= listed && (may_use || now >= self.discovery.ready_by);
         self.discovery.ready
     }
 
-    fn list_failed(&mut self, end: &CallEnd) {
+    fn retry_query(&mut self, end: &QueryFailure) {
         let span = match self.discovery.pushed {
-            true => PUSHED_AGAIN,
-            false if self.roster.is_empty() => EMPTY_AGAIN,
+            true => PUSHED_RETRY_INTERVAL,
+            false if self.server_list.is_empty() => EMPTY_LIST_RETRY_INTERVAL,
             // One that is refused costs nobody anything.
-            false if matches!(end, CallEnd::Refused) => self.discovery.tenths(RETRY_TENTHS),
+            false if matches!(end, QueryFailure::ConnectionRefused) => self.discovery.tenths(RETRY_TENTHS),
             false => {
-                let doublings = self.discovery.failures.min(DOUBLINGS_MOST);
+                let doublings = self.discovery.failures.min(MAX_BACKOFF_DOUBLINGS);
                 self.discovery.failures = self.discovery.failures.saturating_add(1);
                 self.discovery.tenths(RETRY_TENTHS) << doublings
             }
         };
-        self.list_failed_until(end, span);
+        self.schedule_retry(end, span);
     }
 
     /// A call is over without an answer, and another one is made after about this span.
-    fn list_failed_until(&mut self, end: &CallEnd, span: Micros) {
-        if self.may_say() {
+    fn schedule_retry(&mut self, end: &QueryFailure, span: Micros) {
+        if self.may_log() {
             tracing::warn!("discovery: {end}");
         }
         let now = self.now();
         if self.discovery.pushed {
             self.engine.change_list_lease(now, |lease| lease.unwatched(now));
         }
-        let drawn = now + self.jittered(span);
+        let drawn = now + self.with_jitter(span);
         let at = self.before_lease_ends(now).map_or(drawn, |last| drawn.min(last));
-        self.discovery.again = Some(at);
-        self.timers.set(at, What::ListAgain);
+        self.discovery.next_query_at = Some(at);
+        self.timers.set(at, TimerKind::DiscoveryRetry);
     }
 }
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -1,60 +1,70 @@
-//! Peers' datagrams on one UDP socket. The payload is the datagram, without a header: a sender is known by
+//! Gossip with peers: datagrams on one UDP socket. The payload is the datagram, without a header: a sender is known by
 //! its address.
 
-use super::Proxy;
+use crate::proxy::Proxy;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
 use std::net::UdpSocket;
 use std::rc::Rc;
 use violetseam_site::peer::PAYLOAD_MOST;
 
-/// Datagrams taken in one turn of the loop.
-const TURN_MOST: usize = 64;
+/// Datagrams received in one turn of the loop.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 impl Proxy {
+    /// Binds the socket for gossip, where the settings allow gossip and the configuration has an address.
     pub(super) fn bind_peers(&mut self) -> std::io::Result<()> {
-        let limits = &self.config.instance.decisions.limits;
-        let Some(addr) = self.config.peer_listen.filter(|_| limits.gossip) else { return Ok(()) };
-        let socket = UdpSocket::bind(addr)?;
+        if !self.config.instance.decisions.limits.gossip {
+            return Ok(());
+        }
+        let Some(address) = self.config.peer_listen else { return Ok(()) };
+        let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
-        self.udp = Some(socket.clone());
+        self.gossip_socket = Some(socket.clone());
         let source = Generic::new(socket, Interest::READ, Mode::Level);
         self.handle
             .insert_source(source, |_, socket, proxy: &mut Proxy| {
                 proxy.on_datagrams(socket);
                 Ok(PostAction::Continue)
             })
-            .map(|_| ())
+            .map(|_token| ())
             .map_err(|e| std::io::Error::other(e.to_string()))
     }
 
     fn on_datagrams(&mut self, socket: &UdpSocket) {
         let mut bytes = [0; PAYLOAD_MOST + 1];
-        for _ in 0..TURN_MOST {
-            let Ok((length, from)) = socket.recv_from(&mut bytes) else { return };
-            let number = self.config.peers.iter().position(|peer| *peer == from);
-            let Some(number) = number.filter(|_| length <= PAYLOAD_MOST) else { continue };
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Ok((length, sender)) = socket.recv_from(&mut bytes) else { return };
+            if length > PAYLOAD_MOST {
+                continue;
+            }
+            let Some(position) = self.config.peers.iter().position(|peer| *peer == sender) else { continue };
             let now = self.now();
-            self.engine.peer_message(now, number, &bytes[..length]);
-            self.pump();
+            self.engine.peer_message(now, position, &bytes[..length]);
+            self.run_engine_orders();
         }
     }
 
-    pub(super) fn tell_peers(&mut self, to: Option<usize>, payload: &[u8]) {
-        let Some(socket) = &self.udp else { return };
+    /// Sends a message to one peer, or to all of them.
+    pub(super) fn gossip_to_peers(&mut self, to: Option<usize>, payload: &[u8]) {
+        let Some(socket) = &self.gossip_socket else { return };
         if payload.len() > PAYLOAD_MOST {
             tracing::error!(bytes = payload.len(), "a message to peers is too long and was not sent");
             return;
         }
-        let own = self.config.instance.decisions.position;
-        let others = || self.config.peers.iter().enumerate().filter(move |(n, _)| *n != own);
-        // One that is lost is like one that the network lost: counters only grow, the next makes up.
-        match (to, self.config.peers_all) {
-            (None, Some(all)) => drop(socket.send_to(payload, all)),
-            _ => others()
-                .filter(|(n, _)| to.is_none_or(|to| to == *n))
-                .for_each(|(_, addr)| drop(socket.send_to(payload, addr))),
+        // A datagram that cannot be sent is like one that the network lost: counters only grow, so that the next
+        // message makes up for it.
+        if let (None, Some(all)) = (to, self.config.peers_all) {
+            let _ = socket.send_to(payload, all);
+            return;
+        }
+        let own_position = self.config.instance.decisions.position;
+        for (position, address) in self.config.peers.iter().enumerate() {
+            let is_recipient = to.is_none_or(|to| to == position);
+            if position != own_position && is_recipient {
+                let _ = socket.send_to(payload, address);
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/platform-proxy/src/proxy.rs
@@ -0,0 +1,197 @@
+//! The state of one proxy, its construction and its first events.
+
+use crate::budgets::Budgets;
+use crate::client::Client;
+use crate::discovery::{self, Discovery};
+use crate::event_loop::{ConnectionId, MAINTENANCE_INTERVAL, TimerKind};
+use crate::listener::Listener;
+use crate::release_watch::Pipeline;
+use crate::requests::InFlightRequest;
+use crate::servers::Server;
+use crate::shutdown::ShutdownPhase;
+use calloop::LoopHandle;
+use rand::{RngExt, SeedableRng};
+use slab::Slab;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::UdpSocket;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Instant;
+use violetseam::interface::{ListKind, Micros, RequestId, ServerId};
+use violetseam::permission::ListLease;
+use violetseam_loopio::quiet::RateLimit;
+use violetseam_loopio::timers::Timers;
+use violetseam_platform::config::Config;
+use violetseam_platform::discovery::Roster;
+use violetseam_proxy::engine::Engine;
+use violetseam_resp::Bounds;
+
+/// The size of the buffer that all connections read into.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
+/// A process reports that it is ready this long after its start at the latest, with or without a usable server list:
+/// the platform expects nine in ten of them after 6 s where a day ends soon.
+const READY_TIMEOUT: Micros = 5_500_000;
+
+/// One proxy on its event loop.
+pub(super) struct Proxy {
+    pub config: Config,
+    /// Read again at SIGHUP.
+    pub config_file: PathBuf,
+    pub engine: Engine,
+    pub handle: LoopHandle<'static, Proxy>,
+    started: Instant,
+    /// Unix time at the start: the loop's clock counts on from there, so that the platform's times are times
+    /// of this clock, whatever becomes of the machine's wall clock later.
+    origin: Micros,
+    pub listener: Option<Listener>,
+    pub clients: Slab<Client>,
+    pub in_flight: HashMap<RequestId, InFlightRequest>,
+    /// Requests in flight by the ids that their clients gave them.
+    pub open_ids: HashMap<Box<[u8]>, RequestId>,
+    /// Bytes that requests in flight hold.
+    pub in_flight_bytes: usize,
+    pub servers: Slab<Server>,
+    /// Slots of idle connections by server, the one that has been idle longest first.
+    pub idle_servers: BTreeMap<ServerId, VecDeque<usize>>,
+    pub server_list: Roster,
+    pub discovery: Discovery,
+    pub pipeline: Pipeline,
+    /// The socket for peers' datagrams, where gossip is allowed.
+    pub gossip_socket: Option<Rc<UdpSocket>>,
+    pub timers: Timers<TimerKind>,
+    pub budgets: Budgets,
+    pub bounds: Bounds,
+    /// The buffer that all connections read into.
+    pub scratch: Vec<u8>,
+    pub rng: rand_pcg::Pcg64,
+    last_generation: u64,
+    /// The engine's orders are being executed by a caller further up.
+    pub is_running_orders: bool,
+    /// A socket had an event in this turn of the loop.
+    pub sockets_were_ready: bool,
+    /// When the loop polled its sockets in the turn before this one: what is read now had not arrived by then.
+    pub previous_poll_at: Micros,
+    pub shutdown_phase: ShutdownPhase,
+    /// Client connections to be visited again in this turn.
+    pub clients_to_revisit: Vec<ConnectionId>,
+    /// The event loop ends after this turn.
+    pub stopping: bool,
+    log_rate_limit: RateLimit,
+    /// The latest reload: a retry of an earlier one is stale.
+    pub reload_generation: u64,
+    /// Client connections that this side closed over a request without a response; a fault if ever over 0.
+    pub closed_while_pending: u64,
+}
+
+impl Proxy {
+    /// A proxy before its first event, without sockets.
+    pub(super) fn new(config: Config, config_file: PathBuf, handle: LoopHandle<'static, Proxy>) -> Self {
+        let unix_time =
+            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let mut decisions = config.instance.decisions.clone();
+        // Whether the platform pushes lists or not, they arrive here only in answers to queries: the engine has to ask.
+        let pushed = !decisions.subscribes_to_list;
+        decisions.subscribes_to_list = true;
+        if pushed {
+            decisions.rules.poll_interval_max = discovery::PUSHED_POLL_INTERVAL_MAX;
+        }
+        let poll_interval_max = decisions.rules.poll_interval_max;
+        let budgets = Budgets::new(&config.limits, config.instance.open_cap);
+        Proxy {
+            engine: Engine::new(decisions, config.seed, None),
+            previous_poll_at: 0,
+            config_file,
+            handle,
+            started: Instant::now(),
+            origin: unix_time.as_micros() as Micros,
+            listener: None,
+            clients: Slab::new(),
+            in_flight: HashMap::new(),
+            open_ids: HashMap::new(),
+            in_flight_bytes: 0,
+            servers: Slab::new(),
+            idle_servers: BTreeMap::new(),
+            server_list: Roster::new(config.instance.zones.clone()),
+            discovery: Discovery::new(config.discovery, pushed, poll_interval_max),
+            pipeline: Pipeline::new(config.pipeline),
+            gossip_socket: None,
+            timers: Timers::default(),
+            budgets,
+            bounds: Bounds::default(),
+            scratch: vec![0; READ_BUFFER_BYTES],
+            rng: rand_pcg::Pcg64::seed_from_u64(config.seed),
+            last_generation: 0,
+            is_running_orders: false,
+            sockets_were_ready: false,
+            shutdown_phase: ShutdownPhase::Running,
+            clients_to_revisit: Vec::new(),
+            stopping: false,
+            log_rate_limit: RateLimit::default(),
+            reload_generation: 0,
+            closed_while_pending: 0,
+            config,
+        }
+    }
+
+    /// Passes the first events to the engine: the server list as last held, which may be stale, and the release status of
+    /// the newest build.
+    pub(super) fn begin(&mut self) {
+        let now = self.now();
+        let cached = self.config.known.take();
+        let applied = cached.and_then(|list| self.server_list.apply(&list).ok());
+        let entries = applied.map(|applied| applied.entries).unwrap_or_default();
+        self.previous_poll_at = now;
+        // The age of that list is unknown: it may be used once discovery has confirmed it.
+        let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
+        self.engine.keep_list_lease(now, lease);
+        self.discovery.ready_by = now + READY_TIMEOUT;
+        self.engine.list(now, ListKind::Cached, &entries);
+        match self.config.news.map(|news| news.read()) {
+            Some(Ok(status)) => self.engine.stage(now, status),
+            Some(Err(malformed)) => tracing::warn!("{malformed}"),
+            None => {}
+        }
+        self.open_release_watch();
+        self.timers.set(now + MAINTENANCE_INTERVAL, TimerKind::Maintenance);
+        let name = &self.config.name;
+        tracing::info!(%name, servers = entries.len(), listen = %self.config.listen, "started");
+        self.log_limits();
+        self.run_engine_orders();
+    }
+
+    /// The time on the loop's clock, as Unix time in microseconds.
+    pub(super) fn now(&self) -> Micros {
+        self.origin + self.started.elapsed().as_micros() as Micros
+    }
+
+    /// A number that no connection, query or reload has had yet.
+    pub(super) fn next_generation(&mut self) -> u64 {
+        self.last_generation += 1;
+        self.last_generation
+    }
+
+    /// A span drawn between half and one and a half times `span`: all proxies lose a service at the same time.
+    pub(super) fn with_jitter(&mut self, span: Micros) -> Micros {
+        span / 2 + self.rng.random_range(0..span.max(1))
+    }
+
+    /// Whether a log line that peers can cause may be written now.
+    pub(super) fn may_log(&mut self) -> bool {
+        let now = self.now();
+        self.log_rate_limit.allows(now)
+    }
+
+    /// Logs the limits of the settings: they explain what a log says of a shutdown or of a stale server list.
+    fn log_limits(&self) {
+        let instance = &self.config.instance;
+        let rules = &instance.decisions.rules;
+        tracing::info!(
+            longest_deadline_us = instance.decisions.longest_deadline(),
+            ask_within_us = rules.poll_interval_max,
+            drain_grace_us = rules.drain_grace,
+            pushed = self.discovery.is_pushed(),
+            list_version = self.server_list.version(),
+            "limits"
+        );
+    }
+}
--- /dev/null
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -0,0 +1,190 @@
+//! The watch of the release service: one connection on which the release status and reports of wrong answers arrive.
+
+use crate::event_loop::TimerKind;
+use crate::proxy::Proxy;
+use crate::votes::Vote;
+use calloop::{Interest, Readiness};
+use slab::Slab;
+use std::net::SocketAddr;
+use violetseam::interface::{Micros, ReleaseStatus};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
+use violetseam_platform::pipeline::{self, LINE_MOST, Line};
+use violetseam_site::lines::Lines;
+
+/// The service sends a heartbeat each second; without one for this span the watch is opened again.
+const SILENCE_TIMEOUT: Micros = 3_000_000;
+/// The span between two attempts to open the watch; the actual span is drawn around it.
+const RETRY_INTERVAL: Micros = 300_000;
+/// The number of the first call on each watch; votes have higher ones.
+const WATCH_CALL_ID: u64 = 1;
+
+/// The release service, called the pipeline on the platform, as this proxy speaks to it.
+pub(super) struct Pipeline {
+    pub address: SocketAddr,
+    watch: Option<Watch>,
+    /// Votes without a reply yet.
+    pub votes: Slab<Vote>,
+    /// The number of the latest call.
+    pub last_call_id: u64,
+    /// The release status that was logged last.
+    last_logged_status: Option<ReleaseStatus>,
+}
+
+/// The connection of the watch.
+struct Watch {
+    generation: u64,
+    socket: Socket,
+    lines: Lines,
+    last_received_at: Micros,
+}
+
+impl Pipeline {
+    /// The release service at this address, before the first connection.
+    pub fn new(address: SocketAddr) -> Self {
+        Pipeline {
+            address,
+            watch: None,
+            votes: Slab::new(),
+            last_call_id: WATCH_CALL_ID,
+            last_logged_status: None,
+        }
+    }
+
+    /// The watch of this generation, if it is still the present one.
+    fn watch(&mut self, generation: u64) -> Option<&mut Watch> {
+        self.watch.as_mut().filter(|watch| watch.generation == generation)
+    }
+}
+
+impl Proxy {
+    /// Opens the watch, unless it is open; after a failure it is opened again later.
+    pub(super) fn open_release_watch(&mut self) {
+        if self.pipeline.watch.is_some() {
+            return;
+        }
+        let generation = self.next_generation();
+        let now = self.now();
+        let on_ready =
+            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_release_watch(generation, readiness);
+        let opened = connect(self.pipeline.address)
+            .and_then(|stream| Socket::register(&self.handle, stream, Interest::BOTH, on_ready));
+        match opened {
+            Ok(mut socket) => {
+                socket.out().extend(pipeline::watch(WATCH_CALL_ID));
+                let lines = Lines::new(LINE_MOST);
+                self.pipeline.watch = Some(Watch { generation, socket, lines, last_received_at: now });
+                self.timers.set(now + SILENCE_TIMEOUT, TimerKind::ReleaseWatchSilence(generation));
+            }
+            Err(e) => self.on_release_watch_lost(&e.to_string()),
+        }
+    }
+
+    fn close_release_watch(&mut self) {
+        if let Some(watch) = self.pipeline.watch.take() {
+            watch.socket.remove(&self.handle);
+        }
+    }
+
+    fn on_release_watch_lost(&mut self, reason: &str) {
+        self.close_release_watch();
+        if self.may_log() {
+            tracing::warn!("pipeline: {reason}");
+        }
+        let wait = self.with_jitter(RETRY_INTERVAL);
+        self.timers.set(self.now() + wait, TimerKind::ReleaseWatchRetry);
+    }
+
+    /// Replaces the watch if nothing has been received on it for too long.
+    pub(super) fn check_release_watch(&mut self, generation: u64) {
+        let now = self.now();
+        let Some(watch) = self.pipeline.watch(generation) else { return };
+        let silent_at = watch.last_received_at + SILENCE_TIMEOUT;
+        if now >= silent_at {
+            self.on_release_watch_lost("silent for too long");
+        } else {
+            self.timers.set(silent_at, TimerKind::ReleaseWatchSilence(generation));
+        }
+    }
+
+    /// Moves the watch to an address that SIGHUP named. Votes in flight may still be answered where they were sent.
+    pub(super) fn move_pipeline(&mut self, address: SocketAddr) {
+        if self.pipeline.address != address {
+            self.pipeline.address = address;
+            self.close_release_watch();
+            self.open_release_watch();
+        }
+    }
+
+    fn on_release_watch(&mut self, generation: u64, readiness: Readiness) {
+        let Some(watch) = self.pipeline.watch(generation) else { return };
+        if readiness.writable {
+            if watch.socket.connect_error().is_some() || watch.socket.flush().is_err() {
+                return self.on_release_watch_lost("no connection");
+            }
+            watch.socket.want(&self.handle, true);
+        }
+        if readiness.readable || readiness.error {
+            self.read_release_watch();
+        }
+        self.run_engine_orders();
+    }
+
+    fn read_release_watch(&mut self) {
+        let now = self.now();
+        let mut scratch = std::mem::take(&mut self.scratch);
+        if let Some(watch) = &mut self.pipeline.watch {
+            match watch.socket.read(&mut scratch) {
+                ReadOutcome::Bytes(length) => {
+                    watch.last_received_at = now;
+                    watch.lines.feed(&scratch[..length]);
+                    self.handle_release_lines();
+                }
+                ReadOutcome::Nothing => {}
+                ReadOutcome::Closed | ReadOutcome::Broken => self.on_release_watch_lost("connection lost"),
+            }
+        }
+        self.scratch = scratch;
+    }
+
+    fn handle_release_lines(&mut self) {
+        while let Some(watch) = &mut self.pipeline.watch {
+            let line = match watch.lines.next_line() {
+                Ok(None) => return,
+                Ok(Some(line)) => Line::parse(line).map_err(|malformed| malformed.0),
+                Err(fault) => Err(fault.to_string()),
+            };
+            match line {
+                Err(reason) => return self.on_release_watch_lost(&reason),
+                Ok(Line::Stage(status)) => self.on_release_status(status),
+                Ok(Line::Flag { server, class, since }) => self.on_answer_flagged(&server, &class, since),
+                Ok(Line::Accepted { news: Some(status), .. }) => self.on_release_status(status),
+                Ok(Line::Declined { message, .. }) => return self.on_release_watch_lost(&message),
+                Ok(Line::Accepted { news: None, .. } | Line::Alive) => {}
+            }
+        }
+    }
+
+    fn on_release_status(&mut self, status: ReleaseStatus) {
+        self.log_release_status(status);
+        let now = self.now();
+        self.engine.stage(now, status);
+        self.run_engine_orders();
+    }
+
+    /// Logs a release status that differs from the last one.
+    pub(super) fn log_release_status(&mut self, status: ReleaseStatus) {
+        if self.pipeline.last_logged_status.replace(status) != Some(status) {
+            let ReleaseStatus { build, stage, phase, cap } = status;
+            tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
+        }
+    }
+
+    /// Passes a report of a wrong answer to the engine, unless its server or class is unknown.
+    fn on_answer_flagged(&mut self, server: &str, class: &str, since: Micros) {
+        let Some(server) = self.server_list.number(server) else { return };
+        let Some(class) = self.config.instance.classes.iter().position(|name| name == class) else { return };
+        let now = self.now();
+        self.engine.answer_flagged(now, server, class, since);
+        self.run_engine_orders();
+    }
+}
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -1,51 +1,59 @@
-//! Connections to servers: kept idle, or with one attempt out.
+//! Connections to servers: kept idle, or with one attempt on them.
 //!
-//! One request a connection, though servers would begin several: an answer that waits behind another's would
-//! be late for reasons that are not its server's, and giving one attempt up closes all that share its
-//! connection. How an attempt's end is told to the decisions is settled here: `ConnectFailed` only while the
-//! request's last byte was not written, `Reset` for a connection that was lost after that or whose answer
-//! was spoilt, whoever closed it and why.
+//! A connection carries one request at a time, though servers would begin several: an answer that waits behind another
+//! one would be late for reasons that are not its server's, and cancelling one attempt closes the connection for all
+//! that share it. How an attempt's end is reported to the engine is settled here: `ConnectFailed` only while the
+//! request's last byte has not been written, `Reset` for a connection that was lost after that or whose answer
+//! was malformed, whoever closed it and why.
 
-use super::{Proxy, What};
+use crate::event_loop::{ConnectionId, TimerKind};
+use crate::proxy::Proxy;
 use calloop::{Interest, Readiness};
 use std::collections::VecDeque;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 use violetseam_platform::answer::{self, Answer, answer};
 
-/// An idle connection is closed at this share of the time after which its server would, and so long before it at
-/// least: the server counts from when it wrote, this side from when it read, and a turn of the loop lies between.
-const IDLE_SHARE: f64 = 0.8;
-const IDLE_MARGIN: Micros = 30_000;
-/// A connection rests so long before it is used again: a second answer comes some milliseconds after the first, and
-/// would else be taken for the answer to what was written meanwhile.
-const REST: Micros = 10_000;
-/// The bytes of one answer, its load report included, are read at one go: half an answer is none when its time is over.
-const READS_MOST: usize = 4;
+/// An idle connection is closed at this share of the time after which its server would close it ...
+const IDLE_TIMEOUT_RATIO: f64 = 0.8;
+/// ... and at least this long before that: the server counts from when it wrote, this side from when it read, and a turn
+/// of the loop lies between.
+const IDLE_TIMEOUT_MARGIN: Micros = 30_000;
+/// A connection is idle for this span before it is used again: a second answer comes some milliseconds after the first,
+/// and would otherwise be taken for the answer to what was written meanwhile.
+const MIN_IDLE_BEFORE_REUSE: Micros = 10_000;
+/// Reads for one event, so that the bytes of one answer and its load report are read together: a partial answer is lost
+/// when its attempt times out.
+const MAX_READS_PER_EVENT: usize = 4;
+/// Bytes of an unexpected error that are logged.
+const MAX_LOGGED_ERROR_BYTES: usize = 80;
 
 /// A connection to a server.
 pub(super) struct Server {
     generation: u64,
     id: ServerId,
     socket: Socket,
-    state: State,
+    state: ConnectionState,
     input: Vec<u8>,
     idle_since: Micros,
 }
 
-enum State {
+/// The state of a connection to a server.
+#[derive(Clone, Copy)]
+enum ConnectionState {
     /// Not up yet.
-    Connecting(Job),
-    /// The request is out, or being written.
-    Busy(Job),
+    Connecting(AttemptId),
+    /// The request has been written, or is being written.
+    Busy(AttemptId),
     /// Ready for an attempt.
     Idle,
 }
 
-/// An attempt on a connection.
+/// Identifies an attempt.
 #[derive(Clone, Copy)]
-struct Job {
+struct AttemptId {
     request: RequestId,
+    /// The attempt's number within its request.
     attempt: usize,
 }
 
@@ -55,299 +63,370 @@
         self.idle_since
     }
 
-    fn job(&self) -> Option<Job> {
+    fn is_busy(&self) -> bool {
+        matches!(self.state, ConnectionState::Busy(_))
+    }
+
+    fn is_idle(&self) -> bool {
+        matches!(self.state, ConnectionState::Idle)
+    }
+
+    /// The attempt on it.
+    fn attempt(&self) -> Option<AttemptId> {
         match self.state {
-            State::Connecting(job) | State::Busy(job) => Some(job),
-            State::Idle => None,
+            ConnectionState::Connecting(attempt) | ConnectionState::Busy(attempt) => Some(attempt),
+            ConnectionState::Idle => None,
         }
     }
 }
 
 impl Proxy {
     /// Starts an attempt on an idle connection, or on a new one.
-    pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, id: ServerId) {
-        // Given up again by the very actions that started it: nothing of it leaves.
+    pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, server: ServerId) {
+        // Cancelled by the same batch of actions that started it: nothing is sent.
         if !self.engine.awaits(request, attempt) {
             return;
         }
-        let Some(held) = self.held.get_mut(&request) else { return };
-        held.attempts.resize(attempt + 1, None);
-        let key = held.call.key;
-        tracing::debug!(request, attempt, server = id, key, "attempt");
-        let job = Job { request, attempt };
-        // The one that has rested longest: what may still follow an answer on it has come by now, and is
-        // seen before the connection is used.
-        let (now, most) = (self.now(), self.idle_most());
-        while let Some(key) = self.idle.get(&id).and_then(|keys| keys.front().copied()) {
-            let Some(server) = self.servers.get_mut(key) else { break };
-            if now < server.idle_since + REST {
-                break;
+        let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
+        in_flight.attempts.resize(attempt + 1, None);
+        let key = in_flight.call.key;
+        tracing::debug!(request, attempt, server, key, "attempt");
+        let attempt = AttemptId { request, attempt };
+        if let Some(slot) = self.take_idle_server(server) {
+            if let Some(connection) = self.servers.get_mut(slot) {
+                connection.state = ConnectionState::Busy(attempt);
             }
-            self.idle.get_mut(&id).map(VecDeque::pop_front);
-            let Some(server) = self.servers.get_mut(key) else { continue };
-            // Its age is looked at here, as upkeep comes too seldom for short times.
-            if now >= server.idle_since + most || server.socket.is_stale() {
-                self.close_server(key);
-                continue;
-            }
-            server.state = State::Busy(job);
-            self.place(job, Some(key));
-            return self.send_request(key);
+            self.set_attempt_connection(attempt, Some(slot));
+            return self.send_request(slot);
+        }
+        if !self.make_room_for_server() {
+            // A bound of this process says nothing about the server: the attempt was never made.
+            return self.end_attempt(attempt, Outcome::NotSent);
         }
-        if !self.room_for_server() {
-            // A bound of this process says nothing of the server: the attempt was never made.
-            return self.end_attempt(job, Outcome::NotSent);
+        if self.open_server(server, attempt).is_none() {
+            self.end_attempt(attempt, Outcome::ConnectFailed);
         }
-        if self.open_server(id, job).is_none() {
-            self.end_attempt(job, Outcome::ConnectFailed);
+    }
+
+    /// Takes an idle connection that may be used again: the one that has been idle longest, as what may still follow an
+    /// answer on it has arrived by now, and is noticed before the connection is used.
+    fn take_idle_server(&mut self, id: ServerId) -> Option<usize> {
+        let now = self.now();
+        let max_idle_time = self.max_idle_time();
+        while let Some(slot) = self.idle_servers.get(&id).and_then(|slots| slots.front().copied()) {
+            let server = self.servers.get(slot)?;
+            if now < server.idle_since + MIN_IDLE_BEFORE_REUSE {
+                return None;
+            }
+            self.idle_servers.get_mut(&id).map(VecDeque::pop_front);
+            // The idle time is checked here as well, as maintenance is too rare for short times.
+            if now < server.idle_since + max_idle_time && !server.socket.is_stale() {
+                return Some(slot);
+            }
+            self.close_server(slot);
         }
+        None
     }
 
-    fn open_server(&mut self, id: ServerId, job: Job) -> Option<()> {
-        let stream = connect(self.roster.address(id)?).ok()?;
-        let (generation, now) = (self.next_generation(), self.now());
+    /// Begins a connection for an attempt.
+    fn open_server(&mut self, id: ServerId, attempt: AttemptId) -> Option<()> {
+        let stream = connect(self.server_list.address(id)?).ok()?;
+        let generation = self.next_generation();
+        let now = self.now();
         let entry = self.servers.vacant_entry();
-        let key = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(key, readiness);
+        let slot = entry.key();
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(slot, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
-        let state = State::Connecting(job);
+        let state = ConnectionState::Connecting(attempt);
         entry.insert(Server { generation, id, socket, state, input: Vec::new(), idle_since: now });
-        let until = now + self.config.instance.connect_timeout;
-        self.timers.set(until, What::Connect(key, generation));
-        self.place(job, Some(key));
+        let timeout_at = now + self.config.instance.connect_timeout;
+        self.timers.set(timeout_at, TimerKind::ConnectTimeout(ConnectionId { slot, generation }));
+        self.set_attempt_connection(attempt, Some(slot));
         Some(())
     }
 
-    /// Notes which connection an attempt is on, or that it is on none any more.
-    fn place(&mut self, job: Job, key: Option<usize>) {
-        let held = self.held.get_mut(&job.request);
-        if let Some(place) = held.and_then(|h| h.attempts.get_mut(job.attempt)) {
-            *place = key;
+    /// Records which connection an attempt is on, or that it is on none any more.
+    fn set_attempt_connection(&mut self, attempt: AttemptId, slot: Option<usize>) {
+        let Some(in_flight) = self.in_flight.get_mut(&attempt.request) else { return };
+        if let Some(connection) = in_flight.attempts.get_mut(attempt.attempt) {
+            *connection = slot;
         }
     }
 
-    /// Whether an attempt that could not leave when it was ordered may leave now.
-    fn may_leave(&mut self, job: Job) -> bool {
+    /// Whether an attempt that could not be sent when it was ordered may be sent now.
+    fn may_send(&mut self, attempt: AttemptId) -> bool {
         let now = self.now();
-        let may = self.engine.may_leave(now, job.request, job.attempt);
-        if !may {
-            tracing::debug!(request = job.request, attempt = job.attempt, "withheld");
+        let may_send = self.engine.may_leave(now, attempt.request, attempt.attempt);
+        if !may_send {
+            tracing::debug!(
+                request = attempt.request,
+                attempt = attempt.attempt,
+                "cancelled before it was sent"
+            );
         }
-        may
+        may_send
     }
 
-    fn end_attempt(&mut self, job: Job, outcome: Outcome) {
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let now = self.now();
-        self.engine.attempt_ended(now, job.request, job.attempt, outcome);
+        self.engine.attempt_ended(now, attempt.request, attempt.attempt, outcome);
     }
 
     /// Writes the request on a connection that is up, with the time that this attempt will be waited for.
-    fn send_request(&mut self, key: usize) {
+    fn send_request(&mut self, slot: usize) {
         let now = self.now();
-        let Some(server) = self.servers.get_mut(key) else { return };
-        let Some(job) = server.job() else { return };
-        let cut_at = self.engine.cut_at(job.request, job.attempt);
-        let (Some(held), Some(cut_at)) = (self.held.get(&job.request), cut_at) else {
-            return self.close_server(key);
+        let Some(server) = self.servers.get_mut(slot) else { return };
+        let Some(attempt) = server.attempt() else { return };
+        let cut_at = self.engine.cut_at(attempt.request, attempt.attempt);
+        let (Some(in_flight), Some(cut_at)) = (self.in_flight.get(&attempt.request), cut_at) else {
+            return self.close_server(slot);
         };
-        if !self.engine.may_write(now, job.request, job.attempt) {
+        if !self.engine.may_write(now, attempt.request, attempt.attempt) {
             tracing::warn!(
-                request = job.request,
-                attempt = job.attempt,
+                request = attempt.request,
+                attempt = attempt.attempt,
                 "held back at the moment of writing"
             );
             return;
         }
-        held.call.write(server.socket.out(), cut_at.saturating_sub(now));
-        self.flush_server(key);
+        in_flight.call.write(server.socket.out(), cut_at.saturating_sub(now));
+        self.flush_server(slot);
     }
 
-    fn flush_server(&mut self, key: usize) {
-        let Some(server) = self.servers.get_mut(key) else { return };
+    fn flush_server(&mut self, slot: usize) {
+        let Some(server) = self.servers.get_mut(slot) else { return };
         match server.socket.flush() {
             Ok(_) => server.socket.want(&self.handle, true),
-            Err(_) => self.server_lost(key),
+            Err(_) => self.on_server_lost(slot),
         }
     }
 
-    fn on_server(&mut self, key: usize, readiness: Readiness) {
-        let Some(server) = self.servers.get_mut(key) else { return };
-        if let State::Connecting(job) = server.state {
-            if server.socket.connect_error().is_some() {
-                self.server_lost(key);
-            } else if readiness.writable && self.may_leave(job) {
-                if let Some(server) = self.servers.get_mut(key) {
-                    server.state = State::Busy(job);
-                }
-                self.send_request(key);
-            }
-            return self.pump();
+    /// Handles a connection's readiness.
+    fn on_server(&mut self, slot: usize, readiness: Readiness) {
+        let Some(server) = self.servers.get_mut(slot) else { return };
+        if let ConnectionState::Connecting(attempt) = server.state {
+            self.on_server_connecting(slot, attempt, readiness);
+            return self.run_engine_orders();
         }
         if readiness.writable && server.socket.waits() {
             // The rest of a request counts from its last byte: until that is written the server has none of it.
-            let job = server.job();
-            if job.is_none_or(|job| self.may_leave(job)) {
-                self.flush_server(key);
+            let attempt = server.attempt();
+            if attempt.is_none_or(|attempt| self.may_send(attempt)) {
+                self.flush_server(slot);
             }
         }
         if readiness.readable || readiness.error {
-            self.read_server(key);
+            self.read_server(slot);
         }
-        self.pump();
+        self.run_engine_orders();
     }
 
-    fn read_server(&mut self, key: usize) {
+    /// Sends the request once the connection is up.
+    fn on_server_connecting(&mut self, slot: usize, attempt: AttemptId, readiness: Readiness) {
+        let Some(server) = self.servers.get_mut(slot) else { return };
+        if server.socket.connect_error().is_some() {
+            return self.on_server_lost(slot);
+        }
+        if !readiness.writable || !self.may_send(attempt) {
+            return;
+        }
+        if let Some(server) = self.servers.get_mut(slot) {
+            server.state = ConnectionState::Busy(attempt);
+        }
+        self.send_request(slot);
+    }
+
+    /// Reads what has arrived and handles a complete answer.
+    fn read_server(&mut self, slot: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
-        let mut got = Got::Nothing;
-        for _ in 0..READS_MOST {
-            let Some(server) = self.servers.get_mut(key) else { break };
-            got = server.socket.read(&mut scratch);
-            match got {
-                Got::Bytes(n) if matches!(server.state, State::Busy(_)) => {
-                    server.input.extend_from_slice(&scratch[..n]);
-                    // A short read has taken all that was there.
-                    if n < scratch.len() {
-                        break;
-                    }
-                }
-                _ => break,
+        let mut outcome = self.read_server_input(slot, &mut scratch);
+        if self.servers.get(slot).is_some_and(|server| server.is_busy() && !server.input.is_empty()) {
+            self.handle_answer(slot);
+            if matches!(outcome, ReadOutcome::Bytes(_)) {
+                outcome = ReadOutcome::Nothing;
             }
         }
-        if self.servers.get(key).is_some_and(|s| matches!(s.state, State::Busy(_)) && !s.input.is_empty()) {
-            self.server_answer(key);
-            got = if matches!(got, Got::Bytes(_)) { Got::Nothing } else { got };
-        }
-        if let Some(server) = self.servers.get_mut(key) {
-            match (got, &server.state) {
-                (Got::Nothing, _) => {}
-                // Bytes that nobody asked for: whatever they are, they must not answer what is sent next.
-                (Got::Bytes(_), _) => self.close_server(key),
-                (Got::Closed | Got::Broken, _) => {
-                    if matches!(server.state, State::Idle) {
-                        let (id, since) = (server.id, server.idle_since);
-                        let rested_us = self.now().saturating_sub(since);
-                        tracing::debug!(server = id, rested_us, "closed while idle");
+        if let Some(server) = self.servers.get(slot) {
+            match outcome {
+                ReadOutcome::Nothing => {}
+                // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent next.
+                ReadOutcome::Bytes(_) => self.close_server(slot),
+                ReadOutcome::Closed | ReadOutcome::Broken => {
+                    if server.is_idle() {
+                        let rested_us = self.now().saturating_sub(server.idle_since);
+                        tracing::debug!(server = server.id, rested_us, "closed while idle");
                     }
-                    self.server_lost(key);
+                    self.on_server_lost(slot);
                 }
             }
         }
         self.scratch = scratch;
     }
 
-    /// Looks whether the answer is whole. What a server sends is held up to the bounds and one read.
-    fn server_answer(&mut self, key: usize) {
-        let Some(server) = self.servers.get_mut(key) else { return };
-        let Some(job) = server.job() else { return };
+    /// Reads into the connection's input while an attempt is on it; how the last read went.
+    fn read_server_input(&mut self, slot: usize, scratch: &mut [u8]) -> ReadOutcome {
+        let mut outcome = ReadOutcome::Nothing;
+        for _ in 0..MAX_READS_PER_EVENT {
+            let Some(server) = self.servers.get_mut(slot) else { return outcome };
+            outcome = server.socket.read(scratch);
+            let ReadOutcome::Bytes(length) = outcome else { return outcome };
+            if !server.is_busy() {
+                return outcome;
+            }
+            server.input.extend_from_slice(&scratch[..length]);
+            // A short read has taken all that was there.
+            if length < scratch.len() {
+                return outcome;
+            }
+        }
+        outcome
+    }
+
+    /// Handles the input if the answer is complete. What a server sends is held up to the bounds and one read.
+    fn handle_answer(&mut self, slot: usize) {
+        let Some(server) = self.servers.get_mut(slot) else { return };
+        let Some(attempt) = server.attempt() else { return };
         let input = std::mem::take(&mut server.input);
         let id = server.id;
-        let waits = server.socket.waits();
+        let is_fully_written = !server.socket.waits();
         match answer(&input, &self.bounds) {
             Answer::More => server.input = input,
             Answer::Served { value, reusable } => {
-                self.place(job, None);
-                self.rest_or_close(key, reusable && !waits);
+                self.set_attempt_connection(attempt, None);
+                self.reuse_or_close(slot, reusable && is_fully_written);
                 let now = self.now();
-                if self.engine.attempt_ended(now, job.request, job.attempt, Outcome::Ok) {
-                    tracing::debug!(request = job.request, attempt = job.attempt, server = id, "served");
+                if self.engine.attempt_ended(now, attempt.request, attempt.attempt, Outcome::Ok) {
+                    tracing::debug!(
+                        request = attempt.request,
+                        attempt = attempt.attempt,
+                        server = id,
+                        "served"
+                    );
                     let mut bytes = Vec::with_capacity(value.len() + 16);
                     answer::write_served(&mut bytes, value);
-                    self.answer(job.request, bytes);
+                    self.send_response(attempt.request, bytes);
                 }
             }
             Answer::Ended { outcome, reusable } => {
-                if !input.starts_with(b"-BUSY") && !input.starts_with(b"-ERR failed") && self.may_say() {
-                    let text = String::from_utf8_lossy(&input[..input.len().min(80)]).into_owned();
-                    tracing::warn!(server = id, "an error that servers do not word so: {text:?}");
-                }
-                self.place(job, None);
-                self.rest_or_close(key, reusable && !waits);
-                self.end_attempt(job, outcome);
+                self.log_unexpected_error(id, &input);
+                self.set_attempt_connection(attempt, None);
+                self.reuse_or_close(slot, reusable && is_fully_written);
+                self.end_attempt(attempt, outcome);
             }
-            Answer::Spoilt(why) => {
-                tracing::debug!(request = job.request, server = id, "spoilt answer: {why}");
-                self.place(job, None);
-                self.close_server(key);
-                self.end_attempt(job, Outcome::Reset);
+            Answer::Spoilt(reason) => {
+                tracing::debug!(request = attempt.request, server = id, "malformed answer: {reason}");
+                self.set_attempt_connection(attempt, None);
+                self.close_server(slot);
+                self.end_attempt(attempt, Outcome::Reset);
             }
         }
     }
 
-    fn rest_or_close(&mut self, key: usize, reusable: bool) {
+    /// Logs an error answer with a text that the platform's servers do not send.
+    fn log_unexpected_error(&mut self, server: ServerId, input: &[u8]) {
+        let is_known = input.starts_with(b"-BUSY") || input.starts_with(b"-ERR failed");
+        if !is_known && self.may_log() {
+            let length = input.len().min(MAX_LOGGED_ERROR_BYTES);
+            let text = String::from_utf8_lossy(&input[..length]);
+            tracing::warn!(server, "an error that servers do not word so: {text:?}");
+        }
+    }
+
+    /// Keeps a connection idle after an answer, or closes it.
+    fn reuse_or_close(&mut self, slot: usize, is_reusable: bool) {
         let now = self.now();
-        let Some(server) = self.servers.get_mut(key) else { return };
-        // Only a connection to what is listed there now may be used again.
-        let same = self.roster.address(server.id) == server.socket.stream().peer_addr().ok();
-        if !reusable || !same {
-            return self.close_server(key);
+        let Some(server) = self.servers.get_mut(slot) else { return };
+        // Only a connection to the address that is listed now may be used again.
+        let is_same_address = self.server_list.address(server.id) == server.socket.stream().peer_addr().ok();
+        if !is_reusable || !is_same_address {
+            return self.close_server(slot);
         }
-        (server.state, server.idle_since) = (State::Idle, now);
+        server.state = ConnectionState::Idle;
+        server.idle_since = now;
         server.input = Vec::new();
         let id = server.id;
-        self.idle.entry(id).or_default().push_back(key);
+        self.idle_servers.entry(id).or_default().push_back(slot);
     }
 
-    /// Closes a connection and tells nobody: its attempt, if any, has ended already. It ends before anything
-    /// else is written, as the next attempt of the same request would be a second copy beside an open one.
-    pub(super) fn close_server(&mut self, key: usize) {
-        let Some(server) = self.servers.try_remove(key) else { return };
+    /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut down before
+    /// anything else is written, as the next attempt of the same request would otherwise overlap with this one.
+    pub(super) fn close_server(&mut self, slot: usize) {
+        let Some(server) = self.servers.try_remove(slot) else { return };
         server.socket.end(&self.handle);
-        if let Some(idle) = self.idle.get_mut(&server.id) {
-            idle.retain(|k| *k != key);
+        if let Some(idle) = self.idle_servers.get_mut(&server.id) {
+            idle.retain(|idle_slot| *idle_slot != slot);
             if idle.is_empty() {
-                self.idle.remove(&server.id);
+                self.idle_servers.remove(&server.id);
             }
         }
     }
 
-    /// The engine gave an attempt up: its connection closes, as its answer could come at any time.
-    pub(super) fn drop_attempt(&mut self, request: RequestId, attempt: usize) {
-        let place = self.held.get_mut(&request).and_then(|h| h.attempts.get_mut(attempt));
-        let key = place.and_then(Option::take);
-        tracing::debug!(request, attempt, out = key.is_some(), "given up");
-        key.into_iter().for_each(|key| self.close_server(key));
+    /// The engine cancelled an attempt: its connection closes, as its answer could arrive at any time.
+    pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
+        let connection =
+            self.in_flight.get_mut(&request).and_then(|in_flight| in_flight.attempts.get_mut(attempt));
+        let slot = connection.and_then(Option::take);
+        tracing::debug!(request, attempt, out = slot.is_some(), "cancelled");
+        if let Some(slot) = slot {
+            self.close_server(slot);
+        }
     }
 
-    /// The connection is gone: what that says of its attempt depends on whether all of it was written.
-    fn server_lost(&mut self, key: usize) {
-        let Some(server) = self.servers.get(key) else { return };
-        let (job, id) = (server.job(), server.id);
-        let whole = matches!(server.state, State::Busy(_)) && !server.socket.waits();
-        self.close_server(key);
-        if let Some(job) = job {
-            let outcome = if whole { Outcome::Reset } else { Outcome::ConnectFailed };
-            tracing::debug!(request = job.request, attempt = job.attempt, server = id, ?outcome, "lost");
-            self.place(job, None);
-            self.end_attempt(job, outcome);
+    /// The connection is gone: the outcome of its attempt depends on whether the whole request was written.
+    fn on_server_lost(&mut self, slot: usize) {
+        let Some(server) = self.servers.get(slot) else { return };
+        let attempt = server.attempt();
+        let id = server.id;
+        let is_fully_written = server.is_busy() && !server.socket.waits();
+        self.close_server(slot);
+        if let Some(attempt) = attempt {
+            let outcome = if is_fully_written { Outcome::Reset } else { Outcome::ConnectFailed };
+            tracing::debug!(
+                request = attempt.request,
+                attempt = attempt.attempt,
+                server = id,
+                ?outcome,
+                "lost"
+            );
+            self.set_attempt_connection(attempt, None);
+            self.end_attempt(attempt, outcome);
         }
     }
 
-    pub(super) fn connect_timeout(&mut self, key: usize, generation: u64) {
-        let connecting = |s: &&Server| s.generation == generation && matches!(s.state, State::Connecting(_));
-        if self.servers.get(key).filter(connecting).is_some() {
-            self.server_lost(key);
+    /// Ends a connection attempt that is not up in time.
+    pub(super) fn connect_timeout(&mut self, connection: ConnectionId) {
+        let Some(server) = self.servers.get(connection.slot) else { return };
+        let is_connecting = matches!(server.state, ConnectionState::Connecting(_));
+        if server.generation == connection.generation && is_connecting {
+            self.on_server_lost(connection.slot);
         }
     }
 
-    /// Idle connections to servers that are not what they were carry nothing new.
+    /// Closes the idle connections to servers whose address, build or start has changed.
     pub(super) fn servers_changed(&mut self, changed: &[ServerId]) {
         for id in changed {
-            let keys: Vec<usize> = self.idle.get(id).into_iter().flatten().copied().collect();
-            keys.into_iter().for_each(|key| self.close_server(key));
+            let slots: Vec<usize> = self.idle_servers.get(id).into_iter().flatten().copied().collect();
+            for slot in slots {
+                self.close_server(slot);
+            }
         }
     }
 
-    /// How long a connection may rest: a request written after its server has closed it would be lost on it.
-    fn idle_most(&self) -> Micros {
-        let close = self.config.instance.idle_close;
-        close.saturating_sub(IDLE_MARGIN).min((close as f64 * IDLE_SHARE) as Micros)
+    /// How long a connection may be idle: a request written after its server has closed it would be lost.
+    fn max_idle_time(&self) -> Micros {
+        let server_timeout = self.config.instance.idle_close;
+        let share = (server_timeout as f64 * IDLE_TIMEOUT_RATIO) as Micros;
+        server_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(share)
     }
 
-    /// Closes connections before their servers would.
-    pub(super) fn servers_upkeep(&mut self, now: Micros) {
-        let most = self.idle_most();
-        let old = |s: &Server| matches!(s.state, State::Idle) && now >= s.idle_since + most;
-        let old: Vec<usize> = self.servers.iter().filter(|(_, s)| old(s)).map(|(key, _)| key).collect();
-        old.into_iter().for_each(|key| self.close_server(key));
+    /// Closes idle connections before their servers would.
+    pub(super) fn close_idle_servers(&mut self, now: Micros) {
+        let max_idle_time = self.max_idle_time();
+        let is_expired = |server: &Server| server.is_idle() && now >= server.idle_since + max_idle_time;
+        let expired: Vec<usize> =
+            self.servers.iter().filter(|(_, server)| is_expired(server)).map(|(slot, _)| slot).collect();
+        for slot in expired {
+            self.close_server(slot);
+        }
     }
 }
--- /dev/null
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -0,0 +1,135 @@
+//! Shutdown: from SIGTERM over draining and the final responses to the end of the loop.
+
+use crate::client::Client;
+use crate::event_loop::{ConnectionId, TimerKind};
+use crate::proxy::Proxy;
+use violetseam::interface::Micros;
+use violetseam::permission::Lifetime;
+use violetseam_proxy::engine::Counts;
+
+/// After SIGTERM new connections are still accepted, and clients go on with those that they have: the platform states
+/// that clients learn of the shutdown within 0.4 s.
+const ACCEPT_AFTER_SIGTERM: Micros = 500_000;
+/// A shutdown logs at most this many of the requests that it ends.
+const MAX_LOGGED_REQUESTS: usize = 20;
+
+/// The phases of a shutdown, in order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum ShutdownPhase {
+    /// No shutdown has been requested.
+    Running,
+    /// SIGTERM has arrived; new connections are still accepted and served for a while.
+    Notified,
+    /// New connections are no longer accepted; a connection ends once it is idle.
+    Draining,
+    /// Every request has its final response; a connection ends once nothing lies unread on it.
+    FinalResponses,
+}
+
+/// The totals of one run, returned when the proxy stops.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Summary {
+    /// Requests and attempts.
+    pub counts: Counts,
+    /// Requests without a final response: 0 unless the run was cut short.
+    pub unanswered_requests: usize,
+}
+
+impl ShutdownPhase {
+    /// Whether this side may end a connection now: in a shutdown, between two requests.
+    pub(super) fn may_end(self, client: &Client) -> bool {
+        match self {
+            ShutdownPhase::Running | ShutdownPhase::Notified => false,
+            ShutdownPhase::Draining => client.is_idle(),
+            ShutdownPhase::FinalResponses => client.is_answered(),
+        }
+    }
+}
+
+impl Proxy {
+    /// New connections are no longer accepted.
+    pub(super) fn is_draining(&self) -> bool {
+        self.shutdown_phase >= ShutdownPhase::Draining
+    }
+
+    /// Whether a shutdown has nothing left to do.
+    pub(super) fn is_drained(&self) -> bool {
+        self.is_draining() && self.listener.is_none() && self.clients.is_empty() && self.engine.owed() == 0
+    }
+
+    /// Handles SIGTERM: connections are still accepted and served for a moment. A second signal changes nothing.
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.shutdown_phase > ShutdownPhase::Running {
+            return;
+        }
+        self.shutdown_phase = ShutdownPhase::Notified;
+        self.log_counts("ending");
+        let now = self.now();
+        let longest_deadline = self.config.instance.decisions.longest_deadline();
+        let lifetime = self.engine.end(now, Lifetime::told_to_end(now, longest_deadline));
+        tracing::info!(answer_in_us = lifetime.answer_by - now, end_in_us = lifetime.end_by - now, "SIGTERM");
+        self.timers.set(now + ACCEPT_AFTER_SIGTERM, TimerKind::BeginDrain);
+        self.timers.set(lifetime.answer_by, TimerKind::FinalResponses);
+        self.timers.set(lifetime.end_by, TimerKind::Stop);
+        self.run_engine_orders();
+    }
+
+    /// Answers the requests that are left as failed, and ends every client connection, after what has arrived on it is
+    /// answered.
+    pub(super) fn send_final_responses(&mut self) {
+        self.log_unanswered_requests();
+        let now = self.now();
+        self.engine.abandon(now);
+        self.run_engine_orders();
+        self.begin_drain();
+        self.shutdown_phase = ShutdownPhase::FinalResponses;
+        let all = self.clients.iter();
+        self.clients_to_revisit
+            .extend(all.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
+    }
+
+    /// Ends the event loop: responses that clients have not read are dropped.
+    pub(super) fn stop(&mut self) {
+        self.stopping = true;
+    }
+
+    /// Logs the requests that a shutdown ends without a server's answer, by the ids that their clients gave them.
+    fn log_unanswered_requests(&self) {
+        for (id, request) in self.open_ids.iter().take(MAX_LOGGED_REQUESTS) {
+            let id = String::from_utf8_lossy(id);
+            tracing::warn!(request, %id, "shutdown ends a request without a server's answer");
+        }
+    }
+
+    /// Logs the totals so far.
+    pub(super) fn log_counts(&self, event: &str) {
+        let counts = self.engine.counts();
+        tracing::info!(
+            taken = counts.taken,
+            served = counts.served,
+            refused = counts.refused,
+            failed = counts.failed,
+            gone = counts.gone,
+            attempts = counts.attempts,
+            overdue = counts.overdue,
+            violations = counts.violations,
+            held_back = counts.held_back,
+            without_list = counts.without_list,
+            closed_while_owed = self.closed_while_pending,
+            owed = self.engine.owed(),
+            clients = self.clients.len(),
+            servers = self.servers.len(),
+            "{event}"
+        );
+    }
+
+    /// Accepts nothing new but what is on its way: connections in the kernel's queue, and calls on connections that have
+    /// had none yet. All other connections end between two requests.
+    pub(super) fn begin_drain(&mut self) {
+        self.shutdown_phase = self.shutdown_phase.max(ShutdownPhase::Draining);
+        self.accept_queued();
+        let idle = self.clients.iter().filter(|(_, client)| client.has_sent_call && client.is_idle());
+        self.clients_to_revisit
+            .extend(idle.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
+    }
+}
--- a/crates/platform-proxy/src/start.rs
+++ b/crates/platform-proxy/src/start.rs
@@ -1,21 +1,20 @@
-//! A start over system calls that fail for a moment: no descriptor or buffer free, an address not there yet, a file that
-//! cannot be read now. A proxy that gave up on the first of them would be missing until somebody looks.
+//! Retries of system calls that fail for a moment at the start: no descriptor or buffer is free, an address is not there
+//! yet, a file cannot be read now. A proxy that stopped at the first of them would be missing until somebody looks.
 
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind, Result};
 use std::time::{Duration, Instant};
 
-/// A start waits so long for what it lacks; the platform counts a start of thirty seconds as a crash.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Errors that go away by themselves and have no kind in the standard library, as socket(2), epoll_create(2) and open(2)
-/// name them.
-const PASSING: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::IO];
+/// How long a start retries; the platform counts a start of thirty seconds as a crash.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// The span between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Transient errors that have no kind in the standard library, as socket(2), epoll_create(2) and open(2) name them.
+const TRANSIENT_ERRNOS: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::IO];
 
 /// Whether an error is likely to go away by itself.
-fn is_passing(error: &Error) -> bool {
-    let kind = matches!(
+fn is_transient(error: &Error) -> bool {
+    let has_transient_kind = matches!(
         error.kind(),
         ErrorKind::Interrupted
             | ErrorKind::WouldBlock
@@ -25,23 +24,24 @@
             | ErrorKind::NetworkUnreachable
             | ErrorKind::NetworkDown
     );
-    kind || Errno::from_io_error(error).is_some_and(|errno| PASSING.contains(&errno))
+    has_transient_kind || Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRNOS.contains(&errno))
 }
 
-/// Tries until it succeeds.
+/// Repeats an attempt until it succeeds or fails for good. `what` names it in the log.
 ///
 /// # Errors
-/// The first error that does not pass by itself, or the last one after ten seconds.
-pub fn patiently<T>(what: &str, mut attempt: impl FnMut() -> Result<T>) -> Result<T> {
-    let until = Instant::now() + PATIENCE;
-    let mut told = false;
+/// The first error that is not transient, or the last one after ten seconds.
+pub(super) fn retry_transient_errors<T>(what: &str, mut attempt: impl FnMut() -> Result<T>) -> Result<T> {
+    let give_up_at = Instant::now() + START_TIMEOUT;
+    let mut is_logged = false;
     loop {
         match attempt() {
-            Err(e) if is_passing(&e) && Instant::now() < until => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!("{what}: {e}; trying again");
+            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+                if !is_logged {
+                    tracing::warn!("{what}: {error}; trying again");
+                    is_logged = true;
                 }
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
         }
--- /dev/null
+++ b/crates/platform-proxy/src/votes.rs
@@ -0,0 +1,160 @@
+//! Votes: one connection to the release service for each.
+//!
+//! A vote's connection closes after its reply: votes are rare, the service closes connections that are
+//! idle, and the loss of a connection of its own says plainly whether the vote may count.
+
+use crate::event_loop::{ConnectionId, TimerKind};
+use crate::proxy::Proxy;
+use calloop::{Interest, Readiness};
+use violetseam::interface::{Build, Micros, Outcome, ReleaseStatus, Verdict};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
+use violetseam_platform::pipeline::{self, LINE_MOST, Line};
+use violetseam_site::lines::Lines;
+
+/// Votes in flight at once; the engine casts one at a time, and one may be on its way to a former address.
+const MAX_OPEN_VOTES: usize = 4;
+/// The longest time-out of a vote, whatever the settings say.
+const MAX_VOTE_TIMEOUT: Micros = 10_000_000;
+
+/// A vote without a reply yet.
+pub(super) struct Vote {
+    generation: u64,
+    /// The number of its call.
+    id: u64,
+    socket: Socket,
+    lines: Lines,
+}
+
+/// The end of a vote.
+struct VoteReply {
+    /// Whether it counts.
+    outcome: Outcome,
+    /// The release status that came with an accepted vote.
+    status: Option<ReleaseStatus>,
+}
+
+impl Proxy {
+    /// Sends a vote.
+    pub(super) fn cast_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
+        tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
+        self.pipeline.last_call_id += 1;
+        let id = self.pipeline.last_call_id;
+        if self.open_vote(id, pipeline::vote(id, build, stage, verdict)).is_none() {
+            self.end_vote(VoteReply { outcome: Outcome::Error, status: None });
+        }
+    }
+
+    fn open_vote(&mut self, id: u64, call: Vec<u8>) -> Option<()> {
+        if self.pipeline.votes.len() >= MAX_OPEN_VOTES {
+            return None;
+        }
+        let stream = connect(self.pipeline.address).ok()?;
+        let generation = self.next_generation();
+        let entry = self.pipeline.votes.vacant_entry();
+        let slot = entry.key();
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote(slot, readiness);
+        let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
+        socket.out().extend(call);
+        entry.insert(Vote { generation, id, socket, lines: Lines::new(LINE_MOST) });
+        let timeout = self.config.instance.decisions.rollout.vote_timeout.min(MAX_VOTE_TIMEOUT);
+        let timeout_at = self.now() + timeout;
+        self.timers.set(timeout_at, TimerKind::VoteTimeout(ConnectionId { slot, generation }));
+        Some(())
+    }
+
+    fn on_vote(&mut self, slot: usize, readiness: Readiness) {
+        if readiness.writable
+            && let Some(vote) = self.pipeline.votes.get_mut(slot)
+        {
+            if vote.socket.connect_error().is_some() || vote.socket.flush().is_err() {
+                self.on_vote_connection_lost(slot);
+                return self.run_engine_orders();
+            }
+            vote.socket.want(&self.handle, true);
+        }
+        if readiness.readable || readiness.error {
+            self.read_vote(slot);
+        }
+        self.run_engine_orders();
+    }
+
+    fn read_vote(&mut self, slot: usize) {
+        let mut scratch = std::mem::take(&mut self.scratch);
+        if let Some(vote) = self.pipeline.votes.get_mut(slot) {
+            match vote.socket.read(&mut scratch) {
+                ReadOutcome::Bytes(length) => {
+                    vote.lines.feed(&scratch[..length]);
+                    self.handle_vote_lines(slot);
+                }
+                ReadOutcome::Nothing => {}
+                ReadOutcome::Closed | ReadOutcome::Broken => self.on_vote_connection_lost(slot),
+            }
+        }
+        self.scratch = scratch;
+    }
+
+    fn handle_vote_lines(&mut self, slot: usize) {
+        while let Some(vote) = self.pipeline.votes.get_mut(slot) {
+            let line = match vote.lines.next_line() {
+                Ok(None) => return,
+                Ok(Some(line)) => Line::parse(line).ok(),
+                Err(_) => None,
+            };
+            if let Some(reply) = vote_reply(vote.id, line) {
+                self.close_vote(slot);
+                return self.end_vote(reply);
+            }
+        }
+    }
+
+    /// Ends a vote that has had no reply in time.
+    pub(super) fn vote_timeout(&mut self, connection: ConnectionId) {
+        let Some(vote) = self.pipeline.votes.get(connection.slot) else { return };
+        if vote.generation == connection.generation {
+            self.on_vote_connection_lost(connection.slot);
+        }
+    }
+
+    /// No reply will come: the vote cannot count unless all of it was written.
+    fn on_vote_connection_lost(&mut self, slot: usize) {
+        let Some(vote) = self.pipeline.votes.get(slot) else { return };
+        let outcome = if vote.socket.waits() { Outcome::Error } else { Outcome::Timeout };
+        self.close_vote(slot);
+        self.end_vote(VoteReply { outcome, status: None });
+    }
+
+    fn close_vote(&mut self, slot: usize) {
+        if let Some(vote) = self.pipeline.votes.try_remove(slot) {
+            vote.socket.remove(&self.handle);
+        }
+    }
+
+    /// Passes a vote's end to the engine.
+    fn end_vote(&mut self, reply: VoteReply) {
+        let VoteReply { outcome, status } = reply;
+        tracing::debug!(target: "verdict", ?outcome, "vote reply");
+        if let Some(status) = status {
+            self.log_release_status(status);
+        }
+        let now = self.now();
+        self.engine.vote_reply(now, outcome, status);
+    }
+}
+
+/// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands for one
+/// that cannot be read.
+fn vote_reply(id: u64, line: Option<Line>) -> Option<VoteReply> {
+    match line {
+        Some(Line::Accepted { id: of, news: Some(status) }) if of == id => {
+            Some(VoteReply { outcome: Outcome::Ok, status: Some(status) })
+        }
+        Some(Line::Declined { id: of, outcome, message }) if of == id => {
+            tracing::debug!(target: "verdict", "vote declined: {message}");
+            Some(VoteReply { outcome, status: None })
+        }
+        // Notifications between replies: they arrive on the watch, too.
+        Some(Line::Stage(_) | Line::Flag { .. } | Line::Alive) => None,
+        // Something has accepted the vote but its reply cannot be read: whether the vote counts is open.
+        _ => Some(VoteReply { outcome: Outcome::Timeout, status: None }),
+    }
+}
