--- /dev/null
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -0,0 +1,251 @@
+//! The server list over HTTP: one query at a time, for the changes since the version held, or for the full list where
+//! no version is held.
+//!
+//! A query for changes waits at the service until there are some (a long poll), and is renewed as soon as it
+//! is answered. It waits for less time than the engine goes without an answer, so that an answer without changes is
+//! the service's heartbeat; a query that has died silently is replaced when the engine asks again. A full
+//! list costs a service that handles its queries one by one a multiple of what a delta does, so it is fetched
+//! only where a delta would not be sound.
+//!
+//! - `exchange`: one query and its answer
+//! - `answers`: what is done with answers and failures
+//! - `timing`: time-outs and intervals
+
+mod answers;
+mod exchange;
+mod timing;
+
+pub(super) use timing::PUSHED_POLL_INTERVAL_MAX;
+
+use crate::event_loop::TimerKind;
+use crate::proxy::Proxy;
+use calloop::{Interest, Readiness};
+use exchange::{Exchange, Query, QueryFailure};
+use rand::RngExt;
+use std::net::SocketAddr;
+use timing::{
+    MAX_FIRST_WATCH_WAIT, MAX_SILENCE, MIN_SILENCE, MOVE_SPREAD_TENTHS, QUERY_TIMEOUT, RENEWED_WATCH_GRACE,
+    START_SPREAD_TENTHS, VERIFY_FROM_TENTHS, VERIFY_UNTIL_TENTHS, WATCH_WAIT_TENTHS,
+};
+use violetseam::interface::Micros;
+use violetseam_loopio::{Socket, connect};
+use violetseam_platform::discovery::{WHOLE_PATH, watch_path};
+
+/// Discovery as this proxy speaks to it.
+pub(super) struct Discovery {
+    address: SocketAddr,
+    /// How long the settings let a proxy go without an answer, within bounds.
+    silence: Micros,
+    /// The service pushes lists: it takes them as received from a process's first moment on.
+    pushed: bool,
+    /// From then on the process reports that it is ready, even without a list that may be used.
+    pub ready_by: Micros,
+    /// The process has reported that it is ready.
+    is_ready: bool,
+    /// The service at this address has answered.
+    is_confirmed: bool,
+    /// Queries that failed since the last list.
+    failures: u32,
+    /// The exchange in progress.
+    exchange: Option<Exchange>,
+    /// When the next query is scheduled, if it is.
+    next_query_at: Option<Micros>,
+    /// From then on the next query is for the full list, as the address has changed.
+    verify_at: Option<Micros>,
+    /// The first query of this process has been made or scheduled.
+    is_started: bool,
+}
+
+impl Discovery {
+    /// Discovery at this address, before the first query. `poll_interval_max` is how long the settings let a proxy go
+    /// without an answer.
+    pub fn new(address: SocketAddr, pushed: bool, poll_interval_max: Micros) -> Self {
+        Discovery {
+            address,
+            silence: poll_interval_max.clamp(MIN_SILENCE, MAX_SILENCE),
+            pushed,
+            ready_by: 0,
+            is_ready: false,
+            is_confirmed: false,
+            failures: 0,
+            exchange: None,
+            next_query_at: None,
+            verify_at: None,
+            is_started: false,
+        }
+    }
+
+    /// Whether lists are pushed.
+    pub fn is_pushed(&self) -> bool {
+        self.pushed
+    }
+
+    /// This many tenths of the longest time without an answer.
+    fn tenths(&self, tenths: Micros) -> Micros {
+        self.silence / 10 * tenths
+    }
+
+    /// A query for the full list is in progress.
+    fn is_fetching(&self) -> bool {
+        self.exchange.as_ref().is_some_and(|exchange| exchange.query == Query::FullList)
+    }
+
+    /// The exchange of this generation, if it is still the present one.
+    fn exchange(&mut self, generation: u64) -> Option<&mut Exchange> {
+        self.exchange.as_mut().filter(|exchange| exchange.generation == generation)
+    }
+}
+
+impl Proxy {
+    /// The engine wants the list, or has received nothing for long. A query that is scheduled, or is in progress for the
+    /// full list, serves for this one; a watch in progress is taken for dead and replaced.
+    pub(super) fn poll_server_list(&mut self) {
+        if self.discovery.next_query_at.is_some() || self.discovery.is_fetching() {
+            return;
+        }
+        if self.discovery.is_started || self.discovery.pushed || self.server_list.is_empty() {
+            return self.start_query(None);
+        }
+        self.discovery.is_started = true;
+        self.schedule_query_within(self.discovery.tenths(START_SPREAD_TENTHS));
+    }
+
+    /// Draws when the full list is fetched once more.
+    fn schedule_verification(&mut self) {
+        let from = self.discovery.tenths(VERIFY_FROM_TENTHS);
+        let until = self.discovery.tenths(VERIFY_UNTIL_TENTHS);
+        self.discovery.verify_at = Some(self.now() + self.rng.random_range(from..until));
+    }
+
+    /// Schedules a query at a drawn time within the span.
+    fn schedule_query_within(&mut self, span: Micros) {
+        let at = self.now() + self.rng.random_range(0..span.max(1));
+        self.schedule_query(at);
+    }
+
+    fn schedule_query(&mut self, at: Micros) {
+        self.discovery.next_query_at = Some(at);
+        self.timers.set(at, TimerKind::DiscoveryRetry);
+    }
+
+    /// Makes the scheduled query if it is due.
+    pub(super) fn start_scheduled_query(&mut self) {
+        let now = self.now();
+        if self.discovery.next_query_at.is_some_and(|at| at <= now) {
+            self.start_query(None);
+        }
+    }
+
+    /// Queries the changes since the version held, or the full list, on a connection that has just answered or
+    /// on a new one.
+    fn start_query(&mut self, connection: Option<Exchange>) {
+        self.discovery.next_query_at = None;
+        self.abandon_query();
+        let query = self.next_query();
+        match self.send_query(query, connection) {
+            Some(exchange) => self.discovery.exchange = Some(exchange),
+            None => self.retry_query(&QueryFailure::NotStarted),
+        }
+    }
+
+    /// Closes the exchange in progress.
+    fn abandon_query(&mut self) {
+        if let Some(exchange) = self.discovery.exchange.take() {
+            exchange.socket.remove(&self.handle);
+        }
+    }
+
+    /// What the next query asks for.
+    fn next_query(&mut self) -> Query {
+        let verifies = self.discovery.verify_at.is_some_and(|at| at <= self.now());
+        if verifies {
+            self.schedule_verification();
+        }
+        // Where lists are pushed no query costs the service anything, and the first one shows whether the process is
+        // ready.
+        let fetches_first = self.discovery.pushed && !self.discovery.is_confirmed;
+        match self.server_list.version() {
+            Some(version) if !fetches_first && !verifies => Query::ChangesSince(version),
+            _ => Query::FullList,
+        }
+    }
+
+    /// Moves to an address that SIGHUP named: the changes since the version held are queried there. A service with a lower
+    /// version shows in its first answer, one with another list under the same versions later ([`VERIFY_FROM_TENTHS`]).
+    pub(super) fn move_discovery(&mut self, address: SocketAddr) {
+        if self.discovery.address == address {
+            return;
+        }
+        self.discovery.address = address;
+        self.discovery.is_confirmed = false;
+        self.abandon_query();
+        let now = self.now();
+        self.engine.change_list_lease(now, |lease| lease.move_discovery(now));
+        self.schedule_verification();
+        if self.discovery.pushed {
+            self.start_query(None);
+        } else {
+            self.schedule_query_within(self.discovery.tenths(MOVE_SPREAD_TENTHS));
+        }
+    }
+
+    /// Begins an exchange, on a connection that has just answered or on a new one.
+    fn send_query(&mut self, query: Query, connection: Option<Exchange>) -> Option<Exchange> {
+        let generation = self.next_generation();
+        let address = self.discovery.address;
+        let is_reused = connection.is_some();
+        let (path, timeout) = match query {
+            Query::FullList => (WHOLE_PATH.to_owned(), QUERY_TIMEOUT),
+            Query::ChangesSince(version) => {
+                let wait = self.draw_watch_wait();
+                let grace = if is_reused { RENEWED_WATCH_GRACE } else { QUERY_TIMEOUT };
+                (watch_path(version, wait), wait + grace)
+            }
+        };
+        let mut exchange = match connection {
+            // Its readiness is reported under the number that it was opened with, which it therefore keeps.
+            Some(exchange) => exchange,
+            None => self.open_exchange(generation, address, query)?,
+        };
+        let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
+        exchange.socket.out().extend_from_slice(head.as_bytes());
+        exchange.http.expect_answer(false);
+        exchange.status = None;
+        exchange.socket.want_connected(&self.handle);
+        exchange.began_at = self.now();
+        exchange.query = query;
+        exchange.is_renewal = is_reused && query != Query::FullList;
+        exchange.timeout_at = exchange.began_at + timeout;
+        self.timers.set(exchange.timeout_at, TimerKind::DiscoveryTimeout(exchange.generation));
+        Some(exchange)
+    }
+
+    /// How long the next watch waits at the service: drawn, so that watches that were all answered by one change drift
+    /// apart again.
+    fn draw_watch_wait(&mut self) -> Micros {
+        let max_wait = self.discovery.tenths(WATCH_WAIT_TENTHS);
+        let wait = self.rng.random_range(max_wait / 4 * 3..=max_wait);
+        if self.discovery.is_confirmed { wait } else { wait.min(MAX_FIRST_WATCH_WAIT) }
+    }
+
+    /// Begins a connection for an exchange.
+    fn open_exchange(&mut self, generation: u64, address: SocketAddr, query: Query) -> Option<Exchange> {
+        let stream = connect(address).ok()?;
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| {
+            proxy.on_discovery(generation, readiness);
+        };
+        let socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
+        Some(Exchange::new(generation, socket, query))
+    }
+
+    /// Whether the process reports that it is ready: a list may be used, or the time for that is up.
+    pub(super) fn is_ready(&mut self) -> bool {
+        let now = self.now();
+        let may_use_list = self.engine.permissions().list.holds(now);
+        let has_servers = !self.server_list.is_empty();
+        if has_servers && (may_use_list || now >= self.discovery.ready_by) {
+            self.discovery.is_ready = true;
+        }
+        self.discovery.is_ready
+    }
+}
