--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -30,7 +30,7 @@
 fn parse_commands<'a>(input: &'a [u8], bounds: &Bounds) -> ParsedCommands<'a> {
     let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, fault: None };
     loop {
-        match command::read(&input[parsed.consumed..], bounds) {
+        match command::parse(&input[parsed.consumed..], bounds) {
             Ok(Some((words, length))) => {
                 parsed.consumed += length;
                 parsed.commands.push(words);
@@ -152,12 +152,12 @@
         if self.clients[key].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
             return self.reject_malformed(key, TOO_MANY_COMMANDS);
         }
-        match call::read(words, &self.config.instance) {
+        match call::parse(words, &self.config.instance) {
             Ok(Command::Ping) if self.is_ready() => self.respond_at_once(key, b"+PONG\r\n"),
             Ok(Command::Ping) => self.respond_at_once(key, b"-LOADING no server list yet\r\n"),
-            Ok(Command::Courtesy) => self.respond_at_once(key, b"+OK\r\n"),
+            Ok(Command::Handshake) => self.respond_at_once(key, b"+OK\r\n"),
             Ok(Command::Call(call)) => self.admit_call(key, *call),
-            Err(malformed) => self.reject_malformed(key, &malformed.0),
+            Err(error) => self.reject_malformed(key, &error.to_string()),
         }
     }
 
@@ -249,7 +249,7 @@
     /// Sets the events that a connection is to be woken for.
     pub(super) fn update_client_interest(&mut self, key: usize) {
         if let Some(client) = self.clients.get(key) {
-            client.update_interest(&self.handle, self.bounds.whole);
+            client.update_interest(&self.handle, self.bounds.max_message_bytes);
         }
     }
 
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -10,7 +10,7 @@
 use violetseam::interface::Micros;
 use violetseam_http1::client::ClientEvent;
 use violetseam_loopio::ReadOutcome;
-use violetseam_platform::discovery::{ANSWER_MOST, List};
+use violetseam_platform::discovery::{ListUpdate, MAX_ANSWER_BYTES};
 
 impl Proxy {
     /// Handles the connection's readiness.
@@ -54,7 +54,7 @@
                 Some(ClientEvent::Head(head)) => exchange.status = Some(head.status.as_u16()),
                 Some(ClientEvent::Body(bytes)) => {
                     exchange.body.extend_from_slice(&bytes);
-                    if exchange.body.len() > ANSWER_MOST {
+                    if exchange.body.len() > MAX_ANSWER_BYTES {
                         return self.fail_query(generation, QueryFailure::TooLong);
                     }
                 }
@@ -93,7 +93,7 @@
         let body = std::mem::take(&mut exchange.body);
         let began_at = exchange.began_at;
         let query = exchange.query;
-        let list = List::parse(&body)?;
+        let list = ListUpdate::parse(&body)?;
         if let Query::ChangesSince(held_version) = query {
             self.check_changes(&list, held_version, now.saturating_sub(began_at))?;
         }
@@ -101,7 +101,12 @@
     }
 
     /// Checks that an answer to a watch fits the version held. `waited` is how long the service took.
-    fn check_changes(&mut self, list: &List, held_version: u64, waited: Micros) -> Result<(), QueryFailure> {
+    fn check_changes(
+        &mut self,
+        list: &ListUpdate,
+        held_version: u64,
+        waited: Micros,
+    ) -> Result<(), QueryFailure> {
         if list.revision < held_version {
             // Whatever the watch waited for, the service's version is below the one held: it counts anew.
             self.server_list.forget_version();
@@ -117,7 +122,7 @@
     }
 
     /// Applies a list to the one held, renews the lease and passes the entries to the engine.
-    fn apply_list(&mut self, list: &List, query: Query, now: Micros) -> Result<(), QueryFailure> {
+    fn apply_list(&mut self, list: &ListUpdate, query: Query, now: Micros) -> Result<(), QueryFailure> {
         let version = list.revision;
         let is_outdated = self.server_list.version().is_some_and(|held_version| version < held_version);
         let applied = self.server_list.apply(list)?;
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -5,7 +5,7 @@
 use violetseam::interface::Micros;
 use violetseam_http1::client::ClientConn;
 use violetseam_loopio::Socket;
-use violetseam_platform::Malformed;
+use violetseam_platform::ListError;
 
 /// The status of an answer that carries a list.
 const STATUS_OK: u16 = 200;
@@ -70,7 +70,7 @@
     InvalidHttp(&'static str),
     /// The answer holds no valid list.
     #[error("{0}")]
-    InvalidList(#[from] Malformed),
+    InvalidList(#[from] ListError),
     /// The service's version is lower than the one held.
     #[error("versions counted anew")]
     VersionReset,
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -29,7 +29,7 @@
 };
 use violetseam::interface::Micros;
 use violetseam_loopio::{Socket, connect};
-use violetseam_platform::discovery::{WHOLE_PATH, watch_path};
+use violetseam_platform::discovery::{LIST_PATH, watch_path};
 
 /// Discovery as this proxy speaks to it.
 pub(super) struct Discovery {
@@ -195,7 +195,7 @@
         let address = self.discovery.address;
         let is_reused = connection.is_some();
         let (path, timeout) = match query {
-            Query::FullList => (WHOLE_PATH.to_owned(), QUERY_TIMEOUT),
+            Query::FullList => (LIST_PATH.to_owned(), QUERY_TIMEOUT),
             Query::ChangesSince(version) => {
                 let wait = self.draw_watch_wait();
                 let grace = if is_reused { RENEWED_WATCH_GRACE } else { QUERY_TIMEOUT };
--- a/crates/platform-proxy/src/error.rs
+++ b/crates/platform-proxy/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use thiserror::Error;
-use violetseam_platform::Malformed;
+use violetseam_platform::ConfigurationError;
 
 /// Why the configuration could not be used.
 #[derive(Debug, Error)]
@@ -21,7 +21,7 @@
         /// The configuration file.
         file: PathBuf,
         /// What is wrong with the text.
-        source: Malformed,
+        source: ConfigurationError,
     },
 }
 
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -22,7 +22,7 @@
 use violetseam_loopio::quiet::RateLimit;
 use violetseam_loopio::timers::Timers;
 use violetseam_platform::config::Config;
-use violetseam_platform::discovery::Roster;
+use violetseam_platform::discovery::ServerList;
 use violetseam_proxy::engine::Engine;
 use violetseam_resp::Bounds;
 
@@ -53,7 +53,7 @@
     pub servers: Slab<Server>,
     /// Slots of idle connections by server, the one that has been idle longest first.
     pub idle_servers: BTreeMap<ServerId, VecDeque<usize>>,
-    pub server_list: Roster,
+    pub server_list: ServerList,
     pub discovery: Discovery,
     pub pipeline: Pipeline,
     /// The socket for peers' datagrams, where gossip is allowed.
@@ -111,7 +111,7 @@
             in_flight_bytes: 0,
             servers: Slab::new(),
             idle_servers: BTreeMap::new(),
-            server_list: Roster::new(config.instance.zones.clone()),
+            server_list: ServerList::new(config.instance.zones.clone()),
             discovery: Discovery::new(config.discovery, pushed, poll_interval_max),
             pipeline: Pipeline::new(config.pipeline),
             gossip_socket: None,
@@ -137,7 +137,7 @@
     /// the newest build.
     pub(super) fn begin(&mut self) {
         let now = self.now();
-        let cached = self.config.known.take();
+        let cached = self.config.cached_list.take();
         let applied = cached.and_then(|list| self.server_list.apply(&list).ok());
         let entries = applied.map(|applied| applied.entries).unwrap_or_default();
         self.previous_poll_at = now;
@@ -146,9 +146,9 @@
         self.engine.keep_list_lease(now, lease);
         self.discovery.ready_by = now + READY_TIMEOUT;
         self.engine.list(now, ListKind::Cached, &entries);
-        match self.config.news.map(|news| news.read()) {
+        match self.config.release_status.map(|status| status.to_status()) {
             Some(Ok(status)) => self.engine.stage(now, status),
-            Some(Err(malformed)) => tracing::warn!("{malformed}"),
+            Some(Err(error)) => tracing::warn!("{error}"),
             None => {}
         }
         self.open_release_watch();
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use violetseam::interface::{Micros, ReleaseStatus};
 use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::pipeline::{self, LINE_MOST, Line};
+use violetseam_platform::pipeline::{self, MAX_LINE_BYTES, Message};
 use violetseam_site::lines::Lines;
 
 /// The service sends a heartbeat each second; without one for this span the watch is opened again.
@@ -70,8 +70,8 @@
             .and_then(|stream| Socket::register(&self.handle, stream, Interest::BOTH, on_ready));
         match opened {
             Ok(mut socket) => {
-                socket.out().extend(pipeline::watch(WATCH_CALL_ID));
-                let lines = Lines::new(LINE_MOST);
+                socket.out().extend(pipeline::watch_call(WATCH_CALL_ID));
+                let lines = Lines::new(MAX_LINE_BYTES);
                 self.pipeline.watch = Some(Watch { generation, socket, lines, last_received_at: now });
                 self.timers.set(now + SILENCE_TIMEOUT, TimerKind::ReleaseWatchSilence(generation));
             }
@@ -150,16 +150,18 @@
         while let Some(watch) = &mut self.pipeline.watch {
             let line = match watch.lines.next_line() {
                 Ok(None) => return,
-                Ok(Some(line)) => Line::parse(line).map_err(|malformed| malformed.0),
+                Ok(Some(line)) => Message::parse(line).map_err(|error| error.to_string()),
                 Err(fault) => Err(fault.to_string()),
             };
             match line {
                 Err(reason) => return self.on_release_watch_lost(&reason),
-                Ok(Line::Stage(status)) => self.on_release_status(status),
-                Ok(Line::Flag { server, class, since }) => self.on_answer_flagged(&server, &class, since),
-                Ok(Line::Accepted { news: Some(status), .. }) => self.on_release_status(status),
-                Ok(Line::Declined { message, .. }) => return self.on_release_watch_lost(&message),
-                Ok(Line::Accepted { news: None, .. } | Line::Alive) => {}
+                Ok(Message::ReleaseStatus(status)) => self.on_release_status(status),
+                Ok(Message::AnswerFlagged { server, class, since }) => {
+                    self.on_answer_flagged(&server, &class, since)
+                }
+                Ok(Message::Accepted { status: Some(status), .. }) => self.on_release_status(status),
+                Ok(Message::Declined { message, .. }) => return self.on_release_watch_lost(&message),
+                Ok(Message::Accepted { status: None, .. } | Message::Heartbeat) => {}
             }
         }
     }
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -63,7 +63,7 @@
         let mut bytes = Vec::new();
         tracing::debug!(request, ?last, "own answer");
         match last {
-            Final::Refused { come_back } => answer::write_refused(&mut bytes, come_back),
+            Final::Refused { come_back } => answer::write_rejected(&mut bytes, come_back),
             Final::Failed { .. } => answer::write_failed(&mut bytes),
         }
         self.send_response(request, bytes);
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
 use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::answer::{self, Answer, answer};
+use violetseam_platform::answer::{self, Answer, parse_answer};
 
 /// An idle connection is closed at this share of the time after which its server would close it ...
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
@@ -289,8 +289,8 @@
         let input = std::mem::take(&mut server.input);
         let id = server.id;
         let is_fully_written = !server.socket.waits();
-        match answer(&input, &self.bounds) {
-            Answer::More => server.input = input,
+        match parse_answer(&input, &self.bounds) {
+            Answer::Incomplete => server.input = input,
             Answer::Served { value, reusable } => {
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
@@ -307,13 +307,13 @@
                     self.send_response(attempt.request, bytes);
                 }
             }
-            Answer::Ended { outcome, reusable } => {
+            Answer::NotServed { outcome, reusable } => {
                 self.log_unexpected_error(id, &input);
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 self.end_attempt(attempt, outcome);
             }
-            Answer::Spoilt(reason) => {
+            Answer::Malformed(reason) => {
                 tracing::debug!(request = attempt.request, server = id, "malformed answer: {reason}");
                 self.set_attempt_connection(attempt, None);
                 self.close_server(slot);
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -8,7 +8,7 @@
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Build, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::pipeline::{self, LINE_MOST, Line};
+use violetseam_platform::pipeline::{self, MAX_LINE_BYTES, Message};
 use violetseam_site::lines::Lines;
 
 /// Votes in flight at once; the engine casts one at a time, and one may be on its way to a former address.
@@ -39,7 +39,7 @@
         tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
         self.pipeline.last_call_id += 1;
         let id = self.pipeline.last_call_id;
-        if self.open_vote(id, pipeline::vote(id, build, stage, verdict)).is_none() {
+        if self.open_vote(id, pipeline::vote_call(id, build, stage, verdict)).is_none() {
             self.end_vote(VoteReply { outcome: Outcome::Error, status: None });
         }
     }
@@ -55,7 +55,7 @@
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote(slot, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
         socket.out().extend(call);
-        entry.insert(Vote { generation, id, socket, lines: Lines::new(LINE_MOST) });
+        entry.insert(Vote { generation, id, socket, lines: Lines::new(MAX_LINE_BYTES) });
         let timeout = self.config.instance.decisions.rollout.vote_timeout.min(MAX_VOTE_TIMEOUT);
         let timeout_at = self.now() + timeout;
         self.timers.set(timeout_at, TimerKind::VoteTimeout(ConnectionId { slot, generation }));
@@ -97,7 +97,7 @@
         while let Some(vote) = self.pipeline.votes.get_mut(slot) {
             let line = match vote.lines.next_line() {
                 Ok(None) => return,
-                Ok(Some(line)) => Line::parse(line).ok(),
+                Ok(Some(line)) => Message::parse(line).ok(),
                 Err(_) => None,
             };
             if let Some(reply) = vote_reply(vote.id, line) {
@@ -143,17 +143,17 @@
 
 /// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands for one
 /// that cannot be read.
-fn vote_reply(id: u64, line: Option<Line>) -> Option<VoteReply> {
+fn vote_reply(id: u64, line: Option<Message>) -> Option<VoteReply> {
     match line {
-        Some(Line::Accepted { id: of, news: Some(status) }) if of == id => {
+        Some(Message::Accepted { id: of, status: Some(status) }) if of == id => {
             Some(VoteReply { outcome: Outcome::Ok, status: Some(status) })
         }
-        Some(Line::Declined { id: of, outcome, message }) if of == id => {
+        Some(Message::Declined { id: of, outcome, message }) if of == id => {
             tracing::debug!(target: "verdict", "vote declined: {message}");
             Some(VoteReply { outcome, status: None })
         }
         // Notifications between replies: they arrive on the watch, too.
-        Some(Line::Stage(_) | Line::Flag { .. } | Line::Alive) => None,
+        Some(Message::ReleaseStatus(_) | Message::AnswerFlagged { .. } | Message::Heartbeat) => None,
         // Something has accepted the vote but its reply cannot be read: whether the vote counts is open.
         _ => Some(VoteReply { outcome: Outcome::Timeout, status: None }),
     }
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,14 +1,15 @@
-//! Replies: what one says of an attempt, and the final answers that a proxy words itself.
+//! Replies: what a server's answer means for its attempt, and the final responses that a proxy sends to clients.
 
+use crate::AnswerError;
 use violetseam::interface::{Micros, Outcome};
-use violetseam_resp::reply::{Read, Reply, read};
-use violetseam_resp::{Bounds, Fault, write_bulk, write_error};
+use violetseam_resp::reply::{ParsedReply, Reply, parse};
+use violetseam_resp::{Bounds, write_bulk, write_error};
 
-/// What the bytes from a server say.
+/// What the bytes from a server mean.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<'a> {
-    /// Not whole yet.
-    More,
+    /// Not complete yet.
+    Incomplete,
     /// Served, with this value.
     Served {
         /// The value.
@@ -17,49 +18,40 @@
         reusable: bool,
     },
     /// Not served.
-    Ended {
+    NotServed {
         /// How the attempt ended.
         outcome: Outcome,
         /// The connection may carry another request.
         reusable: bool,
     },
-    /// Nothing of this protocol: the attempt may have run, and the connection is of no further use.
-    Spoilt(&'static str),
+    /// Not an answer of this protocol: the attempt may have run, and the connection cannot be used again.
+    Malformed(AnswerError),
 }
 
-/// Reads what a server has sent for the one request that waits on a connection. An answer is an array: the
-/// value, null, the load report or null. A value that is whole counts though its load report cannot be read
-/// or more follows than belongs to it, but then nothing more is asked on that connection.
-pub fn answer<'a>(input: &'a [u8], bounds: &Bounds) -> Answer<'a> {
-    match read(input, bounds) {
-        Ok(Read::More) => Answer::More,
-        Ok(Read::One(Reply::Error(text), used)) => {
-            let busy = text == b"BUSY" || text.starts_with(b"BUSY ");
-            let outcome = if busy { Outcome::Rejected } else { Outcome::Error };
-            Answer::Ended { outcome, reusable: used == input.len() }
+/// Parses what a server has sent for the one request that waits on a connection. An answer is an array: the
+/// value, null, the load report or null. A complete value counts even if its load report is malformed
+/// or if more bytes follow than belong to it, but then the connection is not used again.
+pub fn parse_answer<'a>(input: &'a [u8], bounds: &Bounds) -> Answer<'a> {
+    match parse(input, bounds) {
+        Ok(ParsedReply::Incomplete) => Answer::Incomplete,
+        Ok(ParsedReply::Single(Reply::Error(text), used)) => {
+            let is_busy = text == b"BUSY" || text.starts_with(b"BUSY ");
+            let outcome = if is_busy { Outcome::Rejected } else { Outcome::Error };
+            Answer::NotServed { outcome, reusable: used == input.len() }
         }
-        Ok(Read::One(..)) => Answer::Spoilt("neither an array nor an error"),
-        Ok(Read::Array(elements, used)) => match elements[..] {
+        Ok(ParsedReply::Single(..)) => Answer::Malformed(AnswerError::UnexpectedReply),
+        Ok(ParsedReply::Array(elements, used)) => match elements[..] {
             [Reply::Bulk(value), Reply::Null, Reply::Null | Reply::Bulk(_)] => {
                 Answer::Served { value, reusable: used == input.len() }
             }
             [Reply::Bulk(value), Reply::Null, _] => Answer::Served { value, reusable: false },
-            _ => Answer::Spoilt("an array that is no answer"),
+            _ => Answer::Malformed(AnswerError::UnexpectedArray),
         },
-        Ok(Read::Broken(elements, fault)) => match elements[..] {
+        Ok(ParsedReply::Malformed(elements, fault)) => match elements[..] {
             [Reply::Bulk(value), Reply::Null] => Answer::Served { value, reusable: false },
-            _ => Answer::Spoilt(reason(fault)),
+            _ => Answer::Malformed(AnswerError::Framing(fault)),
         },
-        Err(fault) => Answer::Spoilt(reason(fault)),
-    }
-}
-
-fn reason(fault: Fault) -> &'static str {
-    match fault {
-        Fault::Kind(_) => "noise",
-        Fault::Line => "a line without an end",
-        Fault::Length => "a length that does not fit",
-        Fault::TooLong => "a length over the limit",
+        Err(fault) => Answer::Malformed(AnswerError::Framing(fault)),
     }
 }
 
@@ -68,12 +60,12 @@
     write_bulk(out, value);
 }
 
-/// Appends a refusal; with advice when to come back, unless that is 0.
-pub fn write_refused(out: &mut Vec<u8>, come_back: Micros) {
-    if come_back == 0 {
+/// Appends a rejection; with a time to retry after, unless that is 0.
+pub fn write_rejected(out: &mut Vec<u8>, retry_after: Micros) {
+    if retry_after == 0 {
         write_error(out, "BUSY");
     } else {
-        write_error(out, &format!("BUSY {}", come_back.div_ceil(1000)));
+        write_error(out, &format!("BUSY {}", retry_after.div_ceil(1000)));
     }
 }
 
@@ -82,7 +74,7 @@
     write_error(out, "ERR failed");
 }
 
-/// Appends the answer to what cannot be taken; nothing of it has gone anywhere.
+/// Appends the response to a malformed command, which was sent to no server.
 pub fn write_malformed(out: &mut Vec<u8>, why: &str) {
     write_error(out, &format!("ERR {why}"));
 }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,156 +1,193 @@
-//! Clients' commands: which are calls, what they ask for, and how they go on to a server.
+//! Clients' commands: parsing them, and writing calls on to servers.
 //!
-//! A call that is sound goes on byte for byte, only its waiting time is written anew: a server must find
-//! what the client sent. What is not sound is told apart here, before the decisions hear of it.
+//! A valid call is sent on byte for byte, only its wait is written anew: a server must receive
+//! what the client sent. Invalid ones are rejected here, before the engine learns of them.
 
-use crate::{Malformed, malformed};
+use crate::CallError;
+use std::ops::Range;
 use violetseam::interface::{Idempotency, Micros};
 use violetseam_instance::Instance;
 use violetseam_site::key_number;
 
-/// For classes that are safe to repeat.
+/// The command for idempotent classes.
 pub const GET: &[u8] = b"CALL.GET";
-/// For all others.
+/// The command for all other classes.
 pub const POST: &[u8] = b"CALL.POST";
 /// The longest word of a call apart from its body.
-const WORD_MOST: usize = 1024;
-/// The longest time that a client may say it waits.
-const WAIT_MOST: u64 = 24 * 3600 * 1000;
+const MAX_WORD_BYTES: usize = 1024;
+/// The longest wait that a client may state, in milliseconds.
+const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
+/// The place of the options among a call's words.
+const OPTIONS_WORD: usize = 3;
+/// What a word of a call is taken to need in memory besides its bytes.
+const WORD_OVERHEAD_BYTES: usize = 32;
+/// What a call is taken to need in memory besides its words.
+const CALL_OVERHEAD_BYTES: usize = 128;
 
-/// What a command is.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Asks whether this proxy serves.
     Ping,
-    /// What client libraries say when they connect; accepted without effect.
-    Courtesy,
+    /// A command that client libraries send when they connect; accepted without effect.
+    Handshake,
     /// A request.
     Call(Box<Call>),
 }
 
-/// A sound call.
+/// A valid call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The class.
     pub class: usize,
-    /// The tenant; where it is not one of the settings', the number behind the last of them.
+    /// The tenant; for one that is not in the settings, the number after the last of them.
     pub tenant: usize,
-    /// The thing it concerns, as a number: equal for equal words.
+    /// The key of the object that it concerns, as a number: equal for equal keys.
     pub key: u64,
     /// Its identity, as the client wrote it.
     pub id: Box<[u8]>,
-    /// How long the client waits, from the sending on.
+    /// How long the client waits, counted from its send.
     pub wait: Micros,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
     words: Vec<Box<[u8]>>,
-    /// Where the waiting time stands within the list of values.
-    wait_from: usize,
-    wait_to: usize,
+    /// Where the wait stands within the options.
+    wait_range: Range<usize>,
 }
 
-/// Reads a command's words.
-pub fn read(words: &[&[u8]], instance: &Instance) -> Result<Command, Malformed> {
-    let Some((verb, rest)) = words.split_first() else { return malformed("empty command") };
+/// The words of a call that matter here.
+struct CallWords<'a> {
+    key: &'a [u8],
+    id: &'a [u8],
+    options: &'a [u8],
+}
+
+/// Parses a command's words.
+///
+/// # Errors
+/// A [`CallError`] if the command is unknown or is not a valid call.
+pub fn parse(words: &[&[u8]], instance: &Instance) -> Result<Command, CallError> {
+    let Some((verb, arguments)) = words.split_first() else { return Err(CallError::Empty) };
     if verb.eq_ignore_ascii_case(b"PING") {
         return Ok(Command::Ping);
     }
     if verb.eq_ignore_ascii_case(b"CLIENT") || verb.eq_ignore_ascii_case(b"SELECT") {
-        return Ok(Command::Courtesy);
+        return Ok(Command::Handshake);
     }
     let is_get = verb.eq_ignore_ascii_case(GET);
     if !is_get && !verb.eq_ignore_ascii_case(POST) {
-        return malformed("unknown command");
-    }
-    let (key, id, list) = match (rest, is_get) {
-        ([key, id, list], true) | ([key, id, list, _], false) => (*key, *id, *list),
-        _ => return malformed("wrong number of words"),
-    };
-    if [key, id, list].iter().any(|word| word.is_empty() || word.len() > WORD_MOST) {
-        return malformed("a word is empty or too long");
+        return Err(CallError::UnknownCommand);
     }
-    let values = Values::read(list)?;
-    let class = values.class.and_then(|name| instance.classes.iter().position(|c| c.as_bytes() == name));
-    let Some(class) = class else { return malformed("unknown class") };
-    let effect = instance.decisions.classes[class].idempotency;
-    if (effect == Idempotency::Idempotent) != is_get {
-        return malformed("this class is not served by this command");
-    }
-    if effect == Idempotency::Keyed && values.key.is_none_or(<[u8]>::is_empty) {
-        return malformed("no k= in a class with keys");
-    }
-    let Some((wait_from, wait_to)) = values.wait else { return malformed("no d=") };
-    let wait = milliseconds(&list[wait_from..wait_to])?;
-    let tenant = values.tenant.and_then(|name| instance.tenants.iter().position(|t| t.as_bytes() == name));
+    let CallWords { key, id, options: option_text } = call_words(arguments, is_get)?;
+    let options = Options::parse(option_text)?;
+    let class = check_class(&options, is_get, instance)?;
+    let Some(wait_range) = options.wait else { return Err(CallError::MissingWait) };
+    let wait_ms = parse_wait_ms(&option_text[wait_range.clone()])?;
+    let tenant = options.tenant.and_then(|name| instance.tenants.iter().position(|t| t.as_bytes() == name));
     Ok(Command::Call(Box::new(Call {
         class,
         tenant: tenant.unwrap_or(instance.tenants.len()),
         key: key_number(key),
         id: id.into(),
-        wait: wait * 1000,
-        is_retry: values.retry,
+        wait: wait_ms * 1000,
+        is_retry: options.is_retry,
         words: words.iter().map(|word| Box::from(*word)).collect(),
-        wait_from,
-        wait_to,
+        wait_range,
     })))
 }
 
-/// The values of a call's list that matter here; others go on unread.
+/// Checks the number and the lengths of a call's words.
+fn call_words<'a>(arguments: &[&'a [u8]], is_get: bool) -> Result<CallWords<'a>, CallError> {
+    let (key, id, options) = match (arguments, is_get) {
+        ([key, id, options], true) | ([key, id, options, _], false) => (*key, *id, *options),
+        _ => return Err(CallError::WordCount),
+    };
+    if [key, id, options].iter().any(|word| word.is_empty() || word.len() > MAX_WORD_BYTES) {
+        return Err(CallError::WordLength);
+    }
+    Ok(CallWords { key, id, options })
+}
+
+/// The class of a call, if its command and its options fit that class.
+fn check_class(options: &Options, is_get: bool, instance: &Instance) -> Result<usize, CallError> {
+    let class = options
+        .class
+        .and_then(|name| instance.classes.iter().position(|class| class.as_bytes() == name))
+        .ok_or(CallError::UnknownClass)?;
+    let idempotency = instance.decisions.classes[class].idempotency;
+    if (idempotency == Idempotency::Idempotent) != is_get {
+        return Err(CallError::WrongCommand);
+    }
+    if idempotency == Idempotency::Keyed && options.idempotency_key.is_none_or(<[u8]>::is_empty) {
+        return Err(CallError::MissingIdempotencyKey);
+    }
+    Ok(class)
+}
+
+/// The options of a call that matter here; others are sent on unread.
 #[derive(Default)]
-struct Values<'a> {
+struct Options<'a> {
     class: Option<&'a [u8]>,
     tenant: Option<&'a [u8]>,
-    key: Option<&'a [u8]>,
-    wait: Option<(usize, usize)>,
-    retry: bool,
+    idempotency_key: Option<&'a [u8]>,
+    /// Where the wait stands within the text.
+    wait: Option<Range<usize>>,
+    is_retry: bool,
 }
 
-impl<'a> Values<'a> {
-    fn read(list: &'a [u8]) -> Result<Self, Malformed> {
-        let mut values = Values::default();
-        let mut at = 0;
-        for item in list.split(|b| *b == b',') {
-            let Some(equals) = item.iter().position(|b| *b == b'=') else {
-                return malformed("a value without a name");
+impl<'a> Options<'a> {
+    /// Parses `name=value` pairs, separated by commas.
+    fn parse(text: &'a [u8]) -> Result<Self, CallError> {
+        let mut options = Options::default();
+        let mut start = 0;
+        for item in text.split(|byte| *byte == b',') {
+            let Some(equals) = item.iter().position(|byte| *byte == b'=') else {
+                return Err(CallError::UnnamedOption);
             };
-            let (name, value) = (&item[..equals], &item[equals + 1..]);
-            let span = (at + equals + 1, at + item.len());
-            at += item.len() + 1;
-            let taken = match name {
-                b"c" => values.class.replace(value).is_some(),
-                b"t" => values.tenant.replace(value).is_some(),
-                b"k" => values.key.replace(value).is_some(),
-                b"d" => values.wait.replace(span).is_some(),
-                b"r" => std::mem::replace(&mut values.retry, value == b"1"),
+            let name = &item[..equals];
+            let value = &item[equals + 1..];
+            let value_range = start + equals + 1..start + item.len();
+            start += item.len() + 1;
+            let is_duplicate = match name {
+                b"c" => options.class.replace(value).is_some(),
+                b"t" => options.tenant.replace(value).is_some(),
+                b"k" => options.idempotency_key.replace(value).is_some(),
+                b"d" => options.wait.replace(value_range).is_some(),
+                b"r" => std::mem::replace(&mut options.is_retry, value == b"1"),
                 _ => false,
             };
-            if taken {
-                return malformed("a value given twice");
+            if is_duplicate {
+                return Err(CallError::DuplicateOption);
             }
         }
-        Ok(values)
+        Ok(options)
     }
 }
 
-fn milliseconds(digits: &[u8]) -> Result<u64, Malformed> {
-    let number = (!digits.is_empty() && digits.iter().all(u8::is_ascii_digit))
-        .then(|| std::str::from_utf8(digits).ok()?.parse::<u64>().ok())
-        .flatten();
-    number.filter(|ms| (1..=WAIT_MOST).contains(ms)).ok_or(Malformed("d= is no time".into()))
+fn parse_wait_ms(digits: &[u8]) -> Result<u64, CallError> {
+    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
+        return Err(CallError::InvalidWait);
+    }
+    let number = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<u64>().ok());
+    number.filter(|ms| (1..=MAX_WAIT_MS).contains(ms)).ok_or(CallError::InvalidWait)
 }
 
 impl Call {
-    /// Bytes held for it.
+    /// The memory that it is taken to need, in bytes.
     pub fn size(&self) -> usize {
-        self.words.iter().map(|word| word.len() + 32).sum::<usize>() + 128
+        let words: usize = self.words.iter().map(|word| word.len() + WORD_OVERHEAD_BYTES).sum();
+        words + CALL_OVERHEAD_BYTES
     }
 
-    /// Appends the call as it goes to a server that will be waited for so long.
+    /// Appends the call for a server, which will be waited for during `wait`.
     pub fn write(&self, out: &mut Vec<u8>, wait: Micros) {
-        let (list, ms) = (&self.words[3], wait.div_ceil(1000).max(1).to_string());
-        let list = [&list[..self.wait_from], ms.as_bytes(), &list[self.wait_to..]].concat();
+        let wait_ms = wait.div_ceil(1000).max(1).to_string();
+        let options = &self.words[OPTIONS_WORD];
+        let before_wait = &options[..self.wait_range.start];
+        let after_wait = &options[self.wait_range.end..];
+        let options = [before_wait, wait_ms.as_bytes(), after_wait].concat();
         let mut words: Vec<&[u8]> = self.words.iter().map(|word| &**word).collect();
-        words[3] = &list;
+        words[OPTIONS_WORD] = &options;
         violetseam_resp::command::write(out, &words);
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,17 +1,17 @@
 //! The configuration that a proxy is started with, and again at each SIGHUP.
 
-use crate::discovery::List;
-use crate::pipeline::News;
-use crate::{Malformed, malformed};
+use crate::ConfigurationError;
+use crate::discovery::ListUpdate;
+use crate::pipeline::ReleaseStatusText;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 use violetseam_instance::Instance;
 
-/// The longest configuration that is read, in bytes.
-pub const CONFIG_MOST: usize = 8 << 20;
+/// The longest configuration that is parsed, in bytes.
+pub const MAX_CONFIG_BYTES: usize = 8 << 20;
 
-/// What a proxy's processes may take.
+/// The resources that a proxy's process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -27,15 +27,20 @@
     }
 }
 
+/// The fewest descriptors that a proxy can run with.
+const MIN_SOCKETS: usize = 32;
+
+/// The release service, as written.
 #[derive(Deserialize)]
 struct PipelineText {
     address: SocketAddr,
-    #[serde(default)]
-    news: Option<News>,
+    #[serde(default, rename = "news")]
+    release_status: Option<ReleaseStatusText>,
 }
 
+/// The configuration, as written.
 #[derive(Deserialize)]
-struct Text<'a> {
+struct ConfigText<'a> {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -50,13 +55,13 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     pipeline: PipelineText,
-    #[serde(default)]
-    known: Option<List>,
+    #[serde(default, rename = "known")]
+    cached_list: Option<ListUpdate>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
-/// What a proxy is told.
+/// The configuration of one proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name.
@@ -65,9 +70,9 @@
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// What it may take.
+    /// The resources that it may use.
     pub limits: Limits,
     /// Where peers' datagrams arrive.
     pub peer_listen: Option<SocketAddr>,
@@ -77,53 +82,58 @@
     pub peers_all: Option<SocketAddr>,
     /// The release service's address.
     pub pipeline: SocketAddr,
-    /// Where the newest build stood when this was written.
-    pub news: Option<News>,
+    /// The release status when this was written.
+    pub release_status: Option<ReleaseStatusText>,
     /// The server list as last held; may be out of date.
-    pub known: Option<List>,
+    pub cached_list: Option<ListUpdate>,
     /// The settings.
     pub instance: Instance,
 }
 
 impl Config {
-    /// Reads the whole text.
-    pub fn parse(text: &[u8]) -> Result<Config, Malformed> {
-        if text.len() > CONFIG_MOST {
-            return malformed(format!("configuration: over {CONFIG_MOST} bytes"));
+    /// Parses the JSON text.
+    ///
+    /// # Errors
+    /// A [`ConfigurationError`] if the text is too long, is not the expected JSON, or holds values that cannot be used.
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigurationError> {
+        if text.len() > MAX_CONFIG_BYTES {
+            return Err(ConfigurationError::TooLong { limit: MAX_CONFIG_BYTES });
         }
-        let text: Text =
-            serde_json::from_slice(text).map_err(|e| Malformed(format!("configuration: {e}")))?;
+        let text: ConfigText = serde_json::from_slice(text).map_err(ConfigurationError::Json)?;
         let instance = violetseam_instance::read(text.settings.get().as_bytes())
-            .map_err(|why| Malformed(format!("configuration: {why}")))?;
+            .map_err(|error| ConfigurationError::Settings { reason: error.to_string() })?;
         if instance.decisions.classes.is_empty() {
-            return malformed("configuration: settings without classes");
+            return Err(ConfigurationError::NoClasses);
         }
-        if text.limits.sockets < 32 {
-            return malformed("configuration: under 32 sockets");
+        if text.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigurationError::TooFewSockets);
         }
-        if let Some(known) = &text.known {
-            known.check()?;
+        if let Some(list) = &text.cached_list {
+            list.validate()?;
         }
         Ok(Config {
             name: text.name,
             listen: text.listen,
             discovery: text.discovery,
-            seed: seed(&text.seed)?,
+            seed: parse_seed(&text.seed)?,
             limits: text.limits,
             peer_listen: text.peer_listen,
             peers: text.peers,
             peers_all: text.peers_all,
             pipeline: text.pipeline.address,
-            news: text.pipeline.news,
-            known: text.known,
+            release_status: text.pipeline.release_status,
+            cached_list: text.cached_list,
             instance,
         })
     }
 }
 
-/// The seed is hexadecimal, of any length: longer ones are folded.
-fn seed(text: &str) -> Result<u64, Malformed> {
-    let digit = |b: u8| char::from(b).to_digit(16).map(u64::from);
-    let fold = |seed: u64, b: u8| digit(b).map(|d| seed.rotate_left(4) ^ d);
-    text.bytes().try_fold(0, fold).ok_or_else(|| Malformed("configuration: seed is not hexadecimal".into()))
+/// Parses the seed: hexadecimal, of any length; digits past the 16th are folded in.
+fn parse_seed(text: &str) -> Result<u64, ConfigurationError> {
+    let mut seed = 0u64;
+    for character in text.bytes().map(char::from) {
+        let digit = character.to_digit(16).ok_or(ConfigurationError::InvalidSeed)?;
+        seed = seed.rotate_left(4) ^ u64::from(digit);
+    }
+    Ok(seed)
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,27 +1,31 @@
-//! The server list as discovery tells it, and as this proxy holds it.
+//! The server list as discovery sends it, and as this proxy holds it.
 
-use crate::{Malformed, malformed};
+use crate::ListError;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
-/// The longest answer that is taken, in bytes.
-pub const ANSWER_MOST: usize = 1 << 20;
-/// The most servers that are taken.
-const SERVERS_MOST: usize = 4096;
-/// Ids of servers that have left stay known until there are so many.
-const LEFT_MOST: usize = 256;
+/// The longest answer that is accepted, in bytes.
+pub const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// The most servers that are accepted.
+const MAX_SERVERS: usize = 4096;
+/// Ids of removed servers stay known until there are more than this.
+const MAX_REMOVED_SERVERS: usize = 256;
+/// Sizes must be below this.
+const MAX_SIZE: f64 = 1e9;
+/// The longest id that is accepted.
+const MAX_ID_BYTES: usize = 256;
 
 /// A server's state as written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
-    /// Takes work.
+pub enum MemberPhase {
+    /// Takes requests.
     Up,
-    /// Finishes what it has.
+    /// Finishes its requests and takes no new ones.
     Draining,
-    /// Has left; among changes only.
+    /// Has left the list; in deltas only.
     Removed,
 }
 
@@ -39,9 +43,9 @@
     #[serde(default)]
     pub cell: u16,
     /// Its state.
-    pub phase: Phase,
+    pub phase: MemberPhase,
     /// Its size against the others.
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     pub size: f64,
     /// Its last start, as Unix time in milliseconds; 0: long ago.
     #[serde(default)]
@@ -51,87 +55,92 @@
     pub version_no: u16,
 }
 
-fn one() -> f64 {
+impl Member {
+    fn is_usable(&self) -> bool {
+        self.size.is_finite() && self.size > 0.0 && self.size < MAX_SIZE && self.id.len() <= MAX_ID_BYTES
+    }
+}
+
+fn default_size() -> f64 {
     1.0
 }
 
-/// The whole list, or its changes.
+/// The full list, or a delta, as written.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct List {
+pub struct ListUpdate {
     /// Its version.
     pub revision: u64,
-    /// The whole list.
+    /// It is the full list.
     pub complete: bool,
     /// The servers.
     pub members: Vec<Member>,
 }
 
-impl List {
-    /// Reads an answer's body.
-    pub fn parse(body: &[u8]) -> Result<List, Malformed> {
-        let list: List = serde_json::from_slice(body).map_err(|e| Malformed(format!("discovery: {e}")))?;
-        list.check()?;
+impl ListUpdate {
+    /// Parses an answer's body.
+    ///
+    /// # Errors
+    /// A [`ListError`] if the body is not the expected JSON, or holds values that cannot be used.
+    pub fn parse(body: &[u8]) -> Result<ListUpdate, ListError> {
+        let list: ListUpdate = serde_json::from_slice(body).map_err(ListError::Json)?;
+        list.validate()?;
         Ok(list)
     }
 
-    pub(crate) fn check(&self) -> Result<(), Malformed> {
-        if self.members.len() > SERVERS_MOST {
-            return malformed("discovery: too many servers");
-        }
-        let usable = |m: &Member| m.size.is_finite() && m.size > 0.0 && m.size < 1e9 && m.id.len() <= 256;
-        match self.members.iter().find(|m| !usable(m)) {
-            Some(_) => malformed("discovery: a server without a usable size or id"),
-            None => Ok(()),
+    pub(crate) fn validate(&self) -> Result<(), ListError> {
+        if self.members.len() > MAX_SERVERS {
+            return Err(ListError::TooManyServers);
         }
+        if self.members.iter().all(Member::is_usable) { Ok(()) } else { Err(ListError::UnusableServer) }
     }
 }
 
-/// The path of a call for the whole list.
-pub const WHOLE_PATH: &str = "/discovery/hosts";
+/// The path of a query for the full list.
+pub const LIST_PATH: &str = "/discovery/hosts";
 
-/// The path of a watch for what is newer than `version`, for so long.
+/// The path of a watch for the changes since `version`, which waits for up to `wait`.
 pub fn watch_path(version: u64, wait: Micros) -> String {
-    format!("{WHOLE_PATH}?index={version}&wait={}", wait / 1000)
+    format!("{LIST_PATH}?index={version}&wait={}", wait / 1000)
 }
 
 /// A server as this proxy knows it.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// Its number towards the decisions.
+pub struct KnownServer {
+    /// Its number towards the engine.
     pub number: ServerId,
     /// Where it listens.
     pub address: SocketAddr,
     build: u16,
     up_since_ms: u64,
-    left: bool,
+    is_removed: bool,
 }
 
-/// What a list changes.
+/// What a list update changes.
 #[derive(Clone, Debug)]
-pub struct Applied {
-    /// Whole or changes.
+pub struct AppliedUpdate {
+    /// Full list or delta.
     pub kind: ListKind,
-    /// The lines, for the decisions.
+    /// The entries, for the engine.
     pub entries: Vec<ServerEntry>,
-    /// Servers whose address, build or start is another now, or that left: connections that were opened to
-    /// what stood there before carry nothing new.
+    /// Servers whose address, build or start has changed, or that were removed: connections opened before must not carry
+    /// further requests.
     pub changed: Vec<ServerId>,
 }
 
-/// The list as held. Ids are words on the wire and numbers for the decisions.
+/// The list as held. Servers have textual ids on the wire and numbers for the engine.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct ServerList {
     version: Option<u64>,
-    by_id: BTreeMap<String, Known>,
+    by_id: BTreeMap<String, KnownServer>,
     addresses: BTreeMap<ServerId, SocketAddr>,
-    next: ServerId,
+    last_number: ServerId,
     zones: Vec<String>,
 }
 
-impl Roster {
-    /// Zones are numbered by their place among these names.
+impl ServerList {
+    /// An empty list; zones are numbered by their place among these names.
     pub fn new(zones: Vec<String>) -> Self {
-        Roster { zones, ..Roster::default() }
+        ServerList { zones, ..ServerList::default() }
     }
 
     /// The version held.
@@ -151,78 +160,91 @@
 
     /// Whether no server is known.
     pub fn is_empty(&self) -> bool {
-        self.by_id.values().all(|known| known.left)
+        self.by_id.values().all(|known| known.is_removed)
     }
 
-    /// Takes a list: what the decisions are told. Changes count on top of a list only. One that is older than
-    /// the list held was overtaken on its way, and would bring back servers that have drained since: it says
-    /// no more than that discovery is there.
-    pub fn apply(&mut self, list: &List) -> Result<Applied, Malformed> {
+    /// Applies an update and returns what it changes for the engine. An update that is older than the list held was
+    /// overtaken on its way, and would bring back servers that have drained since: it changes nothing.
+    ///
+    /// # Errors
+    /// [`ListError::NoBaseList`] for a delta without a list to apply it to.
+    pub fn apply(&mut self, list: &ListUpdate) -> Result<AppliedUpdate, ListError> {
         let Some(held) = self.version.or(list.complete.then_some(0)) else {
-            return malformed("discovery: changes to no list");
+            return Err(ListError::NoBaseList);
         };
         if list.revision < held {
-            return Ok(Applied { kind: ListKind::Delta, entries: Vec::new(), changed: Vec::new() });
+            return Ok(AppliedUpdate { kind: ListKind::Delta, entries: Vec::new(), changed: Vec::new() });
         }
         let mut changed = Vec::new();
         if list.complete {
             for known in self.by_id.values_mut() {
-                known.left = true;
+                known.is_removed = true;
             }
         }
-        let entries = list.members.iter().map(|member| self.take(member, &mut changed)).collect();
-        let left = self.by_id.values().filter(|known| known.left);
-        changed.extend(left.map(|known| known.number));
+        let entries = list.members.iter().map(|member| self.update_server(member, &mut changed)).collect();
+        let removed = self.by_id.values().filter(|known| known.is_removed);
+        changed.extend(removed.map(|known| known.number));
         self.version = Some(list.revision);
-        self.forget_some();
+        self.forget_oldest_removed();
         let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
-        Ok(Applied { kind, entries, changed })
+        Ok(AppliedUpdate { kind, entries, changed })
     }
 
-    /// The next list asked for must be the whole one.
+    /// Forgets the version: the next query must be for the full list.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    fn take(&mut self, member: &Member, changed: &mut Vec<ServerId>) -> ServerEntry {
-        let next = &mut self.next;
+    fn update_server(&mut self, member: &Member, changed: &mut Vec<ServerId>) -> ServerEntry {
+        let last_number = &mut self.last_number;
         let known = self.by_id.entry(member.id.clone()).or_insert_with(|| {
-            *next += 1;
-            Known { number: *next, address: member.host_port, build: 0, up_since_ms: 0, left: false }
+            *last_number += 1;
+            KnownServer {
+                number: *last_number,
+                address: member.host_port,
+                build: 0,
+                up_since_ms: 0,
+                is_removed: false,
+            }
         });
         let before = (known.address, known.build, known.up_since_ms);
         known.address = member.host_port;
-        (known.build, known.up_since_ms) = (member.version_no, member.up_since_ms);
-        known.left = member.phase == Phase::Removed;
+        known.build = member.version_no;
+        known.up_since_ms = member.up_since_ms;
+        known.is_removed = member.phase == MemberPhase::Removed;
         if before != (known.address, known.build, known.up_since_ms) {
             changed.push(known.number);
         }
         self.addresses.insert(known.number, known.address);
-        let zone = self.zones.iter().position(|z| *z == member.locality).unwrap_or(self.zones.len());
+        let zone = self.zones.iter().position(|name| *name == member.locality).unwrap_or(self.zones.len());
         ServerEntry {
             id: known.number,
             zone: zone as u16,
             build: member.version_no,
             cell: member.cell,
             status: match member.phase {
-                Phase::Up => ServerStatus::Ready,
-                Phase::Draining => ServerStatus::Draining,
-                Phase::Removed => ServerStatus::Removed,
+                MemberPhase::Up => ServerStatus::Ready,
+                MemberPhase::Draining => ServerStatus::Draining,
+                MemberPhase::Removed => ServerStatus::Removed,
             },
             size: member.size,
             started_at: member.up_since_ms.saturating_mul(1000),
         }
     }
 
-    /// Numbers of servers that left are forgotten once there are many, the oldest first.
-    fn forget_some(&mut self) {
-        let mut left: Vec<(ServerId, String)> =
-            self.by_id.iter().filter(|(_, k)| k.left).map(|(id, k)| (k.number, id.clone())).collect();
-        if left.len() <= LEFT_MOST {
+    /// Forgets the oldest half of the removed servers once there are too many.
+    fn forget_oldest_removed(&mut self) {
+        let mut removed: Vec<(ServerId, String)> = self
+            .by_id
+            .iter()
+            .filter(|(_, known)| known.is_removed)
+            .map(|(id, known)| (known.number, id.clone()))
+            .collect();
+        if removed.len() <= MAX_REMOVED_SERVERS {
             return;
         }
-        left.sort();
-        for (number, id) in left.drain(..LEFT_MOST / 2) {
+        removed.sort();
+        for (number, id) in removed.drain(..MAX_REMOVED_SERVERS / 2) {
             self.by_id.remove(&id);
             self.addresses.remove(&number);
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform's protocol without I/O or a clock: bytes in, the decisions' plain types out, and back.
+//! The platform's protocol without I/O or a clock: bytes in, the engine's plain types out, and back.
 //!
-//! - [`config`]: what a proxy is told when it starts
-//! - [`call`]: clients' commands, as they go on to servers
-//! - [`answer`]: what a server's reply says of an attempt, and a proxy's own answers
+//! - [`config`]: the configuration that a proxy is started with
+//! - [`call`]: clients' commands, and calls as they are sent on to servers
+//! - [`answer`]: what a server's reply means for its attempt, and a proxy's own responses
 //! - [`discovery`]: the server list
-//! - [`pipeline`]: stage news, reports of wrong answers, votes
+//! - [`pipeline`]: the release status, reports of wrong answers, votes
 //!
-//! What is malformed becomes an error with its reason here and never reaches the decisions. Times are
+//! Malformed input becomes a typed error here and never reaches the engine. Times are
 //! microseconds; the platform's wall-clock times are taken as they are, so a driver's clock must count from
 //! the same origin.
 
@@ -14,10 +14,7 @@
 pub mod call;
 pub mod config;
 pub mod discovery;
+mod error;
 pub mod pipeline;
 
-pub use violetseam_site::Malformed;
-
-pub(crate) fn malformed<T>(reason: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(reason.into()))
-}
+pub use error::{AnswerError, CallError, ConfigurationError, ListError, PipelineError};
--- a/crates/platform/src/pipeline.rs
+++ b/crates/platform/src/pipeline.rs
@@ -1,42 +1,45 @@
 //! The release service: JSON-RPC 2.0, one object a line.
 
-use crate::{Malformed, malformed};
+use crate::PipelineError;
 use serde::Deserialize;
 use violetseam::interface::{Build, Micros, Outcome, Phase, ReleaseStatus, Verdict};
 
-/// A line may not be longer, either way.
-pub const LINE_MOST: usize = 8 * 1024 - 1;
+/// The longest line in either direction.
+pub const MAX_LINE_BYTES: usize = 8 * 1024 - 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum ReleaseState {
     Canary,
     Reverting,
     Stable,
     Reverted,
 }
 
-/// Where the newest build stands, as written.
+/// The release status of the newest build, as written.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct News {
+pub struct ReleaseStatusText {
     revision: Build,
     wave: u8,
-    state: State,
+    state: ReleaseState,
     max_share: f64,
 }
 
-impl News {
-    /// For the decisions.
-    pub fn read(&self) -> Result<ReleaseStatus, Malformed> {
+impl ReleaseStatusText {
+    /// The status for the engine.
+    ///
+    /// # Errors
+    /// [`PipelineError::InvalidCap`] if the cap is not between 0 and 1.
+    pub fn to_status(&self) -> Result<ReleaseStatus, PipelineError> {
         if !(0.0..=1.0).contains(&self.max_share) {
-            return malformed("pipeline: a cap that is no share");
+            return Err(PipelineError::InvalidCap);
         }
         let phase = match self.state {
-            State::Canary => Phase::Trial,
-            State::Reverting => Phase::RollingBack,
-            State::Stable => Phase::Released,
-            State::Reverted => Phase::Withdrawn,
+            ReleaseState::Canary => Phase::Trial,
+            ReleaseState::Reverting => Phase::RollingBack,
+            ReleaseState::Stable => Phase::Released,
+            ReleaseState::Reverted => Phase::Withdrawn,
         };
         Ok(ReleaseStatus { build: self.revision, stage: self.wave, phase, cap: self.max_share })
     }
@@ -56,7 +59,7 @@
 }
 
 #[derive(Deserialize)]
-struct LineText {
+struct MessageText {
     jsonrpc: String,
     id: Option<u64>,
     method: Option<String>,
@@ -65,13 +68,13 @@
     error: Option<ErrorText>,
 }
 
-/// A line from the service.
+/// A message from the service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
-    /// Unasked: where the newest build stands.
-    Stage(ReleaseStatus),
-    /// Unasked: an answer was wrong.
-    Flag {
+pub enum Message {
+    /// A notification: the release status of the newest build.
+    ReleaseStatus(ReleaseStatus),
+    /// A notification: a client found an answer wrong.
+    AnswerFlagged {
         /// The server that gave it.
         server: String,
         /// Its class.
@@ -79,50 +82,53 @@
         /// How long ago the attempt was sent.
         since: Micros,
     },
-    /// Unasked: a sign of life, or a kind that is not known here.
-    Alive,
-    /// The answer to a call, with the state if it carries one.
+    /// A notification: a heartbeat, or a kind that is not known here.
+    Heartbeat,
+    /// The reply to a call, with the release status if it carries one.
     Accepted {
         /// Which call.
         id: u64,
-        /// The newest build.
-        news: Option<ReleaseStatus>,
+        /// The release status of the newest build.
+        status: Option<ReleaseStatus>,
     },
-    /// A call was not carried out.
+    /// The reply to a call that was not carried out.
     Declined {
         /// Which call.
         id: u64,
-        /// How that counts.
+        /// What that means for a vote.
         outcome: Outcome,
-        /// As worded.
+        /// The service's reason.
         message: String,
     },
 }
 
-impl Line {
-    /// Reads a line, its end left out.
-    pub fn parse(line: &[u8]) -> Result<Line, Malformed> {
-        let wrong = |e: serde_json::Error| Malformed(format!("pipeline: {e}"));
-        let text: LineText = serde_json::from_slice(line).map_err(wrong)?;
+impl Message {
+    /// Parses a line without its end.
+    ///
+    /// # Errors
+    /// A [`PipelineError`] if the line is not the expected JSON, or holds values that cannot be used.
+    pub fn parse(line: &[u8]) -> Result<Message, PipelineError> {
+        let text: MessageText = serde_json::from_slice(line).map_err(PipelineError::Json)?;
         if text.jsonrpc != "2.0" {
-            return malformed("pipeline: not JSON-RPC 2.0");
+            return Err(PipelineError::NotJsonRpc);
         }
         if let Some(method) = text.method {
             let params = text.params.unwrap_or_default();
             return match method.as_str() {
                 "stage" => {
-                    let news: News = serde_json::from_value(params).map_err(wrong)?;
-                    Ok(Line::Stage(news.read()?))
+                    let status: ReleaseStatusText =
+                        serde_json::from_value(params).map_err(PipelineError::Json)?;
+                    Ok(Message::ReleaseStatus(status.to_status()?))
                 }
                 "flag" => {
-                    let flag: FlagText = serde_json::from_value(params).map_err(wrong)?;
+                    let flag: FlagText = serde_json::from_value(params).map_err(PipelineError::Json)?;
                     let since = flag.age_ms.saturating_mul(1000);
-                    Ok(Line::Flag { server: flag.instance_id, class: flag.lane, since })
+                    Ok(Message::AnswerFlagged { server: flag.instance_id, class: flag.lane, since })
                 }
-                _ => Ok(Line::Alive),
+                _ => Ok(Message::Heartbeat),
             };
         }
-        let Some(id) = text.id else { return malformed("pipeline: neither a call's answer nor news") };
+        let Some(id) = text.id else { return Err(PipelineError::UnknownMessage) };
         match (text.error, text.result) {
             (Some(error), _) => {
                 let outcome = match error.message.as_str() {
@@ -130,25 +136,26 @@
                     "out_of_date" => Outcome::NotSent,
                     _ => Outcome::Error,
                 };
-                Ok(Line::Declined { id, outcome, message: error.message })
+                Ok(Message::Declined { id, outcome, message: error.message })
             }
-            (None, Some(serde_json::Value::Bool(true))) => Ok(Line::Accepted { id, news: None }),
+            (None, Some(serde_json::Value::Bool(true))) => Ok(Message::Accepted { id, status: None }),
             (None, Some(result)) => {
-                let news: News = serde_json::from_value(result).map_err(wrong)?;
-                Ok(Line::Accepted { id, news: Some(news.read()?) })
+                let status: ReleaseStatusText =
+                    serde_json::from_value(result).map_err(PipelineError::Json)?;
+                Ok(Message::Accepted { id, status: Some(status.to_status()?) })
             }
-            (None, None) => malformed("pipeline: an answer without a result"),
+            (None, None) => Err(PipelineError::MissingResult),
         }
     }
 }
 
-/// The call that asks for news on its connection.
-pub fn watch(id: u64) -> Vec<u8> {
+/// The call that subscribes to notifications on its connection.
+pub fn watch_call(id: u64) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"Events.Watch\"}}\n").into_bytes()
 }
 
-/// A vote.
-pub fn vote(id: u64, build: Build, stage: u8, verdict: Verdict) -> Vec<u8> {
+/// The call that casts a vote.
+pub fn vote_call(id: u64, build: Build, stage: u8, verdict: Verdict) -> Vec<u8> {
     let decision = match verdict {
         Verdict::Withdraw => "abstain",
         Verdict::Promote => "promote",
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -3,12 +3,13 @@
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, Phase, ReleaseStatus, ServerStatus, Verdict};
 use violetseam_instance::Instance;
-use violetseam_platform::answer::{Answer, answer};
-use violetseam_platform::call::{Call, Command, read};
+use violetseam_platform::answer::{Answer, parse_answer};
+use violetseam_platform::call::{Call, Command, parse};
 use violetseam_platform::config::Config;
-use violetseam_platform::discovery::{List, Roster};
-use violetseam_platform::pipeline::{self, Line};
-use violetseam_resp::Bounds;
+use violetseam_platform::discovery::{ListUpdate, ServerList};
+use violetseam_platform::pipeline::{self, Message};
+use violetseam_platform::{AnswerError, CallError};
+use violetseam_resp::{Bounds, FramingError};
 
 const SETTINGS: &str = r#"{"Classes": [
     {"Name": "look", "Effect": "retryable", "HardLimit": 1000000, "Objective": 300000},
@@ -20,12 +21,12 @@
     violetseam_instance::read(SETTINGS.as_bytes()).unwrap()
 }
 
-fn call(words: &[&str]) -> Result<Call, String> {
+fn call(words: &[&str]) -> Result<Call, CallError> {
     let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
-    match read(&words, &instance()) {
+    match parse(&words, &instance()) {
         Ok(Command::Call(call)) => Ok(*call),
         Ok(other) => panic!("no call: {other:?}"),
-        Err(why) => Err(why.0),
+        Err(error) => Err(error),
     }
 }
 
@@ -63,7 +64,7 @@
         (&["GET", "key"], "unknown command"),
     ];
     for (words, why) in refused {
-        assert_eq!(call(words).unwrap_err(), why, "{words:?}");
+        assert_eq!(call(words).unwrap_err().to_string(), why, "{words:?}");
     }
 }
 
@@ -71,7 +72,7 @@
 fn an_answer_says_how_its_attempt_ended() {
     let bounds = Bounds::default();
     let served = |value, reusable| Answer::Served { value, reusable };
-    let ended = |outcome, reusable| Answer::Ended { outcome, reusable };
+    let ended = |outcome, reusable| Answer::NotServed { outcome, reusable };
     let cases: [(&[u8], Answer); 16] = [
         (b"*3\r\n$2\r\nab\r\n$-1\r\n$-1\r\n", served(b"ab", true)),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", served(b"", true)),
@@ -84,20 +85,23 @@
         (b"-BUSY\r\n", ended(Outcome::Rejected, true)),
         (b"-ERR failed\r\n", ended(Outcome::Error, true)),
         (b"-BUSYBODY\r\nx", ended(Outcome::Error, false)),
-        (b"*3\r\n$2\r\nab\r\n$-1\r\n", Answer::More),
-        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Answer::Spoilt("an array that is no answer")),
-        (b"*1\r\n$2\r\nab\r\n", Answer::Spoilt("an array that is no answer")),
-        (b":5\r\n", Answer::Spoilt("neither an array nor an error")),
-        (b"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n", Answer::Spoilt("a length that does not fit")),
-        (b"xxxxxxxx", Answer::Spoilt("noise")),
+        (b"*3\r\n$2\r\nab\r\n$-1\r\n", Answer::Incomplete),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Answer::Malformed(AnswerError::UnexpectedArray)),
+        (b"*1\r\n$2\r\nab\r\n", Answer::Malformed(AnswerError::UnexpectedArray)),
+        (b":5\r\n", Answer::Malformed(AnswerError::UnexpectedReply)),
+        (
+            b"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n",
+            Answer::Malformed(AnswerError::Framing(FramingError::InvalidLength)),
+        ),
+        (b"xxxxxxxx", Answer::Malformed(AnswerError::Framing(FramingError::UnexpectedByte(b'x')))),
     ];
     for (input, want) in cases {
-        assert_eq!(answer(input, &bounds), want, "{:?}", String::from_utf8_lossy(input));
+        assert_eq!(parse_answer(input, &bounds), want, "{:?}", String::from_utf8_lossy(input));
     }
 }
 
-fn list(text: &str) -> List {
-    List::parse(text.as_bytes()).unwrap()
+fn list(text: &str) -> ListUpdate {
+    ListUpdate::parse(text.as_bytes()).unwrap()
 }
 
 const WHOLE: &str = r#"{"revision":41,"complete":true,"members":[
@@ -106,38 +110,42 @@
 
 #[test]
 fn the_list_becomes_numbered_entries() {
-    let mut roster = Roster::new(vec!["a".into(), "b".into()]);
+    let mut server_list = ServerList::new(vec!["a".into(), "b".into()]);
     let delta = r#"{"revision":42,"complete":false,"members":[
         {"id":"s-1","host_port":"10.1.0.9:6379","phase":"up","version_no":8},
         {"id":"s-2","host_port":"10.1.0.2:6379","phase":"removed","version_no":6}]}"#;
-    assert!(roster.apply(&list(delta)).is_err(), "changes to no list");
-    let first = roster.apply(&list(WHOLE)).unwrap();
+    assert!(server_list.apply(&list(delta)).is_err(), "changes to no list");
+    let first = server_list.apply(&list(WHOLE)).unwrap();
     let told = |e: &violetseam::interface::ServerEntry| (e.zone, e.build, e.cell, e.status, e.started_at);
     assert_eq!(first.kind, ListKind::Full);
     let want = [(1, 7, 3, ServerStatus::Ready, 1_700_000_000_000_000), (0, 6, 4, ServerStatus::Draining, 0)];
     assert_eq!(first.entries.iter().map(told).collect::<Vec<_>>(), want);
     let (one, two) = (first.entries[0].id, first.entries[1].id);
     // The id returns with another address and build: the same number, and connections to it are no good.
-    let second = roster.apply(&list(delta)).unwrap();
+    let second = server_list.apply(&list(delta)).unwrap();
     assert_eq!((second.kind, second.changed.clone()), (ListKind::Delta, vec![one, two]));
-    assert_eq!(roster.address(one), Some("10.1.0.9:6379".parse().unwrap()));
-    assert_eq!((roster.number("s-1"), roster.number("s-3")), (Some(one), None));
+    assert_eq!(server_list.address(one), Some("10.1.0.9:6379".parse().unwrap()));
+    assert_eq!((server_list.number("s-1"), server_list.number("s-3")), (Some(one), None));
     // A whole list that was overtaken on its way changes nothing.
-    let late = roster.apply(&list(WHOLE)).unwrap();
+    let late = server_list.apply(&list(WHOLE)).unwrap();
     assert!(late.entries.is_empty() && late.kind == ListKind::Delta);
-    assert_eq!(roster.address(one), Some("10.1.0.9:6379".parse().unwrap()));
+    assert_eq!(server_list.address(one), Some("10.1.0.9:6379".parse().unwrap()));
 }
 
 #[test]
 fn ids_that_left_are_forgotten() {
-    let mut roster = Roster::new(Vec::new());
+    let mut server_list = ServerList::new(Vec::new());
     for round in 0..2_000u64 {
         let text = format!(
             r#"{{"revision":{round},"complete":true,"members":[{{"id":"s-{round}","host_port":"10.1.0.1:1","phase":"up"}}]}}"#
         );
-        roster.apply(&list(&text)).unwrap();
+        server_list.apply(&list(&text)).unwrap();
     }
-    assert!(roster.number("s-1999").is_some() && roster.number("s-5").is_none() && !roster.is_empty());
+    assert!(
+        server_list.number("s-1999").is_some()
+            && server_list.number("s-5").is_none()
+            && !server_list.is_empty()
+    );
 }
 
 #[test]
@@ -150,25 +158,28 @@
         r#"{"revision":1,"complete":true,"members":[{"id":"s","host_port":"1.1.1.1:1","phase":"up","size":-1}]}"#,
         &WHOLE[..WHOLE.len() - 3],
     ] {
-        assert!(List::parse(text.as_bytes()).is_err(), "{text}");
+        assert!(ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
 fn the_pipelines_lines() {
-    let news = ReleaseStatus { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28 };
+    let status = ReleaseStatus { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28 };
     let state = r#"{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}"#;
-    let read = |text: &str| Line::parse(text.as_bytes());
+    let read = |text: &str| Message::parse(text.as_bytes());
     let stage = read(&format!(r#"{{"jsonrpc":"2.0","method":"stage","params":{state}}}"#));
-    assert_eq!(stage, Ok(Line::Stage(news)));
+    assert_eq!(stage.unwrap(), Message::ReleaseStatus(status));
     let accepted = read(&format!(r#"{{"jsonrpc":"2.0","id":11,"result":{state}}}"#));
-    assert_eq!(accepted, Ok(Line::Accepted { id: 11, news: Some(news) }));
-    assert_eq!(read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#), Ok(Line::Accepted { id: 10, news: None }));
+    assert_eq!(accepted.unwrap(), Message::Accepted { id: 11, status: Some(status) });
+    assert_eq!(
+        read(r#"{"jsonrpc":"2.0","id":10,"result":true}"#).unwrap(),
+        Message::Accepted { id: 10, status: None }
+    );
     let flag =
         r#"{"jsonrpc":"2.0","method":"flag","params":{"InstanceId":"s-5","Lane":"look","AgeMs":1200}}"#;
     let (server, class) = ("s-5".to_owned(), "look".to_owned());
-    assert_eq!(read(flag), Ok(Line::Flag { server, class, since: 1_200_000 }));
-    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#), Ok(Line::Alive));
+    assert_eq!(read(flag).unwrap(), Message::AnswerFlagged { server, class, since: 1_200_000 });
+    assert_eq!(read(r#"{"jsonrpc":"2.0","method":"ping"}"#).unwrap(), Message::Heartbeat);
     let declined = [
         ("too_many_calls", Outcome::Rejected),
         ("out_of_date", Outcome::NotSent),
@@ -177,7 +188,7 @@
     ];
     for (message, outcome) in declined {
         let text = format!(r#"{{"jsonrpc":"2.0","id":3,"error":{{"code":-32602,"message":"{message}"}}}}"#);
-        assert_eq!(read(&text), Ok(Line::Declined { id: 3, outcome, message: message.into() }));
+        assert_eq!(read(&text).unwrap(), Message::Declined { id: 3, outcome, message: message.into() });
     }
     for spoilt in [
         "",
@@ -191,7 +202,7 @@
     }
     let high = r#"{"jsonrpc":"2.0","method":"stage","params":{"Revision":1,"Wave":0,"State":"canary","MaxShare":7.0}}"#;
     assert!(read(high).is_err());
-    let vote = String::from_utf8(pipeline::vote(11, 42, 1, Verdict::Promote)).unwrap();
+    let vote = String::from_utf8(pipeline::vote_call(11, 42, 1, Verdict::Promote)).unwrap();
     let want = r#"{"jsonrpc":"2.0","id":11,"method":"Rollout.Judge","params":{"Revision":42,"Wave":1,"Decision":"promote"}}"#;
     assert_eq!(vote, format!("{want}\n"));
 }
@@ -209,7 +220,7 @@
     let config = Config::parse(text(SETTINGS).as_bytes()).unwrap();
     assert_eq!((config.seed, config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 384));
     assert_eq!((config.instance.open_cap, config.instance.classes.len()), (77, 2));
-    assert_eq!(config.news.unwrap().read().unwrap().phase, Phase::Released);
+    assert_eq!(config.release_status.unwrap().to_status().unwrap().phase, Phase::Released);
     for broken in ["{}", "7", r#"{"Classes":[{"Effect":"novel"}]}"#] {
         assert!(Config::parse(text(broken).as_bytes()).is_err(), "{broken}");
     }
@@ -221,7 +232,7 @@
     #[test]
     fn any_list_is_survived(list in "[cdtkr=,0-9a-z]{0,40}") {
         let words: [&[u8]; 4] = [b"CALL.GET", b"key", b"id", list.as_bytes()];
-        if let Ok(Command::Call(call)) = read(&words, &instance()) {
+        if let Ok(Command::Call(call)) = parse(&words, &instance()) {
             let mut out = Vec::new();
             call.write(&mut out, 5_000);
             prop_assert!(out.starts_with(b"*4\r\n$8\r\nCALL.GET\r\n$3\r\nkey\r\n"));
@@ -235,7 +246,7 @@
         violetseam_resp::write_bulk(&mut whole, &value);
         whole.extend_from_slice(b"$-1\r\n$-1\r\n");
         let cut = cut.min(whole.len() - 1);
-        prop_assert_eq!(answer(&whole[..cut], &Bounds::default()), Answer::More);
-        prop_assert_eq!(answer(&whole, &Bounds::default()), Answer::Served { value: &value, reusable: true });
+        prop_assert_eq!(parse_answer(&whole[..cut], &Bounds::default()), Answer::Incomplete);
+        prop_assert_eq!(parse_answer(&whole, &Bounds::default()), Answer::Served { value: &value, reusable: true });
     }
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,6 +1,6 @@
 //! The side that faces servers: replies.
 
-use crate::{Bounds, Cursor, Fault, length};
+use crate::{Bounds, Cursor, FramingError, parse_length};
 
 /// A reply, or an element of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,58 +17,64 @@
     Null,
 }
 
-/// What the front of the input holds.
+/// What was found at the front of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Read<'a> {
-    /// More is needed.
-    More,
-    /// A reply that is no array, and the bytes it took.
-    One(Reply<'a>, usize),
-    /// A whole array and the bytes it took.
+pub enum ParsedReply<'a> {
+    /// More input is needed.
+    Incomplete,
+    /// A reply that is no array, and its length in bytes.
+    Single(Reply<'a>, usize),
+    /// A complete array and its length in bytes.
     Array(Vec<Reply<'a>>, usize),
-    /// An array whose elements so far are sound, and the fault in what follows them.
-    Broken(Vec<Reply<'a>>, Fault),
+    /// The valid elements at the start of an array, and the fault in what follows them.
+    Malformed(Vec<Reply<'a>>, FramingError),
 }
 
-/// Takes a reply off the front of `input`. An array within an array is none of this protocol.
-pub fn read<'a>(input: &'a [u8], bounds: &Bounds) -> Result<Read<'a>, Fault> {
+/// Parses the reply at the front of `input`. An array within an array does not belong to this protocol.
+///
+/// # Errors
+/// A [`FramingError`] if the input is no reply, or one over the bounds. A fault after the head of an array is a
+/// [`ParsedReply::Malformed`] instead.
+pub fn parse<'a>(input: &'a [u8], bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let mut cursor = Cursor::new(input);
     if cursor.peek() != Some(b'*') {
         let one = element(&mut cursor, bounds)?;
-        return Ok(one.map_or(Read::More, |reply| Read::One(reply, cursor.at)));
+        return Ok(one.map_or(ParsedReply::Incomplete, |reply| ParsedReply::Single(reply, cursor.at)));
     }
-    let Some(digits) = cursor.line(bounds.line)? else { return Ok(Read::More) };
-    let Some(count) = length(digits, bounds.parts)? else {
-        return Ok(Read::One(Reply::Null, cursor.at));
+    let Some(digits) = cursor.line(bounds.max_line_bytes)? else { return Ok(ParsedReply::Incomplete) };
+    let Some(count) = parse_length(digits, bounds.max_elements)? else {
+        return Ok(ParsedReply::Single(Reply::Null, cursor.at));
     };
     let mut elements = Vec::with_capacity(count);
     while elements.len() < count {
         match element(&mut cursor, bounds) {
             Ok(Some(reply)) => elements.push(reply),
-            Ok(None) => return Ok(Read::More),
-            Err(fault) => return Ok(Read::Broken(elements, fault)),
+            Ok(None) => return Ok(ParsedReply::Incomplete),
+            Err(fault) => return Ok(ParsedReply::Malformed(elements, fault)),
         }
     }
-    Ok(Read::Array(elements, cursor.at))
+    Ok(ParsedReply::Array(elements, cursor.at))
 }
 
-fn element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, Fault> {
+fn element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, FramingError> {
     let kind = match cursor.peek() {
         None => return Ok(None),
         Some(kind @ (b'+' | b'-' | b':' | b'$')) => kind,
-        Some(other) => return Err(Fault::Kind(other)),
+        Some(other) => return Err(FramingError::UnexpectedByte(other)),
     };
-    let Some(line) = cursor.line(bounds.line)? else { return Ok(None) };
+    let Some(line) = cursor.line(bounds.max_line_bytes)? else { return Ok(None) };
     Ok(Some(match kind {
         b'+' => Reply::Simple(line),
         b'-' => Reply::Error(line),
         b':' => {
             let number = std::str::from_utf8(line).ok().and_then(|text| text.parse().ok());
-            Reply::Integer(number.ok_or(Fault::Length)?)
+            Reply::Integer(number.ok_or(FramingError::InvalidLength)?)
         }
-        _ => match length(line, bounds.bulk)? {
+        _ => match parse_length(line, bounds.max_bulk_bytes)? {
             None => Reply::Null,
-            Some(length) if cursor.at + length + 2 > bounds.whole => return Err(Fault::TooLong),
+            Some(length) if cursor.at + length + 2 > bounds.max_message_bytes => {
+                return Err(FramingError::TooLong);
+            }
             Some(length) => match cursor.bulk(length)? {
                 None => return Ok(None),
                 Some(bytes) => Reply::Bulk(bytes),
--- a/crates/resp/tests/framing.rs
+++ b/crates/resp/tests/framing.rs
@@ -4,71 +4,76 @@
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
-use violetseam_resp::reply::{Read, Reply};
-use violetseam_resp::{Bounds, Fault, command, reply};
+use violetseam_resp::reply::{ParsedReply, Reply};
+use violetseam_resp::{Bounds, FramingError, command, reply};
 
-const BOUNDS: Bounds = Bounds { parts: 6, bulk: 100, line: 32, whole: 300 };
+const BOUNDS: Bounds =
+    Bounds { max_elements: 6, max_bulk_bytes: 100, max_line_bytes: 32, max_message_bytes: 300 };
 
 #[test]
 fn a_command_is_taken_off_the_front() {
     let input = b"*2\r\n$3\r\nfoo\r\n$0\r\n\r\nrest";
-    let (words, used) = command::read(input, &BOUNDS).unwrap().unwrap();
+    let (words, used) = command::parse(input, &BOUNDS).unwrap().unwrap();
     assert_eq!((words, used), (vec![&b"foo"[..], b""], input.len() - 4));
 }
 
 /// What is announced and not allowed is refused as soon as the line that announces it is there.
 #[test]
 fn commands_are_refused_before_what_they_announce_is_held() {
-    let refused: [(&[u8], Fault); 15] = [
-        (b"GET / HTTP/1.1\r\n", Fault::Kind(b'G')),
-        (b"\x00", Fault::Kind(0)),
-        (b"*-1\r\n", Fault::Length),
-        (b"*0\r\n", Fault::Length),
-        (b"*x\r\n", Fault::Length),
-        (b"*\r\n", Fault::Length),
-        (b"*+1\r\n", Fault::Length),
-        (b"*7\r\n", Fault::TooLong),
-        (b"*99999999999999999999999\r\n", Fault::TooLong),
-        (b"*1\r\n$101\r\n", Fault::TooLong),
-        (b"*1\r\n$-1\r\n", Fault::Length),
-        (b"*1\r\n$60000000\r\n", Fault::TooLong),
-        (b"*1\r\n:5\r\n", Fault::Kind(b':')),
-        (b"*1\r\n$3\r\nfoobar", Fault::Length),
-        (b"*1\n", Fault::Line),
+    let refused: [(&[u8], FramingError); 15] = [
+        (b"GET / HTTP/1.1\r\n", FramingError::UnexpectedByte(b'G')),
+        (b"\x00", FramingError::UnexpectedByte(0)),
+        (b"*-1\r\n", FramingError::InvalidLength),
+        (b"*0\r\n", FramingError::InvalidLength),
+        (b"*x\r\n", FramingError::InvalidLength),
+        (b"*\r\n", FramingError::InvalidLength),
+        (b"*+1\r\n", FramingError::InvalidLength),
+        (b"*7\r\n", FramingError::TooLong),
+        (b"*99999999999999999999999\r\n", FramingError::TooLong),
+        (b"*1\r\n$101\r\n", FramingError::TooLong),
+        (b"*1\r\n$-1\r\n", FramingError::InvalidLength),
+        (b"*1\r\n$60000000\r\n", FramingError::TooLong),
+        (b"*1\r\n:5\r\n", FramingError::UnexpectedByte(b':')),
+        (b"*1\r\n$3\r\nfoobar", FramingError::InvalidLength),
+        (b"*1\n", FramingError::UnterminatedLine),
     ];
     for (input, fault) in refused {
-        assert_eq!(command::read(input, &BOUNDS), Err(fault), "{:?}", String::from_utf8_lossy(input));
+        assert_eq!(command::parse(input, &BOUNDS), Err(fault), "{:?}", String::from_utf8_lossy(input));
     }
-    assert_eq!(command::read(&[b'*'; 32], &BOUNDS), Err(Fault::Line), "a line without an end");
+    assert_eq!(
+        command::parse(&[b'*'; 32], &BOUNDS),
+        Err(FramingError::UnterminatedLine),
+        "a line without an end"
+    );
     let whole = b"*4\r\n$100\r\n".to_vec();
     let whole = [&whole[..], &[b'a'; 100], b"\r\n$100\r\n", &[b'a'; 100], b"\r\n$100\r\n"].concat();
-    assert_eq!(command::read(&whole, &BOUNDS), Err(Fault::TooLong), "the bound on the whole");
+    assert_eq!(command::parse(&whole, &BOUNDS), Err(FramingError::TooLong), "the bound on the whole");
 }
 
 #[test]
 fn replies_are_told_apart() {
-    use Read::{Array, Broken, More, One};
-    let cases: [(&[u8], Result<Read, Fault>); 11] = [
-        (b"+OK\r\n", Ok(One(Reply::Simple(b"OK"), 5))),
-        (b"-BUSY 20\r\n", Ok(One(Reply::Error(b"BUSY 20"), 10))),
-        (b":-7\r\n", Ok(One(Reply::Integer(-7), 5))),
-        (b"$-1\r\n", Ok(One(Reply::Null, 5))),
+    use ParsedReply::{Array, Incomplete, Malformed, Single};
+    let cases: [(&[u8], Result<ParsedReply, FramingError>); 11] = [
+        (b"+OK\r\n", Ok(Single(Reply::Simple(b"OK"), 5))),
+        (b"-BUSY 20\r\n", Ok(Single(Reply::Error(b"BUSY 20"), 10))),
+        (b":-7\r\n", Ok(Single(Reply::Integer(-7), 5))),
+        (b"$-1\r\n", Ok(Single(Reply::Null, 5))),
         (
             b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n",
             Ok(Array(vec![Reply::Bulk(b"a"), Reply::Null, Reply::Null], 21)),
         ),
-        (b"*3\r\n$1\r\na\r\n$-1\r\n", Ok(More)),
+        (b"*3\r\n$1\r\na\r\n$-1\r\n", Ok(Incomplete)),
         (
             b"*3\r\n$1\r\na\r\n$-1\r\nnoise",
-            Ok(Broken(vec![Reply::Bulk(b"a"), Reply::Null], Fault::Kind(b'n'))),
+            Ok(Malformed(vec![Reply::Bulk(b"a"), Reply::Null], FramingError::UnexpectedByte(b'n'))),
         ),
-        (b"*3\r\n$4\r\nabcdefgh\r\n", Ok(Broken(vec![], Fault::Length))),
-        (b"$3000000000\r\n", Err(Fault::TooLong)),
-        (b"$-7\r\n", Err(Fault::Length)),
-        (b"*1000000000\r\n", Err(Fault::TooLong)),
+        (b"*3\r\n$4\r\nabcdefgh\r\n", Ok(Malformed(vec![], FramingError::InvalidLength))),
+        (b"$3000000000\r\n", Err(FramingError::TooLong)),
+        (b"$-7\r\n", Err(FramingError::InvalidLength)),
+        (b"*1000000000\r\n", Err(FramingError::TooLong)),
     ];
     for (input, want) in cases {
-        assert_eq!(reply::read(input, &BOUNDS), want, "{:?}", String::from_utf8_lossy(input));
+        assert_eq!(reply::parse(input, &BOUNDS), want, "{:?}", String::from_utf8_lossy(input));
     }
 }
 
@@ -80,18 +85,18 @@
         let mut input = Vec::new();
         command::write(&mut input, &words);
         for cut in 0..input.len() {
-            prop_assert_eq!(command::read(&input[..cut], &BOUNDS), Ok(None));
+            prop_assert_eq!(command::parse(&input[..cut], &BOUNDS), Ok(None));
         }
-        prop_assert_eq!(command::read(&input, &BOUNDS), Ok(Some((words, input.len()))));
+        prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some((words, input.len()))));
     }
 
     /// Nothing panics, and what is taken lies within the input.
     #[test]
     fn any_bytes_are_survived(input in prop::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()], 0..80)) {
-        if let Ok(Some((_, used))) = command::read(&input, &BOUNDS) {
+        if let Ok(Some((_, used))) = command::parse(&input, &BOUNDS) {
             prop_assert!(used <= input.len());
         }
-        if let Ok(Read::Array(_, used) | Read::One(_, used)) = reply::read(&input, &BOUNDS) {
+        if let Ok(ParsedReply::Array(_, used) | ParsedReply::Single(_, used)) = reply::parse(&input, &BOUNDS) {
             prop_assert!(used <= input.len());
         }
     }
@@ -117,9 +122,9 @@
             (Reply::Null, OwnedFrame::Null) => true,
             _ => false,
         };
-        match reply::read(&input, &BOUNDS).unwrap() {
-            Read::One(ours, used) => prop_assert!(used == length && same(&ours, &theirs)),
-            Read::Array(ours, used) => {
+        match reply::parse(&input, &BOUNDS).unwrap() {
+            ParsedReply::Single(ours, used) => prop_assert!(used == length && same(&ours, &theirs)),
+            ParsedReply::Array(ours, used) => {
                 let OwnedFrame::Array(theirs) = theirs else { panic!("no array: {theirs:?}") };
                 prop_assert!(used == length && ours.len() == theirs.len());
                 prop_assert!(ours.iter().zip(&theirs).all(|(a, b)| same(a, b)));
