--- a/crates/loopio/src/lib.rs
+++ b/crates/loopio/src/lib.rs
@@ -1,5 +1,5 @@
-//! A connection (TCP or a Unix-domain stream) on a `calloop` loop: a source whose interest can change while it is registered, and the
-//! bytes that wait to be written. Used by the proxy and by the stand-ins.
+//! Connections on a `calloop` event loop: a non-blocking stream (TCP or Unix-domain) with an interest that can change
+//! while it is registered, and a buffer of the bytes that wait to be written.
 
 pub mod quiet;
 pub mod timers;
@@ -15,16 +15,19 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// Above so many bytes waiting to be written, nothing more is read that would add to them.
+/// The system's error code for a connection that is being established.
+const EINPROGRESS: i32 = 115;
+
+/// With more unwritten bytes than this, a connection's owner reads nothing that would add to them.
 pub const HIGH_WATER: usize = 256 * 1024;
 
-/// The source: `Generic` with an interest that the connection's owner sets.
-struct Watched<S: AsFd> {
+/// An event source: `Generic` with an interest that the connection's owner sets.
+struct StreamSource<S: AsFd> {
     inner: Generic<Rc<S>>,
-    wanted: Rc<Cell<Interest>>,
+    interest: Rc<Cell<Interest>>,
 }
 
-impl<S: AsFd> EventSource for Watched<S> {
+impl<S: AsFd> EventSource for StreamSource<S> {
     type Event = Readiness;
     type Metadata = ();
     type Ret = ();
@@ -34,24 +37,24 @@
         &mut self,
         readiness: Readiness,
         token: Token,
-        mut call: F,
+        mut callback: F,
     ) -> std::io::Result<PostAction>
     where
         F: FnMut(Readiness, &mut ()),
     {
         self.inner.process_events(readiness, token, |readiness, _| {
-            call(readiness, &mut ());
+            callback(readiness, &mut ());
             Ok(PostAction::Continue)
         })
     }
 
     fn register(&mut self, poll: &mut Poll, tokens: &mut TokenFactory) -> calloop::Result<()> {
-        self.inner.interest = self.wanted.get();
+        self.inner.interest = self.interest.get();
         self.inner.register(poll, tokens)
     }
 
     fn reregister(&mut self, poll: &mut Poll, tokens: &mut TokenFactory) -> calloop::Result<()> {
-        self.inner.interest = self.wanted.get();
+        self.inner.interest = self.interest.get();
         self.inner.reregister(poll, tokens)
     }
 
@@ -60,12 +63,12 @@
     }
 }
 
-/// What a read gave.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// Nothing now.
+    /// Nothing can be read now.
     Nothing,
     /// The peer closed its side.
     Closed,
@@ -76,11 +79,12 @@
 /// The former name of [`ReadOutcome`], for callers that have not moved to it yet.
 pub use ReadOutcome as Got;
 
-/// A connection: its stream, its registration and its unwritten bytes.
+/// A connection: its stream, its registration on the event loop and its unwritten bytes.
 pub struct Socket<S = TcpStream> {
     stream: Rc<S>,
     token: RegistrationToken,
-    wanted: Rc<Cell<Interest>>,
+    interest: Rc<Cell<Interest>>,
+    /// Bytes to be written; those before `written` have been.
     out: Vec<u8>,
     written: usize,
 }
@@ -90,62 +94,69 @@
     S: AsFd + 'static,
     for<'a> &'a S: Read + Write,
 {
-    /// Puts a non-blocking stream on the loop. `call` gets its readiness.
+    /// Registers a non-blocking stream on the event loop, which calls `on_ready` with its readiness.
+    ///
+    /// # Errors
+    /// The system's error if the stream cannot be added to the event loop.
     pub fn register<D: 'static>(
-        on: &LoopHandle<'static, D>,
+        handle: &LoopHandle<'static, D>,
         stream: S,
         interest: Interest,
-        mut call: impl FnMut(Readiness, &mut D) + 'static,
+        mut on_ready: impl FnMut(Readiness, &mut D) + 'static,
     ) -> std::io::Result<Self> {
-        let (stream, wanted) = (Rc::new(stream), Rc::new(Cell::new(interest)));
+        let stream = Rc::new(stream);
+        let shared_interest = Rc::new(Cell::new(interest));
         let inner = Generic::new(stream.clone(), interest, Mode::Level);
-        let source = Watched { inner, wanted: wanted.clone() };
-        let token = on
-            .insert_source(source, move |readiness, (), data| call(readiness, data))
+        let source = StreamSource { inner, interest: shared_interest.clone() };
+        let token = handle
+            .insert_source(source, move |readiness, (), data| on_ready(readiness, data))
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
-        Ok(Socket { stream, token, wanted, out: Vec::new(), written: 0 })
+        Ok(Socket { stream, token, interest: shared_interest, out: Vec::new(), written: 0 })
     }
 
-    /// Takes the connection off the loop; it closes when dropped, but within its own callback only once that
-    /// returns, as the loop holds the stream till then. [`Socket::end`] does not wait for that.
-    pub fn remove<D>(&self, from: &LoopHandle<'static, D>) {
-        from.remove(self.token);
+    /// Removes the connection from the event loop. It closes when it is dropped, but within its own callback only once
+    /// that returns, as the loop holds the stream until then; [`Socket::end`] does not wait for that.
+    pub fn remove<D>(&self, handle: &LoopHandle<'static, D>) {
+        handle.remove(self.token);
     }
 
-    /// Asks for reading or not; writing is asked for while bytes wait.
-    pub fn want<D>(&self, on: &LoopHandle<'static, D>, read: bool) {
-        self.set(on, Interest { readable: read, writable: self.waits() });
+    /// Sets whether the owner is called when bytes can be read; it is called for writing while bytes wait to be written.
+    pub fn want<D>(&self, handle: &LoopHandle<'static, D>, read: bool) {
+        self.set_interest(handle, Interest { readable: read, writable: self.waits() });
     }
 
-    /// Asks to hear when the connection is up.
-    pub fn want_connected<D>(&self, on: &LoopHandle<'static, D>) {
-        self.set(on, Interest::BOTH);
+    /// Sets that the owner is called when the connection is up.
+    pub fn want_connected<D>(&self, handle: &LoopHandle<'static, D>) {
+        self.set_interest(handle, Interest::BOTH);
     }
 
-    fn set<D>(&self, on: &LoopHandle<'static, D>, interest: Interest) {
-        let before = self.wanted.replace(interest);
+    fn set_interest<D>(&self, handle: &LoopHandle<'static, D>, interest: Interest) {
+        let before = self.interest.replace(interest);
         if (before.readable, before.writable) != (interest.readable, interest.writable) {
-            // Fails only for a source that is gone, which then needs nothing.
-            let _ = on.update(&self.token);
+            // Fails only for a source that is gone, which needs no update.
+            let _ = handle.update(&self.token);
         }
     }
 
-    /// Bytes to be written; append here.
+    /// The buffer of bytes to be written, to append to.
     pub fn out(&mut self) -> &mut Vec<u8> {
         &mut self.out
     }
 
-    /// Bytes that wait to be written.
+    /// How many bytes wait to be written.
     pub fn unwritten(&self) -> usize {
         self.out.len() - self.written
     }
 
-    /// Whether any do.
+    /// Whether any bytes wait to be written.
     pub fn waits(&self) -> bool {
         self.unwritten() > 0
     }
 
-    /// Writes what it can: how many bytes, or that the connection is broken.
+    /// Writes as much as the connection accepts now and returns how many bytes that were.
+    ///
+    /// # Errors
+    /// The system's error if the connection is broken.
     pub fn flush(&mut self) -> std::io::Result<usize> {
         let before = self.written;
         while self.written < self.out.len() {
@@ -193,18 +204,18 @@
 }
 
 impl Socket<TcpStream> {
-    /// Says that nothing more will be written.
+    /// Closes the write side.
     pub fn close_write(&self) {
-        // Fails only for a connection that is gone, which the next read tells.
+        // Fails only for a connection that is gone, which the next read reports.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Takes the connection off the loop and ends it now, also within its own callback: whatever is written
-    /// elsewhere after this leaves after the end of this connection.
-    pub fn end<D>(&self, from: &LoopHandle<'static, D>) {
-        // Fails only for a connection that is not up or is gone: nothing of it is out.
+    /// Removes the connection from the event loop and shuts it down now, also within its own callback: whatever is
+    /// written elsewhere after this is sent after the end of this connection.
+    pub fn end<D>(&self, handle: &LoopHandle<'static, D>) {
+        // Fails only for a connection that is not up or is gone, on which nothing is in flight.
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
-        self.remove(from);
+        self.remove(handle);
     }
 
     /// The error of a connection attempt that failed, if it did.
@@ -212,25 +223,31 @@
         self.stream.take_error().unwrap_or_else(Some)
     }
 
-    /// Whether the peer has closed or sent something unasked: nothing may be sent on such a connection.
+    /// Whether the peer has closed the connection or sent unexpected bytes: nothing may be sent on such a connection.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0];
         !matches!(self.stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A listener that does not block and takes an address again at once after a restart.
-pub fn listen(addr: SocketAddr, backlog: i32) -> std::io::Result<TcpListener> {
-    let domain = socket2::Domain::for_address(addr);
+/// Opens a non-blocking listener, which can take an address again at once after a restart.
+///
+/// # Errors
+/// The system's error if the listener cannot be opened; an error of the address names it.
+pub fn listen(address: SocketAddr, backlog: i32) -> std::io::Result<TcpListener> {
+    let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&addr.into()).map_err(|e| std::io::Error::new(e.kind(), format!("{addr}: {e}")))?;
+    socket.bind(&address.into()).map_err(|e| std::io::Error::new(e.kind(), format!("{address}: {e}")))?;
     socket.listen(backlog)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
 
-/// Begins a connection without waiting for it.
+/// Begins a connection without waiting until it is up.
+///
+/// # Errors
+/// The system's error if the connection cannot be begun.
 pub fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
     let domain = socket2::Domain::for_address(to);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
@@ -238,8 +255,10 @@
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&to.into()) {
         Ok(()) => Ok(socket.into()),
-        // EINPROGRESS: the loop tells when it is up.
-        Err(e) if e.kind() == ErrorKind::WouldBlock || e.raw_os_error() == Some(115) => Ok(socket.into()),
+        // The event loop reports when it is up.
+        Err(e) if e.kind() == ErrorKind::WouldBlock || e.raw_os_error() == Some(EINPROGRESS) => {
+            Ok(socket.into())
+        }
         Err(e) => Err(e),
     }
 }
--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -2,6 +2,7 @@
 
 use crate::client::Client;
 use crate::proxy::Proxy;
+use crate::servers::Server;
 use violetseam::interface::Micros;
 use violetseam_platform::config::Limits;
 
@@ -83,7 +84,7 @@
             .idle_servers
             .values()
             .filter_map(|slots| slots.front().copied())
-            .min_by_key(|slot| self.servers.get(*slot).map_or(0, |server| server.idle_since()));
+            .min_by_key(|slot| self.servers.get(*slot).map_or(0, Server::idle_since));
         let Some(key) = idle_longest else { return false };
         self.close_server(key);
         true
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -157,7 +157,7 @@
                 Err(reason) => return self.on_release_watch_lost(&reason),
                 Ok(Message::ReleaseStatus(status)) => self.on_release_status(status),
                 Ok(Message::AnswerFlagged { server, class, since }) => {
-                    self.on_answer_flagged(&server, &class, since)
+                    self.on_answer_flagged(&server, &class, since);
                 }
                 Ok(Message::Accepted { status: Some(status), .. }) => self.on_release_status(status),
                 Ok(Message::Declined { message, .. }) => return self.on_release_watch_lost(&message),
--- a/crates/platform/src/pipeline.rs
+++ b/crates/platform/src/pipeline.rs
@@ -7,6 +7,7 @@
 /// The longest line in either direction.
 pub const MAX_LINE_BYTES: usize = 8 * 1024 - 1;
 
+/// The phase of a release, as written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ReleaseState {
@@ -45,6 +46,7 @@
     }
 }
 
+/// A report of a wrong answer, as written.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct FlagText {
@@ -53,11 +55,24 @@
     age_ms: u64,
 }
 
+/// The error of a reply, as written.
 #[derive(Deserialize)]
 struct ErrorText {
     message: String,
 }
 
+impl ErrorText {
+    /// What the error means for a vote.
+    fn outcome(&self) -> Outcome {
+        match self.message.as_str() {
+            "too_many_calls" => Outcome::Rejected,
+            "out_of_date" => Outcome::NotSent,
+            _ => Outcome::Error,
+        }
+    }
+}
+
+/// A message of JSON-RPC 2.0, as written.
 #[derive(Deserialize)]
 struct MessageText {
     jsonrpc: String,
@@ -113,42 +128,38 @@
             return Err(PipelineError::NotJsonRpc);
         }
         if let Some(method) = text.method {
-            let params = text.params.unwrap_or_default();
-            return match method.as_str() {
-                "stage" => {
-                    let status: ReleaseStatusText =
-                        serde_json::from_value(params).map_err(PipelineError::Json)?;
-                    Ok(Message::ReleaseStatus(status.to_status()?))
-                }
-                "flag" => {
-                    let flag: FlagText = serde_json::from_value(params).map_err(PipelineError::Json)?;
-                    let since = flag.age_ms.saturating_mul(1000);
-                    Ok(Message::AnswerFlagged { server: flag.instance_id, class: flag.lane, since })
-                }
-                _ => Ok(Message::Heartbeat),
-            };
+            return Message::from_notification(&method, text.params.unwrap_or_default());
         }
         let Some(id) = text.id else { return Err(PipelineError::UnknownMessage) };
-        match (text.error, text.result) {
-            (Some(error), _) => {
-                let outcome = match error.message.as_str() {
-                    "too_many_calls" => Outcome::Rejected,
-                    "out_of_date" => Outcome::NotSent,
-                    _ => Outcome::Error,
-                };
-                Ok(Message::Declined { id, outcome, message: error.message })
-            }
-            (None, Some(serde_json::Value::Bool(true))) => Ok(Message::Accepted { id, status: None }),
-            (None, Some(result)) => {
-                let status: ReleaseStatusText =
-                    serde_json::from_value(result).map_err(PipelineError::Json)?;
-                Ok(Message::Accepted { id, status: Some(status.to_status()?) })
+        if let Some(error) = text.error {
+            let outcome = error.outcome();
+            return Ok(Message::Declined { id, outcome, message: error.message });
+        }
+        match text.result {
+            Some(serde_json::Value::Bool(true)) => Ok(Message::Accepted { id, status: None }),
+            Some(result) => Ok(Message::Accepted { id, status: Some(parse_status(result)?) }),
+            None => Err(PipelineError::MissingResult),
+        }
+    }
+
+    fn from_notification(method: &str, params: serde_json::Value) -> Result<Message, PipelineError> {
+        match method {
+            "stage" => Ok(Message::ReleaseStatus(parse_status(params)?)),
+            "flag" => {
+                let flag: FlagText = serde_json::from_value(params).map_err(PipelineError::Json)?;
+                let since = flag.age_ms.saturating_mul(1000);
+                Ok(Message::AnswerFlagged { server: flag.instance_id, class: flag.lane, since })
             }
-            (None, None) => Err(PipelineError::MissingResult),
+            _ => Ok(Message::Heartbeat),
         }
     }
 }
 
+fn parse_status(value: serde_json::Value) -> Result<ReleaseStatus, PipelineError> {
+    let text: ReleaseStatusText = serde_json::from_value(value).map_err(PipelineError::Json)?;
+    text.to_status()
+}
+
 /// The call that subscribes to notifications on its connection.
 pub fn watch_call(id: u64) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"Events.Watch\"}}\n").into_bytes()
