--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -112,7 +112,11 @@
     })
     .map_err(|e| e.to_string())?;
     if args.time_module {
-        println!("module {:.3} s over {} requests", summary.module_time.as_secs_f64(), summary.counts.taken);
+        println!(
+            "module {:.3} s over {} requests",
+            summary.module_time.as_secs_f64(),
+            summary.counts.received
+        );
     }
     if summary.left_in_hand > 0 || summary.left_open > 0 {
         eprintln!("left open: {} connections, {} requests", summary.left_open, summary.left_in_hand);
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -9,7 +9,7 @@
 use violetseam_audit::record::{Answer, Call, Phase as RulePhase};
 use violetseam_audit::{Record, Verdict};
 use violetseam_plan::moment_of;
-use violetseam_proxy::engine::{Engine, Final, Order};
+use violetseam_proxy::engine::{Engine, EngineAction, LocalResponse};
 use violetseam_rehearsal::platform::Platform;
 use violetseam_release::{Allowance, Event, News, Now, Phase, PlaceState, Release, Reply as Word, Vote};
 use violetseam_site::roster::Kind as ListKind;
@@ -182,7 +182,7 @@
             world.entries.push(violetseam_audit::Entry { at: 0, record });
         });
         for proxy in proxies.iter_mut() {
-            proxy.engine.list(0, v::ListKind::Cached, &[]);
+            proxy.engine.on_server_list(0, v::ListKind::Cached, &[]);
         }
         let now = self.now();
         self.release.on_event(now, &Event::Started);
@@ -239,13 +239,13 @@
             Happening::Proxy(n) => {
                 let now = self.world.now;
                 self.proxies[n].due = u64::MAX;
-                self.proxies[n].engine.on_due(now);
+                self.proxies[n].engine.run_deadlines(now);
                 self.obey(n);
             }
             Happening::News(n, news) => {
                 self.see_news(n, news);
                 let now = self.world.now;
-                self.proxies[n].engine.stage(now, news);
+                self.proxies[n].engine.on_release_status(now, news);
                 self.obey(n);
             }
             Happening::List(n, whole) => self.tell_list(n, whole),
@@ -255,12 +255,12 @@
                     self.see_news(n, news);
                 }
                 let now = self.world.now;
-                self.proxies[n].engine.vote_reply(now, outcome, news);
+                self.proxies[n].engine.on_vote_reply(now, outcome, news);
                 self.obey(n);
             }
             Happening::Peer(from, to, payload) => {
                 let now = self.world.now;
-                self.proxies[to].engine.peer_message(now, from, &payload);
+                self.proxies[to].engine.on_peer_message(now, from, &payload);
                 self.obey(to);
             }
             Happening::Roster => self.roster(),
@@ -321,7 +321,7 @@
             tenant: wish.tenant,
             is_retry: which > 0,
         };
-        let id = self.proxies[n].engine.request(now, asked, true);
+        let id = self.proxies[n].engine.on_request(now, asked, true);
         self.proxies[n].requests.insert(id, request);
         self.obey(n);
     }
@@ -369,32 +369,36 @@
     /// Does what a proxy's engine ordered, and wakes it when it next has something to do.
     fn obey(&mut self, n: usize) {
         let now = self.world.now;
-        while let Some(order) = self.proxies[n].engine.next_order() {
-            match order {
-                Order::Start { request, attempt, server } => self.start(n, request, attempt, server),
-                Order::Drop { request, attempt } => {
+        while let Some(action) = self.proxies[n].engine.next_action() {
+            match action {
+                EngineAction::StartAttempt { request, attempt, server } => {
+                    self.start(n, request, attempt, server)
+                }
+                EngineAction::CloseAttempt { request, attempt } => {
                     let mine = |a: &Attempt| (a.proxy, a.request, a.attempt) == (n, request, attempt);
                     let number = self.world.attempts.iter().find(|(_, a)| mine(a)).map(|(k, _)| *k);
                     if let Some(number) = number {
                         self.world.agenda.at(now + NETWORK, Happening::GivenUp(number));
                     }
                 }
-                Order::Answer { request, answer } => {
+                EngineAction::Respond { request, response } => {
                     let Some(asked) = self.proxies[n].requests.get(&request).copied() else { continue };
-                    let (answer, come_back) = match answer {
-                        Final::Refused { come_back } => (Answer::Refused, come_back),
-                        Final::Failed { .. } => (Answer::Failed, 0),
+                    let (answer, come_back) = match response {
+                        LocalResponse::Rejected { retry_after } => (Answer::Refused, retry_after),
+                        LocalResponse::Failed { .. } => (Answer::Failed, 0),
                     };
                     self.answered(asked, answer, come_back);
                 }
-                Order::Forget { request } => drop(self.proxies[n].requests.remove(&request)),
-                Order::FollowList => {
+                EngineAction::Forget { request } => drop(self.proxies[n].requests.remove(&request)),
+                EngineAction::WatchServerList => {
                     self.proxies[n].follows = true;
                     self.proxies[n].version = None;
                     self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true));
                 }
-                Order::FetchList => self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true)),
-                Order::Vote { build, stage, verdict } => {
+                EngineAction::FetchServerList => {
+                    self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true))
+                }
+                EngineAction::Vote { build, stage, verdict } => {
                     let verdict = match verdict {
                         v::Verdict::Promote => violetseam_release::Verdict::On,
                         v::Verdict::Hold => violetseam_release::Verdict::Hold,
@@ -406,8 +410,8 @@
                     self.world.agenda.at(now + call / 2, Happening::Vote(vote));
                 }
                 // The emulator's settings name no budget of the fleet yet.
-                Order::Rights { .. } => {}
-                Order::Tell { to, payload } => {
+                EngineAction::BudgetMessage { .. } => {}
+                EngineAction::Gossip { to, payload } => {
                     if self.world.active(Kind::PeersLost).is_some() {
                         continue;
                     }
@@ -416,10 +420,10 @@
                         self.world.agenda.at(now + NETWORK, Happening::Peer(n, peer, payload.clone()));
                     }
                 }
-                Order::Note(_) => {}
+                EngineAction::Log(_) => {}
             }
         }
-        let due = self.proxies[n].engine.due().unwrap_or(u64::MAX);
+        let due = self.proxies[n].engine.next_deadline().unwrap_or(u64::MAX);
         if due < self.proxies[n].due {
             self.proxies[n].due = due;
             self.world.agenda.at(due.max(now), Happening::Proxy(n));
@@ -444,7 +448,7 @@
         let Some(a) = self.world.attempts.remove(&number) else { return };
         let now = self.world.now;
         let asked = self.proxies[a.proxy].requests.get(&a.request).copied();
-        let wins = self.proxies[a.proxy].engine.attempt_ended(now, a.request, a.attempt, outcome);
+        let wins = self.proxies[a.proxy].engine.on_attempt_ended(now, a.request, a.attempt, outcome);
         if let (true, Some(asked)) = (wins, asked) {
             self.answered(asked, Answer::Served, 0);
         }
@@ -506,10 +510,10 @@
         self.proxies[n].version = Some(message.version);
         // A list that does not apply is asked for whole again, as the driver does.
         match self.proxies[n].held.apply(now, &message) {
-            Ok((kind, entries)) => self.proxies[n].engine.list(now, kind, &entries),
+            Ok((kind, entries)) => self.proxies[n].engine.on_server_list(now, kind, &entries),
             Err(_) => {
                 self.proxies[n].held.forget_version();
-                self.proxies[n].engine.list(now, v::ListKind::Failed, &[]);
+                self.proxies[n].engine.on_server_list(now, v::ListKind::Failed, &[]);
             }
         }
         self.obey(n);
--- a/crates/lab/src/scale/hollow_engine.rs
+++ b/crates/lab/src/scale/hollow_engine.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 use violetseam::interface::*;
-use violetseam_proxy::engine::{Engine, Order};
+use violetseam_proxy::engine::{Engine, EngineAction};
 use violetseam_site::desk::Vote;
 use violetseam_site::peer::{self, Kind};
 
@@ -214,8 +214,8 @@
         };
         for number in 0..self.proxies.len() {
             let engine = &mut self.proxies[number].engine;
-            engine.list(BEGIN, ListKind::Full, &list);
-            news.into_iter().for_each(|news| engine.stage(BEGIN, news));
+            engine.on_server_list(BEGIN, ListKind::Full, &list);
+            news.into_iter().for_each(|news| engine.on_release_status(BEGIN, news));
             self.follow_orders(BEGIN, number);
             self.schedule_request(BEGIN, number);
         }
@@ -223,7 +223,7 @@
 
     /// Measures from now on how long the decisions take.
     pub fn time_module(&mut self) {
-        self.proxies.iter_mut().for_each(|proxy| proxy.engine.time_module());
+        self.proxies.iter_mut().for_each(|proxy| proxy.engine.measure_module_time());
     }
 
     /// Seconds that one proxy's decisions have taken since [`EngineFleet::time_module`].
@@ -258,13 +258,13 @@
 
     /// A vote's reply reaches a proxy.
     pub fn vote_reply(&mut self, now: Micros, number: usize, outcome: Outcome, news: Option<ReleaseStatus>) {
-        self.proxies[number].engine.vote_reply(now, outcome, news);
+        self.proxies[number].engine.on_vote_reply(now, outcome, news);
         self.follow_orders(now, number);
     }
 
     /// News of the newest build reach a proxy.
     pub fn stage(&mut self, now: Micros, number: usize, news: ReleaseStatus) {
-        self.proxies[number].engine.stage(now, news);
+        self.proxies[number].engine.on_release_status(now, news);
         self.follow_orders(now, number);
     }
 
@@ -281,18 +281,18 @@
         match due {
             Due::Engine => {
                 self.proxies[number].armed = 0;
-                self.proxies[number].engine.on_due(now);
+                self.proxies[number].engine.run_deadlines(now);
             }
             Due::Request => {
                 let class = self.rng.random_range(0..2);
                 let request = Request { deadline: now + 1_000_000, class, ..Request::default() };
-                engine.request(now, request, true);
+                engine.on_request(now, request, true);
                 self.schedule_request(now, number);
             }
             Due::Answer(request, attempt) => {
-                engine.attempt_ended(now, request, attempt, Outcome::Ok);
+                engine.on_attempt_ended(now, request, attempt, Outcome::Ok);
             }
-            Due::VoteReply => engine.vote_reply(now, Outcome::Ok, None),
+            Due::VoteReply => engine.on_vote_reply(now, Outcome::Ok, None),
         }
         self.follow_orders(now, number);
     }
@@ -302,21 +302,21 @@
         let proxy = &mut self.proxies[to];
         proxy.traffic.received.add(datagram.len());
         if let Ok((from, Kind::Decisions, payload)) = peer::decode(SITE, datagram) {
-            proxy.engine.peer_message(now, usize::from(from), payload);
+            proxy.engine.on_peer_message(now, usize::from(from), payload);
             self.follow_orders(now, to);
         }
     }
 
     /// Does what an engine ordered, and sees to its next due time.
     fn follow_orders(&mut self, now: Micros, number: usize) {
-        while let Some(order) = self.proxies[number].engine.next_order() {
-            match order {
-                Order::Start { request, attempt, .. } => {
+        while let Some(action) = self.proxies[number].engine.next_action() {
+            match action {
+                EngineAction::StartAttempt { request, attempt, .. } => {
                     self.proxies[number].traffic.attempts += 1;
                     let after = ANSWER_LEAST + self.rng.random_range(0..ANSWER_SPREAD);
                     self.queue.push(Reverse((now + after, number, Due::Answer(request, attempt))));
                 }
-                Order::Vote { build, stage, verdict } => {
+                EngineAction::Vote { build, stage, verdict } => {
                     let vote = Vote::new(number, build, stage, verdict);
                     self.proxies[number].traffic.votes.add(vote.write().len());
                     match self.shape.releases {
@@ -324,14 +324,14 @@
                         _ => self.queue.push(Reverse((now + REPLY_AFTER, number, Due::VoteReply))),
                     }
                 }
-                Order::Tell { to, payload } => self.send(number, to, &payload),
-                Order::Drop { .. }
-                | Order::Answer { .. }
-                | Order::Forget { .. }
-                | Order::FollowList
-                | Order::FetchList
-                | Order::Rights { .. }
-                | Order::Note(_) => {}
+                EngineAction::Gossip { to, payload } => self.send(number, to, &payload),
+                EngineAction::CloseAttempt { .. }
+                | EngineAction::Respond { .. }
+                | EngineAction::Forget { .. }
+                | EngineAction::WatchServerList
+                | EngineAction::FetchServerList
+                | EngineAction::BudgetMessage { .. }
+                | EngineAction::Log(_) => {}
             }
         }
         self.arm(now, number);
@@ -358,7 +358,7 @@
 
     fn arm(&mut self, now: Micros, number: usize) {
         let proxy = &mut self.proxies[number];
-        let Some(due) = proxy.engine.due().map(|due| due.max(now)) else { return };
+        let Some(due) = proxy.engine.next_deadline().map(|due| due.max(now)) else { return };
         if proxy.armed == 0 || due < proxy.armed {
             proxy.armed = due;
             self.queue.push(Reverse((due, number, Due::Engine)));
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -13,7 +13,7 @@
 use violetseam_loopio::{Got, HIGH_WATER, Socket, listen};
 use violetseam_platform::answer;
 use violetseam_platform::call::{self, Call, Command};
-use violetseam_proxy::engine::Final;
+use violetseam_proxy::engine::LocalResponse;
 use violetseam_resp::command;
 
 /// Connections accepted in one turn of the loop.
@@ -248,7 +248,7 @@
         let now = self.now();
         for owed in client.owed {
             if let Owed::Request(id) = owed {
-                self.engine.client_gone(now, id);
+                self.engine.on_client_disconnected(now, id);
             }
         }
     }
@@ -386,7 +386,7 @@
         }
         let now = self.now();
         // The client's wait began when it sent; how late this loop is, the call may have lain unread.
-        let unread = self.timers.behind(now, self.engine.due());
+        let unread = self.timers.behind(now, self.engine.next_deadline());
         let request = Request {
             id: 0,
             deadline: now + call.wait.saturating_sub(unread),
@@ -398,7 +398,7 @@
         };
         self.held_bytes += call.size();
         let (class, wait, is_retry) = (call.class, call.wait, call.is_retry);
-        let id = self.engine.request(now, request, true);
+        let id = self.engine.on_request(now, request, true);
         let client_id = String::from_utf8_lossy(&call.id);
         tracing::debug!(request = id, %client_id, client = key, class, wait, unread, is_retry, "request");
         self.open_ids.insert(call.id.clone(), id);
@@ -410,12 +410,12 @@
     }
 
     /// A final answer of the proxy's own.
-    pub(super) fn answer_own(&mut self, request: RequestId, last: Final) {
+    pub(super) fn answer_own(&mut self, request: RequestId, last: LocalResponse) {
         let mut bytes = Vec::new();
         tracing::debug!(request, ?last, "own answer");
         match last {
-            Final::Refused { come_back } => answer::write_refused(&mut bytes, come_back),
-            Final::Failed { .. } => answer::write_failed(&mut bytes),
+            LocalResponse::Rejected { retry_after } => answer::write_refused(&mut bytes, retry_after),
+            LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
         }
         self.answer(request, bytes);
     }
--- a/crates/platform-proxy/src/discovery.rs
+++ b/crates/platform-proxy/src/discovery.rs
@@ -301,7 +301,7 @@
             call.socket.remove(&self.handle);
         }
         let now = self.now();
-        self.engine.change_list_lease(now, |lease| lease.move_discovery(now));
+        self.engine.update_list_lease(now, |lease| lease.move_discovery(now));
         self.verify_later();
         match self.discovery.pushed {
             true => self.ask_discovery(None),
@@ -458,7 +458,7 @@
             self.discovery.verify_at = None;
         }
         self.servers_changed(&applied.changed);
-        self.engine.list(now, applied.kind, &applied.entries);
+        self.engine.on_server_list(now, applied.kind, &applied.entries);
         self.pump();
         // The decisions may have asked for the list meanwhile.
         if self.discovery.call(generation).is_none() {
@@ -488,8 +488,8 @@
         call.socket.remove(&self.handle);
         match call.word(&end) {
             Word::Alive => self.list_confirmed(now, self.looked_before),
-            Word::Away => self.engine.change_list_lease(now, |lease| lease.away(call.began)),
-            Word::Cut => self.engine.change_list_lease(now, |lease| lease.missed(now)),
+            Word::Away => self.engine.update_list_lease(now, |lease| lease.away(call.began)),
+            Word::Cut => self.engine.update_list_lease(now, |lease| lease.missed(now)),
             Word::Nothing => {}
         }
         match end {
@@ -510,7 +510,7 @@
     /// The list was current at that moment.
     fn list_confirmed(&mut self, now: Micros, at: Micros) {
         let held = self.engine.permissions().list.holds(now);
-        self.engine.change_list_lease(now, |lease| lease.confirm(at));
+        self.engine.update_list_lease(now, |lease| lease.confirm(at));
         let holds = self.engine.permissions().list.holds(now);
         if holds && !held {
             tracing::info!(version = self.roster.version(), "the server list may be used");
@@ -548,7 +548,7 @@
         }
         let now = self.now();
         if self.discovery.pushed {
-            self.engine.change_list_lease(now, |lease| lease.unwatched(now));
+            self.engine.update_list_lease(now, |lease| lease.unwatched(now));
         }
         let drawn = now + self.jittered(span);
         let at = self.before_lease_ends(now).map_or(drawn, |last| drawn.min(last));
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -38,7 +38,7 @@
 use violetseam_loopio::timers::Timers;
 use violetseam_platform::config::Config;
 use violetseam_platform::discovery::Roster;
-use violetseam_proxy::engine::{Counts, Engine, Order};
+use violetseam_proxy::engine::{Counts, Engine, EngineAction};
 use violetseam_resp::Bounds;
 
 /// One read takes at most so much.
@@ -199,7 +199,7 @@
         proxy.on_time(looked);
         proxy.looked_before = before;
     }
-    let summary = Summary { counts: proxy.engine.counts(), owed: proxy.engine.owed() };
+    let summary = Summary { counts: proxy.engine.counts(), owed: proxy.engine.pending_responses() };
     proxy.tell_counts("stopped");
     // The loop lets its signals go as it drops: one that has come since would end the process before its own end.
     std::mem::forget(event_loop);
@@ -271,11 +271,11 @@
         self.looked_before = now;
         // How old that list is, nobody knows: it is used once discovery has confirmed it.
         let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
-        self.engine.keep_list_lease(now, lease);
+        self.engine.set_list_lease(now, lease);
         self.discovery.ready_by = now + READY_BY;
-        self.engine.list(now, ListKind::Cached, &entries);
+        self.engine.on_server_list(now, ListKind::Cached, &entries);
         match self.config.news.map(|news| news.read()) {
-            Some(Ok(news)) => self.engine.stage(now, news),
+            Some(Ok(news)) => self.engine.on_release_status(now, news),
             Some(Err(why)) => tracing::warn!("{why}"),
             None => {}
         }
@@ -300,13 +300,13 @@
         if !self.revisit.is_empty() {
             return Duration::ZERO;
         }
-        self.timers.wait(self.now(), self.engine.due())
+        self.timers.wait(self.now(), self.engine.next_deadline())
     }
 
     /// Plays what was due when the sockets were last looked at: an answer that had come by then has been read.
     fn on_time(&mut self, looked: Micros) {
         let now = self.now();
-        self.engine.on_due_by(now, looked);
+        self.engine.run_deadlines_until(now, looked);
         self.pump();
         while let Some(what) = self.timers.pop(looked) {
             match what {
@@ -327,7 +327,10 @@
             self.pump();
         }
         self.revisit_clients();
-        if self.is_leaving() && self.listener.is_none() && self.clients.is_empty() && self.engine.owed() == 0
+        if self.is_leaving()
+            && self.listener.is_none()
+            && self.clients.is_empty()
+            && self.engine.pending_responses() == 0
         {
             self.stopping = true;
         }
@@ -340,25 +343,27 @@
         if std::mem::replace(&mut self.pumping, true) {
             return;
         }
-        while let Some(order) = self.engine.next_order() {
-            self.obey(order);
+        while let Some(action) = self.engine.next_action() {
+            self.perform(action);
         }
         self.pumping = false;
     }
 
-    fn obey(&mut self, order: Order) {
-        match order {
-            Order::Start { request, attempt, server } => self.start_attempt(request, attempt, server),
-            Order::Drop { request, attempt } => self.drop_attempt(request, attempt),
-            Order::Answer { request, answer } => self.answer_own(request, answer),
-            Order::Forget { request } => self.forget(request),
-            Order::FollowList => self.follow_list(),
-            Order::FetchList => self.follow_list(),
-            Order::Vote { build, stage, verdict } => self.call_vote(build, stage, verdict),
-            Order::Tell { to, payload } => self.tell_peers(to, &payload),
+    fn perform(&mut self, action: EngineAction) {
+        match action {
+            EngineAction::StartAttempt { request, attempt, server } => {
+                self.start_attempt(request, attempt, server)
+            }
+            EngineAction::CloseAttempt { request, attempt } => self.drop_attempt(request, attempt),
+            EngineAction::Respond { request, response } => self.answer_own(request, response),
+            EngineAction::Forget { request } => self.forget(request),
+            EngineAction::WatchServerList => self.follow_list(),
+            EngineAction::FetchServerList => self.follow_list(),
+            EngineAction::Vote { build, stage, verdict } => self.call_vote(build, stage, verdict),
+            EngineAction::Gossip { to, payload } => self.tell_peers(to, &payload),
             // The platform's settings name no budget of the fleet, so that none is kept here.
-            Order::Rights { .. } => {}
-            Order::Note(text) => tracing::info!(target: "verdict", "{text}"),
+            EngineAction::BudgetMessage { .. } => {}
+            EngineAction::Log(text) => tracing::info!(target: "verdict", "{text}"),
         }
     }
 
@@ -400,9 +405,10 @@
         self.ending = Ending::Told;
         self.tell_counts("ending");
         let now = self.now();
-        let life = self
-            .engine
-            .end(now, Lifetime::told_to_end(now, self.config.instance.decisions.longest_deadline()));
+        let life = self.engine.begin_shutdown(
+            now,
+            Lifetime::told_to_end(now, self.config.instance.decisions.longest_deadline()),
+        );
         tracing::info!(answer_in_us = life.answer_by - now, end_in_us = life.end_by - now, "SIGTERM");
         self.timers.set(now + TAKING_ON, What::Leave);
         self.timers.set(life.answer_by, What::LastAnswers);
@@ -415,7 +421,7 @@
     fn last_answers(&mut self) {
         self.tell_owed();
         let now = self.now();
-        self.engine.abandon(now);
+        self.engine.fail_pending_requests(now);
         self.pump();
         self.leave();
         self.ending = Ending::LastAnswers;
@@ -453,18 +459,18 @@
     fn tell_counts(&self, what: &str) {
         let c = self.engine.counts();
         tracing::info!(
-            taken = c.taken,
+            taken = c.received,
             served = c.served,
-            refused = c.refused,
+            refused = c.rejected,
             failed = c.failed,
-            gone = c.gone,
+            gone = c.disconnected,
             attempts = c.attempts,
             overdue = c.overdue,
             violations = c.violations,
-            held_back = c.held_back,
-            without_list = c.without_list,
+            held_back = c.cancelled_before_send,
+            without_list = c.without_server_list,
             closed_while_owed = self.closed_while_owed,
-            owed = self.engine.owed(),
+            owed = self.engine.pending_responses(),
             clients = self.clients.len(),
             servers = self.servers.len(),
             "{what}"
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -36,7 +36,7 @@
             let number = self.config.peers.iter().position(|peer| *peer == from);
             let Some(number) = number.filter(|_| length <= PAYLOAD_MOST) else { continue };
             let now = self.now();
-            self.engine.peer_message(now, number, &bytes[..length]);
+            self.engine.on_peer_message(now, number, &bytes[..length]);
             self.pump();
         }
     }
--- a/crates/platform-proxy/src/pipeline.rs
+++ b/crates/platform-proxy/src/pipeline.rs
@@ -155,7 +155,7 @@
     fn news(&mut self, news: ReleaseStatus) {
         self.note_news(news);
         let now = self.now();
-        self.engine.stage(now, news);
+        self.engine.on_release_status(now, news);
         self.pump();
     }
 
@@ -172,7 +172,7 @@
         let class = self.config.instance.classes.iter().position(|name| name == class);
         if let (Some(number), Some(class)) = (number, class) {
             let now = self.now();
-            self.engine.answer_flagged(now, number, class, since);
+            self.engine.on_answer_flagged(now, number, class, since);
             self.pump();
         }
     }
@@ -282,6 +282,6 @@
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         news.into_iter().for_each(|news| self.note_news(news));
         let now = self.now();
-        self.engine.vote_reply(now, outcome, news);
+        self.engine.on_vote_reply(now, outcome, news);
     }
 }
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -67,7 +67,7 @@
     /// Starts an attempt on an idle connection, or on a new one.
     pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, id: ServerId) {
         // Given up again by the very actions that started it: nothing of it leaves.
-        if !self.engine.awaits(request, attempt) {
+        if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
         let Some(held) = self.held.get_mut(&request) else { return };
@@ -129,7 +129,7 @@
     /// Whether an attempt that could not leave when it was ordered may leave now.
     fn may_leave(&mut self, job: Job) -> bool {
         let now = self.now();
-        let may = self.engine.may_leave(now, job.request, job.attempt);
+        let may = self.engine.may_send(now, job.request, job.attempt);
         if !may {
             tracing::debug!(request = job.request, attempt = job.attempt, "withheld");
         }
@@ -138,7 +138,7 @@
 
     fn end_attempt(&mut self, job: Job, outcome: Outcome) {
         let now = self.now();
-        self.engine.attempt_ended(now, job.request, job.attempt, outcome);
+        self.engine.on_attempt_ended(now, job.request, job.attempt, outcome);
     }
 
     /// Writes the request on a connection that is up, with the time that this attempt will be waited for.
@@ -146,7 +146,7 @@
         let now = self.now();
         let Some(server) = self.servers.get_mut(key) else { return };
         let Some(job) = server.job() else { return };
-        let cut_at = self.engine.cut_at(job.request, job.attempt);
+        let cut_at = self.engine.attempt_deadline(job.request, job.attempt);
         let (Some(held), Some(cut_at)) = (self.held.get(&job.request), cut_at) else {
             return self.close_server(key);
         };
@@ -248,7 +248,7 @@
                 self.place(job, None);
                 self.rest_or_close(key, reusable && !waits);
                 let now = self.now();
-                if self.engine.attempt_ended(now, job.request, job.attempt, Outcome::Ok) {
+                if self.engine.on_attempt_ended(now, job.request, job.attempt, Outcome::Ok) {
                     tracing::debug!(request = job.request, attempt = job.attempt, server = id, "served");
                     let mut bytes = Vec::with_capacity(value.len() + 16);
                     answer::write_served(&mut bytes, value);
--- a/crates/proxy/src/driver/clients.rs
+++ b/crates/proxy/src/driver/clients.rs
@@ -2,7 +2,7 @@
 
 use super::Proxy;
 use super::timers::{ACCEPT_PAUSE, What};
-use crate::engine::Final;
+use crate::engine::LocalResponse;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
@@ -302,7 +302,7 @@
         self.close_client(key);
         if let Some(id) = waiting {
             let now = self.now();
-            self.engine.client_gone(now, id);
+            self.engine.on_client_disconnected(now, id);
         }
     }
 
@@ -419,7 +419,7 @@
                     if let State::Waiting(id) = client.state {
                         client.state = State::Idle;
                         let now = self.now();
-                        self.engine.client_gone(now, id);
+                        self.engine.on_client_disconnected(now, id);
                     }
                     self.decline(key, fault.status, fault.reason);
                 }
@@ -439,7 +439,7 @@
         let purpose = self.purpose(&head);
         // The client's wait began when it sent; how late this loop is, the head may have lain unread.
         let now = self.now();
-        let arrived = now - self.timers.behind(now, self.engine.due());
+        let arrived = now - self.timers.behind(now, self.engine.next_deadline());
         let Some(client) = self.clients.get_mut(key) else { return };
         client.used = true;
         if head.expects_continue {
@@ -555,7 +555,7 @@
             passing: None,
         };
         let now = self.now();
-        let id = self.engine.request(now, request, true);
+        let id = self.engine.on_request(now, request, true);
         if let Some(client) = self.clients.get_mut(key) {
             client.state = State::Waiting(id);
         }
@@ -575,7 +575,7 @@
                 } else {
                     out.extend_from_slice(bytes)
                 }
-                self.engine.not_repeatable(id);
+                self.engine.mark_not_repeatable(id);
                 on.into_iter().for_each(|key| self.flush_server(key));
             }
             _ => held.body.extend_from_slice(bytes),
@@ -600,7 +600,7 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         let State::Collecting(pending) = std::mem::replace(&mut client.state, State::Idle) else { return };
         match flag::parse(&pending.body) {
-            Ok(answer) if self.engine.flagged(now, answer) => {
+            Ok(answer) if self.engine.on_answer_reported(now, answer) => {
                 self.write_own(key, StatusCode::ACCEPTED, "", &[], false);
             }
             Ok(_) => self.write_own(key, StatusCode::NOT_FOUND, "no such answer\n", &[], false),
@@ -640,19 +640,19 @@
     }
 
     /// A final answer that no server gave: refused 503, failed 502 or 504.
-    pub(super) fn answer_now(&mut self, request: RequestId, answer: Final) {
+    pub(super) fn respond_now(&mut self, request: RequestId, answer: LocalResponse) {
         let Some((key, _)) = self.client_of(request) else { return };
         tracing::debug!(request, ?answer, "final answer");
         match answer {
-            Final::Refused { come_back } => {
+            LocalResponse::Rejected { retry_after } => {
                 // Whole seconds are all the field can say; rounded up, as "not before" is what it means.
-                let seconds = come_back.div_ceil(1_000_000).to_string();
+                let seconds = retry_after.div_ceil(1_000_000).to_string();
                 let advice = (RETRY_AFTER, seconds.as_bytes());
                 let outcome = (OUTCOME, &b"refused"[..]);
-                let fields = if come_back > 0 { vec![outcome, advice] } else { vec![outcome] };
+                let fields = if retry_after > 0 { vec![outcome, advice] } else { vec![outcome] };
                 self.write_own(key, StatusCode::SERVICE_UNAVAILABLE, "refused\n", &fields, false);
             }
-            Final::Failed { timed_out } => {
+            LocalResponse::Failed { timed_out } => {
                 let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
                 self.write_own(key, status, "failed\n", &[(OUTCOME, b"failed")], false);
             }
--- a/crates/proxy/src/driver/control.rs
+++ b/crates/proxy/src/driver/control.rs
@@ -277,7 +277,7 @@
         }
         self.roster_changed = true;
         self.list_heard = Some(now);
-        self.engine.list(now, kind, &entries);
+        self.engine.on_server_list(now, kind, &entries);
         Ok(())
     }
 
@@ -288,12 +288,12 @@
             return Err(format!("news under number {fence} after {}", self.desk_fence));
         }
         self.desk_fence = fence;
-        if self.engine.news() != Some(news) {
+        if self.engine.release() != Some(news) {
             let (build, stage, phase, cap) = (news.build, news.stage, news.phase, news.cap);
             tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
         }
         let now = self.now();
-        self.engine.stage(now, news);
+        self.engine.on_release_status(now, news);
         Ok(())
     }
 
@@ -327,13 +327,13 @@
             }
             None => (outcome, None),
         };
-        self.engine.vote_reply(now, outcome, news);
+        self.engine.on_vote_reply(now, outcome, news);
     }
 
     fn list_failed(&mut self, why: &str) {
         tracing::warn!("roster: {why}");
         let now = self.now();
-        self.engine.list(now, ListKind::Failed, &[]);
+        self.engine.on_server_list(now, ListKind::Failed, &[]);
     }
 
     pub(super) fn call_timeout(&mut self, key: usize, generation: u64) {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -22,7 +22,7 @@
 mod takeover;
 mod timers;
 
-use crate::engine::{Engine, Final, Order};
+use crate::engine::{Engine, EngineAction, LocalResponse};
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, LoopHandle, RegistrationToken};
 use clients::{Client, Held};
@@ -265,12 +265,12 @@
         };
         let (mut engine, origin) = match inherited {
             Some(before) => {
-                (Engine::succeed(settings.decisions.clone(), before.module.clone()), before.clock())
+                (Engine::with_module(settings.decisions.clone(), before.module.clone()), before.clock())
             }
             None => (Engine::new(settings.decisions.clone(), seed, recorder), 1_000_000),
         };
         if options.time_module {
-            engine.time_module();
+            engine.measure_module_time();
         }
         Ok(Proxy {
             operators: None,
@@ -332,7 +332,7 @@
         let now = self.now();
         let saved = self.saved_roster();
         let entries = saved.map(|message| self.roster.restore(now, &message)).unwrap_or_default();
-        self.engine.list(now, ListKind::Cached, &entries);
+        self.engine.on_server_list(now, ListKind::Cached, &entries);
         self.pause_standing();
         self.open_desk_stream();
         self.next_upkeep(now);
@@ -355,13 +355,13 @@
     }
 
     fn timeout(&self) -> Duration {
-        self.timers.wait(self.now(), self.engine.due())
+        self.timers.wait(self.now(), self.engine.next_deadline())
     }
 
     /// Plays what was due when the sockets were last looked at: an answer that had come by then has been read.
     fn on_time(&mut self, looked: Micros) {
         let now = self.now();
-        self.engine.on_due_by(now, looked);
+        self.engine.run_deadlines_until(now, looked);
         self.pump();
         self.own_timers(looked);
         self.pump();
@@ -373,7 +373,7 @@
     /// Nothing is in hand and nothing can come.
     fn has_ended(&self) -> bool {
         let nothing_open = self.listeners.is_empty() && self.clients.is_empty();
-        nothing_open && self.engine.owed() == 0 && self.held.is_empty()
+        nothing_open && self.engine.pending_responses() == 0 && self.held.is_empty()
     }
 
     /// Does what the engine ordered, and what comes of that, until nothing is left. Called from within, it
@@ -384,8 +384,8 @@
             return;
         }
         loop {
-            if let Some(order) = self.engine.next_order() {
-                self.obey(order);
+            if let Some(action) = self.engine.next_action() {
+                self.perform(action);
             } else if let Some((key, generation)) = self.resumed.pop() {
                 self.resume_client(key, generation);
             } else {
@@ -395,33 +395,35 @@
         self.pumping = false;
     }
 
-    fn obey(&mut self, order: Order) {
+    fn perform(&mut self, action: EngineAction) {
         let outward = matches!(
-            order,
-            Order::FollowList
-                | Order::FetchList
-                | Order::Vote { .. }
-                | Order::Tell { .. }
-                | Order::Rights { .. }
+            action,
+            EngineAction::WatchServerList
+                | EngineAction::FetchServerList
+                | EngineAction::Vote { .. }
+                | EngineAction::Gossip { .. }
+                | EngineAction::BudgetMessage { .. }
         );
         // These are the successor's now: two processes must not vote or speak as one proxy.
         if outward && self.handed_over {
             return;
         }
-        match order {
-            Order::Start { request, attempt, server } => self.start_attempt(request, attempt, server),
-            Order::Drop { request, attempt } => self.drop_attempt(request, attempt),
-            Order::Answer { request, answer } => self.answer(request, answer),
-            Order::Forget { request } => self.forget(request),
-            Order::FollowList => self.call_roster(true),
-            Order::FetchList => self.call_roster(false),
-            Order::Vote { build, stage, verdict } => {
+        match action {
+            EngineAction::StartAttempt { request, attempt, server } => {
+                self.start_attempt(request, attempt, server)
+            }
+            EngineAction::CloseAttempt { request, attempt } => self.drop_attempt(request, attempt),
+            EngineAction::Respond { request, response } => self.respond(request, response),
+            EngineAction::Forget { request } => self.forget(request),
+            EngineAction::WatchServerList => self.call_roster(true),
+            EngineAction::FetchServerList => self.call_roster(false),
+            EngineAction::Vote { build, stage, verdict } => {
                 self.note_vote(build, stage, verdict);
                 self.call_vote(build, stage, verdict);
             }
-            Order::Tell { to, payload } => self.tell_peers(to, Kind::Decisions, &payload),
-            Order::Rights { to, payload } => self.tell_peers(Some(to), Kind::Rights, &payload),
-            Order::Note(text) => {
+            EngineAction::Gossip { to, payload } => self.tell_peers(to, Kind::Decisions, &payload),
+            EngineAction::BudgetMessage { to, payload } => self.tell_peers(Some(to), Kind::Rights, &payload),
+            EngineAction::Log(text) => {
                 tracing::info!(target: "verdict", "{text}");
                 self.note_finding(text);
             }
@@ -438,17 +440,17 @@
         // Of the moment and the process whatever the seed, as no two lives of a position may be alike.
         let (now, drawn) = (self.now(), fresh_seed());
         let life = (drawn ^ (drawn >> 32)) as u32;
-        self.engine.share(now, Budgets::new(now, plan, life));
+        self.engine.set_budgets(now, Budgets::new(now, plan, life));
         self.pump();
     }
 
     /// A final answer of the proxy's own, unless sabotage holds it back.
-    fn answer(&mut self, request: RequestId, answer: Final) {
+    fn respond(&mut self, request: RequestId, response: LocalResponse) {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(Sabotage::LateAnswer) {
-            return self.late_answer(self.now() + 2_000_000, request, answer);
+            return self.delay_response(self.now() + 2_000_000, request, response);
         }
-        self.answer_now(request, answer);
+        self.respond_now(request, response);
     }
 
     /// Stops taking connections and requests; what was taken is answered, then the loop ends.
@@ -464,7 +466,7 @@
         if std::mem::replace(&mut self.draining, true) {
             return;
         }
-        tracing::info!(owed = self.engine.owed(), "draining");
+        tracing::info!(owed = self.engine.pending_responses(), "draining");
         self.listen_until = self.last_listening();
         self.close_idle_clients();
         self.drain_queues();
@@ -505,16 +507,16 @@
         let summary = Summary {
             counts: self.engine.counts(),
             left_open: self.clients.len() + busy,
-            left_in_hand: self.engine.owed() + self.held.len(),
+            left_in_hand: self.engine.pending_responses() + self.held.len(),
             module_time: self.engine.module_time(),
         };
         let c = summary.counts;
         tracing::info!(
-            taken = c.taken,
+            taken = c.received,
             served = c.served,
-            refused = c.refused,
+            refused = c.rejected,
             failed = c.failed,
-            gone = c.gone,
+            gone = c.disconnected,
             attempts = c.attempts,
             overdue = c.overdue,
             "stopped"
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -273,7 +273,7 @@
         let now = self.now();
         if self.operators.as_ref().is_some_and(|d| d.book.pause().is_some()) {
             tracing::warn!("a pause from before this start stands");
-            self.engine.operator(now, OperatorCommand::Pause);
+            self.engine.on_operator_command(now, OperatorCommand::Pause);
         }
     }
 
@@ -480,7 +480,7 @@
 
     fn present(&self) -> Present {
         let boot = self.operators.as_ref().map_or(0, |d| d.boot);
-        Present { boot, release: self.engine.news().map(|n| (n.build, n.stage)) }
+        Present { boot, release: self.engine.release().map(|n| (n.build, n.stage)) }
     }
 
     /// Takes the next command, unless one is being kept: commands have one order.
@@ -531,9 +531,9 @@
     fn change(&mut self, change: Change) -> Result<(), String> {
         let now = self.now();
         match change {
-            Change::Pause => self.engine.operator(now, OperatorCommand::Pause),
-            Change::Resume => self.engine.operator(now, OperatorCommand::Resume),
-            Change::Back => self.engine.operator(now, OperatorCommand::RollBack),
+            Change::Pause => self.engine.on_operator_command(now, OperatorCommand::Pause),
+            Change::Resume => self.engine.on_operator_command(now, OperatorCommand::Resume),
+            Change::Back => self.engine.on_operator_command(now, OperatorCommand::RollBack),
             Change::Drain => self.stop_taking(),
             Change::Undrain => return self.take_again(),
             Change::LogLevel(filter) => {
@@ -597,7 +597,7 @@
             // Kept with the next command; until then a restart finds the pause expired, too.
             tracing::info!(target: "operator", "the pause has ended");
             let now = self.now();
-            self.engine.operator(now, OperatorCommand::Resume);
+            self.engine.on_operator_command(now, OperatorCommand::Resume);
         }
     }
 
@@ -642,7 +642,7 @@
             Phase::Released => "released",
             Phase::Withdrawn => "withdrawn",
         };
-        let release = self.engine.news().map(|n| Release {
+        let release = self.engine.release().map(|n| Release {
             build: n.build,
             stage: n.stage,
             phase: phase(n.phase).to_owned(),
@@ -664,15 +664,15 @@
             finding: self.finding.clone(),
             paused: pause.map(|p| (p.until_us, p.issuer.clone())),
             counts: Counts {
-                taken: counts.taken,
+                taken: counts.received,
                 served: counts.served,
-                refused: counts.refused,
+                refused: counts.rejected,
                 failed: counts.failed,
-                gone: counts.gone,
+                gone: counts.disconnected,
                 attempts: counts.attempts,
             },
             connections: (self.clients.len() as u64, self.servers.len() as u64),
-            owed: self.engine.owed() as u64,
+            owed: self.engine.pending_responses() as u64,
             peers: self.peers_heard.values().filter(|at| **at + PEERS_RECENT > now).count() as u64,
             list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
             servers: self.roster_lines.len() as u64,
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -46,8 +46,8 @@
                     let number = usize::from(number);
                     self.peers_heard.insert(number, now);
                     match kind {
-                        Kind::Decisions => self.engine.peer_message(now, number, payload),
-                        Kind::Rights => self.engine.rights_message(now, number, payload),
+                        Kind::Decisions => self.engine.on_peer_message(now, number, payload),
+                        Kind::Rights => self.engine.on_budget_message(now, number, payload),
                     }
                     self.pump();
                 }
--- a/crates/proxy/src/driver/servers.rs
+++ b/crates/proxy/src/driver/servers.rs
@@ -93,7 +93,7 @@
     /// Starts an attempt on an idle connection, or on a new one.
     pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, id: ServerId) {
         // Given up again by the very actions that started it: nothing of it leaves.
-        if !self.engine.awaits(request, attempt) {
+        if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
         self.count_attempt(id);
@@ -165,7 +165,7 @@
         }
         if !held.complete || kept > self.settings.connections.keep_body {
             // What grows from here on goes to this server alone and is not kept.
-            self.engine.not_repeatable(request);
+            self.engine.mark_not_repeatable(request);
         }
         self.flush_server(key);
     }
@@ -278,7 +278,7 @@
             } else if readiness.writable {
                 let now = self.now();
                 // Decided a while ago: asked again before the first byte, as its server may run it from then on.
-                if self.engine.may_leave(now, request, attempt)
+                if self.engine.may_send(now, request, attempt)
                     && let Some(server) = self.servers.get_mut(key)
                     && let State::Connecting(job) = std::mem::replace(&mut server.state, State::Idle)
                 {
@@ -413,7 +413,7 @@
         job.answer = Answer::Passed;
         let (request, attempt) = (job.request, job.attempt);
         let now = self.now();
-        if !self.engine.stream_started(now, request, attempt) {
+        if !self.engine.on_stream_started(now, request, attempt) {
             // Somebody else's answer is the client's already.
             self.detach(request, attempt);
             self.close_server(key);
@@ -421,7 +421,7 @@
             return;
         }
         let answer = self.draw();
-        self.engine.passed_on(request, attempt, answer);
+        self.engine.record_delivered_answer(request, attempt, answer);
         let framing = if head.framing == Framing::UntilClose { Framing::Chunked } else { head.framing };
         if let Some(held) = self.held.get_mut(&request) {
             held.passing = Some(key);
@@ -446,7 +446,7 @@
         match job.answer {
             Answer::Gathered(head, body) => {
                 let answer = self.draw();
-                self.engine.passed_on(request, attempt, answer);
+                self.engine.record_delivered_answer(request, attempt, answer);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
                     self.pass_whole(request, &head, &body, answer);
                 }
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -184,7 +184,7 @@
             // Addresses only: the module knows the servers, and what it knows of them.
             self.roster.restore(now, &message);
         }
-        self.engine.list(now, ListKind::Failed, &[]);
+        self.engine.on_server_list(now, ListKind::Failed, &[]);
         self.pause_standing();
         self.open_desk_stream();
         self.next_upkeep(now);
@@ -205,7 +205,7 @@
         self.handing = Some((key, generation));
         self.timers.set(self.now() + PATIENCE.as_micros() as Micros, What::Takeover(generation));
         self.set_accepting(false);
-        self.engine.start_nothing(true);
+        self.engine.suspend_attempts(true);
         let clients: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         clients.into_iter().for_each(|key| self.rest_client(key));
         self.save_roster();
@@ -264,7 +264,7 @@
         if !went {
             return self.keep_serving("the new process went away");
         }
-        tracing::info!(owed = self.engine.owed(), "handed over");
+        tracing::info!(owed = self.engine.pending_responses(), "handed over");
         self.handing = None;
         self.handed_over = true;
         self.leave_control();
@@ -289,7 +289,7 @@
             self.close_operator(key);
         }
         self.handed_clients.clear();
-        self.engine.start_nothing(false);
+        self.engine.suspend_attempts(false);
         self.take_store_back();
         self.set_accepting(true);
         let clients: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -1,7 +1,7 @@
 //! The driver's own time-outs: bounds of connections and calls, none of requests, which the module times.
 
 #[cfg(feature = "sabotage")]
-use crate::engine::Final;
+use crate::engine::LocalResponse;
 #[cfg(feature = "sabotage")]
 use violetseam::interface::RequestId;
 use violetseam::interface::{Micros, Outcome};
@@ -62,10 +62,11 @@
                 What::ConfigurationReport(generation) => self.report_timeout(generation),
                 What::Upkeep => self.upkeep(now),
                 #[cfg(feature = "sabotage")]
-                What::Late(request, come_back, timed_out) => {
-                    let failed = Final::Failed { timed_out };
-                    let answer = come_back.map_or(failed, |come_back| Final::Refused { come_back });
-                    self.answer_now(request, answer);
+                What::Late(request, retry_after, timed_out) => {
+                    let failed = LocalResponse::Failed { timed_out };
+                    let answer =
+                        retry_after.map_or(failed, |retry_after| LocalResponse::Rejected { retry_after });
+                    self.respond_now(request, answer);
                 }
             }
             self.pump();
@@ -90,17 +91,17 @@
     }
 
     #[cfg(feature = "sabotage")]
-    pub(super) fn late_answer(&mut self, at: Micros, request: RequestId, answer: Final) {
-        let (come_back, timed_out) = match answer {
-            Final::Refused { come_back } => (Some(come_back), false),
-            Final::Failed { timed_out } => (None, timed_out),
+    pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, answer: LocalResponse) {
+        let (retry_after, timed_out) = match answer {
+            LocalResponse::Rejected { retry_after } => (Some(retry_after), false),
+            LocalResponse::Failed { timed_out } => (None, timed_out),
         };
-        self.timers.set(at, What::Late(request, come_back, timed_out));
+        self.timers.set(at, What::Late(request, retry_after, timed_out));
     }
 
     /// An attempt's end, told to the engine; what it orders is done by the caller's `pump`.
     pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
         let now = self.now();
-        self.engine.attempt_ended(now, request, attempt, outcome)
+        self.engine.on_attempt_ended(now, request, attempt, outcome)
     }
 }
--- /dev/null
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -0,0 +1,82 @@
+//! The end of this process's part: permissions to send, the hand-over to a successor and the shutdown.
+
+use super::deadlines::TimerKind;
+use super::{Engine, LocalResponse};
+use violetseam::balance::Balancer;
+use violetseam::interface::{Event, Micros, RequestId};
+use violetseam::permission::{Lifetime, ListLease, Permissions};
+
+impl Engine {
+    /// The decision module as a process that takes over will have it.
+    pub fn successor(&self, seed: u64) -> Balancer {
+        self.module.successor(seed)
+    }
+
+    /// Suspends new attempts, or resumes them: while suspended, each attempt that the decision module asks for
+    /// ends as not sent. After a hand-over the successor's module counts exposure and the load of servers that
+    /// warm up, and nothing may be sent that it cannot know of.
+    pub fn suspend_attempts(&mut self, suspended: bool) {
+        self.permissions.hand_over(suspended);
+    }
+
+    /// Limits the list's use from now on: it is used only while this lease holds. Before the first request.
+    pub fn set_list_lease(&mut self, now: Micros, lease: ListLease) {
+        self.permissions.list = lease;
+        self.feed(now, Event::ListLease { until: lease.until() });
+    }
+
+    /// Changes the lease on the list.
+    pub fn update_list_lease(&mut self, now: Micros, change: impl FnOnce(&mut ListLease)) {
+        let before = self.permissions.list.until();
+        change(&mut self.permissions.list);
+        let until = self.permissions.list.until();
+        if until != before {
+            self.feed(now, Event::ListLease { until });
+        }
+    }
+
+    /// What this process may do now.
+    pub fn permissions(&self) -> &Permissions {
+        &self.permissions
+    }
+
+    /// The process was told to end: nothing is sent after, and everything has its final answer by, the times that
+    /// are returned, which are earlier ones where it was told before.
+    pub fn begin_shutdown(&mut self, now: Micros, lifetime: Lifetime) -> Lifetime {
+        let lifetime = self.permissions.end(lifetime);
+        let at = lifetime.answer_by;
+        let mut shortened = Vec::new();
+        for (&id, request) in &mut self.requests {
+            if request.deadline <= at {
+                continue;
+            }
+            request.deadline = at;
+            shortened.push(TimerKind::RequestOverdue(id));
+            for (number, attempt) in request.attempts.iter_mut().enumerate() {
+                if attempt.cut_at > at {
+                    attempt.cut_at = at;
+                    shortened.push(TimerKind::AttemptTimeout { request: id, attempt: number });
+                }
+            }
+        }
+        // The map's order is random.
+        shortened.sort_unstable();
+        for kind in shortened {
+            self.schedule(at, kind);
+        }
+        self.feed(now, Event::ShutdownAt { at });
+        lifetime
+    }
+
+    /// The process ends: each request without a final answer fails, and the decision module hears that its client
+    /// has disconnected.
+    pub fn fail_pending_requests(&mut self, now: Micros) {
+        let pending = self.requests.iter().filter(|(_, request)| request.awaits_response());
+        let mut ids: Vec<RequestId> = pending.map(|(id, _)| *id).collect();
+        ids.sort_unstable();
+        for id in ids {
+            self.respond(id, LocalResponse::Failed { timed_out: true });
+            self.feed(now, Event::ClientDisconnected { request: id });
+        }
+    }
+}
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -31,7 +31,7 @@
         let _ = stream.read_to_string(&mut text);
         assert_eq!(text.ends_with("slow"), served, "{text}");
         let counts = proxy.drain().counts;
-        assert_eq!((counts.served, counts.gone), if served { (1, 0) } else { (0, 1) });
+        assert_eq!((counts.served, counts.disconnected), if served { (1, 0) } else { (0, 1) });
     }
 }
 
@@ -123,7 +123,7 @@
     }
     sender.join().unwrap();
     drop(stream);
-    assert_eq!(proxy.drain().counts.refused, many as u64);
+    assert_eq!(proxy.drain().counts.rejected, many as u64);
 }
 
 #[test]
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -221,7 +221,11 @@
         assert_eq!((summary.left_open, summary.left_in_hand), (0, 0), "leaked: {summary:?}");
         assert_eq!(summary.counts.overdue, 0, "the module owed an answer");
         let c = summary.counts;
-        assert_eq!(c.taken, c.served + c.refused + c.failed + c.gone, "one final answer each: {c:?}");
+        assert_eq!(
+            c.received,
+            c.served + c.rejected + c.failed + c.disconnected,
+            "one final answer each: {c:?}"
+        );
         summary
     }
 }
--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use violetseam::interface::*;
-use violetseam_proxy::engine::{Engine, Final, Order};
+use violetseam_proxy::engine::{Engine, EngineAction, LocalResponse};
 use violetseam_shared::budgets::{Budgets, Plan};
 
 const MS: Micros = 1_000;
@@ -49,7 +49,7 @@
         started_at: 0,
     };
     let entries: Vec<ServerEntry> = (1..=servers).map(entry).collect();
-    engine.list(1_000 * MS, ListKind::Full, &entries);
+    engine.on_server_list(1_000 * MS, ListKind::Full, &entries);
     engine
 }
 
@@ -57,8 +57,8 @@
     Request { deadline: now + 1_000 * MS, class, ..Request::default() }
 }
 
-fn orders(engine: &mut Engine) -> Vec<Order> {
-    std::iter::from_fn(|| engine.next_order()).collect()
+fn actions(engine: &mut Engine) -> Vec<EngineAction> {
+    std::iter::from_fn(|| engine.next_action()).collect()
 }
 
 #[test]
@@ -67,33 +67,35 @@
     // None of the servers answers; then the loop stands still for 700 ms past all that was due.
     for n in 0..1_000 {
         let now = 1_100 * MS + n * 100;
-        engine.request(now, request(now, (n % 2) as usize), true);
+        engine.on_request(now, request(now, (n % 2) as usize), true);
     }
-    orders(&mut engine);
+    actions(&mut engine);
     let now = 1_100 * MS + 1_700 * MS;
-    engine.on_due(now);
+    engine.run_deadlines(now);
     let mut answers: BTreeMap<RequestId, usize> = BTreeMap::new();
     let mut answered_then_sent = 0;
-    for order in orders(&mut engine) {
-        match order {
-            Order::Answer { request, .. } => *answers.entry(request).or_default() += 1,
-            Order::Start { request, .. } if answers.contains_key(&request) => answered_then_sent += 1,
+    for action in actions(&mut engine) {
+        match action {
+            EngineAction::Respond { request, .. } => *answers.entry(request).or_default() += 1,
+            EngineAction::StartAttempt { request, .. } if answers.contains_key(&request) => {
+                answered_then_sent += 1
+            }
             _ => {}
         }
     }
     assert_eq!((answers.len(), answers.values().all(|n| *n == 1), answered_then_sent), (1_000, true, 0));
-    assert_eq!((engine.in_hand(), engine.owed()), (0, 0));
+    assert_eq!((engine.in_flight(), engine.pending_responses()), (0, 0));
 }
 
 #[test]
 fn what_came_due_is_told_in_its_order() {
     let mut engine = engine(1);
-    let first = engine.request(1_100 * MS, Request { deadline: 1_400 * MS, ..request(0, 1) }, true);
-    let second = engine.request(1_101 * MS, Request { deadline: 1_300 * MS, ..request(0, 1) }, true);
-    orders(&mut engine);
-    engine.on_due(3_000 * MS);
-    let answered = orders(&mut engine).into_iter().filter_map(|o| match o {
-        Order::Answer { request, .. } => Some(request),
+    let first = engine.on_request(1_100 * MS, Request { deadline: 1_400 * MS, ..request(0, 1) }, true);
+    let second = engine.on_request(1_101 * MS, Request { deadline: 1_300 * MS, ..request(0, 1) }, true);
+    actions(&mut engine);
+    engine.run_deadlines(3_000 * MS);
+    let answered = actions(&mut engine).into_iter().filter_map(|o| match o {
+        EngineAction::Respond { request, .. } => Some(request),
         _ => None,
     });
     assert_eq!(answered.collect::<Vec<_>>(), [second, first]);
@@ -102,54 +104,58 @@
 #[test]
 fn an_attempt_ends_once_and_a_late_answer_goes_to_nobody() {
     let mut engine = engine(2);
-    let id = engine.request(1_100 * MS, request(1_100 * MS, 1), true);
+    let id = engine.on_request(1_100 * MS, request(1_100 * MS, 1), true);
     assert!(
-        orders(&mut engine).contains(&Order::Start { request: id, attempt: 0, server: 1 })
-            || engine.awaits(id, 0)
+        actions(&mut engine).contains(&EngineAction::StartAttempt { request: id, attempt: 0, server: 1 })
+            || engine.is_attempt_pending(id, 0)
     );
-    engine.on_due(2_200 * MS);
+    engine.run_deadlines(2_200 * MS);
     assert!(matches!(
-        orders(&mut engine).iter().find(|o| matches!(o, Order::Answer { .. })),
-        Some(Order::Answer { answer: Final::Failed { timed_out: true }, .. })
+        actions(&mut engine).iter().find(|o| matches!(o, EngineAction::Respond { .. })),
+        Some(EngineAction::Respond { response: LocalResponse::Failed { timed_out: true }, .. })
     ));
-    assert!(!engine.attempt_ended(2_201 * MS, id, 0, Outcome::Ok));
+    assert!(!engine.on_attempt_ended(2_201 * MS, id, 0, Outcome::Ok));
     assert_eq!((engine.counts().failed, engine.counts().served), (1, 0));
 }
 
 #[test]
 fn a_body_that_is_gone_gets_no_second_attempt_and_its_answer_at_once() {
     let mut engine = engine(3);
-    let id = engine.request(1_100 * MS, request(1_100 * MS, 0), true);
-    engine.not_repeatable(id);
-    orders(&mut engine);
-    engine.attempt_ended(1_150 * MS, id, 0, Outcome::Reset);
-    let after = orders(&mut engine);
-    assert!(!after.iter().any(|o| matches!(o, Order::Start { .. })), "{after:?}");
-    assert!(after.iter().any(|o| matches!(o, Order::Answer { .. })), "{after:?}");
-    assert_eq!(engine.in_hand(), 0);
+    let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
+    engine.mark_not_repeatable(id);
+    actions(&mut engine);
+    engine.on_attempt_ended(1_150 * MS, id, 0, Outcome::Reset);
+    let after = actions(&mut engine);
+    assert!(!after.iter().any(|o| matches!(o, EngineAction::StartAttempt { .. })), "{after:?}");
+    assert!(after.iter().any(|o| matches!(o, EngineAction::Respond { .. })), "{after:?}");
+    assert_eq!(engine.in_flight(), 0);
 }
 
 #[test]
 fn a_stream_is_the_clients_from_its_first_byte_and_its_break_ends_the_request() {
     let mut engine = engine(3);
-    let id = engine.request(1_100 * MS, request(1_100 * MS, 0), true);
-    orders(&mut engine);
-    assert!(engine.stream_started(1_110 * MS, id, 0));
-    engine.on_due(5_000 * MS);
-    assert!(!orders(&mut engine).iter().any(|o| matches!(o, Order::Drop { .. } | Order::Answer { .. })));
-    assert!(!engine.attempt_ended(5_001 * MS, id, 0, Outcome::Reset), "nothing of it can be passed on");
-    assert_eq!((engine.in_hand(), engine.counts().failed), (0, 1));
+    let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
+    actions(&mut engine);
+    assert!(engine.on_stream_started(1_110 * MS, id, 0));
+    engine.run_deadlines(5_000 * MS);
+    assert!(
+        !actions(&mut engine)
+            .iter()
+            .any(|o| matches!(o, EngineAction::CloseAttempt { .. } | EngineAction::Respond { .. }))
+    );
+    assert!(!engine.on_attempt_ended(5_001 * MS, id, 0, Outcome::Reset), "nothing of it can be passed on");
+    assert_eq!((engine.in_flight(), engine.counts().failed), (0, 1));
 }
 
 #[test]
 fn answers_are_reported_wrong_once_and_only_those_passed_on() {
     let mut engine = engine(1);
-    let id = engine.request(1_100 * MS, request(1_100 * MS, 0), true);
-    engine.passed_on(id, 0, 77);
-    assert!(engine.attempt_ended(1_120 * MS, id, 0, Outcome::Ok));
-    engine.passed_on(id, 0, 78);
-    assert!(engine.flagged(1_200 * MS, 77));
-    assert!(!engine.flagged(1_200 * MS, 77) && !engine.flagged(1_200 * MS, 78));
+    let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
+    engine.record_delivered_answer(id, 0, 77);
+    assert!(engine.on_attempt_ended(1_120 * MS, id, 0, Outcome::Ok));
+    engine.record_delivered_answer(id, 0, 78);
+    assert!(engine.on_answer_reported(1_200 * MS, 77));
+    assert!(!engine.on_answer_reported(1_200 * MS, 77) && !engine.on_answer_reported(1_200 * MS, 78));
 }
 
 /// One class has two further attempts a second in a fleet of one; servers reset every attempt.
@@ -165,22 +171,22 @@
         drift_ppm: 0,
         burst: 2_000 * MS,
     };
-    engine.share(2_000 * MS, Budgets::new(2_000 * MS, plan, 1));
+    engine.set_budgets(2_000 * MS, Budgets::new(2_000 * MS, plan, 1));
     let (mut further, mut answered, mut taken) = (Vec::new(), 0, 0);
     for step in 0..1_000 {
         let now = 2_000 * MS + step * 10 * MS;
-        engine.on_due(now);
-        engine.request(now, request(now, 0), true);
+        engine.run_deadlines(now);
+        engine.on_request(now, request(now, 0), true);
         taken += 1;
-        let mut todo = orders(&mut engine);
-        while let Some(order) = todo.pop() {
-            match order {
-                Order::Start { request, attempt, .. } => {
+        let mut todo = actions(&mut engine);
+        while let Some(action) = todo.pop() {
+            match action {
+                EngineAction::StartAttempt { request, attempt, .. } => {
                     further.extend((attempt > 0).then_some(now));
-                    engine.attempt_ended(now, request, attempt, Outcome::Reset);
-                    todo.extend(orders(&mut engine));
+                    engine.on_attempt_ended(now, request, attempt, Outcome::Reset);
+                    todo.extend(actions(&mut engine));
                 }
-                Order::Answer { .. } => answered += 1,
+                EngineAction::Respond { .. } => answered += 1,
                 _ => {}
             }
         }
@@ -194,7 +200,7 @@
     assert_eq!(sight.spent, further.len() as u64);
     assert!(sight.denied > 50, "{sight:?}");
     // Nobody waits for a right: each request has its answer by its deadline.
-    engine.on_due(13_500 * MS);
-    answered += orders(&mut engine).iter().filter(|o| matches!(o, Order::Answer { .. })).count();
-    assert_eq!((answered, engine.owed()), (taken, 0));
+    engine.run_deadlines(13_500 * MS);
+    answered += actions(&mut engine).iter().filter(|o| matches!(o, EngineAction::Respond { .. })).count();
+    assert_eq!((answered, engine.pending_responses()), (taken, 0));
 }
--- a/crates/proxy/tests/interleavings.rs
+++ b/crates/proxy/tests/interleavings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use violetseam::interface::*;
-use violetseam_proxy::engine::{Engine, Order};
+use violetseam_proxy::engine::{Engine, EngineAction};
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000 * MS;
@@ -115,7 +115,7 @@
             started_at: 0,
         };
         let entries: Vec<ServerEntry> = (1..=2).map(|n| entry(self.generation * 10 + n)).collect();
-        self.engine.list(self.now, kind, &entries);
+        self.engine.on_server_list(self.now, kind, &entries);
     }
 
     /// Whether a server is listed as ready now.
@@ -151,12 +151,12 @@
             Step::Arrive(class) => {
                 let deadline = self.now + DEADLINE;
                 let request = Request { deadline, class, ..Request::default() };
-                let id = self.engine.request(self.now, request, true);
+                let id = self.engine.on_request(self.now, request, true);
                 assert!(self.asked.insert(id, Asked { class, deadline, ..Asked::default() }).is_none());
             }
             Step::Up(at) => {
                 let (request, number) = (self.tries[at].request, self.tries[at].number);
-                let may = self.engine.may_leave(self.now, request, number);
+                let may = self.engine.may_send(self.now, request, number);
                 if may {
                     self.written(at);
                 }
@@ -169,20 +169,20 @@
             Step::Broken(at) => self.ended(at, Outcome::Reset),
             Step::Leaves(id) => {
                 self.asked.get_mut(&id).unwrap().gone = true;
-                self.engine.client_gone(self.now, id);
+                self.engine.on_client_disconnected(self.now, id);
             }
             Step::Replaced => self.list(ListKind::Full),
             Step::Wait => self.pass(self.now + WINDOW / 2),
-            Step::Due => self.pass(self.engine.due().unwrap_or(self.now)),
+            Step::Due => self.pass(self.engine.next_deadline().unwrap_or(self.now)),
         }
         self.orders();
     }
 
     /// Time passes up to then; what comes due on the way is played in its turn.
     fn pass(&mut self, until: Micros) {
-        while let Some(due) = self.engine.due().filter(|due| *due <= until) {
+        while let Some(due) = self.engine.next_deadline().filter(|due| *due <= until) {
             self.now = self.now.max(due);
-            self.engine.on_due(self.now);
+            self.engine.run_deadlines(self.now);
             self.orders();
         }
         self.now = self.now.max(until);
@@ -191,7 +191,7 @@
     fn ended(&mut self, at: usize, outcome: Outcome) {
         self.tries[at].stand = Stand::Over;
         let (request, number) = (self.tries[at].request, self.tries[at].number);
-        if self.engine.attempt_ended(self.now, request, number, outcome) {
+        if self.engine.on_attempt_ended(self.now, request, number, outcome) {
             self.finished(request);
         }
     }
@@ -226,9 +226,9 @@
     }
 
     fn orders(&mut self) {
-        while let Some(order) = self.engine.next_order() {
-            match order {
-                Order::Start { request, attempt, server } => {
+        while let Some(action) = self.engine.next_action() {
+            match action {
+                EngineAction::StartAttempt { request, attempt, server } => {
                     let asked = &self.asked[&request];
                     assert!(asked.finals == 0 && !asked.gone && !asked.forgotten, "started for nobody");
                     assert!(attempt < MOST, "too many attempts");
@@ -237,19 +237,19 @@
                     let dialing = Stand::Dialing;
                     self.tries.push(Try { request, number: attempt, server, stand: dialing, ran_at: None });
                 }
-                Order::Drop { request, attempt } => {
+                EngineAction::CloseAttempt { request, attempt } => {
                     let is = |t: &&mut Try| (t.request, t.number) == (request, attempt);
                     let one = self.tries.iter_mut().find(is).expect("dropped and never started");
                     assert!(one.stand != Stand::Over, "dropped and ended before");
                     one.stand = Stand::Over;
                 }
-                Order::Answer { request, .. } => self.finished(request),
-                Order::Forget { request } => {
+                EngineAction::Respond { request, .. } => self.finished(request),
+                EngineAction::Forget { request } => {
                     let asked = self.asked.get_mut(&request).unwrap();
                     assert!((asked.finals == 1 || asked.gone) && !asked.forgotten, "forgotten too soon");
                     asked.forgotten = true;
                 }
-                Order::FollowList | Order::FetchList | Order::Note(_) => {}
+                EngineAction::WatchServerList | EngineAction::FetchServerList | EngineAction::Log(_) => {}
                 other => panic!("not asked for: {other:?}"),
             }
         }
