--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -101,7 +101,7 @@
     let name = format!("{}-{}", settings.name, settings.decisions.position);
     let inherited = match (args.takeover, &settings.control) {
         (false, _) => None,
-        (true, Some(control)) => Some(inherit(control)?),
+        (true, Some(control)) => Some(inherit(control).map_err(|e| e.to_string())?),
         (true, None) => return Err("--takeover needs a control socket in the settings".into()),
     };
     let operators = operators(args, file, &settings, set_log)?;
@@ -142,7 +142,7 @@
     tracing_subscriber::registry().with(filter).with(lines).init();
     Ok(Box::new(move |text| {
         let filter = EnvFilter::try_new(text).map_err(|e| format!("no log filter: {e}"))?;
-        handle.reload(filter).map_err(|e| e.to_string())
+        Ok(handle.reload(filter)?)
     }))
 }
 
@@ -158,17 +158,17 @@
     };
     let now = violetseam_fleet::wall_clock();
     let (folder, position) = (folder.clone(), settings.decisions.position);
-    let keys = keys_of(settings)?;
+    let tls_config = keys_of(settings)?;
     let opened = open_store(&folder, position, now, args.takeover)?;
     let (file, set) = (file.to_owned(), args.set.clone());
     let reload = move || {
         let settings = read_file(&file, &set).map_err(|e| e.to_string())?;
-        let keys = keys_of(&settings)?;
-        Ok(Reloaded { settings, keys })
+        let tls_config = keys_of(&settings)?;
+        Ok(Reloaded { settings, tls_config })
     };
     Ok(Some(Operators {
         socket,
-        keys,
+        tls_config,
         boot: opened.boot,
         durable: opened.durable,
         keeper: Box::new(opened.store),
--- a/crates/proxy/src/driver/clients.rs
+++ b/crates/proxy/src/driver/clients.rs
@@ -1,7 +1,8 @@
 //! Client connections: from bytes to a whole request for the engine, and from an answer to bytes.
 
+use super::ConnectionId;
 use super::Proxy;
-use super::timers::{ACCEPT_PAUSE, What};
+use super::timers::{ACCEPT_PAUSE, TimerKind};
 use crate::engine::LocalResponse;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
@@ -146,7 +147,7 @@
 
     /// Accepts one turn's share.
     fn accept(&mut self, listener: &TcpListener) -> Queue {
-        self.heard = true;
+        self.had_socket_events = true;
         for _ in 0..ACCEPTS_MOST {
             if self.clients.len() >= self.settings.connections.max_clients {
                 self.pause_accepting("as many clients as the settings allow");
@@ -182,11 +183,11 @@
 
     fn pause_accepting(&mut self, why: &str) {
         let now = self.now();
-        if self.quiet.allows(now) {
+        if self.log_limit.allows(now) {
             tracing::warn!(open = self.clients.len(), "accepting pauses: {why}");
         }
         self.set_accepting(false);
-        self.timers.set(now + ACCEPT_PAUSE, What::Accept);
+        self.timers.set(now + ACCEPT_PAUSE, TimerKind::Accept);
     }
 
     /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are empty. Where
@@ -260,7 +261,7 @@
     pub(super) fn accept_again(&mut self) {
         if self.draining {
             self.drain_queues();
-        } else if self.handing.is_none() {
+        } else if !self.is_handing_over() {
             self.set_accepting(true);
         }
     }
@@ -285,7 +286,7 @@
             limit_at,
             armed_at: limit_at,
         });
-        self.timers.set(limit_at, What::Client(key, generation));
+        self.timers.set(limit_at, TimerKind::Client(ConnectionId { key, generation }));
         Ok(())
     }
 
@@ -352,6 +353,7 @@
         let settings = self.settings.clone();
         let c = &settings.connections;
         let unused_span = self.unused_span();
+        let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get_mut(key) else { return };
         let span = match &client.state {
             State::Waiting(_) => None,
@@ -371,7 +373,8 @@
         }
         if client.limit_at < client.armed_at {
             client.armed_at = client.limit_at;
-            self.timers.set(client.limit_at, What::Client(key, client.generation));
+            self.timers
+                .set(client.limit_at, TimerKind::Client(ConnectionId { key, generation: client.generation }));
         }
         let growing = match client.state {
             State::Waiting(id) => self.held.get(&id).filter(|h| !h.complete),
@@ -384,17 +387,17 @@
         });
         let full = client.http.held() > INPUT_MOST || client.socket.unwritten() > HIGH_WATER;
         // While a process takes over, what comes next on a connection is for whoever has it then.
-        let handing = self.handing.is_some();
-        client.socket.want(&self.handle, !client.half_closed && !stuck && !full && !handing);
+        client.socket.want(&self.handle, !client.half_closed && !stuck && !full && !is_handing_over);
     }
 
-    pub(super) fn client_timeout(&mut self, now: Micros, key: usize, generation: u64) {
+    pub(super) fn client_timeout(&mut self, now: Micros, id: ConnectionId) {
+        let ConnectionId { key, generation } = id;
         let Some(client) = self.clients.get_mut(key).filter(|c| c.generation == generation) else { return };
         client.armed_at = Micros::MAX;
         if client.limit_at > now {
             if client.limit_at < Micros::MAX {
                 client.armed_at = client.limit_at;
-                self.timers.set(client.limit_at, What::Client(key, generation));
+                self.timers.set(client.limit_at, TimerKind::Client(ConnectionId { key, generation }));
             }
             return;
         }
@@ -428,7 +431,8 @@
     }
 
     /// Goes on with input that waited for the answer before it.
-    pub(super) fn resume_client(&mut self, key: usize, generation: u64) {
+    pub(super) fn resume_client(&mut self, id: ConnectionId) {
+        let ConnectionId { key, generation } = id;
         if self.clients.get(key).is_some_and(|c| c.generation == generation) {
             self.client_events(key);
             self.rest_client(key);
@@ -732,7 +736,9 @@
             }
             // A pipelined request may be waiting in the input: it gets its turn from `pump`, as to play it
             // from here would go a level deeper with each one that is answered at once.
-            State::Idle if client.http.held() > 0 => self.resumed.push((key, client.generation)),
+            State::Idle if client.http.held() > 0 => {
+                self.resumed_clients.push(ConnectionId { key, generation: client.generation })
+            }
             _ => {}
         }
         self.rest_client(key);
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -5,7 +5,7 @@
 
 use super::Proxy;
 use super::configuration_store::{self, ConfigurationStore};
-use super::timers::What;
+use super::timers::TimerKind;
 use crate::distributed_routes::DistributedRoutes;
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
@@ -210,7 +210,7 @@
 
     /// Gives the store what it missed, and opens it again after a take-over that failed.
     pub(super) fn store_upkeep(&mut self) {
-        if self.handing.is_some() || self.handed_over {
+        if self.is_handing_over() || self.handed_over {
             return;
         }
         let now = self.now();
@@ -243,7 +243,7 @@
         let due = subscription.subscriber.deadline();
         if subscription.armed_at.is_none_or(|at| at > due) {
             subscription.armed_at = Some(due);
-            self.timers.set(due, What::Configuration);
+            self.timers.set(due, TimerKind::Configuration);
         }
     }
 
@@ -266,7 +266,7 @@
         subscription.telling = Some(report);
         if self.exchange_with_publisher(Purpose::Report, "POST", ACKNOWLEDGE_PATH, &body) {
             let generation = self.generation;
-            self.timers.set(now + REPORT_TIMEOUT, What::ConfigurationReport(generation));
+            self.timers.set(now + REPORT_TIMEOUT, TimerKind::ConfigurationReport(generation));
         } else {
             self.report_failed();
         }
@@ -306,7 +306,7 @@
     }
 
     fn on_publisher(&mut self, purpose: Purpose, generation: u64, readiness: Readiness) {
-        self.heard = true;
+        self.had_socket_events = true;
         if readiness.writable && !self.write_to_publisher(purpose, generation) {
             self.exchange_ended(purpose);
         }
@@ -373,7 +373,7 @@
                 exchange.into_iter().for_each(|exchange| exchange.accepted = true);
             }
             Purpose::Watch => {
-                if self.quiet.allows(now) {
+                if self.log_limit.allows(now) {
                     tracing::warn!(status, "the publisher does not open a watch");
                 }
                 self.exchange_ended(purpose);
@@ -446,7 +446,7 @@
     fn log_refusal(&mut self, report: &Report) {
         let now = self.now();
         if let Report::Refuse { version, reason, .. } = report
-            && self.quiet.allows(now)
+            && self.log_limit.allows(now)
         {
             tracing::warn!(target: "configuration", %version, "refused: {reason}");
         }
@@ -472,7 +472,7 @@
         if let Some(report) = subscription.telling.take() {
             subscription.note_again(report);
             subscription.report_at = retry_at;
-            self.timers.set(retry_at, What::Configuration);
+            self.timers.set(retry_at, TimerKind::Configuration);
         }
     }
 
--- /dev/null
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -0,0 +1,226 @@
+//! Operators' connections, from a line to its answer.
+
+use super::super::takeover::HandOverError;
+use super::super::timers::TimerKind;
+use super::super::{ConnectionId, Proxy};
+use super::ControlServer;
+use super::commands::QueuedCommand;
+use super::stream::{OperatorStream, Transport};
+use calloop::Readiness;
+use rustls::ServerConnection;
+use std::ops::ControlFlow;
+use std::os::unix::net::UnixStream;
+use violetseam::interface::Micros;
+use violetseam_control::wire::{self, Answer, Ask};
+use violetseam_loopio::Got;
+
+/// Over TCP, how long the other side may take to show its certificate.
+pub(super) const HANDSHAKE_TIMEOUT: Micros = 3_000_000;
+/// A connection that asks nothing for so long is closed.
+pub(super) const IDLE_TIMEOUT: Micros = 30_000_000;
+/// An operator that leaves more unread is not waited for.
+const MAX_UNWRITTEN_BYTES: usize = 4 * wire::LINE_MOST;
+
+/// One operator's connection.
+pub(super) struct Connection {
+    generation: u64,
+    stream: OperatorStream,
+    input: Vec<u8>,
+    last_read_at: Micros,
+}
+
+impl Connection {
+    fn is_local(&self) -> bool {
+        self.stream.unix_stream().is_some()
+    }
+
+    fn next_line(&mut self) -> Option<Vec<u8>> {
+        let end = self.input.iter().position(|byte| *byte == b'\n')?;
+        Some(self.input.drain(..=end).collect())
+    }
+}
+
+impl ControlServer {
+    pub(super) fn local_connections(&self) -> usize {
+        self.connections.iter().filter(|(_, connection)| connection.is_local()).count()
+    }
+
+    pub(super) fn remote_connections(&self) -> usize {
+        self.connections.iter().filter(|(_, connection)| !connection.is_local()).count()
+    }
+
+    /// The connection over TCP that has been in its handshake for longest.
+    pub(super) fn oldest_handshake(&self) -> Option<usize> {
+        let handshakes = self.connections.iter().filter(|(_, connection)| connection.stream.is_handshaking());
+        handshakes.min_by_key(|(_, connection)| connection.generation).map(|(key, _)| key)
+    }
+
+    pub(super) fn is_open(&self, id: ConnectionId) -> bool {
+        self.connections.get(id.key).is_some_and(|connection| connection.generation == id.generation)
+    }
+}
+
+impl Proxy {
+    pub(super) fn add_operator(
+        &mut self,
+        transport: Transport,
+        tls: Option<Box<ServerConnection>>,
+        timeout: Micros,
+    ) {
+        let generation = self.next_generation();
+        let now = self.now();
+        let Some(control) = &mut self.control else { return };
+        let entry = control.connections.vacant_entry();
+        let key = entry.key();
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_operator(key, readiness);
+        let Ok(stream) = OperatorStream::register(&self.handle, transport, tls, on_ready) else { return };
+        entry.insert(Connection { generation, stream, input: Vec::new(), last_read_at: now });
+        self.timers.set(now + timeout, TimerKind::Operator(ConnectionId { key, generation }));
+    }
+
+    pub(in super::super) fn operator_timeout(&mut self, id: ConnectionId) {
+        let now = self.now();
+        let Some(control) = &self.control else { return };
+        let Some(connection) = control.connections.get(id.key).filter(|_| control.is_open(id)) else {
+            return;
+        };
+        // Bytes of a handshake do not count: its time began when the connection was accepted.
+        let is_handshaking = connection.stream.is_handshaking();
+        let closes_at = if is_handshaking { now } else { connection.last_read_at + IDLE_TIMEOUT };
+        if closes_at > now {
+            self.timers.set(closes_at, TimerKind::Operator(id));
+        } else {
+            self.close_operator(id.key);
+        }
+    }
+
+    pub(in super::super) fn close_operator(&mut self, key: usize) {
+        let Some(control) = &mut self.control else { return };
+        if let Some(connection) = control.connections.try_remove(key) {
+            connection.stream.remove(&self.handle);
+        }
+    }
+
+    /// The operator's connection at this place, if it is a local one.
+    pub(in super::super) fn operator_connection(&self, key: usize) -> Option<ConnectionId> {
+        let connection = self.control.as_ref()?.connections.get(key)?;
+        connection.is_local().then_some(ConnectionId { key, generation: connection.generation })
+    }
+
+    /// The stream of an operator's local connection, if that is still open.
+    pub(in super::super) fn operator_stream(&self, id: ConnectionId) -> Option<&UnixStream> {
+        let connection = self.control.as_ref()?.connections.get(id.key)?;
+        connection.stream.unix_stream().filter(|_| connection.generation == id.generation)
+    }
+
+    fn on_operator(&mut self, key: usize, readiness: Readiness) {
+        let Some(control) = &mut self.control else { return };
+        let Some(connection) = control.connections.get_mut(key) else { return };
+        if readiness.writable && connection.stream.flush().is_err() {
+            return self.close_operator(key);
+        }
+        let is_readable = readiness.readable || readiness.error;
+        if is_readable && self.read_operator(key).is_break() {
+            return;
+        }
+        self.answer_lines(key);
+        self.pump();
+    }
+
+    /// Reads once; breaks off where nothing read is a question.
+    fn read_operator(&mut self, key: usize) -> ControlFlow<()> {
+        let now = self.now();
+        let connection = self.control.as_mut().and_then(|control| control.connections.get_mut(key));
+        let Some(connection) = connection else { return ControlFlow::Break(()) };
+        let id = ConnectionId { key, generation: connection.generation };
+        let is_successor = self.successor == Some(id);
+        match connection.stream.read(&mut connection.input) {
+            Got::Bytes(_) if is_successor => {
+                let bytes = std::mem::take(&mut connection.input);
+                self.on_successor_message(&bytes);
+                ControlFlow::Break(())
+            }
+            Got::Bytes(_) | Got::Nothing => {
+                connection.last_read_at = now;
+                ControlFlow::Continue(())
+            }
+            Got::Closed | Got::Broken => {
+                self.close_operator(key);
+                if is_successor {
+                    self.abort_hand_over(&HandOverError::SuccessorGone);
+                }
+                self.pump();
+                ControlFlow::Break(())
+            }
+        }
+    }
+
+    fn answer_lines(&mut self, key: usize) {
+        loop {
+            let Some(control) = &mut self.control else { return };
+            let Some(connection) = control.connections.get_mut(key) else { return };
+            let Some(line) = connection.next_line() else {
+                if connection.input.len() > wire::LINE_MOST {
+                    self.send_answer(key, &Answer::Malformed { reason: "line too long".into() });
+                    return self.close_operator(key);
+                }
+                return connection.stream.want(&self.handle, true);
+            };
+            if self.answer_line(key, line.trim_ascii_end()).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Answers one line; breaks off where the connection is a successor's from here on.
+    fn answer_line(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
+        let Some(control) = &self.control else { return ControlFlow::Break(()) };
+        let Some(connection) = control.connections.get(key) else { return ControlFlow::Break(()) };
+        let ask = match wire::read_ask(line) {
+            Ok(ask) => ask,
+            Err(reason) => {
+                self.send_answer(key, &Answer::Malformed { reason });
+                return ControlFlow::Continue(());
+            }
+        };
+        match ask {
+            Ask::Whoami => {
+                let version = env!("CARGO_PKG_VERSION").to_owned();
+                let answer = Answer::Whoami { name: self.own_name(), boot: control.boot, version };
+                self.send_answer(key, &answer);
+            }
+            Ask::State => {
+                let reading = self.reading();
+                self.send_answer(key, &Answer::State(Box::new(reading)));
+            }
+            Ask::Takeover if connection.is_local() => {
+                self.start_hand_over(key);
+                return ControlFlow::Break(());
+            }
+            Ask::Takeover => {
+                let reason = "sockets are handed over on the local control socket alone".into();
+                self.send_answer(key, &Answer::Malformed { reason });
+            }
+            Ask::Command(mut command) => {
+                // Over TCP the certificate names the issuer; the name in the command is added to it.
+                let holder = connection.stream.certificate_holder();
+                if let Some(holder) = holder.filter(|holder| *holder != command.issuer) {
+                    command.issuer = format!("{holder} as {}", command.issuer);
+                }
+                let id = ConnectionId { key, generation: connection.generation };
+                self.queue_command(QueuedCommand { connection: id, command });
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    pub(super) fn send_answer(&mut self, key: usize, answer: &Answer) {
+        let Some(control) = &mut self.control else { return };
+        let Some(connection) = control.connections.get_mut(key) else { return };
+        let sent = connection.stream.send(&wire::write(answer));
+        if sent.is_err() || connection.stream.unwritten() > MAX_UNWRITTEN_BYTES {
+            return self.close_operator(key);
+        }
+        connection.stream.want(&self.handle, true);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -0,0 +1,136 @@
+//! The control sockets, local and TCP: operators' questions and commands, and the one reading of the state.
+//!
+//! What a command leads to is decided in `violetseam-control`. A command is stored durably before it is applied
+//! and answered: the keeper writes on a thread of its own, as a slow disk must not hold up traffic, and commands
+//! wait for each other meanwhile. A command that cannot be stored is refused and changes nothing.
+
+pub(super) mod commands;
+mod connections;
+mod listeners;
+mod persistence;
+pub(super) mod reading;
+mod reload;
+mod stream;
+
+use calloop::RegistrationToken;
+use calloop::channel::Sender;
+use commands::{CommandInProgress, QueuedCommand};
+use connections::Connection;
+use persistence::{PersistRequest, PersistResult};
+use rustls::ServerConfig;
+use slab::Slab;
+use std::collections::VecDeque;
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+use violetseam_control::book::{Book, Durable};
+use violetseam_settings::ProxySettings;
+
+/// An error of the daemon round this proxy.
+pub type DaemonError = Box<dyn std::error::Error + Send + Sync>;
+
+/// Stores what must outlive the process. Called on a thread of its own.
+pub trait Keeper: Send {
+    /// Stores the state and appends a line to the audit log; done only when both would survive a crash.
+    ///
+    /// # Errors
+    ///
+    /// If either may not survive a crash.
+    fn keep(&mut self, durable: &Durable, line: &str) -> Result<(), String>;
+}
+
+/// What a reload may change while the proxy runs.
+#[derive(Debug)]
+pub struct Reloaded {
+    /// The settings.
+    pub settings: ProxySettings,
+    /// TLS for control over TCP; connections that are open go on with that which they began with.
+    pub tls_config: Option<Arc<ServerConfig>>,
+}
+
+/// Reads the settings again.
+pub type Reload = Box<dyn FnMut() -> Result<Reloaded, DaemonError>>;
+/// Sets another log filter.
+pub type SetLog = Box<dyn FnMut(&str) -> Result<(), DaemonError>>;
+
+/// The store, opened again.
+pub struct Reopened {
+    /// The boot number, one more.
+    pub boot: u64,
+    /// What it holds.
+    pub durable: Durable,
+    /// Stores what comes.
+    pub keeper: Box<dyn Keeper>,
+}
+
+/// Opens the store again, after a takeover that failed halfway.
+pub type Reopen = Box<dyn FnMut() -> Result<Reopened, DaemonError>>;
+
+/// What a daemon gives its proxy.
+pub struct Operators {
+    /// Where the control socket is made, with mode 0600.
+    pub socket: PathBuf,
+    /// TLS for control over TCP, where the settings name an address for it.
+    pub tls_config: Option<Arc<ServerConfig>>,
+    /// The boot number.
+    pub boot: u64,
+    /// What outlived the process before.
+    pub durable: Durable,
+    /// Stores what must outlive this one.
+    pub keeper: Box<dyn Keeper>,
+    /// Reads the settings again.
+    pub reload: Reload,
+    /// Sets another log filter.
+    pub set_log: SetLog,
+    /// Opens the store again.
+    pub reopen: Reopen,
+}
+
+/// The listener for control over TCP.
+struct TlsListener {
+    listener: Rc<TcpListener>,
+    token: RegistrationToken,
+}
+
+/// Control of one proxy by its operators.
+pub(super) struct ControlServer {
+    path: PathBuf,
+    /// Where the socket is until it is moved to its path.
+    unpublished_path: Option<PathBuf>,
+    tls_listener: Option<TlsListener>,
+    tls_config: Option<Arc<ServerConfig>>,
+    boot: u64,
+    book: Book,
+    connections: Slab<Connection>,
+    queue: VecDeque<QueuedCommand>,
+    /// The command that is being stored.
+    in_progress: Option<CommandInProgress>,
+    /// To the keeper's thread; none while the store is with a process that takes over.
+    to_keeper: Option<std::sync::mpsc::Sender<PersistRequest>>,
+    /// From the keeper's thread.
+    persisted: Sender<PersistResult>,
+    reopen: Reopen,
+    /// The path is another process's now.
+    path_handed_over: bool,
+    reload: Reload,
+    set_log: SetLog,
+    /// Connections that were closed unread, since that was last logged.
+    rejected_connections: u64,
+}
+
+impl Drop for ControlServer {
+    fn drop(&mut self) {
+        if let Some(unpublished_path) = &self.unpublished_path {
+            let _ = std::fs::remove_file(unpublished_path);
+        } else if !self.path_handed_over {
+            let _ = std::fs::remove_file(&self.path);
+        }
+    }
+}
+
+/// Microseconds since 1970.
+pub(super) fn wall_clock() -> u64 {
+    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    since.as_micros() as u64
+}
--- a/crates/proxy/src/driver/line.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -1,7 +1,7 @@
 //! An operator's connection: a Unix-domain stream, or TCP under mutual TLS. The bytes that come out of it are
 //! an operator's; a peer that shows no trusted certificate is told nothing, its connection closes.
 
-use super::Proxy;
+use super::super::Proxy;
 use calloop::{Interest, LoopHandle, Readiness};
 use rustls::ServerConnection;
 use std::io::{ErrorKind, Read, Write};
@@ -10,35 +10,38 @@
 use std::os::unix::net::UnixStream;
 use violetseam_loopio::{Got, Socket};
 
+/// One read takes at most so much.
+const READ_BYTES: usize = 4_096;
+
 /// The stream under an operator's connection.
-pub(super) enum Stream {
+pub(super) enum Transport {
     Unix(UnixStream),
     Tcp(TcpStream),
 }
 
-impl AsFd for Stream {
+impl AsFd for Transport {
     fn as_fd(&self) -> BorrowedFd<'_> {
         match self {
-            Stream::Unix(s) => s.as_fd(),
-            Stream::Tcp(s) => s.as_fd(),
+            Transport::Unix(stream) => stream.as_fd(),
+            Transport::Tcp(stream) => stream.as_fd(),
         }
     }
 }
 
-impl Read for &Stream {
+impl Read for &Transport {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         match self {
-            Stream::Unix(s) => (&*s).read(buffer),
-            Stream::Tcp(s) => (&*s).read(buffer),
+            Transport::Unix(stream) => (&*stream).read(buffer),
+            Transport::Tcp(stream) => (&*stream).read(buffer),
         }
     }
 }
 
-impl Write for &Stream {
+impl Write for &Transport {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         match self {
-            Stream::Unix(s) => (&*s).write(bytes),
-            Stream::Tcp(s) => (&*s).write(bytes),
+            Transport::Unix(stream) => (&*stream).write(bytes),
+            Transport::Tcp(stream) => (&*stream).write(bytes),
         }
     }
 
@@ -47,57 +50,56 @@
     }
 }
 
-/// One connection.
-pub(super) struct Line {
-    socket: Socket<Stream>,
+/// One connection, with what TLS keeps of it.
+pub(super) struct OperatorStream {
+    socket: Socket<Transport>,
     tls: Option<Box<ServerConnection>>,
 }
 
-impl Line {
-    pub fn register(
-        on: &LoopHandle<'static, Proxy>,
-        stream: Stream,
+impl OperatorStream {
+    /// Puts a connection on the event loop.
+    pub(super) fn register(
+        handle: &LoopHandle<'static, Proxy>,
+        stream: Transport,
         tls: Option<Box<ServerConnection>>,
-        call: impl FnMut(Readiness, &mut Proxy) + 'static,
-    ) -> std::io::Result<Line> {
-        Ok(Line { socket: Socket::register(on, stream, Interest::READ, call)?, tls })
+        on_ready: impl FnMut(Readiness, &mut Proxy) + 'static,
+    ) -> std::io::Result<OperatorStream> {
+        Ok(OperatorStream { socket: Socket::register(handle, stream, Interest::READ, on_ready)?, tls })
     }
 
     /// Whether the other side has still to show who it is.
-    pub fn is_a_stranger(&self) -> bool {
+    pub(super) fn is_handshaking(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
     }
 
     /// Who the certificate says it is; none over the local socket, whose mode says who can open it.
-    pub fn holder(&self) -> Option<String> {
+    pub(super) fn certificate_holder(&self) -> Option<String> {
         let certs = self.tls.as_ref()?.peer_certificates()?;
         certs.first().map(|cert| violetseam_keys::holder(cert))
     }
 
     /// Reads once; what an operator sent is appended to `input`.
-    pub fn read(&mut self, input: &mut Vec<u8>) -> Got {
-        let mut bytes = [0; 4096];
+    pub(super) fn read(&mut self, input: &mut Vec<u8>) -> Got {
+        let mut bytes = [0; READ_BYTES];
         let got = self.socket.read(&mut bytes);
         let Got::Bytes(n) = got else { return got };
         let Some(tls) = &mut self.tls else {
             input.extend_from_slice(&bytes[..n]);
             return got;
         };
-        let (before, mut sealed) = (input.len(), &bytes[..n]);
+        let before = input.len();
+        let mut sealed = &bytes[..n];
         while !sealed.is_empty() {
-            // Nothing is flushed on a fault: a stranger is not told what was wrong with its certificate.
+            // Nothing is flushed on a fault: a peer without a trusted certificate is not told what was wrong with its certificate.
             if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
                 return Got::Broken;
             }
-            let mut plain = [0; 4096];
+            let mut plain = [0; READ_BYTES];
             loop {
                 match tls.reader().read(&mut plain) {
                     Ok(0) => {
-                        return if input.len() > before {
-                            Got::Bytes(input.len() - before)
-                        } else {
-                            Got::Closed
-                        };
+                        let read = input.len() - before;
+                        return if read > 0 { Got::Bytes(read) } else { Got::Closed };
                     }
                     Ok(n) => input.extend_from_slice(&plain[..n]),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -109,7 +111,7 @@
     }
 
     /// Takes bytes to be sent.
-    pub fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+    pub(super) fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         match &mut self.tls {
             Some(tls) => tls.writer().write_all(bytes)?,
             None => self.socket.out().extend_from_slice(bytes),
@@ -118,7 +120,7 @@
     }
 
     /// Writes what it can.
-    pub fn flush(&mut self) -> std::io::Result<()> {
+    pub(super) fn flush(&mut self) -> std::io::Result<()> {
         if let Some(tls) = &mut self.tls {
             while tls.wants_write() {
                 tls.write_tls(self.socket.out())?;
@@ -127,23 +129,26 @@
         self.socket.flush().map(|_| ())
     }
 
-    pub fn unwritten(&self) -> usize {
+    /// Bytes that wait to be written.
+    pub(super) fn unwritten(&self) -> usize {
         self.socket.unwritten()
     }
 
-    pub fn want(&self, on: &LoopHandle<'static, Proxy>, read: bool) {
-        self.socket.want(on, read);
+    /// Sets whether the connection is to be read.
+    pub(super) fn want(&self, handle: &LoopHandle<'static, Proxy>, read: bool) {
+        self.socket.want(handle, read);
     }
 
-    pub fn remove(&self, from: &LoopHandle<'static, Proxy>) {
-        self.socket.remove(from);
+    /// Takes the connection off the event loop and closes it.
+    pub(super) fn remove(&self, handle: &LoopHandle<'static, Proxy>) {
+        self.socket.remove(handle);
     }
 
     /// The stream that sockets can be handed over on.
-    pub fn local(&self) -> Option<&UnixStream> {
+    pub(super) fn unix_stream(&self) -> Option<&UnixStream> {
         match self.socket.stream() {
-            Stream::Unix(stream) => Some(stream),
-            Stream::Tcp(_) => None,
+            Transport::Unix(stream) => Some(stream),
+            Transport::Tcp(_) => None,
         }
     }
 }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -52,12 +52,12 @@
                     self.pump();
                 }
                 Ok((number, ..)) => {
-                    if self.quiet.allows(now) {
+                    if self.log_limit.allows(now) {
                         tracing::warn!(number, %from, "datagram from an address that is not this peer's");
                     }
                 }
                 Err(fault) => {
-                    if self.quiet.allows(now) {
+                    if self.log_limit.allows(now) {
                         tracing::warn!(%from, "datagram dropped: {fault}");
                     }
                 }
@@ -71,7 +71,7 @@
         self.udp_token.take().into_iter().for_each(|token| self.handle.remove(token));
     }
 
-    pub(super) fn tell_peers(&mut self, to: Option<usize>, kind: Kind, payload: &[u8]) {
+    pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: Kind, payload: &[u8]) {
         let own = self.settings.decisions.position;
         let (Some(socket), Ok(from)) = (&self.udp, u16::try_from(own)) else { return };
         let Some(datagram) = peer::encode(self.settings.site, from, kind, payload) else { return };
--- a/crates/proxy/src/driver/servers.rs
+++ b/crates/proxy/src/driver/servers.rs
@@ -4,8 +4,9 @@
 //! of the request was written, `Rejected` only for the answer that the servers' protocol states was never
 //! run, `Reset` for a connection that was lost after that, whoever closed it and why.
 
+use super::ConnectionId;
 use super::Proxy;
-use super::timers::What;
+use super::timers::TimerKind;
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
@@ -139,7 +140,7 @@
             limit_at,
             armed_at: limit_at,
         });
-        self.timers.set(limit_at, What::Server(key, generation));
+        self.timers.set(limit_at, TimerKind::Server(ConnectionId { key, generation }));
         if let Some(held) = self.held.get_mut(&request) {
             held.attempts[attempt] = Some(key);
         }
@@ -203,18 +204,20 @@
         server.limit_at = span.map_or(Micros::MAX, |span| now + span);
         if server.limit_at < server.armed_at {
             server.armed_at = server.limit_at;
-            self.timers.set(server.limit_at, What::Server(key, server.generation));
+            self.timers
+                .set(server.limit_at, TimerKind::Server(ConnectionId { key, generation: server.generation }));
         }
         server.socket.want(&self.handle, read);
     }
 
-    pub(super) fn server_timeout(&mut self, now: Micros, key: usize, generation: u64) {
+    pub(super) fn server_timeout(&mut self, now: Micros, id: ConnectionId) {
+        let ConnectionId { key, generation } = id;
         let Some(server) = self.servers.get_mut(key).filter(|s| s.generation == generation) else { return };
         server.armed_at = Micros::MAX;
         if server.limit_at > now {
             if server.limit_at < Micros::MAX {
                 server.armed_at = server.limit_at;
-                self.timers.set(server.limit_at, What::Server(key, generation));
+                self.timers.set(server.limit_at, TimerKind::Server(ConnectionId { key, generation }));
             }
             return;
         }
@@ -241,7 +244,7 @@
     }
 
     /// The engine gave an attempt up: its connection closes, as its answer could come at any time.
-    pub(super) fn drop_attempt(&mut self, request: RequestId, attempt: usize) {
+    pub(super) fn close_attempt(&mut self, request: RequestId, attempt: usize) {
         let key =
             self.held.get_mut(&request).and_then(|h| h.attempts.get_mut(attempt)).and_then(Option::take);
         key.into_iter().for_each(|key| self.close_server(key));
--- a/crates/proxy/src/driver/control.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -1,9 +1,10 @@
 //! Calls to the roster and the release desk: each one HTTP exchange on a connection of its own. A watch on
 //! the roster and the desk's news are answers without an end, one JSON line a message.
 
+use super::ConnectionId;
 use super::Proxy;
 use super::operators::wall_clock;
-use super::timers::What;
+use super::timers::TimerKind;
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, Outcome, Verdict};
@@ -44,8 +45,17 @@
 }
 
 impl Proxy {
-    /// Subscribes to the roster, or asks for it once. A new subscription replaces the one before.
-    pub(super) fn call_roster(&mut self, follow: bool) {
+    /// Subscribes to the server list. A new subscription replaces the one before.
+    pub(super) fn watch_server_list(&mut self) {
+        self.call_discovery(true);
+    }
+
+    /// Fetches the whole server list once.
+    pub(super) fn fetch_server_list(&mut self) {
+        self.call_discovery(false);
+    }
+
+    fn call_discovery(&mut self, follow: bool) {
         if follow && let Some(before) = self.watch.take() {
             self.close_call(before);
         }
@@ -65,39 +75,39 @@
     }
 
     /// Opens the stream of stage news; lost, it is opened again after a while.
-    pub(super) fn open_desk_stream(&mut self) {
-        if self.desk_stream.is_some() || self.handed_over || self.ending {
+    pub(super) fn open_release_stream(&mut self) {
+        if self.release_stream.is_some() || self.handed_over || self.ending {
             return;
         }
         let path = format!("/v1/stage/watch?proxy={}", self.settings.decisions.position);
-        let (to, silence) = (self.desk(), self.settings.desk_silence);
-        self.desk_stream = self.call(For::News, to, "GET", &path, &[], silence);
-        if self.desk_stream.is_none() {
-            self.desk_lost();
+        let (to, silence) = (self.release_service(), self.settings.desk_silence);
+        self.release_stream = self.call(For::News, to, "GET", &path, &[], silence);
+        if self.release_stream.is_none() {
+            self.on_release_stream_lost();
         }
     }
 
     /// The controller that is spoken to.
-    fn desk(&self) -> SocketAddr {
+    fn release_service(&self) -> SocketAddr {
         let desks = &self.settings.desks;
-        desks[self.desk_chosen % desks.len()]
+        desks[self.release_service_index % desks.len()]
     }
 
-    fn desk_lost(&mut self) {
-        self.desk_stream = None;
+    fn on_release_stream_lost(&mut self) {
+        self.release_stream = None;
         // Whoever stands by may speak now.
-        self.desk_chosen = (self.desk_chosen + 1) % self.settings.desks.len();
+        self.release_service_index = (self.release_service_index + 1) % self.settings.desks.len();
         // Drawn, as all proxies lose the desk together.
         let span = self.settings.desk_reconnect.max(10_000);
         let wait = span / 2 + self.draw() % span;
-        self.timers.set(self.now() + wait, What::Desk);
+        self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
     }
 
     pub(super) fn call_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
         let body = desk::Vote::new(self.settings.decisions.position, build, stage, verdict).write();
         let span = self.settings.decisions.rollout.vote_timeout;
-        if self.call(For::Vote, self.desk(), "POST", "/v1/vote", &body, Some(span)).is_none() {
+        if self.call(For::Vote, self.release_service(), "POST", "/v1/vote", &body, Some(span)).is_none() {
             // Nothing left for the desk: it cannot count.
             self.vote_ended(Outcome::Error, &[]);
         }
@@ -140,7 +150,7 @@
             accepted: false,
         });
         if let Some(span) = within {
-            self.timers.set(self.now() + span, What::Call(key, generation));
+            self.timers.set(self.now() + span, TimerKind::Call(ConnectionId { key, generation }));
         }
         Some(key)
     }
@@ -283,11 +293,11 @@
 
     fn news_line(&mut self, line: &[u8]) -> Result<(), String> {
         let (news, fence) = desk::News::parse(line).map_err(|e| e.to_string())?;
-        if fence < self.desk_fence {
+        if fence < self.release_fence {
             // A controller that stood still while another took its place: not obeyed, and left.
-            return Err(format!("news under number {fence} after {}", self.desk_fence));
+            return Err(format!("news under number {fence} after {}", self.release_fence));
         }
-        self.desk_fence = fence;
+        self.release_fence = fence;
         if self.engine.release() != Some(news) {
             let (build, stage, phase, cap) = (news.build, news.stage, news.phase, news.cap);
             tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
@@ -320,9 +330,9 @@
         let now = self.now();
         let (outcome, news) = match news {
             // What an older controller counts, counts nowhere.
-            Some((_, fence)) if fence < self.desk_fence => (Outcome::Error, None),
+            Some((_, fence)) if fence < self.release_fence => (Outcome::Error, None),
             Some((news, fence)) => {
-                self.desk_fence = fence;
+                self.release_fence = fence;
                 (outcome, Some(news))
             }
             None => (outcome, None),
@@ -336,14 +346,18 @@
         self.engine.on_server_list(now, ListKind::Failed, &[]);
     }
 
-    pub(super) fn call_timeout(&mut self, key: usize, generation: u64) {
+    pub(super) fn call_timeout(&mut self, id: ConnectionId) {
+        let ConnectionId { key, generation } = id;
         let now = self.now();
         let (timers, silence) = (&mut self.timers, self.settings.desk_silence);
         if let Some(call) =
             self.calls.get_mut(key).filter(|c| c.generation == generation && c.what == For::News)
         {
             if std::mem::take(&mut call.heard) {
-                return timers.set(now + silence.unwrap_or(0).max(10_000), What::Call(key, generation));
+                return timers.set(
+                    now + silence.unwrap_or(0).max(10_000),
+                    TimerKind::Call(ConnectionId { key, generation }),
+                );
             }
             return self.call_ended(key, "silent for too long");
         }
@@ -355,7 +369,7 @@
 
     /// Ends the streams from the roster and the desk: they are a successor's now.
     pub(super) fn leave_site(&mut self) {
-        let streams = [self.watch.take(), self.desk_stream.take()];
+        let streams = [self.watch.take(), self.release_stream.take()];
         streams.into_iter().flatten().for_each(|key| self.close_call(key));
     }
 
@@ -382,7 +396,7 @@
             For::Fetch => {}
             For::News => {
                 tracing::warn!("desk: {why}");
-                self.desk_lost();
+                self.on_release_stream_lost();
             }
             For::Vote if !answered => {
                 let may_count = written && why != "not accepted";
@@ -442,7 +456,7 @@
         let (path, aside) = (folder.join(self.roster_file()), folder.join(self.roster_file() + ".new"));
         let saved = std::fs::write(&aside, bytes).and_then(|()| std::fs::rename(&aside, &path));
         if let Err(e) = saved
-            && self.quiet.allows(now)
+            && self.log_limit.allows(now)
         {
             tracing::warn!("roster not saved: {e}");
         }
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -1,5 +1,6 @@
 //! The driver's own time-outs: bounds of connections and calls, none of requests, which the module times.
 
+use super::ConnectionId;
 #[cfg(feature = "sabotage")]
 use crate::engine::LocalResponse;
 #[cfg(feature = "sabotage")]
@@ -7,80 +8,86 @@
 use violetseam::interface::{Micros, Outcome};
 
 /// Between two rounds of upkeep.
-const UPKEEP: Micros = 200_000;
+const UPKEEP_INTERVAL: Micros = 200_000;
 /// A listener that ran out of descriptors pauses so long.
 pub const ACCEPT_PAUSE: Micros = 50_000;
 
-/// What comes due. Connections are named by their place and generation, as places are used again.
+/// What a timer is for. Timers that were set for one instant come due in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum What {
+pub enum TimerKind {
     /// A client's present time-out may be over.
-    Client(usize, u64),
+    Client(ConnectionId),
     /// A server connection's present time-out may be over.
-    Server(usize, u64),
+    Server(ConnectionId),
     /// A call's time is over.
-    Call(usize, u64),
+    Call(ConnectionId),
     /// Accept again.
     Accept,
-    /// Open the desk's stream again.
-    Desk,
+    /// Open the release service's stream again.
+    ReleaseStream,
     /// A process that takes over has had its time.
     Takeover(u64),
-    /// An operator's connection has been quiet for long.
-    Operator(usize, u64),
+    /// An operator's connection has been idle for long.
+    Operator(ConnectionId),
     /// The subscription to a publisher's configuration has something due.
     Configuration,
     /// A report to the publisher has had its time.
     ConfigurationReport(u64),
     /// Slow upkeep.
     Upkeep,
-    /// A final answer held back on purpose.
+    /// A final response that is delayed on purpose.
     #[cfg(feature = "sabotage")]
-    Late(RequestId, Option<Micros>, bool),
+    DelayedResponse {
+        request: RequestId,
+        /// The response's Retry-After, if it is a rejection.
+        retry_after: Option<Micros>,
+        timed_out: bool,
+    },
 }
 
 /// All of them, by time.
-pub type Timers = violetseam_loopio::timers::Timers<What>;
+pub type Timers = violetseam_loopio::timers::Timers<TimerKind>;
 
 impl super::Proxy {
-    /// Plays the driver's time-outs that are due.
-    pub(super) fn own_timers(&mut self, now: Micros) {
-        while let Some(what) = self.timers.pop(now) {
-            match what {
-                What::Client(key, generation) => self.client_timeout(now, key, generation),
-                What::Server(key, generation) => self.server_timeout(now, key, generation),
-                What::Call(key, generation) => self.call_timeout(key, generation),
-                What::Accept => self.accept_again(),
-                What::Desk => self.open_desk_stream(),
-                What::Takeover(generation) => {
-                    if self.handing.is_some_and(|h| h.1 == generation) {
-                        self.keep_serving("the new process took too long");
-                    }
-                }
-                What::Operator(key, generation) => self.operator_timeout(key, generation),
-                What::Configuration => self.follow_configuration(),
-                What::ConfigurationReport(generation) => self.report_timeout(generation),
-                What::Upkeep => self.upkeep(now),
-                #[cfg(feature = "sabotage")]
-                What::Late(request, retry_after, timed_out) => {
-                    let failed = LocalResponse::Failed { timed_out };
-                    let answer =
-                        retry_after.map_or(failed, |retry_after| LocalResponse::Rejected { retry_after });
-                    self.respond_now(request, answer);
-                }
-            }
+    /// Runs the driver's time-outs that are due.
+    pub(super) fn run_timers(&mut self, now: Micros) {
+        while let Some(kind) = self.timers.pop(now) {
+            self.run_timer(now, kind);
             self.pump();
         }
     }
 
+    fn run_timer(&mut self, now: Micros, kind: TimerKind) {
+        match kind {
+            TimerKind::Client(connection) => self.client_timeout(now, connection),
+            TimerKind::Server(connection) => self.server_timeout(now, connection),
+            TimerKind::Call(connection) => self.call_timeout(connection),
+            TimerKind::Accept => self.accept_again(),
+            TimerKind::ReleaseStream => self.open_release_stream(),
+            TimerKind::Takeover(generation) => self.hand_over_timeout(generation),
+            TimerKind::Operator(connection) => self.operator_timeout(connection),
+            TimerKind::Configuration => self.follow_configuration(),
+            TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
+            TimerKind::Upkeep => self.upkeep(now),
+            #[cfg(feature = "sabotage")]
+            TimerKind::DelayedResponse { request, retry_after, timed_out } => {
+                let response = match retry_after {
+                    Some(retry_after) => LocalResponse::Rejected { retry_after },
+                    None => LocalResponse::Failed { timed_out },
+                };
+                self.respond_now(request, response);
+            }
+        }
+    }
+
     /// Sets the next round of upkeep.
     pub(super) fn next_upkeep(&mut self, now: Micros) {
-        self.timers.set(now + UPKEEP, What::Upkeep);
+        self.timers.set(now + UPKEEP_INTERVAL, TimerKind::Upkeep);
     }
 
     fn upkeep(&mut self, now: Micros) {
         self.next_upkeep(now);
-        self.operators_upkeep();
+        self.control_upkeep();
         self.store_upkeep();
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
@@ -91,15 +98,19 @@
     }
 
     #[cfg(feature = "sabotage")]
-    pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, answer: LocalResponse) {
-        let (retry_after, timed_out) = match answer {
-            LocalResponse::Rejected { retry_after } => (Some(retry_after), false),
-            LocalResponse::Failed { timed_out } => (None, timed_out),
+    pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, response: LocalResponse) {
+        let kind = match response {
+            LocalResponse::Rejected { retry_after } => {
+                TimerKind::DelayedResponse { request, retry_after: Some(retry_after), timed_out: false }
+            }
+            LocalResponse::Failed { timed_out } => {
+                TimerKind::DelayedResponse { request, retry_after: None, timed_out }
+            }
         };
-        self.timers.set(at, What::Late(request, retry_after, timed_out));
+        self.timers.set(at, kind);
     }
 
-    /// An attempt's end, told to the engine; what it orders is done by the caller's `pump`.
+    /// Reports an attempt's end to the engine; the caller's `pump` performs the actions that come of it.
     pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
         let now = self.now();
         self.engine.on_attempt_ended(now, request, attempt, outcome)
