--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -1,7 +1,7 @@
 //! The subscription to a publisher's configuration: an HTTP watch of JSON lines, and reports of what was
-//! taken or refused. What a message means is the core's (`violetseam-distribution`); this is its driver.
+//! taken or refused. What a message means is decided in `violetseam-distribution`; this is its driver.
 //!
-//! Requests in hand keep the class that they began with: a route is looked up once, when the head is read.
+//! Requests in flight keep the class that they began with: a route is looked up once, when the head is read.
 
 use super::Proxy;
 use super::configuration_store::{self, ConfigurationStore};
@@ -27,16 +27,16 @@
 const ACKNOWLEDGE_PATH: &str = "/v1/configuration/acknowledge";
 /// A report that takes longer is given up.
 const REPORT_TIMEOUT: Micros = 3_000_000;
-/// A report that failed is told again after this.
-const REPORT_RETRY: Micros = 1_000_000;
+/// A report that failed is sent again after this.
+const REPORT_RETRY_DELAY: Micros = 1_000_000;
 /// How long a process that takes over waits for the one before to release the store.
-const TAKEOVER_WAIT: Duration = Duration::from_secs(2);
+const TAKEOVER_STORE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Between two attempts to open a store that could not be opened again.
-const REOPEN_PAUSE: Micros = 1_000_000;
+const STORE_REOPEN_INTERVAL: Micros = 1_000_000;
 
 /// What an exchange with the publisher is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Purpose {
+enum CallPurpose {
     Watch,
     Report,
 }
@@ -63,14 +63,14 @@
     reopen_at: Micros,
     watch: Option<Exchange>,
     report: Option<Exchange>,
-    /// The latest report of each kind that has still to be told: acknowledgement and refusal.
+    /// The latest report of each kind that has still to be sent: acknowledgement and refusal.
     acknowledgement: Option<Report>,
     refusal: Option<Report>,
-    /// What the open exchange tells, to be told again if that fails.
-    telling: Option<Report>,
-    /// No report is told before.
+    /// What the open exchange reports, to be sent again if that fails.
+    report_in_flight: Option<Report>,
+    /// No report is sent before.
     report_at: Micros,
-    /// The timer that looks after the subscription.
+    /// When the subscription's timer is set for.
     armed_at: Option<Micros>,
 }
 
@@ -80,27 +80,27 @@
         self.routes.table()
     }
 
-    fn exchange(&mut self, purpose: Purpose) -> &mut Option<Exchange> {
+    fn exchange(&mut self, purpose: CallPurpose) -> &mut Option<Exchange> {
         match purpose {
-            Purpose::Watch => &mut self.watch,
-            Purpose::Report => &mut self.report,
+            CallPurpose::Watch => &mut self.watch,
+            CallPurpose::Report => &mut self.report,
         }
     }
 
-    fn open_exchange(&mut self, purpose: Purpose, generation: u64) -> Option<&mut Exchange> {
+    fn open_exchange(&mut self, purpose: CallPurpose, generation: u64) -> Option<&mut Exchange> {
         self.exchange(purpose).as_mut().filter(|exchange| exchange.generation == generation)
     }
 
     /// Keeps the latest report of each kind.
-    fn note(&mut self, report: Report) {
+    fn queue_report(&mut self, report: Report) {
         match report {
             Report::Acknowledge { .. } => self.acknowledgement = Some(report),
             Report::Refuse { .. } => self.refusal = Some(report),
         }
     }
 
-    /// A report that was not heard is told again, unless a newer one has taken its place.
-    fn note_again(&mut self, report: Report) {
+    /// A report that was not received is sent again, unless a newer one has taken its place.
+    fn requeue_report(&mut self, report: Report) {
         let waiting = match report {
             Report::Acknowledge { .. } => &mut self.acknowledgement,
             Report::Refuse { .. } => &mut self.refusal,
@@ -114,11 +114,12 @@
 
     fn reading(&self, now: Micros) -> Distributed {
         let standing = self.subscriber.standing(now);
-        let refused = standing
-            .refused
-            .map(|refusal| RefusedVersion { version: version_read(refusal.version), reason: refusal.reason });
+        let refused = standing.refused.map(|refusal| RefusedVersion {
+            version: version_reading(refusal.version),
+            reason: refusal.reason,
+        });
         Distributed {
-            version: standing.version.map(version_read),
+            version: standing.version.map(version_reading),
             routes: self.table().map_or(0, |table| table.len() as u64),
             age_us: standing.age,
             watching: standing.watching,
@@ -127,7 +128,7 @@
     }
 }
 
-fn version_read(version: Version) -> ConfigurationVersion {
+fn version_reading(version: Version) -> ConfigurationVersion {
     ConfigurationVersion { term: version.term.0, number: version.number }
 }
 
@@ -140,14 +141,16 @@
             return Ok(());
         };
         let position = settings.decisions.position;
-        let wait = if takes_over { TAKEOVER_WAIT } else { Duration::ZERO };
-        let (store, stored) = configuration_store::open(&folder, position, wait)?;
+        let wait = if takes_over { TAKEOVER_STORE_TIMEOUT } else { Duration::ZERO };
+        let (store, stored) =
+            configuration_store::open(&folder, position, wait).map_err(std::io::Error::other)?;
         let mut routes = DistributedRoutes::new(&settings.class_names);
         let sound = stored.filter(|configuration| is_usable(&routes, configuration));
         if let Some(configuration) = &sound {
             routes.replace(configuration);
         }
-        let (now, seed) = (self.now(), self.draw());
+        let now = self.now();
+        let seed = self.draw();
         let name = format!("{}-{position}", settings.name);
         self.subscription = Some(Box::new(Subscription {
             publisher,
@@ -161,16 +164,16 @@
             report: None,
             acknowledgement: None,
             refusal: None,
-            telling: None,
+            report_in_flight: None,
             report_at: 0,
             armed_at: None,
         }));
-        self.follow_configuration();
+        self.run_subscription();
         Ok(())
     }
 
-    /// Does what is due of the subscription: calls, gives up a silent watch, tells reports.
-    pub(super) fn follow_configuration(&mut self) {
+    /// Does what is due of the subscription: calls, closes a silent watch, sends reports.
+    pub(super) fn run_subscription(&mut self) {
         if self.handed_over || self.ending {
             return;
         }
@@ -180,19 +183,19 @@
             subscription.armed_at = None;
         }
         let effects = subscription.subscriber.on_tick(now);
-        self.take_effects(effects);
+        self.apply_effects(effects);
         let call = self.subscription.as_mut().and_then(|subscription| subscription.subscriber.call(now));
         if let Some(call) = call {
             self.open_configuration_watch(&call);
         }
-        self.tell_publisher();
+        self.send_next_report();
         self.arm_subscription();
     }
 
     /// The subscription is the successor's now: it begins with what was stored and what it is told.
     pub(super) fn leave_publisher(&mut self) {
-        self.close_exchange(Purpose::Watch);
-        self.close_exchange(Purpose::Report);
+        self.close_exchange(CallPurpose::Watch);
+        self.close_exchange(CallPurpose::Report);
     }
 
     /// Releases the stored configuration to a process that takes over.
@@ -205,7 +208,9 @@
     /// Writes what waits for the disk, at the process's end.
     pub(super) fn finish_configuration(&mut self) {
         let store = self.subscription.as_mut().and_then(|subscription| subscription.store.take());
-        store.into_iter().for_each(ConfigurationStore::finish);
+        if let Some(store) = store {
+            store.finish();
+        }
     }
 
     /// Gives the store what it missed, and opens it again after a take-over that failed.
@@ -216,10 +221,10 @@
         let now = self.now();
         let Some(subscription) = &mut self.subscription else { return };
         let is_behind = match &subscription.store {
-            Some(store) => store.take_behind(),
+            Some(store) => store.take_is_behind(),
             None if subscription.reopen_at > now => false,
             None => {
-                subscription.reopen_at = now + REOPEN_PAUSE;
+                subscription.reopen_at = now + STORE_REOPEN_INTERVAL;
                 match configuration_store::open(&subscription.folder, subscription.position, Duration::ZERO) {
                     Ok((store, _)) => subscription.store = Some(store),
                     Err(error) => tracing::warn!("the configuration is not stored: {error}"),
@@ -249,13 +254,13 @@
 
     fn open_configuration_watch(&mut self, call: &Subscribe) {
         let path = format!("{WATCH_PATH}?{}", call.to_query());
-        if !self.exchange_with_publisher(Purpose::Watch, "GET", &path, &[]) {
+        if !self.exchange_with_publisher(CallPurpose::Watch, "GET", &path, &[]) {
             self.watch_closed();
         }
     }
 
-    /// Tells the next report, one at a time.
-    fn tell_publisher(&mut self) {
+    /// Sends the next report, one at a time.
+    fn send_next_report(&mut self) {
         let now = self.now();
         let Some(subscription) = &mut self.subscription else { return };
         if subscription.report.is_some() || subscription.report_at > now {
@@ -263,8 +268,8 @@
         }
         let Some(report) = subscription.next_report() else { return };
         let body = report.write();
-        subscription.telling = Some(report);
-        if self.exchange_with_publisher(Purpose::Report, "POST", ACKNOWLEDGE_PATH, &body) {
+        subscription.report_in_flight = Some(report);
+        if self.exchange_with_publisher(CallPurpose::Report, "POST", ACKNOWLEDGE_PATH, &body) {
             let generation = self.generation;
             self.timers.set(now + REPORT_TIMEOUT, TimerKind::ConfigurationReport(generation));
         } else {
@@ -273,7 +278,13 @@
     }
 
     /// Begins an exchange; whether it did.
-    fn exchange_with_publisher(&mut self, purpose: Purpose, method: &str, path: &str, body: &[u8]) -> bool {
+    fn exchange_with_publisher(
+        &mut self,
+        purpose: CallPurpose,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> bool {
         self.close_exchange(purpose);
         let generation = self.next_generation();
         let Some(subscription) = &mut self.subscription else { return false };
@@ -293,19 +304,20 @@
         socket.out().extend_from_slice(body);
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
-        let line_most = if purpose == Purpose::Watch { LINE_BYTES_MOST } else { REPORT_BYTES_MOST };
-        let exchange = Exchange { generation, socket, http, lines: Lines::new(line_most), accepted: false };
+        let max_line_bytes = if purpose == CallPurpose::Watch { LINE_BYTES_MOST } else { REPORT_BYTES_MOST };
+        let exchange =
+            Exchange { generation, socket, http, lines: Lines::new(max_line_bytes), accepted: false };
         *subscription.exchange(purpose) = Some(exchange);
         true
     }
 
-    fn close_exchange(&mut self, purpose: Purpose) {
+    fn close_exchange(&mut self, purpose: CallPurpose) {
         if let Some(exchange) = self.subscription.as_mut().and_then(|s| s.exchange(purpose).take()) {
             exchange.socket.remove(&self.handle);
         }
     }
 
-    fn on_publisher(&mut self, purpose: Purpose, generation: u64, readiness: Readiness) {
+    fn on_publisher(&mut self, purpose: CallPurpose, generation: u64, readiness: Readiness) {
         self.had_socket_events = true;
         if readiness.writable && !self.write_to_publisher(purpose, generation) {
             self.exchange_ended(purpose);
@@ -313,12 +325,12 @@
         if readiness.readable || readiness.error {
             self.read_publisher(purpose, generation);
         }
-        self.follow_configuration();
+        self.run_subscription();
         self.pump();
     }
 
     /// Whether the connection stands.
-    fn write_to_publisher(&mut self, purpose: Purpose, generation: u64) -> bool {
+    fn write_to_publisher(&mut self, purpose: CallPurpose, generation: u64) -> bool {
         let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
         let Some(exchange) = exchange else { return true };
         if exchange.socket.connect_error().is_some() || exchange.socket.flush().is_err() {
@@ -328,7 +340,7 @@
         true
     }
 
-    fn read_publisher(&mut self, purpose: Purpose, generation: u64) {
+    fn read_publisher(&mut self, purpose: CallPurpose, generation: u64) {
         let mut scratch = std::mem::take(&mut self.scratch);
         while let Some(exchange) =
             self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
@@ -345,7 +357,7 @@
         self.scratch = scratch;
     }
 
-    fn publisher_events(&mut self, purpose: Purpose, generation: u64) {
+    fn publisher_events(&mut self, purpose: CallPurpose, generation: u64) {
         while let Some(exchange) =
             self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
         {
@@ -365,22 +377,26 @@
     }
 
     /// A watch is answered with lines, or with 503 and the one line that says when to come back.
-    fn on_publisher_status(&mut self, purpose: Purpose, generation: u64, status: u16) {
+    fn on_publisher_status(&mut self, purpose: CallPurpose, generation: u64, status: u16) {
         let now = self.now();
         match purpose {
-            Purpose::Watch if status == 200 || status == 503 => {
+            CallPurpose::Watch if status == 200 || status == 503 => {
                 let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
-                exchange.into_iter().for_each(|exchange| exchange.accepted = true);
+                if let Some(exchange) = exchange {
+                    exchange.accepted = true;
+                }
             }
-            Purpose::Watch => {
+            CallPurpose::Watch => {
                 if self.log_limit.allows(now) {
                     tracing::warn!(status, "the publisher does not open a watch");
                 }
                 self.exchange_ended(purpose);
             }
-            // Heard; what the publisher does not take (409) it would not take the next time either.
-            Purpose::Report => {
-                self.subscription.iter_mut().for_each(|subscription| subscription.telling = None);
+            // Received; what the publisher does not take (409) it would not take the next time either.
+            CallPurpose::Report => {
+                if let Some(subscription) = &mut self.subscription {
+                    subscription.report_in_flight = None;
+                }
                 self.exchange_ended(purpose);
             }
         }
@@ -389,12 +405,12 @@
     fn publisher_lines(&mut self, generation: u64) {
         let now = self.now();
         while let Some(subscription) = &mut self.subscription {
-            let Some(exchange) = subscription.open_exchange(Purpose::Watch, generation) else { return };
+            let Some(exchange) = subscription.open_exchange(CallPurpose::Watch, generation) else { return };
             let line = match exchange.lines.next_line() {
                 Ok(None) => return,
                 Ok(Some([])) => continue,
                 Ok(Some(line)) => Message::parse(line),
-                Err(_) => return self.exchange_ended(Purpose::Watch),
+                Err(_) => return self.exchange_ended(CallPurpose::Watch),
             };
             let Subscription { subscriber, routes, .. } = &mut **subscription;
             let effects = match line {
@@ -404,20 +420,22 @@
                     subscriber.on_malformed(now, &error)
                 }
             };
-            self.take_effects(effects);
+            self.apply_effects(effects);
         }
     }
 
-    fn take_effects(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Apply { version, changes } => self.apply_changes(version, changes),
                 Effect::Replace { version } => self.replace_configuration(version),
                 Effect::Report(report) => {
                     self.log_refusal(&report);
-                    self.subscription.iter_mut().for_each(|subscription| subscription.note(report.clone()));
+                    if let Some(subscription) = &mut self.subscription {
+                        subscription.queue_report(report);
+                    }
                 }
-                Effect::CloseWatch => self.close_exchange(Purpose::Watch),
+                Effect::CloseWatch => self.close_exchange(CallPurpose::Watch),
             }
         }
     }
@@ -452,25 +470,27 @@
         }
     }
 
-    fn exchange_ended(&mut self, purpose: Purpose) {
+    fn exchange_ended(&mut self, purpose: CallPurpose) {
         self.close_exchange(purpose);
         match purpose {
-            Purpose::Watch => self.watch_closed(),
-            Purpose::Report => self.report_failed(),
+            CallPurpose::Watch => self.watch_closed(),
+            CallPurpose::Report => self.report_failed(),
         }
     }
 
     fn watch_closed(&mut self) {
         let now = self.now();
-        self.subscription.iter_mut().for_each(|subscription| subscription.subscriber.on_closed(now));
+        if let Some(subscription) = &mut self.subscription {
+            subscription.subscriber.on_closed(now);
+        }
     }
 
-    /// Nothing failed where the report was heard.
+    /// Nothing failed where the report was received.
     fn report_failed(&mut self) {
-        let retry_at = self.now() + REPORT_RETRY;
+        let retry_at = self.now() + REPORT_RETRY_DELAY;
         let Some(subscription) = &mut self.subscription else { return };
-        if let Some(report) = subscription.telling.take() {
-            subscription.note_again(report);
+        if let Some(report) = subscription.report_in_flight.take() {
+            subscription.requeue_report(report);
             subscription.report_at = retry_at;
             self.timers.set(retry_at, TimerKind::Configuration);
         }
@@ -479,10 +499,10 @@
     /// A report has had its time.
     pub(super) fn report_timeout(&mut self, generation: u64) {
         let subscription = self.subscription.as_mut();
-        if subscription.is_some_and(|s| s.open_exchange(Purpose::Report, generation).is_some()) {
-            self.exchange_ended(Purpose::Report);
+        if subscription.is_some_and(|s| s.open_exchange(CallPurpose::Report, generation).is_some()) {
+            self.exchange_ended(CallPurpose::Report);
         }
-        self.follow_configuration();
+        self.run_subscription();
     }
 }
 
--- a/crates/proxy/src/driver/configuration_store.rs
+++ b/crates/proxy/src/driver/configuration_store.rs
@@ -18,12 +18,12 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use violetseam_distribution::{Change, Configuration, Digest, Resource, ResourceKey, Version};
+use violetseam_distribution::{ApplyError, Change, Configuration, Digest, Resource, ResourceKey, Version};
 
-/// Deltas that wait for the disk; past it the whole configuration is written instead.
-const WAITING_MOST: usize = 64;
-/// Between two looks at a file that another process has.
-const TAKEN_PAUSE: Duration = Duration::from_millis(5);
+/// Tasks that wait for the disk; past it the whole configuration is written instead.
+const MAX_QUEUED_TASKS: usize = 64;
+/// How often a file is tried that another process has.
+const IN_USE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 const HEAD: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("head");
 const RESOURCES: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("resources");
@@ -36,27 +36,65 @@
     digest: Digest,
 }
 
-/// Why a store was not opened.
+/// Why the store was not opened.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum OpenError {
+    #[error("{}: the folder cannot be made: {source}", folder.display())]
+    CreateFolder { folder: PathBuf, source: std::io::Error },
+    #[error("{}: another process has it", path.display())]
+    InUse { path: PathBuf },
+    #[error("{}: {source}", path.display())]
+    Unusable { path: PathBuf, source: StorageError },
+    #[error("{}: the damaged file cannot be set aside: {source}", path.display())]
+    SetAside { path: PathBuf, source: std::io::Error },
+    #[error("the thread that stores the configuration cannot be started: {0}")]
+    SpawnWriter(#[source] std::io::Error),
+}
+
+/// Why a database file was not opened.
 #[derive(Debug)]
-enum StoreError {
+enum FileError {
     /// Another process has it.
-    Taken,
+    InUse,
     /// The file cannot be opened or made.
-    Unusable(String),
+    Unusable(StorageError),
     /// What it holds cannot be relied on.
-    Damaged(String),
+    Damaged(DamageError),
 }
 
-/// A failure of the database or of reading a row, in its own words.
-#[derive(Debug)]
-struct Failure(String);
+/// Why the contents of a file cannot be relied on.
+#[derive(Debug, thiserror::Error)]
+enum DamageError {
+    #[error("an assertion of the database failed")]
+    Assertion,
+    #[error(transparent)]
+    Open(DatabaseError),
+    #[error(transparent)]
+    Read(StoreError),
+}
 
-impl<E: std::error::Error> From<E> for Failure {
-    fn from(error: E) -> Failure {
-        Failure(error.to_string())
-    }
+/// Why the configuration could not be read from the database or written to it.
+#[derive(Debug, thiserror::Error)]
+enum StoreError {
+    #[error(transparent)]
+    Transaction(#[from] redb::TransactionError),
+    #[error(transparent)]
+    Table(#[from] TableError),
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+    #[error(transparent)]
+    Commit(#[from] redb::CommitError),
+    #[error(transparent)]
+    Row(#[from] serde_json::Error),
+    #[error(transparent)]
+    Configuration(#[from] ApplyError),
+    #[error("it has no head")]
+    NoHead,
+    #[error("the file misses what came before")]
+    MissingDelta,
 }
 
+/// The database, and the version that it holds.
 #[derive(Debug)]
 struct Store {
     database: Database,
@@ -64,20 +102,22 @@
     version: Option<Version>,
 }
 
-/// What the writing thread is told.
-enum Job {
+/// What the writing thread is to write.
+enum WriteTask {
+    /// Changes that lead from the base to the version of the head.
     Delta { base: Version, head: Head, changes: Vec<Change> },
-    Whole(Box<Configuration>),
+    /// A configuration in place of everything.
+    Snapshot(Box<Configuration>),
 }
 
 /// The proxy's side of the store; dropped, what waits is still written and then the file released.
 #[derive(Debug)]
 pub(super) struct ConfigurationStore {
-    jobs: SyncSender<Job>,
+    tasks: SyncSender<WriteTask>,
     /// The version that the file has once all that was sent is written.
     sent: Option<Version>,
     /// The file misses something: it is to be given the whole configuration.
-    behind: Arc<AtomicBool>,
+    is_behind: Arc<AtomicBool>,
     writer: JoinHandle<()>,
 }
 
@@ -87,30 +127,39 @@
     folder: &Path,
     position: usize,
     wait: Duration,
-) -> std::io::Result<(ConfigurationStore, Option<Configuration>)> {
+) -> Result<(ConfigurationStore, Option<Configuration>), OpenError> {
     let path = folder.join(format!("configuration-{position}.redb"));
-    let failed = |why: String| std::io::Error::other(format!("{}: {why}", path.display()));
-    std::fs::create_dir_all(folder)?;
+    std::fs::create_dir_all(folder)
+        .map_err(|source| OpenError::CreateFolder { folder: folder.to_owned(), source })?;
+    let (store, configuration) = open_file(&path, wait)?;
+    let is_behind = Arc::new(AtomicBool::new(false));
+    let (tasks, queue) = sync_channel(MAX_QUEUED_TASKS);
+    let writer_is_behind = is_behind.clone();
+    let thread = std::thread::Builder::new().name("configuration".into());
+    let writer =
+        thread.spawn(move || run_writer(store, &queue, &writer_is_behind)).map_err(OpenError::SpawnWriter)?;
+    let sent = configuration.as_ref().map(Configuration::version);
+    Ok((ConfigurationStore { tasks, sent, is_behind, writer }, configuration))
+}
+
+/// Opens the file, after setting aside one that is damaged.
+fn open_file(path: &Path, wait: Duration) -> Result<(Store, Option<Configuration>), OpenError> {
     let until = Instant::now() + wait;
-    let (store, configuration) = loop {
-        match Store::open(&path) {
-            Ok(opened) => break opened,
-            Err(StoreError::Taken) if Instant::now() < until => std::thread::sleep(TAKEN_PAUSE),
-            Err(StoreError::Taken) => return Err(failed("another process has it".to_owned())),
-            Err(StoreError::Unusable(why)) => return Err(failed(why)),
-            Err(StoreError::Damaged(why)) => {
-                let aside = set_aside(&path)?;
-                tracing::warn!(moved_to = %aside.display(), "the stored configuration is damaged: {why}");
+    loop {
+        match Store::open(path) {
+            Ok(opened) => return Ok(opened),
+            Err(FileError::InUse) if Instant::now() < until => std::thread::sleep(IN_USE_POLL_INTERVAL),
+            Err(FileError::InUse) => return Err(OpenError::InUse { path: path.to_owned() }),
+            Err(FileError::Unusable(source)) => {
+                return Err(OpenError::Unusable { path: path.to_owned(), source });
+            }
+            Err(FileError::Damaged(error)) => {
+                let aside = set_aside(path)
+                    .map_err(|source| OpenError::SetAside { path: path.to_owned(), source })?;
+                tracing::warn!(moved_to = %aside.display(), "the stored configuration is damaged: {error}");
             }
         }
-    };
-    let behind = Arc::new(AtomicBool::new(false));
-    let (jobs, waiting) = sync_channel(WAITING_MOST);
-    let told = behind.clone();
-    let thread = std::thread::Builder::new().name("configuration".into());
-    let writer = thread.spawn(move || write_all(store, waiting, told))?;
-    let sent = configuration.as_ref().map(Configuration::version);
-    Ok((ConfigurationStore { jobs, sent, behind, writer }, configuration))
+    }
 }
 
 fn set_aside(path: &Path) -> std::io::Result<PathBuf> {
@@ -120,11 +169,12 @@
     Ok(aside)
 }
 
-fn write_all(mut store: Store, jobs: Receiver<Job>, behind: Arc<AtomicBool>) {
-    while let Ok(job) = jobs.recv() {
-        if let Err(Failure(why)) = store.write(&job) {
-            tracing::warn!("the configuration is not stored: {why}");
-            behind.store(true, Ordering::Relaxed);
+/// Writes what comes until the store is dropped.
+fn run_writer(mut store: Store, queue: &Receiver<WriteTask>, is_behind: &AtomicBool) {
+    while let Ok(task) = queue.recv() {
+        if let Err(error) = store.write(&task) {
+            tracing::warn!("the configuration is not stored: {error}");
+            is_behind.store(true, Ordering::Relaxed);
         }
     }
 }
@@ -133,7 +183,7 @@
     /// Stores changes that lead from what was stored before to this configuration.
     pub(super) fn apply(&mut self, configuration: &Configuration, changes: Vec<Change>) {
         match self.sent.replace(configuration.version()) {
-            Some(base) => self.send(Job::Delta { base, head: Head::of(configuration), changes }),
+            Some(base) => self.send(WriteTask::Delta { base, head: Head::of(configuration), changes }),
             None => self.replace(configuration),
         }
     }
@@ -141,25 +191,25 @@
     /// Stores a configuration in place of everything.
     pub(super) fn replace(&mut self, configuration: &Configuration) {
         self.sent = Some(configuration.version());
-        self.send(Job::Whole(Box::new(configuration.clone())));
+        self.send(WriteTask::Snapshot(Box::new(configuration.clone())));
     }
 
     /// Writes what waits and releases the file.
     pub(super) fn finish(self) {
-        drop(self.jobs);
+        drop(self.tasks);
         if self.writer.join().is_err() {
             tracing::warn!("the configuration is not stored: its thread failed");
         }
     }
 
-    /// Whether it missed something since this was asked last.
-    pub(super) fn take_behind(&self) -> bool {
-        self.behind.swap(false, Ordering::Relaxed)
+    /// Whether the file has missed something since this was asked last.
+    pub(super) fn take_is_behind(&self) -> bool {
+        self.is_behind.swap(false, Ordering::Relaxed)
     }
 
-    fn send(&self, job: Job) {
-        if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.jobs.try_send(job) {
-            self.behind.store(true, Ordering::Relaxed);
+    fn send(&self, task: WriteTask) {
+        if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.tasks.try_send(task) {
+            self.is_behind.store(true, Ordering::Relaxed);
         }
     }
 }
@@ -171,28 +221,29 @@
 }
 
 impl Store {
-    fn open(path: &Path) -> Result<(Store, Option<Configuration>), StoreError> {
+    fn open(path: &Path) -> Result<(Store, Option<Configuration>), FileError> {
         // A damaged file may fail an assertion of the database's own: that is damage, too.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let database = Database::create(path).map_err(open_error)?;
-            let configuration = read(&database).map_err(|Failure(why)| StoreError::Damaged(why))?;
+            let configuration =
+                read(&database).map_err(|error| FileError::Damaged(DamageError::Read(error)))?;
             let version = configuration.as_ref().map(Configuration::version);
             Ok((Store { database, version }, configuration))
         }));
-        opened.unwrap_or_else(|_| Err(StoreError::Damaged("an assertion of the database failed".to_owned())))
+        opened.unwrap_or(Err(FileError::Damaged(DamageError::Assertion)))
     }
 
-    fn write(&mut self, job: &Job) -> Result<(), Failure> {
-        let version = match job {
-            Job::Delta { base, .. } if self.version != Some(*base) => {
-                return Err(Failure("the file misses what came before".to_owned()));
+    fn write(&mut self, task: &WriteTask) -> Result<(), StoreError> {
+        let version = match task {
+            WriteTask::Delta { base, .. } if self.version != Some(*base) => {
+                return Err(StoreError::MissingDelta);
             }
-            Job::Delta { head, changes, .. } => {
+            WriteTask::Delta { head, changes, .. } => {
                 self.write_changes(*head, changes)?;
                 head.version
             }
-            Job::Whole(configuration) => {
-                self.write_whole(configuration)?;
+            WriteTask::Snapshot(configuration) => {
+                self.write_snapshot(configuration)?;
                 configuration.version()
             }
         };
@@ -200,7 +251,7 @@
         Ok(())
     }
 
-    fn write_changes(&self, head: Head, changes: &[Change]) -> Result<(), Failure> {
+    fn write_changes(&self, head: Head, changes: &[Change]) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         {
             let mut resources = transaction.open_table(RESOURCES)?;
@@ -216,7 +267,7 @@
         Ok(())
     }
 
-    fn write_whole(&self, configuration: &Configuration) -> Result<(), Failure> {
+    fn write_snapshot(&self, configuration: &Configuration) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         transaction.delete_table(RESOURCES)?;
         {
@@ -232,27 +283,27 @@
     }
 }
 
-fn open_error(error: DatabaseError) -> StoreError {
+fn open_error(error: DatabaseError) -> FileError {
     match error {
-        DatabaseError::DatabaseAlreadyOpen => StoreError::Taken,
+        DatabaseError::DatabaseAlreadyOpen => FileError::InUse,
         // A file that cannot be opened or made is not a damaged one.
         DatabaseError::Storage(StorageError::Io(error))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
-            StoreError::Unusable(error.to_string())
+            FileError::Unusable(StorageError::Io(error))
         }
-        other => StoreError::Damaged(other.to_string()),
+        other => FileError::Damaged(DamageError::Open(other)),
     }
 }
 
-fn read(database: &Database) -> Result<Option<Configuration>, Failure> {
+fn read(database: &Database) -> Result<Option<Configuration>, StoreError> {
     let transaction = database.begin_read()?;
     let head = match transaction.open_table(HEAD) {
         Ok(table) => table,
         Err(TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(error) => return Err(error.into()),
     };
-    let row = head.get(HEAD_KEY)?.ok_or_else(|| Failure("it has no head".to_owned()))?;
+    let row = head.get(HEAD_KEY)?.ok_or(StoreError::NoHead)?;
     let head: Head = serde_json::from_slice(row.value())?;
     let mut resources = Vec::new();
     for entry in transaction.open_table(RESOURCES)?.iter()? {
@@ -261,12 +312,13 @@
     Ok(Some(Configuration::from_resources_with_digest(head.version, resources, head.digest)?))
 }
 
-fn key_bytes(key: &ResourceKey) -> Result<Vec<u8>, Failure> {
+fn key_bytes(key: &ResourceKey) -> Result<Vec<u8>, StoreError> {
     Ok(serde_json::to_vec(key)?)
 }
 
-fn put(table: &mut redb::Table<'_, &[u8], &[u8]>, resource: &Resource) -> Result<(), Failure> {
-    let (key, value) = (key_bytes(&resource.key())?, serde_json::to_vec(resource)?);
+fn put(table: &mut redb::Table<'_, &[u8], &[u8]>, resource: &Resource) -> Result<(), StoreError> {
+    let key = key_bytes(&resource.key())?;
+    let value = serde_json::to_vec(resource)?;
     table.insert(key.as_slice(), value.as_slice())?;
     Ok(())
 }
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -51,7 +51,7 @@
     /// Stores what has to be stored and sums up.
     pub(super) fn finish(mut self) -> Summary {
         if self.roster_changed {
-            self.save_roster();
+            self.save_list();
         }
         self.finish_configuration();
         self.finish_recording();
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -118,7 +118,7 @@
     /// First events: the list as saved before a restart, which may be stale, then the release service is called.
     fn begin(&mut self) {
         let now = self.now();
-        let saved = self.saved_roster();
+        let saved = self.load_saved_list();
         let entries = saved.map(|message| self.roster.restore(now, &message)).unwrap_or_default();
         self.engine.on_server_list(now, ListKind::Cached, &entries);
         self.restore_pause();
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -5,6 +5,7 @@
 //! - `clients.rs`: listeners and client connections, up to a complete request and from an answer on
 //! - `servers.rs`: connections to servers and the attempts on them
 //! - `site_calls.rs`: calls to discovery and to the release service
+//! - `saved_list.rs`: the server list on disk
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
 //! - `configuration_store.rs`: the last good configuration on disk
 //! - `operators/`: the control sockets, commands and the reading of the state
@@ -21,6 +22,7 @@
 mod event_loop;
 mod operators;
 mod peers;
+mod saved_list;
 mod servers;
 mod site_calls;
 mod takeover;
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -1,9 +1,8 @@
-//! Calls to the roster and the release desk: each one HTTP exchange on a connection of its own. A watch on
-//! the roster and the desk's news are answers without an end, one JSON line a message.
+//! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch on
+//! the server list and the release's state are answers without an end, one JSON line a message.
 
 use super::ConnectionId;
 use super::Proxy;
-use super::operators::wall_clock;
 use super::timers::TimerKind;
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
@@ -13,22 +12,69 @@
 use violetseam_site::lines::Lines;
 use violetseam_site::{desk, roster};
 
+/// The least wait for another try on the release service's stream, or for a line on it.
+const MIN_STREAM_SPAN: Micros = 10_000;
+
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum For {
-    /// The roster's changes, from the version held on.
-    Watch,
-    /// The whole roster, once.
-    Fetch,
-    /// Stage news.
-    News,
+enum CallPurpose {
+    /// Changes of the server list, from the version held on.
+    WatchList,
+    /// The whole server list, once.
+    FetchList,
+    /// The state of the newest build's release.
+    WatchRelease,
     /// A vote.
     Vote,
 }
 
+/// Why a call is over.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    #[error("no connection to the roster")]
+    NoRoster,
+    #[error("no connection")]
+    NoConnection,
+    #[error("connection lost")]
+    ConnectionLost,
+    #[error("closed")]
+    Closed,
+    #[error("not accepted")]
+    NotAccepted,
+    #[error("reply too long")]
+    ReplyTooLong,
+    #[error("malformed answer")]
+    MalformedAnswer,
+    #[error("{0}")]
+    MalformedLine(#[source] Box<dyn std::error::Error + Send + Sync>),
+    #[error("news under number {fence} after {highest}")]
+    Fenced { fence: u64, highest: u64 },
+    #[error("silent for too long")]
+    Silent,
+    #[error("no answer in time")]
+    NoAnswer,
+}
+
+impl CallError {
+    fn malformed(error: impl std::error::Error + Send + Sync + 'static) -> Self {
+        CallError::MalformedLine(Box::new(error))
+    }
+}
+
+/// An HTTP request of the proxy's own.
+struct CallRequest<'a> {
+    purpose: CallPurpose,
+    to: SocketAddr,
+    method: &'a str,
+    path: &'a str,
+    body: &'a [u8],
+    timeout: Option<Micros>,
+}
+
+/// A call in flight.
 pub(super) struct Call {
     generation: u64,
-    what: For,
+    purpose: CallPurpose,
     socket: Socket,
     http: ClientConn,
     lines: Lines,
@@ -38,7 +84,7 @@
     written: bool,
     /// A message has come: later ones were not asked for one by one.
     answered: bool,
-    /// A line has come since the stream was looked at.
+    /// A line has come since the stream was last checked.
     heard: bool,
     /// The status was 200.
     accepted: bool,
@@ -47,82 +93,90 @@
 impl Proxy {
     /// Subscribes to the server list. A new subscription replaces the one before.
     pub(super) fn watch_server_list(&mut self) {
-        self.call_discovery(true);
+        if let Some(before) = self.watch.take() {
+            self.close_call(before);
+        }
+        let position = self.settings.decisions.position;
+        let path = match self.roster.version() {
+            Some(version) => format!("/v1/roster/watch?proxy={position}&since={version}"),
+            None => format!("/v1/roster/watch?proxy={position}"),
+        };
+        self.watch = self.call_discovery(CallPurpose::WatchList, &path);
     }
 
     /// Fetches the whole server list once.
     pub(super) fn fetch_server_list(&mut self) {
-        self.call_discovery(false);
+        let path = format!("/v1/roster?proxy={}", self.settings.decisions.position);
+        self.call_discovery(CallPurpose::FetchList, &path);
     }
 
-    fn call_discovery(&mut self, follow: bool) {
-        if follow && let Some(before) = self.watch.take() {
-            self.close_call(before);
-        }
-        let position = self.settings.decisions.position;
-        let path = match (follow, self.roster.version()) {
-            (true, Some(version)) => format!("/v1/roster/watch?proxy={position}&since={version}"),
-            (true, None) => format!("/v1/roster/watch?proxy={position}"),
-            (false, _) => format!("/v1/roster?proxy={position}"),
-        };
-        let what = if follow { For::Watch } else { For::Fetch };
-        let (to, span) = (self.settings.roster, self.settings.roster_timeout);
-        match self.call(what, to, "GET", &path, &[], Some(span)) {
-            Some(key) if follow => self.watch = Some(key),
-            Some(_) => {}
-            None => self.list_failed("no connection to the roster"),
+    fn call_discovery(&mut self, purpose: CallPurpose, path: &str) -> Option<usize> {
+        let to = self.settings.roster;
+        let timeout = Some(self.settings.roster_timeout);
+        let call = self.call(&CallRequest { purpose, to, method: "GET", path, body: &[], timeout });
+        if call.is_none() {
+            self.on_list_failed(&CallError::NoRoster);
         }
+        call
     }
 
-    /// Opens the stream of stage news; lost, it is opened again after a while.
+    /// Opens the stream of the release's state; lost, it is opened again after a while.
     pub(super) fn open_release_stream(&mut self) {
         if self.release_stream.is_some() || self.handed_over || self.ending {
             return;
         }
         let path = format!("/v1/stage/watch?proxy={}", self.settings.decisions.position);
-        let (to, silence) = (self.release_service(), self.settings.desk_silence);
-        self.release_stream = self.call(For::News, to, "GET", &path, &[], silence);
+        self.release_stream = self.call(&CallRequest {
+            purpose: CallPurpose::WatchRelease,
+            to: self.release_service(),
+            method: "GET",
+            path: &path,
+            body: &[],
+            timeout: self.settings.desk_silence,
+        });
         if self.release_stream.is_none() {
             self.on_release_stream_lost();
         }
     }
 
-    /// The controller that is spoken to.
+    /// The controller that is called.
     fn release_service(&self) -> SocketAddr {
-        let desks = &self.settings.desks;
-        desks[self.release_service_index % desks.len()]
+        let controllers = &self.settings.desks;
+        controllers[self.release_service_index % controllers.len()]
     }
 
     fn on_release_stream_lost(&mut self) {
         self.release_stream = None;
-        // Whoever stands by may speak now.
+        // A standby may have become the leader.
         self.release_service_index = (self.release_service_index + 1) % self.settings.desks.len();
-        // Drawn, as all proxies lose the desk together.
-        let span = self.settings.desk_reconnect.max(10_000);
+        // Drawn, as all proxies lose the release service together.
+        let span = self.settings.desk_reconnect.max(MIN_STREAM_SPAN);
         let wait = span / 2 + self.draw() % span;
         self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
     }
 
+    /// Sends a vote to the release service.
     pub(super) fn call_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
         let body = desk::Vote::new(self.settings.decisions.position, build, stage, verdict).write();
-        let span = self.settings.decisions.rollout.vote_timeout;
-        if self.call(For::Vote, self.release_service(), "POST", "/v1/vote", &body, Some(span)).is_none() {
-            // Nothing left for the desk: it cannot count.
-            self.vote_ended(Outcome::Error, &[]);
+        let call = self.call(&CallRequest {
+            purpose: CallPurpose::Vote,
+            to: self.release_service(),
+            method: "POST",
+            path: "/v1/vote",
+            body: &body,
+            timeout: Some(self.settings.decisions.rollout.vote_timeout),
+        });
+        if call.is_none() {
+            // Nothing was sent to the release service: it cannot count.
+            self.on_vote_ended(Outcome::Error, &[]);
         }
     }
 
-    fn call(
-        &mut self,
-        what: For,
-        to: SocketAddr,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        within: Option<Micros>,
-    ) -> Option<usize> {
-        let stream = connect(to).ok()?;
+    /// Begins a call; none if no connection could be begun.
+    fn call(&mut self, request: &CallRequest<'_>) -> Option<usize> {
+        let CallRequest { purpose, to, method, path, body, timeout } = request;
+        let stream = connect(*to).ok()?;
         let generation = self.next_generation();
         let entry = self.calls.vacant_entry();
         let key = entry.key();
@@ -136,21 +190,24 @@
         socket.out().extend_from_slice(body);
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
-        let most = if what == For::News { desk::LINE_MOST } else { roster::LINE_MOST };
+        let max_line_bytes = match purpose {
+            CallPurpose::WatchRelease => desk::LINE_MOST,
+            _ => roster::LINE_MOST,
+        };
         entry.insert(Call {
             generation,
-            what,
+            purpose: *purpose,
             socket,
             http,
-            lines: Lines::new(most),
+            lines: Lines::new(max_line_bytes),
             body: Vec::new(),
             written: false,
             answered: false,
             heard: false,
             accepted: false,
         });
-        if let Some(span) = within {
-            self.timers.set(self.now() + span, TimerKind::Call(ConnectionId { key, generation }));
+        if let Some(timeout) = timeout {
+            self.timers.set(self.now() + timeout, TimerKind::Call(ConnectionId { key, generation }));
         }
         Some(key)
     }
@@ -159,11 +216,11 @@
         if readiness.writable {
             let Some(call) = self.calls.get_mut(key) else { return };
             if call.socket.connect_error().is_some() {
-                return self.call_ended(key, "no connection");
+                return self.call_ended(key, &CallError::NoConnection);
             }
             match call.socket.flush() {
                 Ok(n) => call.written |= n > 0,
-                Err(_) => return self.call_ended(key, "connection lost"),
+                Err(_) => return self.call_ended(key, &CallError::ConnectionLost),
             }
             call.socket.want(&self.handle, true);
         }
@@ -186,11 +243,11 @@
                     if let Some(ClientEvent::End { .. }) = call.http.close() {
                         self.call_complete(key);
                     }
-                    self.call_ended(key, "closed");
+                    self.call_ended(key, &CallError::Closed);
                     break;
                 }
                 Got::Broken => {
-                    self.call_ended(key, "connection lost");
+                    self.call_ended(key, &CallError::ConnectionLost);
                     break;
                 }
             }
@@ -205,13 +262,13 @@
                 Some(ClientEvent::Head(head)) => {
                     call.accepted = head.status == 200;
                     if !call.accepted {
-                        return self.call_ended(key, "not accepted");
+                        return self.call_ended(key, &CallError::NotAccepted);
                     }
                 }
-                Some(ClientEvent::Body(bytes)) if call.what == For::Vote => {
+                Some(ClientEvent::Body(bytes)) if call.purpose == CallPurpose::Vote => {
                     call.body.extend_from_slice(&bytes);
                     if call.body.len() > desk::LINE_MOST {
-                        return self.call_ended(key, "reply too long");
+                        return self.call_ended(key, &CallError::ReplyTooLong);
                     }
                 }
                 Some(ClientEvent::Body(bytes)) => {
@@ -220,9 +277,9 @@
                 }
                 Some(ClientEvent::End { .. }) => {
                     self.call_complete(key);
-                    return self.call_ended(key, "closed");
+                    return self.call_ended(key, &CallError::Closed);
                 }
-                Some(ClientEvent::Fault(_)) => return self.call_ended(key, "malformed answer"),
+                Some(ClientEvent::Fault(_)) => return self.call_ended(key, &CallError::MalformedAnswer),
             }
         }
     }
@@ -232,41 +289,41 @@
             let line = match call.lines.next_line() {
                 Ok(Some(line)) => line.to_vec(),
                 Ok(None) => return,
-                Err(fault) => return self.call_ended(key, &fault.to_string()),
+                Err(fault) => return self.call_ended(key, &CallError::malformed(fault)),
             };
             call.heard = true;
-            // A blank line keeps a quiet stream alive.
+            // A blank line keeps an idle stream open.
             if line.is_empty() {
                 continue;
             }
             call.answered = true;
-            let taken = match call.what {
-                For::Watch | For::Fetch => self.roster_line(&line),
-                For::News => self.news_line(&line),
-                For::Vote => Ok(()),
+            let applied = match call.purpose {
+                CallPurpose::WatchList | CallPurpose::FetchList => self.on_list_line(&line),
+                CallPurpose::WatchRelease => self.on_release_line(&line),
+                CallPurpose::Vote => Ok(()),
             };
-            if let Err(reason) = taken {
+            if let Err(error) = applied {
                 if let Some(call) = self.calls.get_mut(key) {
                     call.answered = false;
                 }
-                return self.call_ended(key, &reason);
+                return self.call_ended(key, &error);
             }
         }
     }
 
-    fn roster_line(&mut self, line: &[u8]) -> Result<(), String> {
-        let message = roster::Message::parse(line).map_err(|e| e.to_string())?;
+    fn on_list_line(&mut self, line: &[u8]) -> Result<(), CallError> {
+        let message = roster::Message::parse(line).map_err(CallError::malformed)?;
         let now = self.now();
         let applied = self.roster.apply(now, &message);
         #[allow(unused_mut)]
         let (kind, mut entries) = match applied {
-            Ok(news) => news,
+            Ok(applied) => applied,
             Err(fault) => {
-                // Whatever the roster lost, its whole list is asked for next and must be newer.
+                // Whatever discovery lost, its whole list is asked for next and must be newer.
                 if message.kind == roster::Kind::Delta {
                     self.roster.forget_version();
                 }
-                return Err(fault.to_string());
+                return Err(CallError::malformed(fault));
             }
         };
         #[cfg(feature = "sabotage")]
@@ -291,11 +348,11 @@
         Ok(())
     }
 
-    fn news_line(&mut self, line: &[u8]) -> Result<(), String> {
-        let (news, fence) = desk::News::parse(line).map_err(|e| e.to_string())?;
+    fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
+        let (news, fence) = desk::News::parse(line).map_err(CallError::malformed)?;
         if fence < self.release_fence {
             // A controller that stood still while another took its place: not obeyed, and left.
-            return Err(format!("news under number {fence} after {}", self.release_fence));
+            return Err(CallError::Fenced { fence, highest: self.release_fence });
         }
         self.release_fence = fence;
         if self.engine.release() != Some(news) {
@@ -307,17 +364,17 @@
         Ok(())
     }
 
-    /// The answer has come whole.
+    /// The answer is complete.
     fn call_complete(&mut self, key: usize) {
         let Some(call) = self.calls.get_mut(key) else { return };
-        if call.what == For::Vote && !call.answered {
+        if call.purpose == CallPurpose::Vote && !call.answered {
             call.answered = true;
             let body = std::mem::take(&mut call.body);
-            self.vote_ended(Outcome::Ok, &body);
+            self.on_vote_ended(Outcome::Ok, &body);
         }
     }
 
-    fn vote_ended(&mut self, outcome: Outcome, body: &[u8]) {
+    fn on_vote_ended(&mut self, outcome: Outcome, body: &[u8]) {
         let (outcome, news) = match outcome {
             Outcome::Ok => desk::VoteReply::parse(body).unwrap_or_else(|fault| {
                 tracing::warn!("{fault}");
@@ -340,8 +397,8 @@
         self.engine.on_vote_reply(now, outcome, news);
     }
 
-    fn list_failed(&mut self, why: &str) {
-        tracing::warn!("roster: {why}");
+    fn on_list_failed(&mut self, error: &CallError) {
+        tracing::warn!("roster: {error}");
         let now = self.now();
         self.engine.on_server_list(now, ListKind::Failed, &[]);
     }
@@ -349,28 +406,32 @@
     pub(super) fn call_timeout(&mut self, id: ConnectionId) {
         let ConnectionId { key, generation } = id;
         let now = self.now();
-        let (timers, silence) = (&mut self.timers, self.settings.desk_silence);
-        if let Some(call) =
-            self.calls.get_mut(key).filter(|c| c.generation == generation && c.what == For::News)
+        let timers = &mut self.timers;
+        let silence = self.settings.desk_silence;
+        if let Some(call) = self
+            .calls
+            .get_mut(key)
+            .filter(|c| c.generation == generation && c.purpose == CallPurpose::WatchRelease)
         {
             if std::mem::take(&mut call.heard) {
                 return timers.set(
-                    now + silence.unwrap_or(0).max(10_000),
+                    now + silence.unwrap_or(0).max(MIN_STREAM_SPAN),
                     TimerKind::Call(ConnectionId { key, generation }),
                 );
             }
-            return self.call_ended(key, "silent for too long");
+            return self.call_ended(key, &CallError::Silent);
         }
         let late = self.calls.get(key).is_some_and(|c| c.generation == generation && !c.answered);
         if late {
-            self.call_ended(key, "no answer in time");
+            self.call_ended(key, &CallError::NoAnswer);
         }
     }
 
-    /// Ends the streams from the roster and the desk: they are a successor's now.
+    /// Ends the streams from discovery and the release service: they are a successor's now.
     pub(super) fn leave_site(&mut self) {
-        let streams = [self.watch.take(), self.release_stream.take()];
-        streams.into_iter().flatten().for_each(|key| self.close_call(key));
+        for key in [self.watch.take(), self.release_stream.take()].into_iter().flatten() {
+            self.close_call(key);
+        }
     }
 
     fn close_call(&mut self, key: usize) {
@@ -379,86 +440,32 @@
         }
     }
 
-    /// The call is over: says so to whoever waits for it.
-    fn call_ended(&mut self, key: usize, why: &str) {
+    /// The call is over: reports that to whoever waits for it.
+    fn call_ended(&mut self, key: usize, error: &CallError) {
         let Some(call) = self.calls.get(key) else { return };
-        let (what, answered, written) = (call.what, call.answered, call.written);
+        let purpose = call.purpose;
+        let answered = call.answered;
+        let written = call.written;
         self.close_call(key);
-        match what {
-            For::Watch => {
+        match purpose {
+            CallPurpose::WatchList => {
                 // A newer subscription may have taken its place.
                 if self.watch == Some(key) {
                     self.watch = None;
-                    self.list_failed(why);
+                    self.on_list_failed(error);
                 }
             }
-            For::Fetch if !answered => self.list_failed(why),
-            For::Fetch => {}
-            For::News => {
-                tracing::warn!("desk: {why}");
+            CallPurpose::FetchList if !answered => self.on_list_failed(error),
+            CallPurpose::FetchList => {}
+            CallPurpose::WatchRelease => {
+                tracing::warn!("desk: {error}");
                 self.on_release_stream_lost();
             }
-            For::Vote if !answered => {
-                let may_count = written && why != "not accepted";
-                self.vote_ended(if may_count { Outcome::Timeout } else { Outcome::Error }, &[]);
-            }
-            For::Vote => {}
-        }
-    }
-
-    /// The list held before a restart. Ages count on over the restart by the wall clock; should that have
-    /// gone back, servers look younger than they are, which is the safe side.
-    pub(super) fn saved_roster(&mut self) -> Option<roster::Message> {
-        let path = self.settings.state_dir.as_ref()?.join(self.roster_file());
-        let bytes = std::fs::read(&path).ok()?;
-        let mut lines = bytes.splitn(2, |b| *b == b'\n');
-        let (saved_at, list) = (lines.next()?, lines.next()?);
-        let saved_at = std::str::from_utf8(saved_at).ok().and_then(|t| t.parse::<u64>().ok());
-        match (saved_at, roster::Message::parse(list.trim_ascii_end())) {
-            (Some(saved_at), Ok(mut message)) => {
-                let since = wall_clock().saturating_sub(saved_at);
-                for line in &mut message.servers {
-                    line.age_us = line.age_us.map(|age| age.saturating_add(since));
-                }
-                let now = self.now();
-                let kept = message.servers.iter().map(|l| (l.id, (now, l.clone())));
-                self.roster_lines = kept.collect();
-                Some(message)
-            }
-            (_, Err(fault)) => {
-                tracing::warn!("saved roster ignored: {fault}");
-                None
-            }
-            (None, _) => {
-                tracing::warn!("saved roster ignored: no time of saving");
-                None
+            CallPurpose::Vote if !answered => {
+                let may_count = written && !matches!(error, CallError::NotAccepted);
+                self.on_vote_ended(if may_count { Outcome::Timeout } else { Outcome::Error }, &[]);
             }
-        }
-    }
-
-    fn roster_file(&self) -> String {
-        format!("roster-{}.json", self.settings.decisions.position)
-    }
-
-    /// Saves the list for a restart: written aside and renamed, so that a crash leaves the old or the new.
-    pub(super) fn save_roster(&mut self) {
-        let now = self.now();
-        let Some(folder) = &self.settings.state_dir else { return };
-        let grown = |(heard, line): &(Micros, roster::Line)| roster::Line {
-            age_us: line.age_us.map(|age| age + now.saturating_sub(*heard)),
-            ..line.clone()
-        };
-        let servers = self.roster_lines.values().map(grown).collect();
-        let version = self.roster.version().unwrap_or(0);
-        let message = roster::Message { kind: roster::Kind::Full, version, base: 0, servers };
-        let mut bytes = format!("{}\n", wall_clock()).into_bytes();
-        bytes.extend(message.write());
-        let (path, aside) = (folder.join(self.roster_file()), folder.join(self.roster_file() + ".new"));
-        let saved = std::fs::write(&aside, bytes).and_then(|()| std::fs::rename(&aside, &path));
-        if let Err(e) = saved
-            && self.log_limit.allows(now)
-        {
-            tracing::warn!("roster not saved: {e}");
+            CallPurpose::Vote => {}
         }
     }
 }
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -247,7 +247,7 @@
     /// The new process's first turn: the module goes on where it was; its subscription was the old process's.
     pub(super) fn resume_after_takeover(&mut self) {
         let now = self.now();
-        if let Some(message) = self.saved_roster() {
+        if let Some(message) = self.load_saved_list() {
             // Addresses only: the module knows the servers, and what it has learned of them.
             self.roster.restore(now, &message);
         }
@@ -280,7 +280,7 @@
         self.set_accepting(false);
         self.engine.suspend_attempts(true);
         self.rest_all_clients();
-        self.save_roster();
+        self.save_list();
         self.release_store();
         self.release_configuration();
         if let Err(error) = self.send_offer(connection) {
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -66,7 +66,7 @@
             TimerKind::ReleaseStream => self.open_release_stream(),
             TimerKind::Takeover(generation) => self.hand_over_timeout(generation),
             TimerKind::Operator(connection) => self.operator_timeout(connection),
-            TimerKind::Configuration => self.follow_configuration(),
+            TimerKind::Configuration => self.run_subscription(),
             TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
             TimerKind::Upkeep => self.upkeep(now),
             #[cfg(feature = "sabotage")]
@@ -93,7 +93,7 @@
             recorder.flush();
         }
         if std::mem::take(&mut self.roster_changed) {
-            self.save_roster();
+            self.save_list();
         }
     }
 
