--- /dev/null
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -0,0 +1,215 @@
+//! Client connections: what they are read for, their time-outs and their end.
+
+use super::super::timers::TimerKind;
+use super::super::{ConnectionId, Proxy};
+use super::{Client, FIRST_REQUEST_TIMEOUT, State};
+use calloop::Readiness;
+use http::StatusCode;
+use std::net::TcpStream;
+use violetseam::interface::Micros;
+use violetseam_http1::server::ServerEvent;
+use violetseam_loopio::{Got, HIGH_WATER};
+use violetseam_settings::HalfClose;
+
+/// A client's unread input is bounded by this and one read.
+const MAX_INPUT_BYTES: usize = 64 * 1024;
+/// A closed connection's input is read and dropped for so long.
+const LINGER_TIMEOUT: Micros = 1_000_000;
+
+impl Proxy {
+    /// Connections between requests.
+    pub(in super::super) fn idle_clients(&self) -> Vec<usize> {
+        self.clients.iter().filter(|(_, c)| c.is_between_requests()).map(|(key, _)| key).collect()
+    }
+
+    /// The sockets of these connections.
+    pub(in super::super) fn client_streams(&self, keys: &[usize]) -> Vec<&TcpStream> {
+        keys.iter().filter_map(|key| Some(self.clients.get(*key)?.socket.stream())).collect()
+    }
+
+    /// Before a drain: what has come on idle connections is read. The others close, but those whose first request
+    /// may be on its way.
+    pub(in super::super) fn close_idle_clients(&mut self) {
+        for key in self.idle_clients() {
+            self.read_client(key);
+            if self.clients.get(key).is_some_and(|c| c.used && c.is_between_requests()) {
+                self.close_client(key);
+            }
+        }
+    }
+
+    /// After a drain that was called off: connections between requests have their ordinary time again.
+    pub(in super::super) fn reset_idle_timeouts(&mut self) {
+        for key in self.idle_clients() {
+            self.clients[key].limit_at = Micros::MAX;
+            self.rearm_client(key);
+        }
+    }
+
+    /// How long a connection may be idle that has carried no request yet.
+    pub(super) fn first_request_timeout(&self) -> Micros {
+        let idle = self.settings.connections.client_idle;
+        if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
+    }
+
+    pub(in super::super) fn close_client(&mut self, key: usize) {
+        if self.clients.contains(key) {
+            self.clients.remove(key).socket.remove(&self.handle);
+        }
+    }
+
+    /// The connection broke, or its client closed it: it needs no answer any more.
+    pub(super) fn on_client_lost(&mut self, key: usize) {
+        let Some(client) = self.clients.get(key) else { return };
+        let waiting = client.waiting_request();
+        self.close_client(key);
+        if let Some(id) = waiting {
+            let now = self.now();
+            self.engine.on_client_disconnected(now, id);
+        }
+    }
+
+    pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
+        if readiness.writable {
+            self.flush_client(key);
+        }
+        if readiness.readable || readiness.error {
+            self.read_client(key);
+        }
+        self.pump();
+    }
+
+    pub(super) fn read_client(&mut self, key: usize) {
+        let mut scratch = std::mem::take(&mut self.scratch);
+        if let Some(client) = self.clients.get_mut(key) {
+            match client.socket.read(&mut scratch) {
+                Got::Bytes(n) => {
+                    client.http.feed(&scratch[..n]);
+                    self.client_events(key);
+                }
+                Got::Nothing => {}
+                Got::Closed => self.on_client_half_closed(key),
+                Got::Broken => self.on_client_lost(key),
+            }
+        }
+        self.scratch = scratch;
+        self.rearm_client(key);
+    }
+
+    fn on_client_half_closed(&mut self, key: usize) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        let serve = self.settings.connections.half_close == HalfClose::Serve;
+        match client.state {
+            State::Waiting(id)
+                if serve && self.in_flight.get(&id).is_some_and(|request| request.is_complete) =>
+            {
+                client.half_closed = true;
+            }
+            State::Closing => client.half_closed = true,
+            State::Lingering => self.close_client(key),
+            _ => self.on_client_lost(key),
+        }
+    }
+
+    /// Handles what a client's input gives, until it gives nothing more for now.
+    pub(super) fn client_events(&mut self, key: usize) {
+        while let Some(client) = self.clients.get_mut(key) {
+            let Some(event) = client.http.next_event() else { return };
+            match event {
+                ServerEvent::Head(head) => self.on_head(key, *head),
+                ServerEvent::Body(bytes) => self.on_body(key, bytes),
+                ServerEvent::End => self.on_end(key),
+                ServerEvent::Fault(fault) => {
+                    tracing::debug!("request refused: {fault}");
+                    if let State::Waiting(id) = client.state {
+                        client.state = State::Idle;
+                        let now = self.now();
+                        self.engine.on_client_disconnected(now, id);
+                    }
+                    self.decline(key, fault.status, fault.reason);
+                }
+            }
+        }
+    }
+
+    /// Goes on with input that waited for the answer before it.
+    pub(in super::super) fn resume_client(&mut self, id: ConnectionId) {
+        if self.clients.get(id.key).is_some_and(|client| client.generation == id.generation) {
+            self.client_events(id.key);
+            self.rearm_client(id.key);
+        }
+    }
+
+    /// Sets what the connection is to be woken for and when its present state has lasted too long.
+    pub(in super::super) fn rearm_client(&mut self, key: usize) {
+        self.set_client_limit(key);
+        let is_body_stuck = self.is_body_stuck(key);
+        let is_handing_over = self.is_handing_over();
+        let Some(client) = self.clients.get(key) else { return };
+        let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
+        // While a process takes over, what comes next on a connection is for whoever has it then.
+        let reads = !client.half_closed && !is_body_stuck && !is_full && !is_handing_over;
+        client.socket.want(&self.handle, reads);
+    }
+
+    /// Sets when the present state has lasted too long.
+    fn set_client_limit(&mut self, key: usize) {
+        let now = self.now();
+        let first_request_timeout = self.first_request_timeout();
+        let settings = &self.settings.connections;
+        let Some(client) = self.clients.get_mut(key) else { return };
+        let timeout = match &client.state {
+            State::Waiting(_) => None,
+            State::Collecting(_) => Some(settings.body_timeout),
+            State::Idle if client.http.is_receiving() => Some(settings.head_timeout),
+            State::Idle if client.used => Some(settings.client_idle),
+            State::Idle => Some(first_request_timeout),
+            State::Closing => Some(settings.head_timeout),
+            State::Lingering => Some(LINGER_TIMEOUT),
+        };
+        let is_running = client.limit_at != Micros::MAX;
+        match timeout {
+            None => client.limit_at = Micros::MAX,
+            // A client that trickles its head must not push its own limit on with each byte.
+            Some(timeout) if is_running && client.limit_at <= now + timeout => {}
+            Some(timeout) => client.limit_at = now + timeout,
+        }
+        if client.limit_at < client.armed_at {
+            client.armed_at = client.limit_at;
+            let id = ConnectionId { key, generation: client.generation };
+            self.timers.set(client.limit_at, TimerKind::Client(id));
+        }
+    }
+
+    /// A body that grows is read as fast as its server takes it, and not before it has one.
+    fn is_body_stuck(&self, key: usize) -> bool {
+        let request = self.clients.get(key).and_then(Client::waiting_request);
+        let request = request.and_then(|id| self.in_flight.get(&id));
+        let Some(request) = request.filter(|request| !request.is_complete) else { return false };
+        let latest_server = request.connections.iter().rev().flatten().next();
+        let server = latest_server.and_then(|&key| self.servers.get(key));
+        let is_server_slow = server.is_none_or(|server| server.unwritten() > HIGH_WATER);
+        is_server_slow && request.body.len() > self.settings.connections.keep_body
+    }
+
+    /// The time that was set for a client's state may be over.
+    pub(in super::super) fn client_timeout(&mut self, now: Micros, id: ConnectionId) {
+        let Some(client) = self.clients.get_mut(id.key).filter(|c| c.generation == id.generation) else {
+            return;
+        };
+        client.armed_at = Micros::MAX;
+        if client.limit_at > now {
+            if client.limit_at < Micros::MAX {
+                client.armed_at = client.limit_at;
+                self.timers.set(client.limit_at, TimerKind::Client(id));
+            }
+            return;
+        }
+        let is_receiving = client.http.is_receiving() || matches!(client.state, State::Collecting(_));
+        if is_receiving && !matches!(client.state, State::Closing | State::Lingering) {
+            self.decline(id.key, StatusCode::REQUEST_TIMEOUT, "the request did not come in time");
+        } else {
+            self.close_client(id.key);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -0,0 +1,161 @@
+//! Listeners for clients, and the connections that they accept.
+
+use super::super::timers::{ACCEPT_PAUSE, TimerKind};
+use super::super::{ConnectionId, Proxy};
+use super::{Client, FIRST_REQUEST_TIMEOUT, State};
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction, Readiness};
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use violetseam::interface::Micros;
+use violetseam_http1::server::ServerConn;
+use violetseam_loopio::{Socket, listen};
+
+/// Connections that may wait in a listener's queue.
+const LISTEN_BACKLOG: i32 = 4_096;
+/// Connections accepted in one turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 128;
+
+/// What accepting has left in a listener's queue.
+enum AcceptResult {
+    QueueEmpty,
+    /// More may wait that could be accepted now.
+    MoreQueued,
+    /// No room or descriptor for what waits: accepting pauses.
+    Paused,
+}
+
+impl Proxy {
+    pub(in super::super) fn bind_listeners(&mut self) -> std::io::Result<()> {
+        let settings = self.settings.clone();
+        for addr in &settings.listen {
+            self.add_listener(listen(*addr, LISTEN_BACKLOG)?)?;
+        }
+        Ok(())
+    }
+
+    /// Puts a listening socket on the event loop.
+    pub(in super::super) fn add_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
+        let listener: Rc<TcpListener> = Rc::new(listener);
+        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
+        let token = self
+            .handle
+            .insert_source(source, |_, listener, proxy: &mut Proxy| {
+                proxy.accept(listener);
+                Ok(PostAction::Continue)
+            })
+            .map_err(|e| std::io::Error::other(e.to_string()))?;
+        self.listeners.push((listener, Some(token)));
+        Ok(())
+    }
+
+    /// Accepts one turn's share.
+    fn accept(&mut self, listener: &TcpListener) -> AcceptResult {
+        self.had_socket_events = true;
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if self.clients.len() >= self.settings.connections.max_clients {
+                self.pause_accepting("as many clients as the settings allow");
+                return AcceptResult::Paused;
+            }
+            match listener.accept() {
+                Ok((stream, _)) => {
+                    if let Err(e) = self.add_client(stream) {
+                        tracing::warn!("client not taken: {e}");
+                    }
+                }
+                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return AcceptResult::QueueEmpty,
+                // The client left before it was accepted.
+                Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
+                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
+                // Out of descriptors or memory: connections wait in the kernel's queue, none is lost.
+                Err(e) => {
+                    self.pause_accepting(&e.to_string());
+                    return AcceptResult::Paused;
+                }
+            }
+        }
+        AcceptResult::MoreQueued
+    }
+
+    /// Stops or goes on accepting.
+    pub(in super::super) fn set_accepting(&mut self, accepting: bool) {
+        for token in self.listeners.iter().filter_map(|(_, token)| token.as_ref()) {
+            let _ = if accepting { self.handle.enable(token) } else { self.handle.disable(token) };
+        }
+    }
+
+    fn pause_accepting(&mut self, why: &str) {
+        let now = self.now();
+        if self.log_limit.allows(now) {
+            tracing::warn!(open = self.clients.len(), "accepting pauses: {why}");
+        }
+        self.set_accepting(false);
+        self.timers.set(now + ACCEPT_PAUSE, TimerKind::Accept);
+    }
+
+    pub(in super::super) fn resume_accepting(&mut self) {
+        if self.draining {
+            self.accept_queued();
+        } else if !self.is_handing_over() {
+            self.set_accepting(true);
+        }
+    }
+
+    /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are empty. Where
+    /// there is no room for all, the rest is taken as clients leave, for as long as it may have an answer in time.
+    pub(in super::super) fn accept_queued(&mut self) {
+        let listeners: Vec<Rc<TcpListener>> = self.listeners.iter().map(|(l, _)| l.clone()).collect();
+        if listeners.iter().all(|listener| self.accept_queued_on(listener)) || self.now() >= self.listen_until
+        {
+            self.stop_listening();
+        }
+    }
+
+    /// Whether nothing is left in a listener's queue.
+    fn accept_queued_on(&mut self, listener: &TcpListener) -> bool {
+        loop {
+            match self.accept(listener) {
+                AcceptResult::QueueEmpty => return true,
+                AcceptResult::MoreQueued => {}
+                AcceptResult::Paused => return false,
+            }
+        }
+    }
+
+    /// When a drain gives up what still waits for room: first requests have had their time to come, and those that
+    /// keep the room their deadline.
+    pub(in super::super) fn listen_deadline(&self) -> Micros {
+        self.now() + FIRST_REQUEST_TIMEOUT + self.settings.decisions.longest_deadline()
+    }
+
+    /// Closes the listeners.
+    pub(in super::super) fn stop_listening(&mut self) {
+        for token in self.listeners.drain(..).filter_map(|(_, token)| token) {
+            self.handle.remove(token);
+        }
+    }
+
+    pub(in super::super) fn add_client(&mut self, stream: TcpStream) -> std::io::Result<()> {
+        stream.set_nonblocking(true)?;
+        stream.set_nodelay(true)?;
+        let generation = self.next_generation();
+        let limit_at = self.now() + self.first_request_timeout();
+        let http = ServerConn::new(self.head_limits);
+        let entry = self.clients.vacant_entry();
+        let key = entry.key();
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
+        let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
+        entry.insert(Client {
+            generation,
+            socket,
+            http,
+            state: State::Idle,
+            used: false,
+            half_closed: false,
+            limit_at,
+            armed_at: limit_at,
+        });
+        self.timers.set(limit_at, TimerKind::Client(ConnectionId { key, generation }));
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -0,0 +1,141 @@
+//! Answers to clients: the proxy's own, and those of servers as they are passed on.
+
+use super::super::{ConnectionId, Proxy};
+use super::State;
+use crate::engine::LocalResponse;
+use http::StatusCode;
+use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
+use violetseam::interface::{Micros, RequestId};
+use violetseam_http1::{Framing, ResponseHead};
+use violetseam_loopio::HIGH_WATER;
+use violetseam_site::flag;
+
+/// Says how a final answer came about: served, refused or failed.
+const OUTCOME_HEADER: HeaderName = HeaderName::from_static("violetseam-answer");
+
+impl Proxy {
+    /// Answers what never reaches the engine. Faults close the connection, refused routes do not.
+    pub(super) fn decline(&mut self, key: usize, status: StatusCode, reason: &str) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        client.state = State::Idle;
+        self.write_local_response(key, status, &format!("{reason}\n"), &[]);
+    }
+
+    /// Writes an answer of the proxy's own.
+    pub(super) fn write_local_response(
+        &mut self,
+        key: usize,
+        status: StatusCode,
+        body: &str,
+        extra_fields: &[(HeaderName, &[u8])],
+    ) {
+        let close = self.is_leaving();
+        let Some(client) = self.clients.get_mut(key) else { return };
+        let mut fields = vec![(VIA, self.via.as_bytes())];
+        if !body.is_empty() {
+            fields.push((http::header::CONTENT_TYPE, b"text/plain"));
+        }
+        fields.extend_from_slice(extra_fields);
+        let framing = Framing::Length(body.len() as u64);
+        client.http.start_answer(client.socket.out(), status, &HeaderMap::new(), &fields, framing, close);
+        client.http.write_body(client.socket.out(), body.as_bytes());
+        self.finish_answer(key);
+    }
+
+    /// A final answer that no server gave: refused 503, failed 502 or 504.
+    pub(in super::super) fn respond_now(&mut self, request: RequestId, response: LocalResponse) {
+        let Some(key) = self.waiting_client(request) else { return };
+        tracing::debug!(request, answer = ?response, "final answer");
+        match response {
+            LocalResponse::Rejected { retry_after } => {
+                // Whole seconds are all the field can say; rounded up, as "not before" is what it means.
+                let seconds = retry_after.div_ceil(1_000_000).to_string();
+                let advice = (RETRY_AFTER, seconds.as_bytes());
+                let outcome = (OUTCOME_HEADER, &b"refused"[..]);
+                let fields = if retry_after > 0 { vec![outcome, advice] } else { vec![outcome] };
+                self.write_local_response(key, StatusCode::SERVICE_UNAVAILABLE, "refused\n", &fields);
+            }
+            LocalResponse::Failed { timed_out } => {
+                let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+                self.write_local_response(key, status, "failed\n", &[(OUTCOME_HEADER, b"failed")]);
+            }
+        }
+    }
+
+    /// The client that waits for a request's answer.
+    pub(in super::super) fn waiting_client(&self, id: RequestId) -> Option<usize> {
+        let request = self.in_flight.get(&id)?;
+        let client = self.clients.get(request.client.key)?;
+        let is_waiting = client.waiting_request() == Some(id);
+        (is_waiting && client.generation == request.client.generation).then_some(request.client.key)
+    }
+
+    /// Starts the client's answer, as a server gave it; none if no client waits for it any more.
+    pub(in super::super) fn start_answer(
+        &mut self,
+        id: RequestId,
+        head: &ResponseHead,
+        framing: Framing,
+        answer: u64,
+    ) -> Option<usize> {
+        let key = self.waiting_client(id)?;
+        let answer = flag::write_id(answer);
+        let leaving = self.is_leaving();
+        let client = self.clients.get_mut(key)?;
+        let fields = [
+            (VIA, self.via.as_bytes()),
+            (self.settings.headers.answer.clone(), answer.as_bytes()),
+            (OUTCOME_HEADER, &b"served"[..]),
+        ];
+        let out = client.socket.out();
+        client.http.start_answer(out, head.status, &head.headers, &fields, framing, leaving);
+        Some(key)
+    }
+
+    /// Writes bytes of an answer's body.
+    pub(in super::super) fn write_answer_body(&mut self, key: usize, bytes: &[u8]) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        client.http.write_body(client.socket.out(), bytes);
+    }
+
+    /// The present answer is complete: the connection carries on or closes once all is written.
+    pub(in super::super) fn finish_answer(&mut self, key: usize) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        let carries_on = client.http.finish_answer(client.socket.out()) && !client.half_closed;
+        client.state = if carries_on { State::Idle } else { State::Closing };
+        self.flush_client(key);
+    }
+
+    /// Writes what waits; then the connection may close, or a next request or a paused server go on.
+    pub(in super::super) fn flush_client(&mut self, key: usize) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        if client.socket.flush().is_err() {
+            return self.on_client_lost(key);
+        }
+        let drained = !client.socket.waits();
+        match client.state {
+            State::Closing if drained && client.half_closed => return self.close_client(key),
+            State::Closing if drained => {
+                client.state = State::Lingering;
+                client.limit_at = Micros::MAX;
+                client.socket.close_write();
+            }
+            State::Waiting(id) if client.socket.unwritten() <= HIGH_WATER => {
+                let server = self.in_flight.get(&id).and_then(|request| request.streaming_from);
+                if let Some(server) = server {
+                    self.rearm_server(server);
+                }
+            }
+            State::Idle if self.draining && client.http.is_idle() && drained => {
+                return self.close_client(key);
+            }
+            // A pipelined request may be waiting in the input: it gets its turn from `pump`, as to handle it
+            // from here would go a level deeper with each one that is answered at once.
+            State::Idle if client.http.held() > 0 => {
+                self.resumed_clients.push(ConnectionId { key, generation: client.generation });
+            }
+            _ => {}
+        }
+        self.rearm_client(key);
+    }
+}
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -19,9 +19,9 @@
             return;
         }
         tracing::info!(owed = self.engine.pending_responses(), "draining");
-        self.listen_until = self.last_listening();
+        self.listen_until = self.listen_deadline();
         self.close_idle_clients();
-        self.drain_queues();
+        self.accept_queued();
         self.pump();
     }
 
@@ -37,7 +37,7 @@
                 self.set_accepting(true);
             }
             self.draining = false;
-            self.keep_idle_clients();
+            self.reset_idle_timeouts();
         }
         Ok(())
     }
@@ -45,7 +45,7 @@
     /// Nothing is in flight and nothing can come.
     pub(super) fn has_ended(&self) -> bool {
         let nothing_open = self.listeners.is_empty() && self.clients.is_empty();
-        nothing_open && self.engine.pending_responses() == 0 && self.held.is_empty()
+        nothing_open && self.engine.pending_responses() == 0 && self.in_flight.is_empty()
     }
 
     /// Stores what has to be stored and sums up.
@@ -59,7 +59,7 @@
         let summary = Summary {
             counts: self.engine.counts(),
             left_open: self.clients.len() + busy_servers,
-            left_in_hand: self.engine.pending_responses() + self.held.len(),
+            left_in_hand: self.engine.pending_responses() + self.in_flight.len(),
             module_time: self.engine.module_time(),
         };
         log_counts(&summary.counts);
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `event_loop.rs`: start, turns of the event loop, and the engine's actions
 //! - `drain.rs`: the end of a proxy's work, and its summary
-//! - `clients.rs`: listeners and client connections, up to a complete request and from an answer on
+//! - `clients/`: listeners and client connections, up to a complete request and from an answer on
 //! - `servers.rs`: connections to servers and the attempts on them
 //! - `site_calls.rs`: calls to discovery and to the release service
 //! - `saved_list.rs`: the server list on disk
@@ -34,7 +34,7 @@
 
 use crate::engine::Engine;
 use calloop::{LoopHandle, RegistrationToken};
-use clients::{Client, Held};
+use clients::{Client, InFlightRequest};
 use configuration::Subscription;
 use operators::ControlServer;
 use operators::reading::AttemptsByBuild;
@@ -131,7 +131,7 @@
     clients: Slab<Client>,
     servers: Slab<Server>,
     calls: Slab<Call>,
-    held: HashMap<RequestId, Held>,
+    in_flight: HashMap<RequestId, InFlightRequest>,
     idle: BTreeMap<ServerId, Vec<usize>>,
     timers: Timers,
     roster: Roster,
@@ -203,7 +203,7 @@
             clients: Slab::new(),
             servers: Slab::new(),
             calls: Slab::new(),
-            held: HashMap::new(),
+            in_flight: HashMap::new(),
             idle: BTreeMap::new(),
             timers: Timers::default(),
             roster: Roster::default(),
--- a/crates/proxy/src/driver/servers.rs
+++ b/crates/proxy/src/driver/servers.rs
@@ -1,12 +1,12 @@
-//! Connections to servers: kept idle, or with one attempt out.
+//! Connections to servers: idle in a pool, or with one attempt in flight.
 //!
-//! How an attempt's end is told to the decisions is settled here: `ConnectFailed` only while not one byte
+//! How an attempt's end is reported to the decisions is settled here: `ConnectFailed` only while not one byte
 //! of the request was written, `Rejected` only for the answer that the servers' protocol states was never
 //! run, `Reset` for a connection that was lost after that, whoever closed it and why.
 
-use super::ConnectionId;
-use super::Proxy;
+use super::clients::{Client, InFlightRequest};
 use super::timers::TimerKind;
+use super::{ConnectionId, Proxy};
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
@@ -26,38 +26,49 @@
     armed_at: Micros,
 }
 
+/// What a connection to a server is doing.
 enum State {
     /// Not up yet; nothing was written.
-    Connecting(Job),
-    /// The request is out.
-    Busy(Job),
+    Connecting(ActiveAttempt),
+    /// The request is being written, or its answer read.
+    Busy(ActiveAttempt),
     /// The answer is nobody's any more; once it is read the connection can be used again.
-    Discarding(usize),
+    Discarding { body_bytes: usize },
     /// Ready for an attempt.
     Idle,
 }
 
-/// An attempt on a connection.
-struct Job {
+/// The attempt on a connection.
+struct ActiveAttempt {
     request: RequestId,
     attempt: usize,
     /// At least one byte of the request was written.
     written: bool,
-    answer: Answer,
+    answer: AnswerState,
 }
 
-enum Answer {
+/// How far an attempt's answer has come.
+enum AnswerState {
     Awaited,
-    /// Its head is there, its body is gathered until it is whole.
-    Gathered(Box<ResponseHead>, Vec<u8>),
+    /// Its head is there, its body is buffered until it is complete.
+    Buffered {
+        head: Box<ResponseHead>,
+        body: Vec<u8>,
+    },
     /// It is the client's: passed on as it comes.
-    Passed,
+    Streaming,
+}
+
+impl AnswerState {
+    fn is_streaming(&self) -> bool {
+        matches!(self, AnswerState::Streaming)
+    }
 }
 
 impl Server {
     /// No attempt is on it.
     pub fn is_idle(&self) -> bool {
-        matches!(self.state, State::Idle | State::Discarding(_))
+        matches!(self.state, State::Idle | State::Discarding { .. })
     }
 
     /// The request's beginning has been handed over, so that what grows of it may follow.
@@ -75,17 +86,17 @@
         self.socket.out()
     }
 
-    fn job(&self) -> Option<&Job> {
+    fn active(&self) -> Option<&ActiveAttempt> {
         match &self.state {
-            State::Connecting(job) | State::Busy(job) => Some(job),
-            State::Discarding(_) | State::Idle => None,
+            State::Connecting(active) | State::Busy(active) => Some(active),
+            State::Discarding { .. } | State::Idle => None,
         }
     }
 
-    fn job_mut(&mut self) -> Option<&mut Job> {
+    fn active_mut(&mut self) -> Option<&mut ActiveAttempt> {
         match &mut self.state {
-            State::Connecting(job) | State::Busy(job) => Some(job),
-            State::Discarding(_) | State::Idle => None,
+            State::Connecting(active) | State::Busy(active) => Some(active),
+            State::Discarding { .. } | State::Idle => None,
         }
     }
 }
@@ -93,14 +104,14 @@
 impl Proxy {
     /// Starts an attempt on an idle connection, or on a new one.
     pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, id: ServerId) {
-        // Given up again by the very actions that started it: nothing of it leaves.
+        // Cancelled again by the very actions that started it: nothing of it is sent.
         if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
         self.count_attempt(id);
-        let Some(held) = self.held.get_mut(&request) else { return };
-        held.attempts.resize(attempt + 1, None);
-        let job = Job { request, attempt, written: false, answer: Answer::Awaited };
+        let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
+        in_flight.connections.resize(attempt + 1, None);
+        let active = ActiveAttempt { request, attempt, written: false, answer: AnswerState::Awaited };
         while let Some(key) = self.idle.get_mut(&id).and_then(Vec::pop) {
             let Some(server) = self.servers.get_mut(key) else { continue };
             // Closed by the server while idle: seen now, the request need not be lost on it.
@@ -108,21 +119,21 @@
                 self.close_server(key);
                 continue;
             }
-            server.state = State::Busy(job);
-            if let Some(held) = self.held.get_mut(&request) {
-                held.attempts[attempt] = Some(key);
+            server.state = State::Busy(active);
+            if let Some(in_flight) = self.in_flight.get_mut(&request) {
+                in_flight.connections[attempt] = Some(key);
             }
             self.send_request(key);
             #[cfg(feature = "sabotage")]
-            self.double_send(request, id);
+            self.send_twice(request, id);
             return;
         }
-        if self.open_server(id, job).is_none() {
+        if self.open_server(id, active).is_none() {
             self.end_attempt(request, attempt, Outcome::ConnectFailed);
         }
     }
 
-    fn open_server(&mut self, id: ServerId, job: Job) -> Option<()> {
+    fn open_server(&mut self, id: ServerId, active: ActiveAttempt) -> Option<()> {
         let stream = connect(self.roster.address(id)?).ok()?;
         let generation = self.next_generation();
         let limit_at = self.now() + self.settings.connections.connect_timeout;
@@ -130,19 +141,20 @@
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
-        let (request, attempt) = (job.request, job.attempt);
+        let request = active.request;
+        let attempt = active.attempt;
         entry.insert(Server {
             generation,
             id,
             socket,
             http: ClientConn::new(self.head_limits),
-            state: State::Connecting(job),
+            state: State::Connecting(active),
             limit_at,
             armed_at: limit_at,
         });
         self.timers.set(limit_at, TimerKind::Server(ConnectionId { key, generation }));
-        if let Some(held) = self.held.get_mut(&request) {
-            held.attempts[attempt] = Some(key);
+        if let Some(in_flight) = self.in_flight.get_mut(&request) {
+            in_flight.connections[attempt] = Some(key);
         }
         Some(())
     }
@@ -150,22 +162,23 @@
     /// Writes the request on a connection that is up.
     fn send_request(&mut self, key: usize) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let Some(job) = server.job() else { return };
-        let Some(held) = self.held.get(&job.request) else { return self.close_server(key) };
-        let (request, kept) = (job.request, held.body.len());
-        server.http.expect_answer(held.to_head);
+        let Some(active) = server.active() else { return };
+        let Some(in_flight) = self.in_flight.get(&active.request) else { return self.close_server(key) };
+        let request = active.request;
+        let buffered = in_flight.body.len();
+        server.http.expect_answer(in_flight.is_head_request);
         let out = server.socket.out();
-        out.extend_from_slice(&held.head);
-        if held.chunked {
-            write_chunk(out, &held.body);
-            if held.complete {
+        out.extend_from_slice(&in_flight.head);
+        if in_flight.is_chunked {
+            write_chunk(out, &in_flight.body);
+            if in_flight.is_complete {
                 write_last_chunk(out);
             }
         } else {
-            out.extend_from_slice(&held.body);
+            out.extend_from_slice(&in_flight.body);
         }
-        if !held.complete || kept > self.settings.connections.keep_body {
-            // What grows from here on goes to this server alone and is not kept.
+        if !in_flight.is_complete || buffered > self.settings.connections.keep_body {
+            // What grows from here on goes to this server alone and is not buffered.
             self.engine.mark_not_repeatable(request);
         }
         self.flush_server(key);
@@ -175,59 +188,61 @@
     pub(super) fn flush_server(&mut self, key: usize) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let flushed = server.socket.flush();
-        if let (Some(job), Ok(n)) = (server.job_mut(), &flushed) {
-            job.written |= *n > 0;
+        if let (Some(active), Ok(n)) = (server.active_mut(), &flushed) {
+            active.written |= *n > 0;
         }
         match flushed {
-            Ok(_) => self.rest_server(key),
-            Err(_) => self.server_lost(key),
+            Ok(_) => self.rearm_server(key),
+            Err(_) => self.on_server_lost(key),
         }
     }
 
     /// Sets what the connection is to be woken for and when its present state has lasted too long.
-    pub(super) fn rest_server(&mut self, key: usize) {
+    pub(super) fn rearm_server(&mut self, key: usize) {
         let now = self.now();
-        let c = &self.settings.connections;
+        let settings = &self.settings.connections;
         let Some(server) = self.servers.get_mut(key) else { return };
-        let mut read = true;
-        let span = match &server.state {
+        let mut reads = true;
+        let timeout = match &server.state {
             State::Connecting(_) => return server.socket.want_connected(&self.handle),
-            State::Busy(job) if matches!(job.answer, Answer::Passed) => {
-                let to = self.held.get(&job.request).map(|h| h.client());
-                let slow = to.and_then(|c| self.clients.get(c)).is_some_and(|c| c.is_slow());
-                read = !slow;
-                Some(c.stream_idle)
+            State::Busy(active) if active.answer.is_streaming() => {
+                let client = self.in_flight.get(&active.request).map(InFlightRequest::client_key);
+                let client = client.and_then(|key| self.clients.get(key));
+                reads = !client.is_some_and(Client::is_slow);
+                Some(settings.stream_idle)
             }
             State::Busy(_) => None,
-            State::Discarding(_) | State::Idle => Some(c.server_idle),
+            State::Discarding { .. } | State::Idle => Some(settings.server_idle),
         };
-        server.limit_at = span.map_or(Micros::MAX, |span| now + span);
+        server.limit_at = timeout.map_or(Micros::MAX, |timeout| now + timeout);
         if server.limit_at < server.armed_at {
             server.armed_at = server.limit_at;
-            self.timers
-                .set(server.limit_at, TimerKind::Server(ConnectionId { key, generation: server.generation }));
+            let id = ConnectionId { key, generation: server.generation };
+            self.timers.set(server.limit_at, TimerKind::Server(id));
         }
-        server.socket.want(&self.handle, read);
+        server.socket.want(&self.handle, reads);
     }
 
+    /// The time that was set for a server connection's state may be over.
     pub(super) fn server_timeout(&mut self, now: Micros, id: ConnectionId) {
-        let ConnectionId { key, generation } = id;
-        let Some(server) = self.servers.get_mut(key).filter(|s| s.generation == generation) else { return };
+        let Some(server) = self.servers.get_mut(id.key).filter(|s| s.generation == id.generation) else {
+            return;
+        };
         server.armed_at = Micros::MAX;
         if server.limit_at > now {
             if server.limit_at < Micros::MAX {
                 server.armed_at = server.limit_at;
-                self.timers.set(server.limit_at, TimerKind::Server(ConnectionId { key, generation }));
+                self.timers.set(server.limit_at, TimerKind::Server(id));
             }
             return;
         }
         match server.state {
-            State::Idle | State::Discarding(_) => self.close_server(key),
-            State::Connecting(_) | State::Busy(_) => self.server_lost(key),
+            State::Idle | State::Discarding { .. } => self.close_server(id.key),
+            State::Connecting(_) | State::Busy(_) => self.on_server_lost(id.key),
         }
     }
 
-    /// Closes a connection and tells nobody: its attempt, if any, has ended already. It ends before anything
+    /// Closes a connection without a report: its attempt, if any, has ended already. It ends before anything
     /// else is written, as the next attempt of the same request would be a second copy beside an open one.
     fn close_server(&mut self, key: usize) {
         if !self.servers.contains(key) {
@@ -243,52 +258,50 @@
         }
     }
 
-    /// The engine gave an attempt up: its connection closes, as its answer could come at any time.
+    /// The engine has ended an attempt: its connection closes, as its answer could come at any time.
     pub(super) fn close_attempt(&mut self, request: RequestId, attempt: usize) {
-        let key =
-            self.held.get_mut(&request).and_then(|h| h.attempts.get_mut(attempt)).and_then(Option::take);
-        key.into_iter().for_each(|key| self.close_server(key));
+        let Some(request) = self.in_flight.get_mut(&request) else { return };
+        let connection = request.connections.get_mut(attempt).and_then(Option::take);
+        if let Some(key) = connection {
+            self.close_server(key);
+        }
     }
 
     /// The connection is gone: what that says of its attempt depends on whether a byte of it was written.
-    fn server_lost(&mut self, key: usize) {
+    fn on_server_lost(&mut self, key: usize) {
         let Some(server) = self.servers.get(key) else { return };
-        let job = server.job().map(|j| (j.request, j.attempt, j.written, matches!(j.answer, Answer::Passed)));
+        let active = match &server.state {
+            State::Connecting(active) | State::Busy(active) => active,
+            State::Discarding { .. } | State::Idle => return self.close_server(key),
+        };
+        let request = active.request;
+        let attempt = active.attempt;
+        let outcome = if active.written { Outcome::Reset } else { Outcome::ConnectFailed };
+        let was_streaming = active.answer.is_streaming();
         self.close_server(key);
-        let Some((request, attempt, written, passed)) = job else { return };
-        self.detach(request, attempt);
-        if passed {
-            // The client has had the answer's beginning: closing is all that can tell it.
-            if let Some(client) = self.passing_to(request) {
-                self.close_client(client);
-            }
+        self.detach_attempt(request, attempt);
+        // The client has had the answer's beginning: closing is all that can tell it.
+        if was_streaming && let Some(client) = self.waiting_client(request) {
+            self.close_client(client);
         }
-        self.end_attempt(request, attempt, if written { Outcome::Reset } else { Outcome::ConnectFailed });
+        self.end_attempt(request, attempt, outcome);
     }
 
     /// The attempt is no longer on a connection.
-    fn detach(&mut self, request: RequestId, attempt: usize) {
-        let place = self.held.get_mut(&request).and_then(|held| held.attempts.get_mut(attempt));
-        place.into_iter().for_each(|place| *place = None);
+    fn detach_attempt(&mut self, request: RequestId, attempt: usize) {
+        let Some(request) = self.in_flight.get_mut(&request) else { return };
+        if let Some(connection) = request.connections.get_mut(attempt) {
+            *connection = None;
+        }
     }
 
     fn on_server(&mut self, key: usize, readiness: Readiness) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        if let State::Connecting(job) = &server.state {
-            let (request, attempt) = (job.request, job.attempt);
+        if matches!(server.state, State::Connecting(_)) {
             if server.socket.connect_error().is_some() {
-                self.server_lost(key);
+                self.on_server_lost(key);
             } else if readiness.writable {
-                let now = self.now();
-                // Decided a while ago: asked again before the first byte, as its server may run it from then on.
-                if self.engine.may_send(now, request, attempt)
-                    && let Some(server) = self.servers.get_mut(key)
-                    && let State::Connecting(job) = std::mem::replace(&mut server.state, State::Idle)
-                {
-                    server.state = State::Busy(job);
-                    self.send_request(key);
-                    self.resume_growing(key);
-                }
+                self.on_server_connected(key);
             }
             return self.pump();
         }
@@ -302,12 +315,27 @@
         self.pump();
     }
 
+    fn on_server_connected(&mut self, key: usize) {
+        let now = self.now();
+        let Some(active) = self.servers.get(key).and_then(Server::active) else { return };
+        // Decided a while ago: asked again before the first byte, as its server may run it from then on.
+        if !self.engine.may_send(now, active.request, active.attempt) {
+            return;
+        }
+        let Some(server) = self.servers.get_mut(key) else { return };
+        if let State::Connecting(active) = std::mem::replace(&mut server.state, State::Idle) {
+            server.state = State::Busy(active);
+            self.send_request(key);
+            self.resume_growing(key);
+        }
+    }
+
     /// A client whose growing body waited for this server may be read again.
     fn resume_growing(&mut self, key: usize) {
-        let request = self.servers.get(key).and_then(Server::job).map(|job| job.request);
-        let held = request.and_then(|id| self.held.get(&id)).filter(|h| !h.complete);
-        if let Some(client) = held.map(|h| h.client()) {
-            self.rest_client(client);
+        let request = self.servers.get(key).and_then(Server::active).map(|active| active.request);
+        let request = request.and_then(|id| self.in_flight.get(&id));
+        if let Some(request) = request.filter(|request| !request.is_complete) {
+            self.rearm_client(request.client_key());
         }
     }
 
@@ -321,10 +349,10 @@
                 }
                 Got::Nothing => {}
                 Got::Closed => match server.http.close() {
-                    Some(ClientEvent::End { .. }) => self.answer_whole(key, false),
-                    _ => self.server_lost(key),
+                    Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
+                    _ => self.on_server_lost(key),
                 },
-                Got::Broken => self.server_lost(key),
+                Got::Broken => self.on_server_lost(key),
             }
         }
         self.scratch = scratch;
@@ -332,12 +360,12 @@
 
     fn server_events(&mut self, key: usize) {
         while let Some(server) = self.servers.get_mut(key) {
-            let Some(event) = server.http.next_event() else { return self.rest_server(key) };
+            let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
             match event {
-                ClientEvent::Head(head) => self.answer_head(key, head),
-                ClientEvent::Body(bytes) => self.answer_body(key, &bytes),
+                ClientEvent::Head(head) => self.on_answer_head(key, head),
+                ClientEvent::Body(bytes) => self.on_answer_body(key, &bytes),
                 ClientEvent::End { reusable } => {
-                    self.answer_whole(key, reusable);
+                    self.on_answer_complete(key, reusable);
                     if self.servers.get(key).is_none_or(Server::is_idle) {
                         return;
                     }
@@ -345,7 +373,7 @@
                 ClientEvent::Fault(fault) => {
                     let id = server.id;
                     tracing::debug!(server = id, "malformed answer: {fault}");
-                    return self.server_lost(key);
+                    return self.on_server_lost(key);
                 }
             }
         }
@@ -361,64 +389,68 @@
         }
     }
 
-    fn answer_head(&mut self, key: usize, head: Box<ResponseHead>) {
+    fn on_answer_head(&mut self, key: usize, head: Box<ResponseHead>) {
         let outcome = self.outcome_of(&head);
         let Some(server) = self.servers.get_mut(key) else { return };
-        let State::Busy(job) = &mut server.state else { return };
-        let (request, attempt) = (job.request, job.attempt);
-        let stream = self.held.get(&request).is_some_and(|h| self.settings.decisions.classes[h.class].stream);
+        let State::Busy(active) = &mut server.state else { return };
+        let request = active.request;
+        let attempt = active.attempt;
+        let stream =
+            self.in_flight.get(&request).is_some_and(|h| self.settings.decisions.classes[h.class].stream);
         if outcome != Outcome::Ok {
-            // Told at once: what follows of such an answer is read only to use the connection again.
-            server.state = State::Discarding(0);
-            self.detach(request, attempt);
+            // Reported at once: what follows of such an answer is read only to use the connection again.
+            server.state = State::Discarding { body_bytes: 0 };
+            self.detach_attempt(request, attempt);
             self.end_attempt(request, attempt, outcome);
         } else if stream {
-            self.pass(key, &head, &[]);
+            self.start_streaming(key, &head, &[]);
         } else {
-            job.answer = Answer::Gathered(head, Vec::new());
+            active.answer = AnswerState::Buffered { head, body: Vec::new() };
         }
     }
 
-    fn answer_body(&mut self, key: usize, bytes: &[u8]) {
-        let most = self.settings.connections.keep_answer;
+    fn on_answer_body(&mut self, key: usize, bytes: &[u8]) {
+        let max_buffered = self.settings.connections.keep_answer;
         let Some(server) = self.servers.get_mut(key) else { return };
         match &mut server.state {
-            State::Discarding(seen) => {
-                *seen += bytes.len();
-                if *seen > most {
+            State::Discarding { body_bytes } => {
+                *body_bytes += bytes.len();
+                if *body_bytes > max_buffered {
                     self.close_server(key);
                 }
             }
-            State::Busy(job) => match &mut job.answer {
-                Answer::Gathered(head, body) => {
+            State::Busy(active) => match &mut active.answer {
+                AnswerState::Buffered { head, body } => {
                     body.extend_from_slice(bytes);
-                    if body.len() > most {
-                        let (head, body) = (head.clone(), std::mem::take(body));
-                        self.pass(key, &head, &body);
+                    if body.len() > max_buffered {
+                        let head = head.clone();
+                        let body = std::mem::take(body);
+                        self.start_streaming(key, &head, &body);
                     }
                 }
-                Answer::Passed => {
-                    let request = job.request;
-                    if let Some(client) = self.passing_to(request) {
-                        self.pass_body(client, bytes);
+                AnswerState::Streaming => {
+                    let request = active.request;
+                    if let Some(client) = self.waiting_client(request) {
+                        self.write_answer_body(client, bytes);
                         self.flush_client(client);
                     }
                 }
-                Answer::Awaited => {}
+                AnswerState::Awaited => {}
             },
             State::Connecting(_) | State::Idle => {}
         }
     }
 
     /// From here on the answer is the client's: no time-out of the request applies any more.
-    fn pass(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
-        let Some(job) = self.servers.get_mut(key).and_then(Server::job_mut) else { return };
-        job.answer = Answer::Passed;
-        let (request, attempt) = (job.request, job.attempt);
+    fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
+        let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
+        active.answer = AnswerState::Streaming;
+        let request = active.request;
+        let attempt = active.attempt;
         let now = self.now();
         if !self.engine.on_stream_started(now, request, attempt) {
-            // Somebody else's answer is the client's already.
-            self.detach(request, attempt);
+            // Another attempt's answer is the client's already.
+            self.detach_attempt(request, attempt);
             self.close_server(key);
             self.end_attempt(request, attempt, Outcome::Cancelled);
             return;
@@ -426,44 +458,48 @@
         let answer = self.draw();
         self.engine.record_delivered_answer(request, attempt, answer);
         let framing = if head.framing == Framing::UntilClose { Framing::Chunked } else { head.framing };
-        if let Some(held) = self.held.get_mut(&request) {
-            held.passing = Some(key);
+        if let Some(in_flight) = self.in_flight.get_mut(&request) {
+            in_flight.streaming_from = Some(key);
         }
-        if let Some(client) = self.pass_head(request, head, framing, answer) {
-            self.pass_body(client, body);
+        if let Some(client) = self.start_answer(request, head, framing, answer) {
+            self.write_answer_body(client, body);
             self.flush_client(client);
         }
     }
 
     /// The answer is complete.
-    fn answer_whole(&mut self, key: usize, reusable: bool) {
+    fn on_answer_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        // A request that is not written whole cannot be told from a next one by the server.
+        // A request that is not completely written cannot be told from a next one by the server.
         let reusable = reusable && !server.socket.waits();
         let state = std::mem::replace(&mut server.state, State::Idle);
-        let State::Busy(job) = state else { return self.rest_or_close(key, reusable) };
-        let (request, attempt) = (job.request, job.attempt);
-        let whole = self.held.get(&request).is_none_or(|h| h.complete);
-        self.detach(request, attempt);
-        self.rest_or_close(key, reusable && whole);
-        match job.answer {
-            Answer::Gathered(head, body) => {
+        let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
+        let request = active.request;
+        let attempt = active.attempt;
+        let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
+        self.detach_attempt(request, attempt);
+        self.pool_or_close(key, reusable && is_request_written);
+        match active.answer {
+            AnswerState::Buffered { head, body } => {
                 let answer = self.draw();
                 self.engine.record_delivered_answer(request, attempt, answer);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
-                    self.pass_whole(request, &head, &body, answer);
+                    self.deliver_buffered(request, &head, &body, answer);
                 }
             }
-            Answer::Passed => {
-                let client = self.passing_to(request);
+            AnswerState::Streaming => {
+                let client = self.waiting_client(request);
                 self.end_attempt(request, attempt, Outcome::Ok);
-                client.into_iter().for_each(|client| self.finish_answer(client));
+                if let Some(client) = client {
+                    self.finish_answer(client);
+                }
             }
-            Answer::Awaited => {}
+            AnswerState::Awaited => {}
         }
     }
 
-    fn pass_whole(&mut self, request: RequestId, head: &ResponseHead, body: &[u8], answer: u64) {
+    /// Gives the client an answer that is complete.
+    fn deliver_buffered(&mut self, request: RequestId, head: &ResponseHead, body: &[u8], answer: u64) {
         tracing::debug!(request, status = head.status.as_u16(), "final answer");
         // An answer without a body may still state the length that one would have (HEAD, 304).
         let stated =
@@ -474,19 +510,20 @@
             None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
             _ => Framing::Length(body.len() as u64),
         };
-        if let Some(client) = self.pass_head(request, head, framing, answer) {
-            self.pass_body(client, body);
+        if let Some(client) = self.start_answer(request, head, framing, answer) {
+            self.write_answer_body(client, body);
             self.finish_answer(client);
         }
     }
 
-    fn rest_or_close(&mut self, key: usize, reusable: bool) {
-        let most = self.settings.connections.idle_per_server;
+    /// Keeps a connection for later attempts, if it can carry them and there are not too many.
+    fn pool_or_close(&mut self, key: usize, reusable: bool) {
+        let max_idle = self.settings.connections.idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
         let idle = self.idle.entry(server.id).or_default();
-        if reusable && idle.len() < most {
+        if reusable && idle.len() < max_idle {
             idle.push(key);
-            self.rest_server(key);
+            self.rearm_server(key);
         } else {
             self.close_server(key);
         }
@@ -494,12 +531,14 @@
 
     /// Sends every twentieth request a second time behind the engine's back.
     #[cfg(feature = "sabotage")]
-    fn double_send(&mut self, request: RequestId, id: ServerId) {
+    fn send_twice(&mut self, request: RequestId, id: ServerId) {
         if self.sabotage != Some(super::Sabotage::DoubleSend) || !request.is_multiple_of(20) {
             return;
         }
-        let (Some(held), Some(addr)) = (self.held.get(&request), self.roster.address(id)) else { return };
-        let bytes = [&held.head[..], &held.body].concat();
+        let (Some(in_flight), Some(addr)) = (self.in_flight.get(&request), self.roster.address(id)) else {
+            return;
+        };
+        let bytes = [&in_flight.head[..], &in_flight.body].concat();
         std::thread::spawn(move || {
             use std::io::{Read, Write};
             if let Ok(mut stream) = std::net::TcpStream::connect(addr) {
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -279,7 +279,7 @@
         self.timers.set(deadline, TimerKind::Takeover(connection.generation));
         self.set_accepting(false);
         self.engine.suspend_attempts(true);
-        self.rest_all_clients();
+        self.rearm_all_clients();
         self.save_list();
         self.release_store();
         self.release_configuration();
@@ -304,7 +304,7 @@
         let mut descriptors: Vec<BorrowedFd<'_>> = self.listeners.iter().map(|l| l.0.as_fd()).collect();
         descriptors.extend(self.udp.as_ref().map(|socket| socket.as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
-        descriptors.extend(self.streams_of(&idle).into_iter().map(AsFd::as_fd));
+        descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
         send_descriptors(stream, &descriptors)?;
         stream.set_nonblocking(true)?;
         self.offered_clients = idle;
@@ -362,7 +362,7 @@
         }
         self.draining = true;
         self.ending = true;
-        self.rest_all_clients();
+        self.rearm_all_clients();
         self.pump();
     }
 
@@ -383,14 +383,14 @@
         self.engine.suspend_attempts(false);
         self.reopen_store();
         self.set_accepting(true);
-        self.rest_all_clients();
+        self.rearm_all_clients();
     }
 
-    /// Sets anew what each client connection waits for.
-    fn rest_all_clients(&mut self) {
+    /// Sets anew what each client connection is to be woken for.
+    fn rearm_all_clients(&mut self) {
         let keys: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.rest_client(key);
+            self.rearm_client(key);
         }
     }
 }
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -62,7 +62,7 @@
             TimerKind::Client(connection) => self.client_timeout(now, connection),
             TimerKind::Server(connection) => self.server_timeout(now, connection),
             TimerKind::Call(connection) => self.call_timeout(connection),
-            TimerKind::Accept => self.accept_again(),
+            TimerKind::Accept => self.resume_accepting(),
             TimerKind::ReleaseStream => self.open_release_stream(),
             TimerKind::Takeover(generation) => self.hand_over_timeout(generation),
             TimerKind::Operator(connection) => self.operator_timeout(connection),
