--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -65,7 +65,7 @@
         let now = self.now();
         for pending in client.pending_responses {
             if let PendingResponse::Request(id) = pending {
-                self.engine.client_gone(now, id);
+                self.engine.on_client_disconnected(now, id);
             }
         }
     }
@@ -82,7 +82,7 @@
         if readiness.readable || readiness.error {
             self.read_client(key);
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     /// Reads once; whether there was anything to read.
@@ -222,7 +222,7 @@
             self.update_client_interest(key);
         }
         let any_read = self.read_client(key);
-        self.run_engine_orders();
+        self.run_engine_actions();
         let now = self.now();
         let shutdown_phase = self.shutdown_phase;
         let Some(client) = self.open_client(connection) else { return };
--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -55,6 +55,6 @@
                 self.move_pipeline(config.pipeline);
             }
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 }
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -25,7 +25,7 @@
         if readiness.readable || readiness.error {
             self.read_discovery(generation);
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     fn read_discovery(&mut self, generation: u64) {
@@ -136,8 +136,8 @@
             self.discovery.verify_at = None;
         }
         self.servers_changed(&applied.changed);
-        self.engine.list(now, applied.kind, &applied.entries);
-        self.run_engine_orders();
+        self.engine.on_server_list(now, applied.kind, &applied.entries);
+        self.run_engine_actions();
         Ok(())
     }
 
@@ -168,9 +168,9 @@
         match exchange.list_evidence(&failure) {
             ListEvidence::WatchAlive => self.confirm_list(now, self.previous_poll_at),
             ListEvidence::ServiceDown => {
-                self.engine.change_list_lease(now, |lease| lease.away(exchange.began_at));
+                self.engine.update_list_lease(now, |lease| lease.away(exchange.began_at));
             }
-            ListEvidence::PartialList => self.engine.change_list_lease(now, |lease| lease.missed(now)),
+            ListEvidence::PartialList => self.engine.update_list_lease(now, |lease| lease.missed(now)),
             ListEvidence::None => {}
         }
         match failure {
@@ -193,7 +193,7 @@
     /// Renews the lease: the list was current at the moment `at`.
     fn confirm_list(&mut self, now: Micros, at: Micros) {
         let held_before = self.engine.permissions().list.holds(now);
-        self.engine.change_list_lease(now, |lease| lease.confirm(at));
+        self.engine.update_list_lease(now, |lease| lease.confirm(at));
         let holds = self.engine.permissions().list.holds(now);
         if holds && !held_before {
             tracing::info!(version = self.server_list.version(), "the server list may be used");
@@ -230,7 +230,7 @@
         }
         let now = self.now();
         if self.discovery.pushed {
-            self.engine.change_list_lease(now, |lease| lease.unwatched(now));
+            self.engine.update_list_lease(now, |lease| lease.unwatched(now));
         }
         let drawn = now + self.with_jitter(span);
         let at = self.lease_renewal_at(now).map_or(drawn, |latest| drawn.min(latest));
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -1,9 +1,9 @@
-//! The event loop: polling, timers, and the execution of the engine's orders.
+//! The event loop: polling, timers, and the execution of the engine's actions.
 
 use crate::proxy::Proxy;
 use std::time::Duration;
 use violetseam::interface::Micros;
-use violetseam_proxy::engine::Order;
+use violetseam_proxy::engine::EngineAction;
 
 /// The span between two rounds of maintenance.
 pub(super) const MAINTENANCE_INTERVAL: Micros = 50_000;
@@ -57,14 +57,14 @@
         if !self.clients_to_revisit.is_empty() {
             return Duration::ZERO;
         }
-        self.timers.wait(self.now(), self.engine.due())
+        self.timers.wait(self.now(), self.engine.next_deadline())
     }
 
     /// Runs what was due when the sockets were last polled: an answer that had arrived by then has been read.
     pub(super) fn run_due_timers(&mut self, polled_at: Micros) {
         let now = self.now();
-        self.engine.on_due_by(now, polled_at);
-        self.run_engine_orders();
+        self.engine.run_deadlines_until(now, polled_at);
+        self.run_engine_actions();
         while let Some(timer) = self.timers.pop(polled_at) {
             match timer {
                 TimerKind::ConnectTimeout(connection) => self.connect_timeout(connection),
@@ -82,7 +82,7 @@
                 TimerKind::Stop => self.stop(),
                 TimerKind::Maintenance => self.run_maintenance(now),
             }
-            self.run_engine_orders();
+            self.run_engine_actions();
         }
         self.revisit_clients();
         if self.is_drained() {
@@ -90,31 +90,33 @@
         }
     }
 
-    /// Executes the engine's orders, and those that follow from them, until none is left. Called while an order is being
+    /// Executes the engine's actions, and those that follow from them, until none is left. Called while an action is being
     /// executed, it leaves the rest to the outer call.
-    pub(super) fn run_engine_orders(&mut self) {
+    pub(super) fn run_engine_actions(&mut self) {
         self.sockets_were_ready = true;
-        if std::mem::replace(&mut self.is_running_orders, true) {
+        if std::mem::replace(&mut self.is_running_actions, true) {
             return;
         }
-        while let Some(order) = self.engine.next_order() {
-            self.run_engine_order(order);
+        while let Some(action) = self.engine.next_action() {
+            self.run_engine_action(action);
         }
-        self.is_running_orders = false;
+        self.is_running_actions = false;
     }
 
-    fn run_engine_order(&mut self, order: Order) {
-        match order {
-            Order::Start { request, attempt, server } => self.start_attempt(request, attempt, server),
-            Order::Drop { request, attempt } => self.cancel_attempt(request, attempt),
-            Order::Answer { request, answer } => self.send_own_response(request, answer),
-            Order::Forget { request } => self.forget_request(request),
-            Order::FollowList | Order::FetchList => self.poll_server_list(),
-            Order::Vote { build, stage, verdict } => self.cast_vote(build, stage, verdict),
-            Order::Tell { to, payload } => self.gossip_to_peers(to, &payload),
+    fn run_engine_action(&mut self, action: EngineAction) {
+        match action {
+            EngineAction::StartAttempt { request, attempt, server } => {
+                self.start_attempt(request, attempt, server)
+            }
+            EngineAction::CloseAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            EngineAction::Respond { request, response } => self.send_own_response(request, response),
+            EngineAction::Forget { request } => self.forget_request(request),
+            EngineAction::WatchServerList | EngineAction::FetchServerList => self.poll_server_list(),
+            EngineAction::Vote { build, stage, verdict } => self.cast_vote(build, stage, verdict),
+            EngineAction::Gossip { to, payload } => self.gossip_to_peers(to, &payload),
             // The platform's settings contain no quota of the fleet, so there is nothing to lease.
-            Order::Rights { .. } => {}
-            Order::Note(text) => tracing::info!(target: "verdict", "{text}"),
+            EngineAction::BudgetMessage { .. } => {}
+            EngineAction::Log(text) => tracing::info!(target: "verdict", "{text}"),
         }
     }
 
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -3,7 +3,7 @@
 //! (descriptors, bytes, how long a connection may take to come up or stay silent) is no judgement on servers or builds.
 //!
 //! - `proxy`: the state of one proxy
-//! - `event_loop`: polling, timers, and the engine's orders
+//! - `event_loop`: polling, timers, and the engine's actions
 //! - `listener`: accepts client connections
 //! - `client`: the state of one client connection
 //! - `clients`: client connections, from bytes to commands and from responses to bytes
@@ -65,7 +65,8 @@
     proxy.begin();
     retry_transient_errors("clients' address", || proxy.listen()).map_err(ServeError::Listen)?;
     run(&mut event_loop, &mut proxy)?;
-    let summary = Summary { counts: proxy.engine.counts(), unanswered_requests: proxy.engine.owed() };
+    let summary =
+        Summary { counts: proxy.engine.counts(), unanswered_requests: proxy.engine.pending_responses() };
     proxy.log_counts("stopped");
     // Dropping the loop would unblock its signals: one that has arrived since would kill the process before its exit.
     std::mem::forget(event_loop);
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -41,8 +41,8 @@
             }
             let Some(position) = self.config.peers.iter().position(|peer| *peer == sender) else { continue };
             let now = self.now();
-            self.engine.peer_message(now, position, &bytes[..length]);
-            self.run_engine_orders();
+            self.engine.on_peer_message(now, position, &bytes[..length]);
+            self.run_engine_actions();
         }
     }
 
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -65,8 +65,8 @@
     pub scratch: Vec<u8>,
     pub rng: rand_pcg::Pcg64,
     last_generation: u64,
-    /// The engine's orders are being executed by a caller further up.
-    pub is_running_orders: bool,
+    /// The engine's actions are being executed by a caller further up.
+    pub is_running_actions: bool,
     /// A socket had an event in this turn of the loop.
     pub sockets_were_ready: bool,
     /// When the loop polled its sockets in the turn before this one: what is read now had not arrived by then.
@@ -121,7 +121,7 @@
             scratch: vec![0; READ_BUFFER_BYTES],
             rng: rand_pcg::Pcg64::seed_from_u64(config.seed),
             last_generation: 0,
-            is_running_orders: false,
+            is_running_actions: false,
             sockets_were_ready: false,
             shutdown_phase: ShutdownPhase::Running,
             clients_to_revisit: Vec::new(),
@@ -143,11 +143,11 @@
         self.previous_poll_at = now;
         // The age of that list is unknown: it may be used once discovery has confirmed it.
         let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
-        self.engine.keep_list_lease(now, lease);
+        self.engine.set_list_lease(now, lease);
         self.discovery.ready_by = now + READY_TIMEOUT;
-        self.engine.list(now, ListKind::Cached, &entries);
+        self.engine.on_server_list(now, ListKind::Cached, &entries);
         match self.config.release_status.map(|status| status.to_status()) {
-            Some(Ok(status)) => self.engine.stage(now, status),
+            Some(Ok(status)) => self.engine.on_release_status(now, status),
             Some(Err(error)) => tracing::warn!("{error}"),
             None => {}
         }
@@ -156,7 +156,7 @@
         let name = &self.config.name;
         tracing::info!(%name, servers = entries.len(), listen = %self.config.listen, "started");
         self.log_limits();
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     /// The time on the loop's clock, as Unix time in microseconds.
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -126,7 +126,7 @@
         if readiness.readable || readiness.error {
             self.read_release_watch();
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     fn read_release_watch(&mut self) {
@@ -169,8 +169,8 @@
     fn on_release_status(&mut self, status: ReleaseStatus) {
         self.log_release_status(status);
         let now = self.now();
-        self.engine.stage(now, status);
-        self.run_engine_orders();
+        self.engine.on_release_status(now, status);
+        self.run_engine_actions();
     }
 
     /// Logs a release status that differs from the last one.
@@ -186,7 +186,7 @@
         let Some(server) = self.server_list.number(server) else { return };
         let Some(class) = self.config.instance.classes.iter().position(|name| name == class) else { return };
         let now = self.now();
-        self.engine.answer_flagged(now, server, class, since);
-        self.run_engine_orders();
+        self.engine.on_answer_flagged(now, server, class, since);
+        self.run_engine_actions();
     }
 }
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -6,7 +6,7 @@
 use violetseam::interface::{Micros, Request, RequestId};
 use violetseam_platform::answer;
 use violetseam_platform::call::Call;
-use violetseam_proxy::engine::Final;
+use violetseam_proxy::engine::LocalResponse;
 
 /// A request that the engine has accepted: what it takes to send it, and where its response goes.
 pub(super) struct InFlightRequest {
@@ -31,9 +31,9 @@
         }
         let now = self.now();
         // The client's wait began when it sent the call, which may have lain unread for as long as this loop is late.
-        let unread = self.timers.behind(now, self.engine.due());
+        let unread = self.timers.behind(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
-        let request = self.engine.request(now, engine_request(&call, now, unread), true);
+        let request = self.engine.on_request(now, engine_request(&call, now, unread), true);
         tracing::debug!(
             request,
             client_id = %String::from_utf8_lossy(&call.id),
@@ -49,7 +49,7 @@
         if let Some(client) = self.clients.get_mut(key) {
             client.pending_responses.push_back(PendingResponse::Request(request));
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     /// Whether the bounds of this process leave room for a further request.
@@ -59,12 +59,12 @@
     }
 
     /// Sends a final response of the proxy's own.
-    pub(super) fn send_own_response(&mut self, request: RequestId, last: Final) {
+    pub(super) fn send_own_response(&mut self, request: RequestId, last: LocalResponse) {
         let mut bytes = Vec::new();
         tracing::debug!(request, ?last, "own answer");
         match last {
-            Final::Refused { come_back } => answer::write_rejected(&mut bytes, come_back),
-            Final::Failed { .. } => answer::write_failed(&mut bytes),
+            LocalResponse::Rejected { retry_after } => answer::write_rejected(&mut bytes, retry_after),
+            LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
         }
         self.send_response(request, bytes);
     }
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -84,7 +84,7 @@
     /// Starts an attempt on an idle connection, or on a new one.
     pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, server: ServerId) {
         // Cancelled by the same batch of actions that started it: nothing is sent.
-        if !self.engine.awaits(request, attempt) {
+        if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
@@ -156,7 +156,7 @@
     /// Whether an attempt that could not be sent when it was ordered may be sent now.
     fn may_send(&mut self, attempt: AttemptId) -> bool {
         let now = self.now();
-        let may_send = self.engine.may_leave(now, attempt.request, attempt.attempt);
+        let may_send = self.engine.may_send(now, attempt.request, attempt.attempt);
         if !may_send {
             tracing::debug!(
                 request = attempt.request,
@@ -169,7 +169,7 @@
 
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let now = self.now();
-        self.engine.attempt_ended(now, attempt.request, attempt.attempt, outcome);
+        self.engine.on_attempt_ended(now, attempt.request, attempt.attempt, outcome);
     }
 
     /// Writes the request on a connection that is up, with the time that this attempt will be waited for.
@@ -177,7 +177,7 @@
         let now = self.now();
         let Some(server) = self.servers.get_mut(slot) else { return };
         let Some(attempt) = server.attempt() else { return };
-        let cut_at = self.engine.cut_at(attempt.request, attempt.attempt);
+        let cut_at = self.engine.attempt_deadline(attempt.request, attempt.attempt);
         let (Some(in_flight), Some(cut_at)) = (self.in_flight.get(&attempt.request), cut_at) else {
             return self.close_server(slot);
         };
@@ -206,7 +206,7 @@
         let Some(server) = self.servers.get_mut(slot) else { return };
         if let ConnectionState::Connecting(attempt) = server.state {
             self.on_server_connecting(slot, attempt, readiness);
-            return self.run_engine_orders();
+            return self.run_engine_actions();
         }
         if readiness.writable && server.socket.waits() {
             // The rest of a request counts from its last byte: until that is written the server has none of it.
@@ -218,7 +218,7 @@
         if readiness.readable || readiness.error {
             self.read_server(slot);
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     /// Sends the request once the connection is up.
@@ -295,7 +295,7 @@
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 let now = self.now();
-                if self.engine.attempt_ended(now, attempt.request, attempt.attempt, Outcome::Ok) {
+                if self.engine.on_attempt_ended(now, attempt.request, attempt.attempt, Outcome::Ok) {
                     tracing::debug!(
                         request = attempt.request,
                         attempt = attempt.attempt,
--- a/crates/platform-proxy/src/shutdown.rs
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -54,7 +54,10 @@
 
     /// Whether a shutdown has nothing left to do.
     pub(super) fn is_drained(&self) -> bool {
-        self.is_draining() && self.listener.is_none() && self.clients.is_empty() && self.engine.owed() == 0
+        self.is_draining()
+            && self.listener.is_none()
+            && self.clients.is_empty()
+            && self.engine.pending_responses() == 0
     }
 
     /// Handles SIGTERM: connections are still accepted and served for a moment. A second signal changes nothing.
@@ -66,12 +69,12 @@
         self.log_counts("ending");
         let now = self.now();
         let longest_deadline = self.config.instance.decisions.longest_deadline();
-        let lifetime = self.engine.end(now, Lifetime::told_to_end(now, longest_deadline));
+        let lifetime = self.engine.begin_shutdown(now, Lifetime::told_to_end(now, longest_deadline));
         tracing::info!(answer_in_us = lifetime.answer_by - now, end_in_us = lifetime.end_by - now, "SIGTERM");
         self.timers.set(now + ACCEPT_AFTER_SIGTERM, TimerKind::BeginDrain);
         self.timers.set(lifetime.answer_by, TimerKind::FinalResponses);
         self.timers.set(lifetime.end_by, TimerKind::Stop);
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     /// Answers the requests that are left as failed, and ends every client connection, after what has arrived on it is
@@ -79,8 +82,8 @@
     pub(super) fn send_final_responses(&mut self) {
         self.log_unanswered_requests();
         let now = self.now();
-        self.engine.abandon(now);
-        self.run_engine_orders();
+        self.engine.fail_pending_requests(now);
+        self.run_engine_actions();
         self.begin_drain();
         self.shutdown_phase = ShutdownPhase::FinalResponses;
         let all = self.clients.iter();
@@ -105,18 +108,18 @@
     pub(super) fn log_counts(&self, event: &str) {
         let counts = self.engine.counts();
         tracing::info!(
-            taken = counts.taken,
+            taken = counts.received,
             served = counts.served,
-            refused = counts.refused,
+            refused = counts.rejected,
             failed = counts.failed,
-            gone = counts.gone,
+            gone = counts.disconnected,
             attempts = counts.attempts,
             overdue = counts.overdue,
             violations = counts.violations,
-            held_back = counts.held_back,
-            without_list = counts.without_list,
+            held_back = counts.cancelled_before_send,
+            without_list = counts.without_server_list,
             closed_while_owed = self.closed_while_pending,
-            owed = self.engine.owed(),
+            owed = self.engine.pending_responses(),
             clients = self.clients.len(),
             servers = self.servers.len(),
             "{event}"
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -68,14 +68,14 @@
         {
             if vote.socket.connect_error().is_some() || vote.socket.flush().is_err() {
                 self.on_vote_connection_lost(slot);
-                return self.run_engine_orders();
+                return self.run_engine_actions();
             }
             vote.socket.want(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_vote(slot);
         }
-        self.run_engine_orders();
+        self.run_engine_actions();
     }
 
     fn read_vote(&mut self, slot: usize) {
@@ -137,7 +137,7 @@
             self.log_release_status(status);
         }
         let now = self.now();
-        self.engine.vote_reply(now, outcome, status);
+        self.engine.on_vote_reply(now, outcome, status);
     }
 }
 
