--- a/crates/cli/src/controller.rs
+++ b/crates/cli/src/controller.rs
@@ -157,9 +157,9 @@
             );
             (true, text)
         }
-        Response::Reply(Reply::Ok) => (true, "it counts".into()),
-        Response::Reply(Reply::Moot(why)) => (false, format!("moot: {why}")),
-        Response::Reply(Reply::Refused(why)) => (false, format!("REFUSED: {why}")),
+        Response::Reply(Reply::Accepted) => (true, "it counts".into()),
+        Response::Reply(Reply::Obsolete(why)) => (false, format!("moot: {why}")),
+        Response::Reply(Reply::Rejected(why)) => (false, format!("REFUSED: {why}")),
         Response::InvalidPlan(faults) => {
             (false, format!("REFUSED, the plan has faults:\n{}", faults.join("\n")))
         }
--- a/crates/controller/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -10,7 +10,7 @@
 pub use server::{ControlCall, listen};
 
 use serde::{Deserialize, Serialize};
-use violetseam_release::{News, Order, Reply};
+use violetseam_release::{Announcement, Order, Reply};
 
 /// The longest line, in bytes; a plan is sent as one.
 const MAX_LINE_LEN: u64 = 1 << 20;
@@ -67,7 +67,7 @@
     pub term: u64,
     /// What is announced to proxies.
     #[serde(rename = "news")]
-    pub announcement: Option<News>,
+    pub announcement: Option<Announcement>,
     /// A description, with what the release waits for.
     #[serde(rename = "text")]
     pub description: String,
--- a/crates/controller/src/journal/record.rs
+++ b/crates/controller/src/journal/record.rs
@@ -1,7 +1,7 @@
 //! One line of a journal: a checksum and JSON.
 
 use serde::{Deserialize, Serialize};
-use violetseam_release::{Event, News, Now, Release};
+use violetseam_release::{Announcement, Event, Now, Release};
 
 /// Hexadecimal digits of the checksum, and the space after them.
 const CHECKSUM_PREFIX_LEN: usize = 9;
@@ -29,7 +29,7 @@
         event: Event,
         /// The changed announcement.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        after: Option<News>,
+        after: Option<Announcement>,
     },
 }
 
--- a/crates/controller/src/journal/replay.rs
+++ b/crates/controller/src/journal/replay.rs
@@ -45,9 +45,9 @@
             (1, Record::Snapshot(state)) => release = Some(*state),
             (LEADING_RECORDS.., Record::Event { now, event, after }) => {
                 let release = release.as_mut().ok_or_else(|| damaged(line_number))?;
-                let before = release.news();
+                let before = release.announcement();
                 release.on_event(now, &event);
-                let announced = release.news();
+                let announced = release.announcement();
                 let replayed = (announced != before).then_some(announced);
                 if after != replayed {
                     return Err(JournalError::Diverged { path: path.to_owned(), line: line_number });
--- a/crates/controller/src/serve/batches.rs
+++ b/crates/controller/src/serve/batches.rs
@@ -9,7 +9,7 @@
 use crate::writer_thread::WriteRequest;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use violetseam_release::{Event, Now, Release};
+use violetseam_release::{Event, EventOutcome, Now, Release};
 
 /// Events in one batch.
 const MAX_BATCH_LEN: usize = 4_096;
@@ -52,10 +52,10 @@
         let len = self.queue.len().min(MAX_BATCH_LEN);
         let tick = QueuedEvent { event: Event::Tick, origin: Origin::Internal };
         for QueuedEvent { event, origin } in self.queue.drain(..len).chain(std::iter::once(tick)) {
-            let before = release.news();
-            let (reply, changed) = release.on_event(now, &event);
+            let before = release.announcement();
+            let EventOutcome { reply, changed } = release.on_event(now, &event);
             if changed {
-                let announced = release.news();
+                let announced = release.announcement();
                 let after = (announced != before).then_some(announced);
                 records.extend(encode(&Record::Event { now, event, after }));
                 event_count += 1;
@@ -67,22 +67,22 @@
 
     /// Puts a durable state in force.
     fn apply(&mut self, release: Arc<Release>, now: Instant) {
-        let before = self.release.news();
+        let before = self.release.announcement();
         self.release = release;
         self.write_error = None;
         self.next_tick = next_tick(&self.release, now);
         if let Some(plan) = self.release.plan() {
-            self.vote_allowance.set_rate(plan.fleet.votes_per_s);
+            self.vote_limit.set_rate(plan.fleet.votes_per_s);
         }
-        let desired_builds = self.release.wanted();
+        let desired_builds = self.release.desired_builds();
         if desired_builds != self.desired_builds {
             self.desired_builds = desired_builds;
             self.desired_sent_at = now;
             self.desired_version += 1;
         }
-        let after = self.release.news();
+        let after = self.release.announcement();
         if (after.build, after.stage, after.phase) != (before.build, before.stage, before.phase) {
-            tracing::info!("{}", self.release.standing());
+            tracing::info!("{}", self.release.describe());
         }
     }
 }
@@ -148,7 +148,7 @@
 
 /// When the next tick is due after a batch.
 fn next_tick(release: &Release, now: Instant) -> Instant {
-    let interval = match release.due() {
+    let interval = match release.next_due() {
         Some(micros) => Duration::from_micros(micros.max(MIN_TICK_MICROS)),
         None => IDLE_TICK_INTERVAL,
     };
--- a/crates/controller/src/serve/leadership.rs
+++ b/crates/controller/src/serve/leadership.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 use std::time::Instant;
-use violetseam_release::{Allowance, Release};
+use violetseam_release::{Release, VoteRateLimit};
 
 /// Heartbeats within one lease.
 const HEARTBEATS_PER_LEASE: u32 = 4;
 /// Checks by a standby within one lease.
 const CHECKS_PER_LEASE: u32 = 8;
-/// The highest rate of the vote allowance, for releases without a plan.
+/// The highest rate of the vote limit, for releases without a plan.
 const MAX_VOTE_RATE: f64 = 1e9;
 
 /// The leader's lease, as a standby sees it.
@@ -37,7 +37,7 @@
     /// Grows with each change of the desired builds, and when they are sent again.
     pub desired_version: u64,
     pub desired_sent_at: Instant,
-    pub vote_allowance: Allowance,
+    pub vote_limit: VoteRateLimit,
     pub queue: Vec<QueuedEvent>,
     pub writer: Sender<WriteRequest>,
     /// The batch that becomes durable now.
@@ -99,7 +99,7 @@
             events = replayed_events,
             torn,
             "this controller speaks: {}",
-            release.standing()
+            release.describe()
         );
         let now = Instant::now();
         let vote_rate = release.plan().map_or(f64::INFINITY, |plan| plan.fleet.votes_per_s);
@@ -107,11 +107,11 @@
             writer_thread::spawn(writer, self.completions.clone()).map_err(ServeError::WriterThread)?;
         self.term = Some(Term {
             number,
-            desired_builds: release.wanted(),
+            desired_builds: release.desired_builds(),
             desired_version: 1,
             desired_sent_at: now,
             release: Arc::new(release),
-            vote_allowance: Allowance::new(vote_rate.min(MAX_VOTE_RATE), self.steady_micros()),
+            vote_limit: VoteRateLimit::new(vote_rate.min(MAX_VOTE_RATE), self.steady_micros()),
             queue: Vec::new(),
             writer,
             in_flight: None,
--- a/crates/controller/src/serve/operators.rs
+++ b/crates/controller/src/serve/operators.rs
@@ -40,8 +40,8 @@
         Status {
             name,
             term: term.number,
-            announcement: Some(term.release.news()),
-            description: term.release.standing(),
+            announcement: Some(term.release.announcement()),
+            description: term.release.describe(),
             votes: term.release.votes(),
             watches,
             write_error: term.write_error.clone(),
--- a/crates/controller/src/serve/requests.rs
+++ b/crates/controller/src/serve/requests.rs
@@ -41,7 +41,7 @@
     fn on_vote(&mut self, id: ConnectionId, body: &[u8]) {
         let steady = self.steady_micros();
         let Some(term) = &mut self.term else { return };
-        if !term.vote_allowance.takes(steady) {
+        if !term.vote_limit.try_take(steady) {
             return self.respond_to_vote(id, VoteOutcome::Full);
         }
         match desk::Vote::parse(body) {
--- a/crates/controller/src/serve/responses.rs
+++ b/crates/controller/src/serve/responses.rs
@@ -46,9 +46,9 @@
             }
             Origin::Vote(id) => {
                 let outcome = match reply {
-                    Ok(Reply::Ok) => VoteOutcome::Ok,
-                    Ok(Reply::Moot(_)) => VoteOutcome::Moot,
-                    Ok(Reply::Refused(_)) | Err(_) => VoteOutcome::Error,
+                    Ok(Reply::Accepted) => VoteOutcome::Ok,
+                    Ok(Reply::Obsolete(_)) => VoteOutcome::Moot,
+                    Ok(Reply::Rejected(_)) | Err(_) => VoteOutcome::Error,
                 };
                 self.respond_to_vote(id, outcome);
             }
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, StatusCode};
 use std::time::{Duration, Instant};
 use violetseam_http1::Framing;
-use violetseam_release::{News, Phase};
+use violetseam_release::{Announcement, Phase};
 use violetseam_site::desk::{self, PhaseName};
 use violetseam_site::places::Wanted;
 
@@ -32,7 +32,7 @@
     /// The announcement to proxies; all of it is durable.
     pub(super) fn announcement(&self) -> Option<desk::News> {
         let term = self.term.as_ref()?;
-        let News { build, stage, phase, cap } = term.release.news();
+        let Announcement { build, stage, phase, cap } = term.release.announcement();
         let phase = match phase {
             Phase::Trial => PhaseName::Trial,
             Phase::RollingBack => PhaseName::RollingBack,
--- a/crates/controller/tests/journal.rs
+++ b/crates/controller/tests/journal.rs
@@ -33,9 +33,9 @@
 
 /// Decides an event and gives its line, as the controller does.
 fn decide(release: &mut Release, at: Now, event: Event) -> Vec<u8> {
-    let before = release.news();
-    let (_, kept) = release.on_event(at, &event);
-    let news = release.news();
+    let before = release.announcement();
+    let kept = release.on_event(at, &event).changed;
+    let news = release.announcement();
     let after = (news != before).then_some(news);
     if kept { encode(&Record::Event { now: at, event, after }) } else { Vec::new() }
 }
@@ -69,10 +69,16 @@
     let read = StateDir::open(&path).unwrap().read().unwrap().unwrap();
     assert_eq!((read.release.clone(), read.torn), (release.clone(), false));
     let new_term = StateDir::open(&path).unwrap().begin_term("two", 1, now(20)).unwrap();
-    assert_eq!((new_term.number, new_term.release.news(), new_term.release.votes()), (2, release.news(), 2));
+    assert_eq!(
+        (new_term.number, new_term.release.announcement(), new_term.release.votes()),
+        (2, release.announcement(), 2)
+    );
     // Two minutes away: the votes are past their time.
     let late = StateDir::open(&path).unwrap().begin_term("three", 1, now(140)).unwrap();
-    assert_eq!((late.number, late.release.news(), late.release.votes()), (3, release.news(), 0));
+    assert_eq!(
+        (late.number, late.release.announcement(), late.release.votes()),
+        (3, release.announcement(), 0)
+    );
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -133,7 +139,7 @@
     let path = folder("otherwise");
     let (_, release) = played(&path);
     // What another version may have written: news that this one does not come to.
-    let after = Some(violetseam_release::News { stage: 1, ..release.news() });
+    let after = Some(violetseam_release::Announcement { stage: 1, ..release.announcement() });
     let line = encode(&Record::Event { now: now(7), event: Event::Tick, after });
     let mut bytes = std::fs::read(journal(&path, 1)).unwrap();
     bytes.extend(line);
@@ -200,8 +206,8 @@
     let read = folder.read().unwrap().unwrap();
     assert!(read.event_count < SNAPSHOT_INTERVAL, "{}", read.event_count);
     assert_eq!(read.release, release);
-    let reply = release.on_event(now(100), &vote(1)).0;
-    assert!(matches!(reply, Reply::Ok | Reply::Moot(_)));
+    let reply = release.on_event(now(100), &vote(1)).reply;
+    assert!(matches!(reply, Reply::Accepted | Reply::Obsolete(_)));
     std::fs::remove_dir_all(path).unwrap();
 }
 
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -11,7 +11,9 @@
 use violetseam_plan::moment_of;
 use violetseam_proxy::engine::{Engine, Final, Order};
 use violetseam_rehearsal::platform::Platform;
-use violetseam_release::{Allowance, Event, News, Now, Phase, PlaceState, Release, Reply as Word, Vote};
+use violetseam_release::{
+    Announcement, Event, Now, Phase, PlaceState, Release, Reply as Word, Vote, VoteRateLimit,
+};
 use violetseam_site::roster::Kind as ListKind;
 use violetseam_standin::day::{Day, Kind};
 use violetseam_standin::drive::Net;
@@ -108,9 +110,9 @@
     next_asked: u64,
     release: Release,
     platform: Platform,
-    allowance: Allowance,
+    allowance: VoteRateLimit,
     /// News with when they came to stand.
-    news: Vec<(u64, News)>,
+    news: Vec<(u64, Announcement)>,
     wall: u64,
     times: Histogram<u64>,
     out: Outcome,
@@ -161,8 +163,8 @@
         next_asked: 1,
         release: Release::new(rollout.first_build),
         platform,
-        allowance: Allowance::new(rollout.calls_per_s, 0),
-        news: vec![(0, Release::new(rollout.first_build).news())],
+        allowance: VoteRateLimit::new(rollout.calls_per_s, 0),
+        news: vec![(0, Release::new(rollout.first_build).announcement())],
         wall,
         times: Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?,
         out,
@@ -189,7 +191,7 @@
         for (place, build, state) in self.platform.all() {
             self.release.on_event(now, &Event::Place { place, build, state });
         }
-        let news = self.release.news();
+        let news = self.release.announcement();
         for n in 0..self.proxies.len() {
             self.world.agenda.at(NETWORK, Happening::News(n, stage_news(news)));
             self.obey(n);
@@ -528,7 +530,7 @@
             self.decide(&Event::Place { place, build, state });
         }
         self.decide(&Event::Tick);
-        let wanted = self.release.wanted();
+        let wanted = self.release.desired_builds();
         if !wanted.is_empty() {
             for (place, build, state) in self.platform.want(now, &wanted) {
                 if state == PlaceState::Draining {
@@ -542,9 +544,9 @@
 
     /// An event for the controller; what it changed is told to the proxies as late as the day says.
     fn decide(&mut self, event: &Event) -> Word {
-        let (now, before) = (self.now(), self.release.news());
-        let (word, _) = self.release.on_event(now, event);
-        let news = self.release.news();
+        let (now, before) = (self.now(), self.release.announcement());
+        let word = self.release.on_event(now, event).reply;
+        let news = self.release.announcement();
         if news == before {
             return word;
         }
@@ -580,13 +582,13 @@
         let back = at + self.world.day.rollout.call / 2;
         let outcome = if self.world.active(Kind::DeskErrors).is_some() {
             v::Outcome::Error
-        } else if !self.allowance.takes(at) {
+        } else if !self.allowance.try_take(at) {
             v::Outcome::Rejected
         } else {
             match self.decide(&Event::Vote(vote)) {
-                Word::Ok => v::Outcome::Ok,
-                Word::Moot(_) => v::Outcome::Moot,
-                Word::Refused(_) => v::Outcome::Error,
+                Word::Accepted => v::Outcome::Ok,
+                Word::Obsolete(_) => v::Outcome::Moot,
+                Word::Rejected(_) => v::Outcome::Error,
             }
         };
         // As late as all news: a reply is not ahead of the stream.
@@ -602,11 +604,11 @@
         let plan =
             plan.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
         let word = self.decide(&Event::Offer(Box::new(plan)));
-        if matches!(&word, Word::Refused(why) if why.contains("on trial")) {
+        if matches!(&word, Word::Rejected(why) if why.contains("on trial")) {
             let order = violetseam_release::Order::Back;
             self.decide(&Event::Order { who: "lab".into(), order });
         }
-        if matches!(word, Word::Refused(_)) {
+        if matches!(word, Word::Rejected(_)) {
             self.world.agenda.at(self.world.now + 10 * TURN, Happening::Offer(n));
         }
         Ok(())
@@ -624,7 +626,7 @@
     }
 }
 
-fn stage_news(news: News) -> v::StageNews {
+fn stage_news(news: Announcement) -> v::StageNews {
     let phase = match news.phase {
         Phase::Trial => v::Phase::Trial,
         Phase::RollingBack => v::Phase::RollingBack,
--- a/crates/lab/src/controller.rs
+++ b/crates/lab/src/controller.rs
@@ -152,9 +152,9 @@
             }
             let offer = Request::SubmitPlan { name: format!("build {n}"), text: text.clone() };
             match send_request(control, &offer, Duration::from_secs(2)) {
-                Ok(Response::Reply(Reply::Ok | Reply::Moot(_))) => break,
+                Ok(Response::Reply(Reply::Accepted | Reply::Obsolete(_))) => break,
                 Ok(Response::InvalidPlan(faults)) => return Err(faults.join("; ")),
-                Ok(Response::Reply(Reply::Refused(why))) if why.contains("on trial") => {
+                Ok(Response::Reply(Reply::Rejected(why))) if why.contains("on trial") => {
                     let order = Request::Order { operator: "lab".into(), order: Order::Back };
                     let _ = send_request(control, &order, Duration::from_secs(2));
                 }
--- a/crates/lab/src/scale/hollow_controller.rs
+++ b/crates/lab/src/scale/hollow_controller.rs
@@ -88,7 +88,7 @@
             self.vote_life
         );
         match self.send(&Request::SubmitPlan { name: "hollow".into(), text })? {
-            Response::Reply(Reply::Ok) => Ok(()),
+            Response::Reply(Reply::Accepted) => Ok(()),
             other => Err(ScaleError::Failed(format!("the plan was not taken: {other:?}"))),
         }
     }
--- a/crates/rehearsal/src/player.rs
+++ b/crates/rehearsal/src/player.rs
@@ -4,7 +4,9 @@
 use crate::script::{Script, Votes};
 use std::collections::BTreeSet;
 use violetseam_plan::{Micros, Plan, Power};
-use violetseam_release::{Allowance, Event, News, Now, Order, Phase, Release, Reply, Verdict, Vote};
+use violetseam_release::{
+    Announcement, Event, EventOutcome, Now, Order, Phase, Release, Reply, Verdict, Vote, VoteRateLimit,
+};
 
 /// Steps of a rehearsal at most, so that every one ends.
 const STEPS_MOST: usize = 2_000_000;
@@ -32,9 +34,9 @@
     /// Whether the event must be kept.
     pub kept: bool,
     /// News before.
-    pub before: News,
+    pub before: Announcement,
     /// News after.
-    pub after: News,
+    pub after: Announcement,
     /// Places that are to run what, after.
     pub wanted: BTreeSet<(u32, u16)>,
 }
@@ -45,7 +47,7 @@
     /// The timeline.
     pub entries: Vec<Entry>,
     /// News with the moments from which they stood.
-    pub news: Vec<(Micros, News)>,
+    pub news: Vec<(Micros, Announcement)>,
     /// Places that ran the new build, with the moments from which they did.
     pub running: Vec<(Micros, usize)>,
     /// The controller's last word on the release.
@@ -59,7 +61,7 @@
     /// The same, told only what is kept: what a controller that went away comes back with.
     durable: Release,
     platform: Platform,
-    allowance: Allowance,
+    allowance: VoteRateLimit,
     /// From the offer on.
     at: Micros,
     /// Of the wall clock, from what it was.
@@ -80,7 +82,7 @@
 
 /// Plays a script; `watch` sees every event with the decisions on it.
 pub fn play(plan: &Plan, script: &Script, watch: &mut dyn FnMut(&Step)) -> Played {
-    let allowance = Allowance::new(plan.fleet.votes_per_s, 0);
+    let allowance = VoteRateLimit::new(plan.fleet.votes_per_s, 0);
     let platform = Platform::new(plan.fleet.places, script.build, script.boot, script.drain);
     let played =
         Played { entries: Vec::new(), news: Vec::new(), running: Vec::new(), standing: String::new() };
@@ -97,7 +99,7 @@
         watch,
     };
     player.run();
-    player.played.standing = player.release.standing();
+    player.played.standing = player.release.describe();
     player.played
 }
 
@@ -111,19 +113,19 @@
     }
 
     fn tell(&mut self, event: Event) -> Reply {
-        let (now, before) = (self.now(), self.release.news());
-        let (reply, kept) = self.release.on_event(now, &event);
+        let (now, before) = (self.now(), self.release.announcement());
+        let EventOutcome { reply, changed: kept } = self.release.on_event(now, &event);
         if kept {
             self.durable.on_event(now, &event);
         }
-        let after = self.release.news();
+        let after = self.release.announcement();
         if before != after {
             self.played.news.push((self.at, after));
             if (before.build, before.stage, before.phase) != (after.build, after.stage, after.phase) {
-                self.say(self.release.standing());
+                self.say(self.release.describe());
             }
         }
-        let wanted = self.release.wanted();
+        let wanted = self.release.desired_builds();
         (self.watch)(&Step { now, event, reply: reply.clone(), kept, before, after, wanted });
         reply
     }
@@ -142,7 +144,7 @@
 
     /// The platform hears what is wanted, and its places tell what they do.
     fn settle(&mut self) {
-        let wanted = self.release.wanted();
+        let wanted = self.release.desired_builds();
         if !wanted.is_empty() {
             let told = self.platform.want(self.at, &wanted);
             self.told(told);
@@ -171,8 +173,8 @@
         let told = self.platform.all();
         self.told(told);
         match self.tell(Event::Offer(Box::new(self.plan.clone()))) {
-            Reply::Ok => self.say(format!("build {} is offered", self.plan.build)),
-            Reply::Moot(why) | Reply::Refused(why) => {
+            Reply::Accepted => self.say(format!("build {} is offered", self.plan.build)),
+            Reply::Obsolete(why) | Reply::Rejected(why) => {
                 return self.say(format!("the offer is refused: {why}"));
             }
         }
@@ -190,19 +192,19 @@
                 self.do_scripted(due);
             }
             self.vote(&mut votes);
-            let before = self.release.news();
+            let before = self.release.announcement();
             self.tell(Event::Tick);
-            if self.release.news() != before {
+            if self.release.announcement() != before {
                 // Those who wait for news vote on them at once, not in their old rhythm.
                 let begun = votes.iter_mut().filter(|v| v.0 < Micros::MAX && v.1.at.0 <= self.at);
                 begun.for_each(|v| v.0 = v.0.min(self.at + v.1.every.0));
             }
             self.settle();
-            next_tick = match self.release.due() {
+            next_tick = match self.release.next_due() {
                 Some(span) => self.at + span.max(1),
                 None => Micros::MAX,
             };
-            let news = self.release.news();
+            let news = self.release.announcement();
             let over = news.build == self.plan.build && self.release.is_settled();
             if over && self.platform.due().is_none() {
                 break;
@@ -260,11 +262,11 @@
             }
         };
         match self.tell(event) {
-            Reply::Ok => self.say(what),
+            Reply::Accepted => self.say(what),
             // Repeats of a healthy script's orders are no news.
-            Reply::Moot(_) => {}
-            Reply::Refused(_) if again => {}
-            Reply::Refused(why) => self.say(format!("{what}: refused: {why}")),
+            Reply::Obsolete(_) => {}
+            Reply::Rejected(_) if again => {}
+            Reply::Rejected(why) => self.say(format!("{what}: refused: {why}")),
         }
     }
 
@@ -278,7 +280,7 @@
                 *at = Micros::MAX;
                 continue;
             }
-            let News { build, stage, phase, .. } = self.release.news();
+            let Announcement { build, stage, phase, .. } = self.release.announcement();
             let meant = spec.stage.is_none_or(|s| s == stage) && build == self.plan.build;
             if !meant || !matches!(phase, Phase::Trial | Phase::Released) {
                 continue;
@@ -287,7 +289,7 @@
                 continue;
             }
             for proxy in spec.first..spec.first.saturating_add(spec.proxies) {
-                if self.allowance.takes(self.at) {
+                if self.allowance.try_take(self.at) {
                     self.tell(Event::Vote(Vote { proxy, build, stage, verdict: spec.verdict }));
                 }
             }
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/rehearsal/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use violetseam_plan::{Gate, OnClose, Plan, Power};
 use violetseam_rehearsal::Step;
-use violetseam_release::{Event, News, Order, Phase, PlaceState, Reply, Verdict};
+use violetseam_release::{Announcement, Event, Order, Phase, PlaceState, Reply, Verdict};
 
 pub const S: u64 = 1_000_000;
 pub const MINUTE: u64 = 60 * S;
@@ -92,7 +92,7 @@
         }
     }
 
-    fn standing(&self, verdict: Verdict, now: u64, news: News) -> usize {
+    fn standing(&self, verdict: Verdict, now: u64, news: Announcement) -> usize {
         let counts = |c: &&Cast| {
             c.verdict == verdict
                 && c.build == news.build
@@ -123,7 +123,7 @@
             self.clock_set |= (wall as i64 - before as i64 - (now - steady) as i64).unsigned_abs() > 2 * S;
         }
         self.last = Some((now, wall));
-        let ok = step.reply == Reply::Ok;
+        let ok = step.reply == Reply::Accepted;
         match &step.event {
             Event::Offer(_) if ok => (self.offered, self.since) = (Some(now), now),
             Event::Vote(v) if ok => {
@@ -263,7 +263,7 @@
         }
     }
 
-    fn may_leave(&self, news: News, now: u64, wall: u64) {
+    fn may_leave(&self, news: Announcement, now: u64, wall: u64) {
         let wave = &self.plan.waves[usize::from(news.stage)];
         let name = &wave.name;
         let back = self.share(wave.gate, self.plan.fleet.votes_back);
@@ -293,7 +293,7 @@
         }
     }
 
-    fn reason_to_go_back(&self, news: News, now: u64, wall: u64) -> Option<&'static str> {
+    fn reason_to_go_back(&self, news: Announcement, now: u64, wall: u64) -> Option<&'static str> {
         let wave = &self.plan.waves[usize::from(news.stage)];
         let offered = self.offered.unwrap_or(now);
         let ahead = &self.plan.waves[(usize::from(news.stage) + 1).min(self.plan.waves.len())..];
--- a/crates/rehearsal/tests/courses.rs
+++ b/crates/rehearsal/tests/courses.rs
@@ -2,7 +2,7 @@
 
 use violetseam_plan::{Plan, moment_of, read_text};
 use violetseam_rehearsal::{Played, Script, play};
-use violetseam_release::{Event, News, Now, Order, Phase, PlaceState, Release, Reply, Verdict, Vote};
+use violetseam_release::{Announcement, Event, Now, Order, Phase, PlaceState, Release, Reply, Verdict, Vote};
 
 const S: u64 = 1_000_000;
 
@@ -102,7 +102,7 @@
     let p = plan(windows);
     let plain = played(&p, ALL_ON).news;
     let back = played(&p, &format!("{ALL_ON}clock(at = \"5m\", back = \"40m\")\n")).news;
-    let times = |news: &[(u64, News)]| news.iter().map(|n| n.0 / (30 * S)).collect::<Vec<_>>();
+    let times = |news: &[(u64, Announcement)]| news.iter().map(|n| n.0 / (30 * S)).collect::<Vec<_>>();
     assert_eq!(times(&plain), times(&back), "a step back repeats nothing and delays nothing");
     // Forwards over the whole window: it is night by that clock, and nothing moves until the clock is set right.
     let night = played(
@@ -209,7 +209,7 @@
     fn new(plan: &Plan) -> Direct {
         let mut d = Direct { release: Release::new(1), now: Now { wall: start(), steady: 0 } };
         d.tell(Event::Started);
-        assert_eq!(d.tell(Event::Offer(Box::new(plan.clone()))), Reply::Ok);
+        assert_eq!(d.tell(Event::Offer(Box::new(plan.clone()))), Reply::Accepted);
         d.tell(Event::Tick);
         for place in 0..4 {
             d.tell(Event::Place { place, build: 1, state: PlaceState::Running });
@@ -218,7 +218,7 @@
     }
 
     fn tell(&mut self, event: Event) -> Reply {
-        self.release.on_event(self.now, &event).0
+        self.release.on_event(self.now, &event).reply
     }
 
     fn pass(&mut self, seconds: u64) {
@@ -234,7 +234,7 @@
 
     /// The wave's places run, and it has soaked.
     fn soak(&mut self) {
-        for (place, build) in self.release.wanted() {
+        for (place, build) in self.release.desired_builds() {
             self.tell(Event::Place { place, build, state: PlaceState::Running });
         }
         self.pass(610);
@@ -245,27 +245,30 @@
 fn late_votes_for_an_earlier_stage_are_moot_and_none_counts_twice() {
     let mut d = Direct::new(&plan(""));
     d.soak();
-    assert_eq!(d.vote(0, 0, Verdict::On), Reply::Ok);
+    assert_eq!(d.vote(0, 0, Verdict::On), Reply::Accepted);
     for _ in 0..10 {
-        assert_eq!(d.vote(0, 0, Verdict::On), Reply::Ok);
+        assert_eq!(d.vote(0, 0, Verdict::On), Reply::Accepted);
     }
     d.pass(1);
-    assert_eq!(d.release.news().stage, 0, "one proxy counted twice");
-    assert_eq!(d.vote(1, 0, Verdict::On), Reply::Ok);
+    assert_eq!(d.release.announcement().stage, 0, "one proxy counted twice");
+    assert_eq!(d.vote(1, 0, Verdict::On), Reply::Accepted);
     d.pass(1);
-    assert_eq!(d.release.news().stage, 1);
+    assert_eq!(d.release.announcement().stage, 1);
     for proxy in 0..4 {
-        assert!(matches!(d.vote(proxy, 0, Verdict::On), Reply::Moot(_)));
+        assert!(matches!(d.vote(proxy, 0, Verdict::On), Reply::Obsolete(_)));
     }
     d.soak();
-    assert_eq!(d.release.news().phase, Phase::Trial, "votes of the first wave released it");
-    assert!(matches!(d.vote(9, 1, Verdict::On), Reply::Refused(_)));
+    assert_eq!(d.release.announcement().phase, Phase::Trial, "votes of the first wave released it");
+    assert!(matches!(d.vote(9, 1, Verdict::On), Reply::Rejected(_)));
     // Votes of the wave expire.
-    assert_eq!((d.vote(0, 1, Verdict::On), d.vote(2, 1, Verdict::Withdraw)), (Reply::Ok, Reply::Ok));
+    assert_eq!(
+        (d.vote(0, 1, Verdict::On), d.vote(2, 1, Verdict::Withdraw)),
+        (Reply::Accepted, Reply::Accepted)
+    );
     d.pass(31);
     d.vote(1, 1, Verdict::On);
     d.pass(1);
-    assert_eq!(d.release.news().phase, Phase::Trial, "a vote outlived its time");
+    assert_eq!(d.release.announcement().phase, Phase::Trial, "a vote outlived its time");
 }
 
 #[test]
@@ -279,9 +282,9 @@
     d.vote(0, 0, Verdict::Back);
     d.vote(1, 0, Verdict::Back);
     d.pass(1);
-    assert_eq!((d.release.news().phase, d.release.news().stage), (Phase::RollingBack, 0));
-    assert!(matches!(d.vote(2, 0, Verdict::On), Reply::Moot(_)));
-    assert!(matches!(d.tell(Event::Sign { who: "qa".into(), wave: "all".into() }), Reply::Moot(_)));
+    assert_eq!((d.release.announcement().phase, d.release.announcement().stage), (Phase::RollingBack, 0));
+    assert!(matches!(d.vote(2, 0, Verdict::On), Reply::Obsolete(_)));
+    assert!(matches!(d.tell(Event::Sign { who: "qa".into(), wave: "all".into() }), Reply::Obsolete(_)));
 }
 
 #[test]
@@ -289,32 +292,32 @@
     let mut d = Direct::new(&plan(""));
     d.soak();
     d.tell(Event::Order { who: "on-call".into(), order: Order::Back });
-    assert_eq!(d.release.news().phase, Phase::RollingBack);
+    assert_eq!(d.release.announcement().phase, Phase::RollingBack);
     let mut next = plan("");
     next.build = 8;
-    assert!(matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Moot(_)));
-    assert_eq!(d.tell(Event::Offer(Box::new(next.clone()))), Reply::Ok);
+    assert!(matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Obsolete(_)));
+    assert_eq!(d.tell(Event::Offer(Box::new(next.clone()))), Reply::Accepted);
     let mut third = next.clone();
     third.build = 9;
-    assert!(matches!(d.tell(Event::Offer(Box::new(third))), Reply::Refused(_)));
+    assert!(matches!(d.tell(Event::Offer(Box::new(third))), Reply::Rejected(_)));
     d.pass(30);
-    assert_eq!(d.release.news().build, 7, "two builds on their way in one place");
+    assert_eq!(d.release.announcement().build, 7, "two builds on their way in one place");
     for p in 0..4 {
         d.tell(Event::Place { place: p, build: 1, state: PlaceState::Running });
         d.tell(Event::Place { place: p, build: 7, state: PlaceState::Gone });
     }
     d.pass(2);
-    assert_eq!((d.release.news().build, d.release.news().phase), (8, Phase::Trial));
+    assert_eq!((d.release.announcement().build, d.release.announcement().phase), (8, Phase::Trial));
     d.tell(Event::Order { who: "on-call".into(), order: Order::Back });
     for p in 0..4 {
         d.tell(Event::Place { place: p, build: 8, state: PlaceState::Gone });
     }
     d.pass(2);
-    assert_eq!(d.release.news().phase, Phase::Withdrawn);
+    assert_eq!(d.release.announcement().phase, Phase::Withdrawn);
     assert!(
-        matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Refused(w) if w.contains("called back"))
+        matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Rejected(w) if w.contains("called back"))
     );
-    assert!(matches!(d.tell(Event::Offer(Box::new(next))), Reply::Refused(_)));
+    assert!(matches!(d.tell(Event::Offer(Box::new(next))), Reply::Rejected(_)));
 }
 
 #[test]
@@ -328,11 +331,11 @@
     assert_eq!(again, d.release);
     let later = Now { wall: d.now.wall + 5 * S, steady: 77 };
     again.on_event(later, &Event::Started);
-    assert_eq!(again.news(), d.release.news());
+    assert_eq!(again.announcement(), d.release.announcement());
     let vote = Vote { proxy: 1, build: 7, stage: 0, verdict: Verdict::On };
     again.on_event(Now { wall: later.wall + S, steady: 77 + S }, &Event::Vote(vote));
     again.on_event(Now { wall: later.wall + 2 * S, steady: 77 + 2 * S }, &Event::Tick);
-    assert_eq!(again.news().stage, 1, "the vote from before the restart still stood");
+    assert_eq!(again.announcement().stage, 1, "the vote from before the restart still stood");
     // A clock that went back while it was away: how old the votes are is unknown, so none stands.
     let mut unsure: Release = serde_json::from_str(&text).unwrap();
     unsure.on_event(Now { wall: d.now.wall - 60 * S, steady: 5 }, &Event::Started);
@@ -345,10 +348,10 @@
 
 #[test]
 fn four_hundred_and_eighty_votes_within_100_ms_are_taken_up_to_the_allowance() {
-    let mut allowance = violetseam_release::Allowance::new(150.0, 0);
-    let taken = (0..480u64).filter(|n| allowance.takes(n * 100_000 / 480)).count();
+    let mut allowance = violetseam_release::VoteRateLimit::new(150.0, 0);
+    let taken = (0..480u64).filter(|n| allowance.try_take(n * 100_000 / 480)).count();
     assert!((300..=316).contains(&taken), "two seconds' worth and what 100 ms bring: {taken}");
     // Those that heard `full` come again over the next seconds: all are heard within two more.
-    let late = (0..180u64).filter(|n| allowance.takes(100_000 + n * 2_000_000 / 180)).count();
+    let late = (0..180u64).filter(|n| allowance.try_take(100_000 + n * 2_000_000 / 180)).count();
     assert_eq!(late, 180);
 }
--- a/crates/rehearsal/tests/random.rs
+++ b/crates/rehearsal/tests/random.rs
@@ -235,7 +235,7 @@
                 again.on_event(step.now, &step.event);
             }
             assert_eq!(
-                again.news(),
+                again.announcement(),
                 step.after,
                 "{text}\nscript: {script:?}\nat {} s: {step:?}",
                 step.now.steady / S
--- a/crates/release/src/release.rs
+++ b/crates/release/src/release.rs
@@ -17,7 +17,7 @@
 use crate::reply::Declined;
 use crate::trial::Trial;
 use crate::votes::Votes;
-use crate::{Event, News, Now, Phase, Reply};
+use crate::{Announcement, Event, EventOutcome, Now, Phase, Reply};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use violetseam_plan::{Micros, Plan};
@@ -32,7 +32,7 @@
     #[serde(rename = "earlier")]
     previous_build: u16,
     #[serde(rename = "news")]
-    announcement: News,
+    announcement: Announcement,
     /// The newest build's plan, from its first wave on.
     trial: Option<Trial>,
     /// Offered, and its first wave has not begun.
@@ -58,7 +58,7 @@
     pub fn new(build: u16) -> Self {
         Release {
             previous_build: build,
-            announcement: News { build, stage: 0, phase: Phase::Released, cap: 1.0 },
+            announcement: Announcement { build, stage: 0, phase: Phase::Released, cap: 1.0 },
             trial: None,
             pending: None,
             votes: Votes::default(),
@@ -71,7 +71,7 @@
     }
 
     /// What is announced to proxies.
-    pub fn news(&self) -> News {
+    pub fn announcement(&self) -> Announcement {
         self.announcement
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Which build each place is to run, as pairs of place and build; none before a plan has named the places.
-    pub fn wanted(&self) -> BTreeSet<(u32, u16)> {
+    pub fn desired_builds(&self) -> BTreeSet<(u32, u16)> {
         let Some(trial) = &self.trial else { return BTreeSet::new() };
         let fleet = &trial.run.plan.fleet;
         let previous = self.previous_build;
@@ -118,7 +118,7 @@
     }
 
     /// How long until time alone may decide something, from the last event on.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         let last_event = self.last_event?;
         let mut spans = Vec::new();
         if let Some(pending) = &self.pending {
@@ -142,8 +142,8 @@
         spans.into_iter().filter(|span| *span > 0).min()
     }
 
-    /// Takes an event: the reply, and whether the state changed in a way that must be recorded.
-    pub fn on_event(&mut self, now: Now, event: &Event) -> (Reply, bool) {
+    /// Takes an event.
+    pub fn on_event(&mut self, now: Now, event: &Event) -> EventOutcome {
         let time_changed = match event {
             Event::Started => self.restart(now),
             _ => self.advance(now),
@@ -151,7 +151,7 @@
         let result = self.apply(event);
         let event_changed = matches!(result, Ok(true));
         let reply = match result {
-            Ok(_) => Reply::Ok,
+            Ok(_) => Reply::Accepted,
             Err(declined) => declined.into(),
         };
         // A build progresses with time alone: everything that arrives together is taken in before it does.
@@ -166,7 +166,7 @@
                 trial.soaked_unrecorded = 0;
             }
         }
-        (reply, is_recorded)
+        EventOutcome { reply, changed: is_recorded }
     }
 
     /// Applies what an event says by itself; whether it changed anything.
--- a/crates/release/src/release/progress.rs
+++ b/crates/release/src/release/progress.rs
@@ -3,7 +3,7 @@
 use super::Release;
 use crate::plan_run::RollbackReason;
 use crate::trial::Trial;
-use crate::{News, Now, Phase, Verdict};
+use crate::{Announcement, Now, Phase, Verdict};
 use std::collections::BTreeSet;
 use violetseam_plan::{Gate, OnClose};
 
@@ -70,7 +70,7 @@
         let Some(run) = self.pending.take() else { return false };
         self.previous_build = current;
         let cap = run.plan.waves[0].cap;
-        self.announcement = News { build: run.plan.build, stage: 0, phase: Phase::Trial, cap };
+        self.announcement = Announcement { build: run.plan.build, stage: 0, phase: Phase::Trial, cap };
         self.votes.clear();
         self.trial = Some(Trial::new(run));
         true
--- a/crates/release/src/release/status.rs
+++ b/crates/release/src/release/status.rs
@@ -3,13 +3,13 @@
 use super::Release;
 use crate::plan_run::PlanHold;
 use crate::trial::Trial;
-use crate::{News, Phase, Verdict};
+use crate::{Announcement, Phase, Verdict};
 use violetseam_plan::Gate;
 
 impl Release {
     /// One line on where the release stands and what it waits for.
-    pub fn standing(&self) -> String {
-        let News { build, stage, phase, cap } = self.announcement;
+    pub fn describe(&self) -> String {
+        let Announcement { build, stage, phase, cap } = self.announcement;
         let pending = self.pending_status();
         let Some(trial) = &self.trial else { return format!("build {build} runs everywhere{pending}") };
         let reason = trial.rollback_reason.as_deref().unwrap_or("");
--- a/crates/release/src/reply.rs
+++ b/crates/release/src/reply.rs
@@ -3,41 +3,52 @@
 use serde::{Deserialize, Serialize};
 
 /// What became of an event.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EventOutcome {
+    /// The reply to whoever sent it.
+    pub reply: Reply,
+    /// The state changed in a way that must be recorded.
+    pub changed: bool,
+}
+
+/// The reply to an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// It counts.
-    Ok,
+    /// It is in force.
+    #[serde(rename = "ok")]
+    Accepted,
     /// It is about something that is past, and changes nothing.
-    Moot(String),
+    #[serde(rename = "moot")]
+    Obsolete(String),
     /// It is not permitted, or makes no sense, and changes nothing.
-    Refused(String),
+    #[serde(rename = "refused")]
+    Rejected(String),
 }
 
-/// Where the newest build stands.
+/// The phase of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// On trial.
+    /// It is on trial.
     Trial,
-    /// Going back.
+    /// It is being rolled back.
     RollingBack,
-    /// Released.
+    /// It is released.
     Released,
-    /// Gone back.
+    /// It was rolled back.
     Withdrawn,
 }
 
-/// What the controller tells proxies.
+/// What the controller announces to proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Announcement {
     /// The newest build.
     pub build: u16,
     /// Its stage, from 0: the wave that it is in.
     pub stage: u8,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
-    /// The most of the traffic that it may get.
+    /// The highest share of the traffic that it may get.
     pub cap: f64,
 }
 
@@ -55,8 +66,8 @@
 impl From<Declined> for Reply {
     fn from(declined: Declined) -> Self {
         match declined {
-            Declined::Obsolete(reason) => Reply::Moot(reason.to_string()),
-            Declined::Rejected(reason) => Reply::Refused(reason.to_string()),
+            Declined::Obsolete(reason) => Reply::Obsolete(reason.to_string()),
+            Declined::Rejected(reason) => Reply::Rejected(reason.to_string()),
         }
     }
 }
--- a/crates/release/src/allowance.rs
+++ b/crates/release/src/vote_rate.rs
@@ -8,16 +8,16 @@
 /// A token bucket that limits the votes of all proxies together. It is not part of the durable state: a vote over
 /// the limit is answered `full` and never becomes an event.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct VoteRateLimit {
     votes_per_s: f64,
     tokens: f64,
     refilled_at: Micros,
 }
 
-impl Allowance {
+impl VoteRateLimit {
     /// A full bucket.
     pub fn new(votes_per_s: f64, steady: Micros) -> Self {
-        Allowance { votes_per_s, tokens: BURST_SECONDS * votes_per_s, refilled_at: steady }
+        VoteRateLimit { votes_per_s, tokens: BURST_SECONDS * votes_per_s, refilled_at: steady }
     }
 
     /// Changes the rate, when another plan says so.
@@ -26,7 +26,7 @@
     }
 
     /// Takes a token for one vote; `false` if there is none.
-    pub fn takes(&mut self, steady: Micros) -> bool {
+    pub fn try_take(&mut self, steady: Micros) -> bool {
         let elapsed_s = steady.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(steady);
         let refilled = self.tokens + elapsed_s * self.votes_per_s;
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -15,7 +15,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 use violetseam_plan::{Plan, read_text};
-use violetseam_release::{Event, News, Now, Order, Phase, PlaceState, Release, Verdict, Vote};
+use violetseam_release::{Announcement, Event, Now, Order, Phase, PlaceState, Release, Verdict, Vote};
 
 const S: u64 = 1_000_000;
 const TICK: u64 = 20 * S;
@@ -44,7 +44,7 @@
     /// Durable, and it has not looked for a later term yet.
     written: bool,
     /// What it may say.
-    speaks: Option<News>,
+    speaks: Option<Announcement>,
 }
 
 /// What became durable in a term: the state, all news that it went through, and those that its holder had read
@@ -58,7 +58,7 @@
 
 impl Term {
     fn new(state: &Rc<Release>, read: BTreeSet<(u16, u8, u8)>) -> Term {
-        Term { state: state.clone(), history: [code(state.news())].into(), read }
+        Term { state: state.clone(), history: [code(state.announcement())].into(), read }
     }
 }
 
@@ -70,7 +70,7 @@
     /// Term numbers are indices; the first is begun at the start.
     terms: Vec<Term>,
     /// Term of the state that the latest successor read.
-    proxies: [(usize, Option<News>); 3],
+    proxies: [(usize, Option<Announcement>); 3],
     /// Messages under way: to a proxy, number, news. Any of them may come, get lost or be late.
     wire: BTreeSet<(usize, usize, (u16, u8, u8))>,
     /// Votes that each proxy cast for stage 0, as time; for the property on quorums.
@@ -90,7 +90,7 @@
     read_text("p", text, &[], WALL).unwrap()
 }
 
-fn code(news: News) -> (u16, u8, u8) {
+fn code(news: Announcement) -> (u16, u8, u8) {
     (news.build, news.stage, news.phase as u8)
 }
 
@@ -102,14 +102,14 @@
         release.on_event(now, &Event::Offer(Box::new(plan())));
         release.on_event(now, &Event::Tick);
         release.on_event(now, &Event::Place { place: 0, build: 2, state: PlaceState::Running });
-        assert_eq!(release.news().phase, Phase::Trial);
+        assert_eq!(release.announcement().phase, Phase::Trial);
         let release = Rc::new(release);
         let holder = Controller {
             term: Some(0),
             release: release.clone(),
             pending: None,
             written: false,
-            speaks: Some(release.news()),
+            speaks: Some(release.announcement()),
         };
         let standby = Controller { term: None, speaks: None, ..holder.clone() };
         World {
@@ -139,8 +139,8 @@
             return None;
         }
         let mut next = Release::clone(&controller.release);
-        let (_, mut kept) = next.on_event(self.now(), event);
-        kept |= next.on_event(self.now(), &Event::Tick).1;
+        let mut kept = next.on_event(self.now(), event).changed;
+        kept |= next.on_event(self.now(), &Event::Tick).changed;
         if !kept {
             return None;
         }
@@ -148,10 +148,10 @@
         if let Event::Vote(vote) = event {
             world.cast[vote.proxy as usize] = Some(self.time);
         }
-        world.check_step(controller.release.news(), next.news());
-        world.say(format!("controller {c} decides on {what}: {}", next.standing()));
+        world.check_step(controller.release.announcement(), next.announcement());
+        world.say(format!("controller {c} decides on {what}: {}", next.describe()));
         if bug == Bug::SpeaksFirst {
-            world.controllers[c].speaks = Some(next.news());
+            world.controllers[c].speaks = Some(next.announcement());
         }
         world.controllers[c].pending = Some(Rc::new(next));
         Some(world)
@@ -178,7 +178,7 @@
                 if term < seen {
                     world.broken = Some(format!("proxy {proxy} obeys term {term} after {seen}"));
                 }
-                let news = News { build, stage, phase, cap: 0.0 };
+                let news = Announcement { build, stage, phase, cap: 0.0 };
                 world.proxies[proxy] = (term.max(seen), Some(news));
             }
             out.push(world);
@@ -212,7 +212,7 @@
             world.say(format!("controller {c}: durable"));
             let term = controller.term.unwrap_or(0);
             world.terms[term].state = pending.clone();
-            world.terms[term].history.insert(code(pending.news()));
+            world.terms[term].history.insert(code(pending.announcement()));
             let me = &mut world.controllers[c];
             (me.release, me.pending, me.written) = (pending.clone(), None, true);
             out.push(world);
@@ -227,8 +227,8 @@
                 (me.term, me.speaks) = (None, None);
                 world.say(format!("controller {c} sees a later term and is silent"));
             } else {
-                me.speaks = Some(me.release.news());
-                world.say(format!("controller {c} may speak: {}", world.controllers[c].release.standing()));
+                me.speaks = Some(me.release.announcement());
+                world.say(format!("controller {c} may speak: {}", world.controllers[c].release.describe()));
             }
             out.push(world);
         }
@@ -251,14 +251,14 @@
             let mut world = self.clone();
             let last = self.terms.len() - 1;
             let mut state = Release::clone(&self.terms[last].state);
-            let before = state.news();
+            let before = state.announcement();
             state.on_event(self.now(), &Event::Started);
-            world.say(format!("controller {c} begins term {}: {}", self.terms.len(), state.standing()));
-            world.check_step(before, state.news());
+            world.say(format!("controller {c} begins term {}: {}", self.terms.len(), state.describe()));
+            world.check_step(before, state.announcement());
             let state = Rc::new(state);
             let read = self.terms[last].history.clone();
             world.terms.push(Term::new(&state, read));
-            let news = state.news();
+            let news = state.announcement();
             world.controllers[c] = Controller {
                 term: Some(self.terms.len()),
                 release: state,
@@ -270,7 +270,7 @@
         }
     }
 
-    fn check_step(&mut self, before: News, after: News) {
+    fn check_step(&mut self, before: Announcement, after: Announcement) {
         if after.stage > before.stage {
             self.check_quorum();
         }
@@ -284,7 +284,7 @@
     }
 
     /// Something is said to a proxy under a term's number.
-    fn check_said(&mut self, term: usize, news: News) {
+    fn check_said(&mut self, term: usize, news: Announcement) {
         let said = code(news);
         if !self.terms[term].history.contains(&said) {
             self.broken = Some(format!("term {term} says what is not durable: stage {}", news.stage));
@@ -303,7 +303,7 @@
             return Some(broken.clone());
         }
         for (n, term) in self.terms.iter().enumerate().skip(1) {
-            let (before, now) = (self.terms[n - 1].state.news(), term.state.news());
+            let (before, now) = (self.terms[n - 1].state.announcement(), term.state.announcement());
             // Only while the earlier holder has not written past its replacement.
             if before.phase == Phase::RollingBack && now.phase == Phase::Released {
                 return Some(format!("called back in term {}, released in term {n}", n - 1));
@@ -315,7 +315,7 @@
     /// The hold before the second wave can be left, from wherever the first is.
     fn check_hold(&self) -> Option<String> {
         let mut state = Release::clone(&self.terms.last()?.state);
-        if (state.news().phase, state.news().stage) != (Phase::Trial, 0) {
+        if (state.announcement().phase, state.announcement().stage) != (Phase::Trial, 0) {
             return None;
         }
         let at =
@@ -327,8 +327,8 @@
             state.on_event(at(2), &Event::Vote(vote));
         }
         state.on_event(at(2), &Event::Tick);
-        let left = state.news().stage == 1;
-        (!left).then(|| format!("the hold cannot be left: {}", state.standing()))
+        let left = state.announcement().stage == 1;
+        (!left).then(|| format!("the hold cannot be left: {}", state.describe()))
     }
 }
 
@@ -351,7 +351,7 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         let w = &self.0;
         (w.time, &w.wire, w.cast, w.proxies.map(|p| (p.0, p.1.map(code)))).hash(state);
-        let of = |r: &Release| (code(r.news()), r.votes());
+        let of = |r: &Release| (code(r.announcement()), r.votes());
         for c in &w.controllers {
             (c.term, c.written, c.speaks.map(code), of(&c.release), c.pending.as_deref().map(of)).hash(state);
         }
