--- a/crates/cli/src/publisher.rs
+++ b/crates/cli/src/publisher.rs
@@ -81,7 +81,8 @@
     logs::start(&args.log)?;
     violetseam_publisher::serve::serve(settings, |address, version| {
         println!("publishes from version {version} on {address}");
-    })?;
+    })
+    .map_err(|error| error.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/publisher/src/lib.rs
+++ b/crates/publisher/src/lib.rs
@@ -1,22 +1,31 @@
 //! The publisher of incremental configuration distribution as a daemon, and the client that speaks to it.
 //!
-//! - `settings.rs`: where it listens, what it keeps, and the bounds of everything that comes from outside
-//! - `protocol.rs`: paths, requests and answers of its HTTP interface
-//! - `store.rs`: the durable configuration and log (`redb`)
-//! - `serve.rs`: the loop: start, signals, timers
-//! - `connections.rs`: accepting, reading, writing and closing connections
-//! - `requests.rs`: what each request does
-//! - `watches.rs`: endless answers to subscribers: backlog, heartbeats, slow readers
-//! - `client.rs`: one request with a time-out, for the command line
+//! Each module uses only those above it, apart from `client`, which uses `protocol` alone:
+//! - `settings`: the address, the state folder, the bounds
+//! - `protocol`: paths, requests and responses of the HTTP interface
+//! - `store`: the durable configuration and log (`redb`)
+//! - `http_messages`: complete requests and responses
+//! - `halt`: why nothing is published any more
+//! - `service`: what each request does, without connections
+//! - `watch`: one endless response to a subscriber: backlog, heartbeats, slow readers
+//! - `connection`: one connection
+//! - `server`: all connections on the event loop
+//! - `serve`: start, signals, end
+//! - `client`: one request with a timeout, for the command line
 //!
 //! Decisions are in `violetseam-distribution`, which does no I/O. A change is durable before a subscriber or
 //! the operator who published it hears of it. `docs/distribution.md` has the design.
 
 pub mod client;
-mod connections;
+mod connection;
+mod halt;
+mod http_messages;
 pub mod protocol;
-mod requests;
 pub mod serve;
+mod server;
+mod service;
 pub mod settings;
 pub mod store;
-mod watches;
+mod watch;
+
+pub use service::DurabilityError;
--- a/crates/publisher/src/serve.rs
+++ b/crates/publisher/src/serve.rs
@@ -1,190 +1,95 @@
-//! The publisher's loop: its start, signals, timers.
+//! Runs a publisher: restores its state, listens, dispatches events until a signal ends it.
 
-use crate::connections::Connection;
+use crate::server::Server;
+use crate::service::{DurabilityError, Service};
 use crate::settings::Settings;
-use crate::store::{Store, term_of_wall_clock};
-use calloop::generic::Generic;
+use crate::store::{Store, StoreError, term_of_wall_clock};
+use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
-use calloop::timer::{TimeoutAction, Timer};
-use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use rustix::process::{Resource as Limit, Rlimit, getrlimit, setrlimit};
-use slab::Slab;
-use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::net::TcpListener;
-use std::time::{Duration, Instant};
-use violetseam_distribution::admission::{Admission, AdmissionLimits};
-use violetseam_distribution::publisher::{LogLimits, Publisher};
-use violetseam_distribution::{Micros, Term, Version};
-use violetseam_loopio::quiet::RateLimit;
-use violetseam_loopio::timers::Timers;
+use thiserror::Error;
+use violetseam_distribution::publisher::{LogLimits, Publisher, TermNotHigher};
+use violetseam_distribution::{Term, Version};
 
 /// Connections that wait in the kernel to be accepted.
-const BACKLOG: i32 = 4_096;
-/// After connections could not be accepted, the next ones are after this long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const LISTEN_BACKLOG: i32 = 4_096;
 /// File descriptors beside those of connections: the loop's, the store's, the listener's.
-const DESCRIPTORS_APART: u64 = 64;
+const RESERVED_DESCRIPTORS: u64 = 64;
 
-/// Why the publisher publishes nothing more until a person has looked: what it would publish could not be
-/// told from what its subscribers hold already.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Halt {
-    /// A subscriber follows a publisher of a higher term.
-    Superseded {
-        /// Who.
-        subscriber: String,
-        /// The other publisher's term.
+/// Why a publisher could not start, or ended other than by a signal.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// The event loop or one of its sources failed.
+    #[error("the event loop failed: {0}")]
+    EventLoop(#[from] calloop::Error),
+    /// The limit of open files could not be raised.
+    #[error("the limit of open files could not be raised: {0}")]
+    DescriptorLimit(#[source] rustix::io::Errno),
+    /// The store cannot be used.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// The term that was asked for is not above the stored one.
+    #[error("--term {term}: {source}")]
+    Term {
+        /// The term that was asked for.
         term: Term,
+        /// The stored term.
+        source: TermNotHigher,
     },
-    /// A subscriber holds a version of this term that is not in the store: its newest part was lost.
-    Ahead {
-        /// Who.
-        subscriber: String,
-        /// What it holds.
-        known: Version,
-    },
+    /// The address cannot be listened on.
+    #[error("cannot listen: {0}")]
+    Listen(#[source] std::io::Error),
+    /// An update is not known to be durable.
+    #[error(transparent)]
+    NotDurable(#[from] DurabilityError),
 }
 
-impl std::fmt::Display for Halt {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Halt::Superseded { subscriber, term } => write!(
-                f,
-                "subscriber {subscriber} follows a publisher of term {term}: stop this one, or start it with a \
-                 --term above that"
-            ),
-            Halt::Ahead { subscriber, known } => write!(
-                f,
-                "subscriber {subscriber} holds version {known}, which this store does not have: put its newest \
-                 part back, or start with a higher --term to go on without it"
-            ),
-        }
-    }
-}
-
-/// A publisher on its loop.
-pub(crate) struct Server {
-    pub(crate) settings: Settings,
-    pub(crate) handle: LoopHandle<'static, Server>,
-    pub(crate) store: Store,
-    pub(crate) publisher: Publisher,
-    pub(crate) admission: Admission,
-    pub(crate) connections: Slab<Connection>,
-    /// Counts connections, so that a timer of one that is gone finds none.
-    pub(crate) generation: u64,
-    /// The connection of each subscriber's watch.
-    pub(crate) watch_of: HashMap<String, usize>,
-    /// Bytes of request bodies that are not complete yet.
-    pub(crate) body_bytes: usize,
-    pub(crate) timers: Timers<(usize, u64)>,
-    pub(crate) halted: Option<Halt>,
-    /// Nothing can be made durable any more.
-    pub(crate) failed: Option<String>,
-    pub(crate) log_rate: RateLimit,
-    started: Instant,
-    stopping: bool,
-    listener: Option<RegistrationToken>,
-}
-
-/// Runs a publisher until SIGTERM or SIGINT. `ready` hears where it listens, and the version it goes on from.
-/// The error is for people: the store cannot be used, or nothing can be made durable any more.
-pub fn serve(settings: Settings, ready: impl FnOnce(SocketAddr, Version)) -> Result<(), String> {
-    let mut event_loop: EventLoop<'static, Server> = EventLoop::try_new().map_err(text)?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT]).map_err(text)?;
+/// Runs a publisher until SIGTERM or SIGINT. `ready` gets the address on which it listens and the version from
+/// which it continues.
+///
+/// # Errors
+/// The publisher cannot start (store, term, address, event loop), or an update is not known to be durable.
+pub fn serve(settings: Settings, ready: impl FnOnce(SocketAddr, Version)) -> Result<(), ServeError> {
+    let mut event_loop: EventLoop<'static, Server> = EventLoop::try_new()?;
+    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
     let handle = event_loop.handle();
-    handle.insert_source(signals, |_, (), server: &mut Server| server.stopping = true).map_err(text)?;
-    raise_descriptor_limit(settings.bounds.connections)?;
-    let store = Store::open(&settings.state).map_err(text)?;
-    let publisher = restore(&store, settings.term, settings.bounds.log)?;
-    let listener = violetseam_loopio::listen(settings.listen, BACKLOG).map_err(text)?;
-    let address = listener.local_addr().map_err(text)?;
+    handle.insert_source(signals, |_, (), server: &mut Server| server.stop()).map_err(|error| error.error)?;
+    let Settings { state, listen, term, bounds } = settings;
+    raise_descriptor_limit(bounds.connections).map_err(ServeError::DescriptorLimit)?;
+    let store = Store::open(&state)?;
+    let publisher = restore(&store, term, bounds.log)?;
+    let listener = violetseam_loopio::listen(listen, LISTEN_BACKLOG).map_err(ServeError::Listen)?;
+    let address = listener.local_addr().map_err(ServeError::Listen)?;
     let version = publisher.version();
-    let mut server = Server::new(settings, handle, store, publisher);
+    let service = Service::new(publisher, store, bounds.snapshots_per_second);
+    let mut server = Server::new(bounds, handle, service);
     server.listen_on(listener)?;
     ready(address, version);
-    while !server.stopping && server.failed.is_none() {
-        let wait = server.timers.wait(server.now(), None);
-        event_loop.dispatch(wait, &mut server).map_err(text)?;
+    while server.is_running() {
+        event_loop.dispatch(server.wait(), &mut server)?;
         server.check_due_connections();
     }
-    server.failed.map_or(Ok(()), Err)
+    Ok(server.into_service().finish()?)
 }
 
-impl Server {
-    fn new(
-        settings: Settings,
-        handle: LoopHandle<'static, Server>,
-        store: Store,
-        publisher: Publisher,
-    ) -> Server {
-        let admission = Admission::new(AdmissionLimits::per_second(settings.bounds.snapshots_per_second));
-        Server {
-            settings,
-            handle,
-            store,
-            publisher,
-            admission,
-            connections: Slab::new(),
-            generation: 0,
-            watch_of: HashMap::new(),
-            body_bytes: 0,
-            timers: Timers::default(),
-            halted: None,
-            failed: None,
-            log_rate: RateLimit::default(),
-            started: Instant::now(),
-            stopping: false,
-            listener: None,
-        }
-    }
-
-    /// The loop's clock, in microseconds since the start.
-    pub(crate) fn now(&self) -> Micros {
-        self.started.elapsed().as_micros() as Micros
-    }
-
-    fn listen_on(&mut self, listener: TcpListener) -> Result<(), String> {
-        let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let token = self.handle.insert_source(source, |_, listener, server: &mut Server| {
-            server.accept(listener);
-            Ok(PostAction::Continue)
-        });
-        self.listener = Some(token.map_err(text)?);
-        Ok(())
-    }
-
-    /// Accepts nothing for a while: the system has no room for another connection.
-    pub(crate) fn pause_accepting(&mut self) {
-        let Some(token) = self.listener else { return };
-        let resume = move |_, _: &mut (), server: &mut Server| {
-            let _ = server.handle.enable(&token);
-            TimeoutAction::Drop
-        };
-        // Only with a timer that ends it.
-        if self.handle.insert_source(Timer::from_duration(ACCEPT_PAUSE), resume).is_ok() {
-            let _ = self.handle.disable(&token);
-        }
-    }
-}
-
-/// The publisher as stored, under the term that is asked for; or a new one, stored before it says anything.
-fn restore(store: &Store, term: Option<Term>, limits: LogLimits) -> Result<Publisher, String> {
-    let Some(mut publisher) = store.load(limits).map_err(text)? else {
+/// The publisher as stored, under the term that is asked for; or a new one, stored before it sends anything.
+fn restore(store: &Store, term: Option<Term>, limits: LogLimits) -> Result<Publisher, ServeError> {
+    let Some(mut publisher) = store.load(limits)? else {
         let publisher = Publisher::new(term.unwrap_or_else(term_of_wall_clock), limits);
-        store.replace(publisher.configuration()).map_err(text)?;
+        store.replace(publisher.configuration())?;
         return Ok(publisher);
     };
     if let Some(term) = term.filter(|term| *term != publisher.version().term) {
-        publisher.begin_term(term).map_err(|error| format!("--term {term}: {error}"))?;
-        store.replace(publisher.configuration()).map_err(text)?;
+        publisher.begin_term(term).map_err(|source| ServeError::Term { term, source })?;
+        store.replace(publisher.configuration())?;
     }
     Ok(publisher)
 }
 
 /// Raises the soft limit of open files as far as the connections need it; the hard limit may be lower.
-fn raise_descriptor_limit(connections: usize) -> Result<(), String> {
-    let needed = connections as u64 + DESCRIPTORS_APART;
+fn raise_descriptor_limit(connections: usize) -> Result<(), rustix::io::Errno> {
+    let needed = connections as u64 + RESERVED_DESCRIPTORS;
     let present = getrlimit(Limit::Nofile);
     if present.current.is_none_or(|current| current >= needed) {
         return Ok(());
@@ -197,9 +102,5 @@
             "the limit of open files allows fewer connections than the bound"
         );
     }
-    setrlimit(Limit::Nofile, Rlimit { current: Some(raised), maximum: present.maximum }).map_err(text)
-}
-
-fn text(error: impl std::fmt::Display) -> String {
-    error.to_string()
+    setrlimit(Limit::Nofile, Rlimit { current: Some(raised), maximum: present.maximum })
 }
--- a/crates/publisher/src/settings.rs
+++ b/crates/publisher/src/settings.rs
@@ -1,4 +1,4 @@
-//! Where a publisher listens, what it keeps, and its bounds.
+//! The settings of a publisher: its address, its state folder and its bounds.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,20 +9,20 @@
 /// A publisher's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder of its durable state; one process at a time.
+    /// The folder of its durable state; used by one process at a time.
     pub state: PathBuf,
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// The term to go on under. None: the stored one, or the wall clock's milliseconds where nothing is stored.
+    /// The term to continue under. None: the stored one, or the wall clock's milliseconds where nothing is stored.
     pub term: Option<Term>,
     /// The bounds.
     pub bounds: Bounds,
 }
 
-/// The bounds of what comes from outside and of what is kept for it.
+/// The bounds of what comes from outside and of what is stored for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections at once; further ones are closed.
+    /// The maximum number of connections; further ones are closed.
     pub connections: usize,
     /// Bytes of deltas that wait for a subscriber beside the answer to its call; past it the watch is closed.
     pub unread_bytes: usize,
--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -57,7 +57,7 @@
         /// The file of the store.
         path: PathBuf,
         /// What is wrong with it.
-        source: StoreFailure,
+        source: Box<StoreFailure>,
     },
     /// The folder or the file cannot be read or written.
     #[error("{}: {source}", path.display())]
@@ -65,7 +65,7 @@
         /// The folder or file.
         path: PathBuf,
         /// Why it cannot be used.
-        source: StoreFailure,
+        source: Box<StoreFailure>,
     },
 }
 
@@ -134,13 +134,13 @@
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
         let path = folder.join(FILE);
         if let Err(error) = std::fs::create_dir_all(folder) {
-            return Err(StoreError::Unusable { path: folder.to_owned(), source: error.into() });
+            return Err(StoreError::Unusable { path: folder.to_owned(), source: Box::new(error.into()) });
         }
         // A damaged file may fail an assertion of the database's own: that is damage, too.
         match catch_unwind(AssertUnwindSafe(|| Database::create(&path))) {
             Ok(Ok(database)) => Ok(Store { path, database }),
             Ok(Err(error)) => Err(open_error(path, error)),
-            Err(_) => Err(StoreError::Damaged { path, source: StoreFailure::OpenPanicked }),
+            Err(_) => Err(StoreError::Damaged { path, source: Box::new(StoreFailure::OpenPanicked) }),
         }
     }
 
@@ -151,10 +151,8 @@
     pub fn load(&self, limits: LogLimits) -> Result<Option<Publisher>, StoreError> {
         match catch_unwind(AssertUnwindSafe(|| self.read(limits))) {
             Ok(Ok(publisher)) => Ok(publisher),
-            Ok(Err(source)) => Err(StoreError::Damaged { path: self.path.clone(), source }),
-            Err(_) => {
-                Err(StoreError::Damaged { path: self.path.clone(), source: StoreFailure::ReadPanicked })
-            }
+            Ok(Err(failure)) => Err(self.damaged(failure)),
+            Err(_) => Err(self.damaged(StoreFailure::ReadPanicked)),
         }
     }
 
@@ -164,7 +162,7 @@
     /// # Errors
     /// The file cannot be written; whether the delta is durable is not known.
     pub fn append(&self, delta: &Delta, oldest_base: Version) -> Result<(), StoreError> {
-        self.write_delta(delta, oldest_base).map_err(|source| self.unusable(source))
+        self.write_delta(delta, oldest_base).map_err(|failure| self.unusable(failure))
     }
 
     /// Makes a complete configuration durable in place of everything; the log is empty after it.
@@ -172,11 +170,15 @@
     /// # Errors
     /// The file cannot be written; whether the configuration is durable is not known.
     pub fn replace(&self, configuration: &Configuration) -> Result<(), StoreError> {
-        self.write_configuration(configuration).map_err(|source| self.unusable(source))
+        self.write_configuration(configuration).map_err(|failure| self.unusable(failure))
+    }
+
+    fn damaged(&self, failure: StoreFailure) -> StoreError {
+        StoreError::Damaged { path: self.path.clone(), source: Box::new(failure) }
     }
 
-    fn unusable(&self, source: StoreFailure) -> StoreError {
-        StoreError::Unusable { path: self.path.clone(), source }
+    fn unusable(&self, failure: StoreFailure) -> StoreError {
+        StoreError::Unusable { path: self.path.clone(), source: Box::new(failure) }
     }
 
     fn read(&self, limits: LogLimits) -> Result<Option<Publisher>, StoreFailure> {
@@ -254,9 +256,9 @@
         DatabaseError::Storage(StorageError::Io(error))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
-            StoreError::Unusable { path, source: error.into() }
+            StoreError::Unusable { path, source: Box::new(error.into()) }
         }
-        other => StoreError::Damaged { path, source: other.into() },
+        other => StoreError::Damaged { path, source: Box::new(other.into()) },
     }
 }
 
