--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -115,8 +115,8 @@
         Some(identity) => {
             let now_s = (wall_clock() / 1_000_000) as i64;
             let files = key_files(identity);
-            let loaded = violetseam_keys::operator(&files, now_s).map_err(|e| format!("identity: {e}"))?;
-            if loaded.ends_s - now_s < violetseam_keys::ENDS_SOON_S {
+            let loaded = violetseam_keys::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
+            if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
                 eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
             }
             Some(loaded.config)
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -193,8 +193,8 @@
     let Some((_, identity)) = &settings.control_tls else { return Ok(None) };
     let now_s = (violetseam_fleet::wall_clock() / 1_000_000) as i64;
     let loaded =
-        violetseam_keys::daemon(&key_files(identity), now_s).map_err(|e| format!("control_tls: {e}"))?;
-    if loaded.ends_s - now_s < violetseam_keys::ENDS_SOON_S {
+        violetseam_keys::server_tls(&key_files(identity), now_s).map_err(|e| format!("control_tls: {e}"))?;
+    if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
         tracing::warn!(cert = identity.cert, "the certificate for control over TCP ends in under two weeks");
     }
     Ok(Some(loaded.config))
--- a/crates/cli/tests/control_tls.rs
+++ b/crates/cli/tests/control_tls.rs
@@ -104,7 +104,7 @@
 
     fn connect(&self, name: &str) -> StreamOwned<ClientConnection, TcpStream> {
         let now = OffsetDateTime::now_utc().unix_timestamp();
-        let config = violetseam_keys::operator(&files(&self.keys, name), now).unwrap().config;
+        let config = violetseam_keys::client_tls(&files(&self.keys, name), now).unwrap().config;
         let stream = TcpStream::connect(self.listen).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let host = ServerName::try_from("127.0.0.1").unwrap();
