--- a/crates/proxy/src/distributed_routes.rs
+++ b/crates/proxy/src/distributed_routes.rs
@@ -10,8 +10,29 @@
 use violetseam_distribution::{Change, Configuration, Resource, ResourceKey, RouteKey, RouteValue};
 use violetseam_settings::{Rank, RouteTable, Target};
 
-/// Tenants are part of what the decisions were started with: a distributed one could not take effect.
-const TENANTS_REFUSED: &str = "tenants are taken from the settings alone: their quotas need a new process";
+/// Why distributed resources cannot be put in force.
+#[derive(Debug, thiserror::Error)]
+pub enum RouteError {
+    /// Tenants are part of what the decisions were started with: a distributed one could not take effect.
+    #[error("tenants are taken from the settings alone: their quotas need a new process")]
+    Tenant,
+    /// The route's class is not in the settings.
+    #[error("route {prefix}: no class {class:?} in this proxy's settings")]
+    UnknownClass {
+        /// The route's prefix.
+        prefix: String,
+        /// The class that it names.
+        class: String,
+    },
+    /// The route's method cannot be one of HTTP.
+    #[error("route {prefix}: malformed method")]
+    MalformedMethod {
+        /// The route's prefix.
+        prefix: String,
+        /// What is wrong with it.
+        source: http::method::InvalidMethod,
+    },
+}
 
 /// The distributed routes, and the classes that they may name.
 #[derive(Debug)]
@@ -32,8 +53,12 @@
         self.table.as_ref()
     }
 
-    /// Whether a proposal could be put in force; why not, for people.
-    pub fn check(&self, proposal: Proposal<'_>) -> Result<(), String> {
+    /// Checks whether a proposal can be put in force.
+    ///
+    /// # Errors
+    ///
+    /// If it has a tenant, or a route with a class that the settings do not have or with a malformed method.
+    pub fn check(&self, proposal: Proposal<'_>) -> Result<(), RouteError> {
         match proposal {
             Proposal::Changes(changes) => changes.iter().try_for_each(|change| self.check_change(change)),
             Proposal::Whole(configuration) => self.check_whole(configuration),
@@ -59,40 +84,41 @@
         }
     }
 
-    fn check_whole(&self, configuration: &Configuration) -> Result<(), String> {
+    fn check_whole(&self, configuration: &Configuration) -> Result<(), RouteError> {
         if configuration.tenants().next().is_some() {
-            return Err(TENANTS_REFUSED.to_owned());
+            return Err(RouteError::Tenant);
         }
         configuration.routes().try_for_each(|(key, value)| self.check_route(key, value))
     }
 
-    fn check_change(&self, change: &Change) -> Result<(), String> {
+    fn check_change(&self, change: &Change) -> Result<(), RouteError> {
         match change {
             Change::Put(Resource::Route(route)) => self.check_route(&route.key, &route.value),
-            Change::Put(Resource::Tenant(_)) => Err(TENANTS_REFUSED.to_owned()),
+            Change::Put(Resource::Tenant(_)) => Err(RouteError::Tenant),
             Change::Remove(_) => Ok(()),
         }
     }
 
-    fn check_route(&self, key: &RouteKey, value: &RouteValue) -> Result<(), String> {
+    fn check_route(&self, key: &RouteKey, value: &RouteValue) -> Result<(), RouteError> {
         if !self.classes.contains_key(&value.class) {
-            return Err(format!("route {}: no class {:?} in this proxy's settings", key.prefix, value.class));
-        }
-        match method_of(key) {
-            Ok(_) => Ok(()),
-            Err(_) => Err(format!("route {}: malformed method", key.prefix)),
+            return Err(RouteError::UnknownClass { prefix: key.prefix.clone(), class: value.class.clone() });
         }
+        method_of(key)
+            .map_err(|source| RouteError::MalformedMethod { prefix: key.prefix.clone(), source })?;
+        Ok(())
     }
 
     fn put(&mut self, key: &RouteKey, value: &RouteValue) {
-        let (Ok(method), Some(class)) = (method_of(key), self.classes.get(&value.class)) else { return };
+        let Ok(method) = method_of(key) else { return };
+        let Some(class) = self.classes.get(&value.class) else { return };
         let rank = Rank::by_prefix(method.as_ref(), &key.prefix);
         let table = self.table.get_or_insert_default();
         table.insert(method.as_ref(), &key.prefix, Target { rank, class: *class });
     }
 
     fn remove(&mut self, key: &RouteKey) {
-        if let (Ok(method), Some(table)) = (method_of(key), &mut self.table) {
+        let Ok(method) = method_of(key) else { return };
+        if let Some(table) = &mut self.table {
             table.remove(method.as_ref(), &key.prefix);
         }
     }
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -192,7 +192,7 @@
         self.arm_subscription();
     }
 
-    /// The subscription is the successor's now: it begins with what was stored and what it is told.
+    /// The subscription is the successor's now: it begins with what was stored and what it receives.
     pub(super) fn leave_publisher(&mut self) {
         self.close_exchange(CallPurpose::Watch);
         self.close_exchange(CallPurpose::Report);
@@ -364,7 +364,7 @@
             match exchange.http.next_event() {
                 None => return,
                 Some(ClientEvent::Head(head)) => {
-                    self.on_publisher_status(purpose, generation, head.status.into())
+                    self.on_publisher_status(purpose, generation, head.status.into());
                 }
                 Some(ClientEvent::Body(bytes)) if exchange.accepted => {
                     exchange.lines.feed(&bytes);
@@ -414,7 +414,9 @@
             };
             let Subscription { subscriber, routes, .. } = &mut **subscription;
             let effects = match line {
-                Ok(message) => subscriber.on_message(now, message, &mut |proposal| routes.check(proposal)),
+                Ok(message) => subscriber.on_message(now, message, &mut |proposal| {
+                    routes.check(proposal).map_err(|error| error.to_string())
+                }),
                 Err(error) => {
                     tracing::warn!("publisher: {error}");
                     subscriber.on_malformed(now, &error)
@@ -509,8 +511,8 @@
 /// Whether a stored configuration can be in force with these settings, which may have changed since.
 fn is_usable(routes: &DistributedRoutes, configuration: &violetseam_distribution::Configuration) -> bool {
     let checked = routes.check(violetseam_distribution::subscriber::Proposal::Whole(configuration));
-    if let Err(why) = &checked {
-        tracing::warn!(version = %configuration.version(), "the stored configuration is not used: {why}");
+    if let Err(error) = &checked {
+        tracing::warn!(version = %configuration.version(), "the stored configuration is not used: {error}");
     }
     checked.is_ok()
 }
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -17,7 +17,7 @@
 use violetseam_shared::budgets::Budgets;
 use violetseam_site::peer::Kind;
 
-/// How often a proxy looks whether it is to stop, where that is not told by a signal.
+/// How often a proxy checks whether it is to stop, where no signal stops it.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How much later than its deadline a response is that is delayed on purpose.
 #[cfg(feature = "sabotage")]
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -1,5 +1,5 @@
 //! An operator's connection: a Unix-domain stream, or TCP under mutual TLS. The bytes that come out of it are
-//! an operator's; a peer that shows no trusted certificate is told nothing, its connection closes.
+//! an operator's; a peer that shows no trusted certificate gets no answer, its connection closes.
 
 use super::super::Proxy;
 use calloop::{Interest, LoopHandle, Readiness};
@@ -90,7 +90,7 @@
         let before = input.len();
         let mut sealed = &bytes[..n];
         while !sealed.is_empty() {
-            // Nothing is flushed on a fault: a peer without a trusted certificate is not told what was wrong with its certificate.
+            // Nothing is flushed on a fault: a peer without a trusted certificate gets no reason.
             if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
                 return Got::Broken;
             }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -7,16 +7,17 @@
 use std::rc::Rc;
 use violetseam_site::peer::{self, Kind};
 
-/// Datagrams taken in one turn of the loop; more wait for the next, or are dropped by the kernel.
-const TURN_MOST: usize = 256;
+/// Datagrams received in one turn of the event loop; more wait for the next, or are dropped by the kernel.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
 impl Proxy {
+    /// Opens the socket for peers, where the settings name an address for it.
     pub(super) fn bind_peers(&mut self) -> std::io::Result<()> {
         let Some(addr) = self.settings.peer_listen else { return Ok(()) };
         self.add_peer_socket(UdpSocket::bind(addr)?)
     }
 
-    /// Puts the peers' socket on the loop.
+    /// Puts the peers' socket on the event loop.
     pub(super) fn add_peer_socket(&mut self, socket: UdpSocket) -> std::io::Result<()> {
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
@@ -35,11 +36,11 @@
 
     fn on_datagrams(&mut self, socket: &UdpSocket) {
         let mut bytes = [0; peer::DATAGRAM_MOST + 1];
-        for _ in 0..TURN_MOST {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, from)) = socket.recv_from(&mut bytes) else { return };
             let now = self.now();
             match peer::decode(self.settings.site, &bytes[..length]) {
-                // A number that does not come from its own address is somebody else's word.
+                // A position that does not come from its own address is somebody else's message.
                 Ok((number, kind, payload))
                     if self.settings.peers.get(usize::from(number)) == Some(&from) =>
                 {
@@ -68,15 +69,22 @@
     /// Leaves the peers' socket to the process that has taken over.
     pub(super) fn leave_peers(&mut self) {
         self.udp = None;
-        self.udp_token.take().into_iter().for_each(|token| self.handle.remove(token));
+        if let Some(token) = self.udp_token.take() {
+            self.handle.remove(token);
+        }
     }
 
+    /// Sends a message to one peer, or to all.
     pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: Kind, payload: &[u8]) {
         let own = self.settings.decisions.position;
-        let (Some(socket), Ok(from)) = (&self.udp, u16::try_from(own)) else { return };
+        let Some(socket) = &self.udp else { return };
+        let Ok(from) = u16::try_from(own) else { return };
         let Some(datagram) = peer::encode(self.settings.site, from, kind, payload) else { return };
-        let told = self.settings.peers.iter().enumerate();
-        for (_, addr) in told.filter(|(n, _)| *n != own && to.is_none_or(|to| to == *n)) {
+        for (position, addr) in self.settings.peers.iter().enumerate() {
+            let is_addressed = to.is_none_or(|to| to == position);
+            if position == own || !is_addressed {
+                continue;
+            }
             // One that is lost is like one that the network lost: counters only grow, the next makes up.
             let _ = socket.send_to(&datagram, addr);
         }
--- a/crates/proxy/src/driver/servers.rs
+++ b/crates/proxy/src/driver/servers.rs
@@ -395,14 +395,16 @@
         let State::Busy(active) = &mut server.state else { return };
         let request = active.request;
         let attempt = active.attempt;
-        let stream =
-            self.in_flight.get(&request).is_some_and(|h| self.settings.decisions.classes[h.class].stream);
+        let is_stream_class = self
+            .in_flight
+            .get(&request)
+            .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
         if outcome != Outcome::Ok {
             // Reported at once: what follows of such an answer is read only to use the connection again.
             server.state = State::Discarding { body_bytes: 0 };
             self.detach_attempt(request, attempt);
             self.end_attempt(request, attempt, outcome);
-        } else if stream {
+        } else if is_stream_class {
             self.start_streaming(key, &head, &[]);
         } else {
             active.answer = AnswerState::Buffered { head, body: Vec::new() };
@@ -535,9 +537,8 @@
         if self.sabotage != Some(super::Sabotage::DoubleSend) || !request.is_multiple_of(20) {
             return;
         }
-        let (Some(in_flight), Some(addr)) = (self.in_flight.get(&request), self.roster.address(id)) else {
-            return;
-        };
+        let Some(in_flight) = self.in_flight.get(&request) else { return };
+        let Some(addr) = self.roster.address(id) else { return };
         let bytes = [&in_flight.head[..], &in_flight.body].concat();
         std::thread::spawn(move || {
             use std::io::{Read, Write};
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -6,7 +6,7 @@
 use super::timers::TimerKind;
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
-use violetseam::interface::{Build, ListKind, Micros, Outcome, Verdict};
+use violetseam::interface::{Build, ListKind, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_http1::client::{ClientConn, ClientEvent};
 use violetseam_loopio::{Got, Socket, connect};
 use violetseam_site::lines::Lines;
@@ -349,18 +349,18 @@
     }
 
     fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
-        let (news, fence) = desk::News::parse(line).map_err(CallError::malformed)?;
+        let (release, fence) = desk::News::parse(line).map_err(CallError::malformed)?;
         if fence < self.release_fence {
             // A controller that stood still while another took its place: not obeyed, and left.
             return Err(CallError::Fenced { fence, highest: self.release_fence });
         }
         self.release_fence = fence;
-        if self.engine.release() != Some(news) {
-            let (build, stage, phase, cap) = (news.build, news.stage, news.phase, news.cap);
+        if self.engine.release() != Some(release) {
+            let ReleaseStatus { build, stage, phase, cap } = release;
             tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
         }
         let now = self.now();
-        self.engine.on_release_status(now, news);
+        self.engine.on_release_status(now, release);
         Ok(())
     }
 
@@ -375,7 +375,7 @@
     }
 
     fn on_vote_ended(&mut self, outcome: Outcome, body: &[u8]) {
-        let (outcome, news) = match outcome {
+        let (outcome, release) = match outcome {
             Outcome::Ok => desk::VoteReply::parse(body).unwrap_or_else(|fault| {
                 tracing::warn!("{fault}");
                 // It was taken by something that does not speak the protocol; whether it counts is open.
@@ -385,16 +385,16 @@
         };
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
-        let (outcome, news) = match news {
+        let (outcome, release) = match release {
             // What an older controller counts, counts nowhere.
             Some((_, fence)) if fence < self.release_fence => (Outcome::Error, None),
-            Some((news, fence)) => {
+            Some((release, fence)) => {
                 self.release_fence = fence;
-                (outcome, Some(news))
+                (outcome, Some(release))
             }
             None => (outcome, None),
         };
-        self.engine.on_vote_reply(now, outcome, news);
+        self.engine.on_vote_reply(now, outcome, release);
     }
 
     fn on_list_failed(&mut self, error: &CallError) {
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -354,7 +354,7 @@
         self.leave_publisher();
         self.leave_peers();
         // Both processes hold these sockets: closing this one's copies ends no connection. Other connections that
-        // have become idle meanwhile were told to close with their answers.
+        // have become idle meanwhile were marked to close with their answers.
         self.set_accepting(true);
         self.stop_listening();
         for key in std::mem::take(&mut self.offered_clients) {
--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -78,7 +78,7 @@
         match action {
             EngineAction::Respond { request, .. } => *answers.entry(request).or_default() += 1,
             EngineAction::StartAttempt { request, .. } if answers.contains_key(&request) => {
-                answered_then_sent += 1
+                answered_then_sent += 1;
             }
             _ => {}
         }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_came_due_is_told_in_its_order() {
+fn deadlines_run_in_the_order_in_which_they_came_due() {
     let mut engine = engine(1);
     let first = engine.on_request(1_100 * MS, Request { deadline: 1_400 * MS, ..request(0, 1) }, true);
     let second = engine.on_request(1_101 * MS, Request { deadline: 1_300 * MS, ..request(0, 1) }, true);
--- a/crates/proxy/tests/interleavings.rs
+++ b/crates/proxy/tests/interleavings.rs
@@ -161,7 +161,7 @@
                     self.written(at);
                 }
                 // What may not leave has its connection closed.
-                self.orders();
+                self.perform_actions();
                 assert!(may || self.tries[at].stand == Stand::Over, "withheld and still open");
             }
             Step::NoConnection(at) => self.ended(at, Outcome::ConnectFailed),
@@ -175,7 +175,7 @@
             Step::Wait => self.pass(self.now + WINDOW / 2),
             Step::Due => self.pass(self.engine.next_deadline().unwrap_or(self.now)),
         }
-        self.orders();
+        self.perform_actions();
     }
 
     /// Time passes up to then; what comes due on the way is played in its turn.
@@ -183,7 +183,7 @@
         while let Some(due) = self.engine.next_deadline().filter(|due| *due <= until) {
             self.now = self.now.max(due);
             self.engine.run_deadlines(self.now);
-            self.orders();
+            self.perform_actions();
         }
         self.now = self.now.max(until);
     }
@@ -225,7 +225,7 @@
         (this.stand, this.ran_at) = (Stand::Written, Some(self.now));
     }
 
-    fn orders(&mut self) {
+    fn perform_actions(&mut self) {
         while let Some(action) = self.engine.next_action() {
             match action {
                 EngineAction::StartAttempt { request, attempt, server } => {
@@ -261,7 +261,7 @@
         for at in 0..self.tries.len() {
             if self.tries[at].stand != Stand::Over {
                 self.ended(at, Outcome::Reset);
-                self.orders();
+                self.perform_actions();
             }
         }
         for (id, asked) in &self.asked {
