--- a/crates/controller/tests/journal.rs
+++ b/crates/controller/tests/journal.rs
@@ -34,10 +34,10 @@
 /// Decides an event and gives its line, as the controller does.
 fn decide(release: &mut Release, at: Now, event: Event) -> Vec<u8> {
     let before = release.announcement();
-    let kept = release.on_event(at, &event).changed;
+    let changed = release.on_event(at, &event).changed;
     let news = release.announcement();
     let after = (news != before).then_some(news);
-    if kept { encode(&Record::Event { now: at, event, after }) } else { Vec::new() }
+    if changed { encode(&Record::Event { now: at, event, after }) } else { Vec::new() }
 }
 
 fn journal(path: &Path, term: u64) -> PathBuf {
@@ -45,7 +45,7 @@
 }
 
 /// A term with an offer, its first wave and two votes.
-fn played(path: &Path) -> (NewTerm, Release) {
+fn begin_and_play(path: &Path) -> (NewTerm, Release) {
     let mut new_term = StateDir::open(path).unwrap().begin_term("one", 1, now(0)).unwrap();
     let mut release = new_term.release.clone();
     let events = [
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn a_successor_goes_on_where_the_last_one_stood() {
+fn a_successor_resumes_the_state_of_the_leader_before() {
     let path = folder("goes-on");
-    let (_, release) = played(&path);
-    let read = StateDir::open(&path).unwrap().read().unwrap().unwrap();
-    assert_eq!((read.release.clone(), read.torn), (release.clone(), false));
+    let (_, release) = begin_and_play(&path);
+    let replay = StateDir::open(&path).unwrap().read().unwrap().unwrap();
+    assert_eq!((replay.release.clone(), replay.torn), (release.clone(), false));
     let new_term = StateDir::open(&path).unwrap().begin_term("two", 1, now(20)).unwrap();
     assert_eq!(
         (new_term.number, new_term.release.announcement(), new_term.release.votes()),
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn torn_at_any_byte_it_reads_as_what_was_whole_and_nothing_is_touched() {
+fn torn_at_any_byte_the_complete_records_are_replayed_and_nothing_is_written() {
     let path = folder("torn");
-    played(&path);
+    begin_and_play(&path);
     let file = journal(&path, 1);
     let whole = std::fs::read(&file).unwrap();
     let lines: Vec<usize> = whole.iter().enumerate().filter(|b| *b.1 == b'\n').map(|b| b.0 + 1).collect();
@@ -93,12 +93,12 @@
     let mut known = 0;
     for cut in state_end..=whole.len() {
         std::fs::write(&file, &whole[..cut]).unwrap();
-        let read = StateDir::open(&path).unwrap().read().unwrap().unwrap();
+        let replay = StateDir::open(&path).unwrap().read().unwrap().unwrap();
         let wholes = lines.iter().filter(|end| **end <= cut).count() - 2;
-        assert_eq!(read.event_count, wholes, "cut at {cut}");
-        assert_eq!(read.torn, !lines.contains(&cut), "cut at {cut}");
+        assert_eq!(replay.event_count, wholes, "cut at {cut}");
+        assert_eq!(replay.torn, !lines.contains(&cut), "cut at {cut}");
         assert_eq!(std::fs::read(&file).unwrap(), &whole[..cut]);
-        known = known.max(read.event_count);
+        known = known.max(replay.event_count);
     }
     assert!(known >= 4);
     // A bit turned in any line but the last is damage, and nothing is begun past it.
@@ -106,14 +106,14 @@
         let mut bytes = whole.clone();
         bytes[at] ^= 0x10;
         std::fs::write(&file, &bytes).unwrap();
-        let fault = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
-        assert!(matches!(fault, JournalError::Damaged { .. }), "at {at}: {fault}");
+        let error = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
+        assert!(matches!(error, JournalError::Damaged { .. }), "at {at}: {error}");
     }
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
-fn a_later_versions_journal_is_refused_and_left_alone() {
+fn a_journal_of_a_later_format_is_rejected_and_left_untouched() {
     let path = folder("newer");
     std::fs::create_dir_all(&path).unwrap();
     let header = encode(&Record::Header { version: 9, leader: "later".into() });
@@ -121,10 +121,10 @@
     bytes.extend_from_slice(b"something of another layout\n");
     std::fs::write(journal(&path, 4), &bytes).unwrap();
     std::fs::write(path.join("term-4"), "later").unwrap();
-    let fault = StateDir::open(&path).unwrap().begin_term("one", 1, now(0)).unwrap_err();
+    let error = StateDir::open(&path).unwrap().begin_term("one", 1, now(0)).unwrap_err();
     assert!(
-        matches!(fault, JournalError::NewerFormat { version: 9, .. })
-            && fault.to_string().contains("Nothing was touched")
+        matches!(error, JournalError::NewerFormat { version: 9, .. })
+            && error.to_string().contains("Nothing was touched")
     );
     let mut names: Vec<String> =
         std::fs::read_dir(&path).unwrap().flatten().map(|e| e.file_name().into_string().unwrap()).collect();
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn decisions_that_would_be_others_now_are_not_gone_on_from() {
+fn a_replay_that_diverges_is_rejected() {
     let path = folder("otherwise");
-    let (_, release) = played(&path);
+    let (_, release) = begin_and_play(&path);
     // What another version may have written: news that this one does not come to.
     let after = Some(violetseam_release::Announcement { stage: 1, ..release.announcement() });
     let line = encode(&Record::Event { now: now(7), event: Event::Tick, after });
@@ -145,15 +145,15 @@
     bytes.extend(line);
     bytes.extend(encode(&Record::Event { now: now(8), event: vote(2), after: None }));
     std::fs::write(journal(&path, 1), bytes).unwrap();
-    let fault = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
-    assert!(matches!(fault, JournalError::Diverged { .. }), "{fault}");
+    let error = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
+    assert!(matches!(error, JournalError::Diverged { .. }), "{error}");
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
-fn a_term_has_one_holder_and_a_replaced_one_is_told_so_after_its_write() {
+fn a_term_has_one_leader_and_a_superseded_writer_fails_after_its_write() {
     let path = folder("terms");
-    let (mut old, mut release) = played(&path);
+    let (mut old, mut release) = begin_and_play(&path);
     let one = StateDir::open(&path).unwrap();
     let new = one.begin_term("two", 1, now(10)).unwrap();
     assert_eq!((old.number, new.number), (1, 2));
@@ -168,9 +168,9 @@
 }
 
 #[test]
-fn two_that_begin_at_one_moment_get_different_terms_or_one_is_told() {
+fn concurrent_leaders_get_different_terms_or_one_fails() {
     let path = folder("race");
-    played(&path);
+    begin_and_play(&path);
     for _ in 0..20 {
         let begin = |name: &'static str| {
             let path = path.clone();
@@ -189,23 +189,23 @@
 }
 
 #[test]
-fn a_journal_is_begun_anew_with_the_whole_state_and_only_that_is_read() {
+fn a_new_journal_begins_with_a_snapshot_and_only_that_is_read() {
     let path = folder("anew");
-    let (mut new_term, mut release) = played(&path);
-    let mut kept = 0;
-    while kept < 2 * SNAPSHOT_INTERVAL + 10 {
+    let (mut new_term, mut release) = begin_and_play(&path);
+    let mut appended = 0;
+    while appended < 2 * SNAPSHOT_INTERVAL + 10 {
         let mut bytes = Vec::new();
         for n in 0..1_000u64 {
-            let at = now(10 + (kept as u64 + n) / 1_000);
+            let at = now(10 + (appended as u64 + n) / 1_000);
             bytes.extend(decide(&mut release, at, vote((n % 4) as u32)));
         }
         new_term.writer.append(&bytes, 1_000, &release).unwrap();
-        kept += 1_000;
+        appended += 1_000;
     }
     let folder = StateDir::open(&path).unwrap();
-    let read = folder.read().unwrap().unwrap();
-    assert!(read.event_count < SNAPSHOT_INTERVAL, "{}", read.event_count);
-    assert_eq!(read.release, release);
+    let replay = folder.read().unwrap().unwrap();
+    assert!(replay.event_count < SNAPSHOT_INTERVAL, "{}", replay.event_count);
+    assert_eq!(replay.release, release);
     let reply = release.on_event(now(100), &vote(1)).reply;
     assert!(matches!(reply, Reply::Accepted | Reply::Obsolete(_)));
     std::fs::remove_dir_all(path).unwrap();
@@ -221,7 +221,7 @@
     };
     for events in [1_000usize, 10_000, 100_000, 1_000_000] {
         let path = folder("measure");
-        let (mut new_term, mut release) = played(&path);
+        let (mut new_term, mut release) = begin_and_play(&path);
         // One file with all events and no state between them, beside what the writer makes of the same.
         let one = path.join("one");
         std::fs::create_dir_all(&one).unwrap();
@@ -243,8 +243,8 @@
             let rounds = if events > 100_000 { 3 } else { 7 };
             let times = (0..rounds).map(|_| {
                 let began = std::time::Instant::now();
-                let read = StateDir::open(path).unwrap().read().unwrap().unwrap();
-                assert_eq!(read.release, release);
+                let replay = StateDir::open(path).unwrap().read().unwrap().unwrap();
+                assert_eq!(replay.release, release);
                 began.elapsed().as_secs_f64() * 1e3
             });
             median(times.collect())
@@ -258,7 +258,7 @@
     }
     for batch in [1usize, 10, 100, 1_000] {
         let path = folder("votes");
-        let (mut new_term, mut release) = played(&path);
+        let (mut new_term, mut release) = begin_and_play(&path);
         let (began, mut kept) = (std::time::Instant::now(), 0);
         while began.elapsed().as_secs_f64() < 2.0 {
             let bytes: Vec<u8> =
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -193,8 +193,15 @@
     }
 
     fn steps_of(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
-        let controller = &self.controllers[c];
-        // Votes go to whoever a proxy last heard, or to anybody: here to both.
+        self.event_steps(c, bug, out);
+        self.journal_steps(c, bug, out);
+        self.announcement_steps(c, out);
+        self.takeover_steps(c, out);
+    }
+
+    /// Events that a controller decides.
+    fn event_steps(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
+        // Votes go to whichever controller a proxy last heard, or to any: here to both.
         for proxy in 0..3u32 {
             if self.proxies[proxy as usize].1.is_none_or(|n| n.stage == 0 && n.phase == Phase::Trial) {
                 let vote = Vote { proxy, build: 2, stage: 0, verdict: Verdict::On };
@@ -206,17 +213,24 @@
             out.extend(self.decide(c, &event, &format!("{order:?} of the lead"), bug));
         }
         out.extend(self.decide(c, &Event::Tick, "time", bug));
+    }
+
+    /// A batch becomes durable, and the controller looks for a later term after it.
+    fn journal_steps(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
+        let controller = &self.controllers[c];
         if let Some(pending) = &controller.pending {
-            // It becomes durable: in its own term, whatever others have begun.
+            // It becomes durable in its own term, whatever terms others have begun.
             let mut world = self.clone();
             world.say(format!("controller {c}: durable"));
             let term = controller.term.unwrap_or(0);
             world.terms[term].state = pending.clone();
             world.terms[term].history.insert(code(pending.announcement()));
             let me = &mut world.controllers[c];
-            (me.release, me.pending, me.written) = (pending.clone(), None, true);
+            me.release = pending.clone();
+            me.pending = None;
+            me.written = true;
             out.push(world);
-            // Or it is killed just before that, and another life begins a term.
+            // Or it is killed just before that, and a restarted one begins a term.
         }
         if controller.written {
             let mut world = self.clone();
@@ -224,7 +238,8 @@
             let me = &mut world.controllers[c];
             me.written = false;
             if later && bug != Bug::DoesNotLook {
-                (me.term, me.speaks) = (None, None);
+                me.term = None;
+                me.speaks = None;
                 world.say(format!("controller {c} sees a later term and is silent"));
             } else {
                 me.speaks = Some(me.release.announcement());
@@ -232,42 +247,50 @@
             }
             out.push(world);
         }
-        if let (Some(term), Some(news)) = (controller.term, controller.speaks) {
-            for proxy in 0..3 {
-                let mut world = self.clone();
-                if world.wire.insert((proxy, term, code(news))) {
-                    world.say(format!(
-                        "controller {c} tells proxy {proxy}: stage {}, {:?}",
-                        news.stage, news.phase
-                    ));
-                    world.check_said(term, news);
-                    out.push(world);
-                }
+    }
+
+    /// The controller announces to each proxy what it may.
+    fn announcement_steps(&self, c: usize, out: &mut Vec<World>) {
+        let controller = &self.controllers[c];
+        let (Some(term), Some(announcement)) = (controller.term, controller.speaks) else { return };
+        for proxy in 0..3 {
+            let mut world = self.clone();
+            if world.wire.insert((proxy, term, code(announcement))) {
+                world.say(format!(
+                    "controller {c} tells proxy {proxy}: stage {}, {:?}",
+                    announcement.stage, announcement.phase
+                ));
+                world.check_said(term, announcement);
+                out.push(world);
             }
         }
-        // Anybody may begin a term at any moment: a lease is a hint, and no property may rest on it. A
-        // controller that does so has been killed, or has stood by; what it had not made durable is lost.
-        if self.terms.len() < 3 {
-            let mut world = self.clone();
-            let last = self.terms.len() - 1;
-            let mut state = Release::clone(&self.terms[last].state);
-            let before = state.announcement();
-            state.on_event(self.now(), &Event::Started);
-            world.say(format!("controller {c} begins term {}: {}", self.terms.len(), state.describe()));
-            world.check_step(before, state.announcement());
-            let state = Rc::new(state);
-            let read = self.terms[last].history.clone();
-            world.terms.push(Term::new(&state, read));
-            let news = state.announcement();
-            world.controllers[c] = Controller {
-                term: Some(self.terms.len()),
-                release: state,
-                pending: None,
-                written: false,
-                speaks: Some(news),
-            };
-            out.push(world);
+    }
+
+    /// Any controller may begin a term at any moment: a lease is a hint, and no property may rest on it. One that
+    /// does so was killed, or was a standby; what it had not made durable is lost.
+    fn takeover_steps(&self, c: usize, out: &mut Vec<World>) {
+        if self.terms.len() >= 3 {
+            return;
         }
+        let mut world = self.clone();
+        let last = self.terms.len() - 1;
+        let mut state = Release::clone(&self.terms[last].state);
+        let before = state.announcement();
+        state.on_event(self.now(), &Event::Started);
+        world.say(format!("controller {c} begins term {}: {}", self.terms.len(), state.describe()));
+        world.check_step(before, state.announcement());
+        let state = Rc::new(state);
+        let read = self.terms[last].history.clone();
+        world.terms.push(Term::new(&state, read));
+        let announcement = state.announcement();
+        world.controllers[c] = Controller {
+            term: Some(self.terms.len()),
+            release: state,
+            pending: None,
+            written: false,
+            speaks: Some(announcement),
+        };
+        out.push(world);
     }
 
     fn check_step(&mut self, before: Announcement, after: Announcement) {
