--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -118,8 +118,8 @@
             summary.counts.received
         );
     }
-    if summary.left_in_hand > 0 || summary.left_open > 0 {
-        eprintln!("left open: {} connections, {} requests", summary.left_open, summary.left_in_hand);
+    if summary.left_in_flight > 0 || summary.left_open > 0 {
+        eprintln!("left open: {} connections, {} requests", summary.left_open, summary.left_in_flight);
         return Ok(ExitCode::FAILURE);
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -1,7 +1,7 @@
 //! Listeners for clients, and the connections that they accept.
 
 use super::super::timers::{ACCEPT_PAUSE, TimerKind};
-use super::super::{ConnectionId, Proxy};
+use super::super::{ClientListener, ConnectionId, Proxy};
 use super::{Client, FIRST_REQUEST_TIMEOUT, State};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
@@ -26,6 +26,7 @@
 }
 
 impl Proxy {
+    /// Binds the addresses of the settings.
     pub(in super::super) fn bind_listeners(&mut self) -> std::io::Result<()> {
         let settings = self.settings.clone();
         for addr in &settings.listen {
@@ -45,7 +46,7 @@
                 Ok(PostAction::Continue)
             })
             .map_err(|e| std::io::Error::other(e.to_string()))?;
-        self.listeners.push((listener, Some(token)));
+        self.listeners.push(ClientListener { listener, token });
         Ok(())
     }
 
@@ -79,7 +80,7 @@
 
     /// Stops or goes on accepting.
     pub(in super::super) fn set_accepting(&mut self, accepting: bool) {
-        for token in self.listeners.iter().filter_map(|(_, token)| token.as_ref()) {
+        for ClientListener { token, .. } in &self.listeners {
             let _ = if accepting { self.handle.enable(token) } else { self.handle.disable(token) };
         }
     }
@@ -93,6 +94,7 @@
         self.timers.set(now + ACCEPT_PAUSE, TimerKind::Accept);
     }
 
+    /// Goes on accepting after a pause.
     pub(in super::super) fn resume_accepting(&mut self) {
         if self.draining {
             self.accept_queued();
@@ -104,7 +106,8 @@
     /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are empty. Where
     /// there is no room for all, the rest is taken as clients leave, for as long as it may have an answer in time.
     pub(in super::super) fn accept_queued(&mut self) {
-        let listeners: Vec<Rc<TcpListener>> = self.listeners.iter().map(|(l, _)| l.clone()).collect();
+        let listeners: Vec<Rc<TcpListener>> =
+            self.listeners.iter().map(|open| open.listener.clone()).collect();
         if listeners.iter().all(|listener| self.accept_queued_on(listener)) || self.now() >= self.listen_until
         {
             self.stop_listening();
@@ -130,11 +133,12 @@
 
     /// Closes the listeners.
     pub(in super::super) fn stop_listening(&mut self) {
-        for token in self.listeners.drain(..).filter_map(|(_, token)| token) {
+        for ClientListener { token, .. } in self.listeners.drain(..) {
             self.handle.remove(token);
         }
     }
 
+    /// Puts a client connection on the event loop.
     pub(in super::super) fn add_client(&mut self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -50,7 +50,7 @@
 
     /// Stores what has to be stored and sums up.
     pub(super) fn finish(mut self) -> Summary {
-        if self.roster_changed {
+        if self.list_changed {
             self.save_list();
         }
         self.finish_configuration();
@@ -59,7 +59,7 @@
         let summary = Summary {
             counts: self.engine.counts(),
             left_open: self.clients.len() + busy_servers,
-            left_in_hand: self.engine.pending_responses() + self.in_flight.len(),
+            left_in_flight: self.engine.pending_responses() + self.in_flight.len(),
             module_time: self.engine.module_time(),
         };
         log_counts(&summary.counts);
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -59,7 +59,7 @@
     proxy.receive_signals(signals)?;
     proxy.open_sockets(operators, inherited)?;
     proxy.join_budgets();
-    let addresses: Vec<SocketAddr> = proxy.listeners.iter().filter_map(|l| l.0.local_addr().ok()).collect();
+    let addresses: Vec<SocketAddr> = proxy.client_addresses();
     ready(&addresses);
     let stop_at = options.stop_after.map(|span| Instant::now() + span);
     if takes_over {
@@ -82,6 +82,11 @@
 }
 
 impl Proxy {
+    /// The addresses that clients can connect to.
+    fn client_addresses(&self) -> Vec<SocketAddr> {
+        self.listeners.iter().filter_map(|open| open.listener.local_addr().ok()).collect()
+    }
+
     fn receive_signals(&mut self, signals: Signals) -> std::io::Result<()> {
         self.handle
             .insert_source(signals, |event, (), proxy| match event.signal() {
@@ -119,7 +124,7 @@
     fn begin(&mut self) {
         let now = self.now();
         let saved = self.load_saved_list();
-        let entries = saved.map(|message| self.roster.restore(now, &message)).unwrap_or_default();
+        let entries = saved.map(|message| self.server_list.restore(now, &message)).unwrap_or_default();
         self.engine.on_server_list(now, ListKind::Cached, &entries);
         self.restore_pause();
         self.open_release_stream();
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -3,7 +3,7 @@
 //! - `event_loop.rs`: start, turns of the event loop, and the engine's actions
 //! - `drain.rs`: the end of a proxy's work, and its summary
 //! - `clients/`: listeners and client connections, up to a complete request and from an answer on
-//! - `servers.rs`: connections to servers and the attempts on them
+//! - `servers/`: connections to servers and the attempts on them
 //! - `site_calls.rs`: calls to discovery and to the release service
 //! - `saved_list.rs`: the server list on disk
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
@@ -55,7 +55,7 @@
 use violetseam_loopio::quiet::RateLimit;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
-use violetseam_site::roster::Roster;
+use violetseam_site::roster::{self, Roster};
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 64 * 1024;
@@ -101,7 +101,7 @@
     /// Client connections and server connections left open: 0 after a drain.
     pub left_open: usize,
     /// Requests left in flight: 0 after a drain.
-    pub left_in_hand: usize,
+    pub left_in_flight: usize,
     /// Time spent in the module, if measured.
     pub module_time: Duration,
 }
@@ -113,6 +113,18 @@
     generation: u64,
 }
 
+/// A listener for clients.
+struct ClientListener {
+    listener: Rc<TcpListener>,
+    token: RegistrationToken,
+}
+
+/// An entry of the server list, and when it was received.
+struct ListedServer {
+    received_at: Micros,
+    entry: roster::Line,
+}
+
 /// One proxy on its event loop.
 pub struct Proxy {
     control: Option<ControlServer>,
@@ -127,17 +139,19 @@
     handed_over: bool,
     /// Idle connections that were offered to it.
     offered_clients: Vec<usize>,
-    listeners: Vec<(Rc<TcpListener>, Option<RegistrationToken>)>,
+    listeners: Vec<ClientListener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
     calls: Slab<Call>,
     in_flight: HashMap<RequestId, InFlightRequest>,
-    idle: BTreeMap<ServerId, Vec<usize>>,
+    /// Connections to servers that are ready for an attempt.
+    idle_servers: BTreeMap<ServerId, Vec<usize>>,
     timers: Timers,
-    roster: Roster,
-    /// The entries of the server list, with when each was received.
-    roster_lines: BTreeMap<ServerId, (Micros, violetseam_site::roster::Line)>,
-    roster_changed: bool,
+    server_list: Roster,
+    /// The entries of the server list as discovery stated them.
+    listed_servers: BTreeMap<ServerId, ListedServer>,
+    /// The list has changed since it was saved.
+    list_changed: bool,
     /// The call that is subscribed to the server list.
     watch: Option<usize>,
     /// The call that streams the release's state.
@@ -170,8 +184,8 @@
     had_socket_events: bool,
     last_vote: Option<String>,
     last_finding: Option<String>,
-    list_heard: Option<Micros>,
-    peers_heard: BTreeMap<usize, Micros>,
+    list_received_at: Option<Micros>,
+    peers_heard_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
     sabotage: Option<Sabotage>,
@@ -204,11 +218,11 @@
             servers: Slab::new(),
             calls: Slab::new(),
             in_flight: HashMap::new(),
-            idle: BTreeMap::new(),
+            idle_servers: BTreeMap::new(),
             timers: Timers::default(),
-            roster: Roster::default(),
-            roster_lines: BTreeMap::new(),
-            roster_changed: false,
+            server_list: Roster::default(),
+            listed_servers: BTreeMap::new(),
+            list_changed: false,
             watch: None,
             release_stream: None,
             release_service_index: 0,
@@ -231,8 +245,8 @@
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
-            list_heard: None,
-            peers_heard: BTreeMap::new(),
+            list_received_at: None,
+            peers_heard_at: BTreeMap::new(),
             attempts_by_build: AttemptsByBuild::default(),
             #[cfg(feature = "sabotage")]
             sabotage: options.sabotage,
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -55,8 +55,8 @@
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
-        if let Some((_, line)) = self.roster_lines.get(&server) {
-            self.attempts_by_build.count(line.build);
+        if let Some(listed) = self.listed_servers.get(&server) {
+            self.attempts_by_build.count(listed.entry.build);
         }
     }
 
@@ -65,7 +65,7 @@
         let now = self.now();
         let control = self.control.as_ref();
         let pause = control.and_then(|control| control.book.pause());
-        let recent_peers = self.peers_heard.values().filter(|at| **at + RECENT_PEER_SPAN > now);
+        let recent_peers = self.peers_heard_at.values().filter(|at| **at + RECENT_PEER_SPAN > now);
         Reading {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
@@ -80,8 +80,8 @@
             connections: (self.clients.len() as u64, self.servers.len() as u64),
             owed: self.engine.pending_responses() as u64,
             peers: recent_peers.count() as u64,
-            list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
-            servers: self.roster_lines.len() as u64,
+            list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
+            servers: self.listed_servers.len() as u64,
             distributed: self.configuration_reading(),
             rights: self.engine.budgets(now).into_iter().map(|sight| self.budget_reading(sight)).collect(),
         }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -45,7 +45,7 @@
                     if self.settings.peers.get(usize::from(number)) == Some(&from) =>
                 {
                     let number = usize::from(number);
-                    self.peers_heard.insert(number, now);
+                    self.peers_heard_at.insert(number, now);
                     match kind {
                         Kind::Decisions => self.engine.on_peer_message(now, number, payload),
                         Kind::Rights => self.engine.on_budget_message(now, number, payload),
--- a/crates/proxy/src/driver/saved_list.rs
+++ b/crates/proxy/src/driver/saved_list.rs
@@ -1,7 +1,7 @@
 //! The server list on disk, for a restart or a process that takes over.
 
-use super::Proxy;
 use super::operators::wall_clock;
+use super::{ListedServer, Proxy};
 use std::path::Path;
 use violetseam::interface::Micros;
 use violetseam_site::roster;
@@ -27,8 +27,8 @@
         match parse_saved_list(saved_at, list) {
             Ok(message) => {
                 let now = self.now();
-                self.roster_lines =
-                    message.servers.iter().map(|line| (line.id, (now, line.clone()))).collect();
+                let listed = |entry: &roster::Line| ListedServer { received_at: now, entry: entry.clone() };
+                self.listed_servers = message.servers.iter().map(|entry| (entry.id, listed(entry))).collect();
                 Some(message)
             }
             Err(error) => {
@@ -54,12 +54,12 @@
 
     /// The time of saving, then the list as one message.
     fn list_to_save(&self, now: Micros) -> Vec<u8> {
-        let aged = |(received_at, line): &(Micros, roster::Line)| roster::Line {
-            age_us: line.age_us.map(|age| age + now.saturating_sub(*received_at)),
-            ..line.clone()
+        let aged = |ListedServer { received_at, entry }: &ListedServer| roster::Line {
+            age_us: entry.age_us.map(|age| age + now.saturating_sub(*received_at)),
+            ..entry.clone()
         };
-        let servers = self.roster_lines.values().map(aged).collect();
-        let version = self.roster.version().unwrap_or(0);
+        let servers = self.listed_servers.values().map(aged).collect();
+        let version = self.server_list.version().unwrap_or(0);
         let message = roster::Message { kind: roster::Kind::Full, version, base: 0, servers };
         let mut bytes = format!("{}\n", wall_clock()).into_bytes();
         bytes.extend(message.write());
--- a/crates/proxy/src/driver/servers.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -4,15 +4,16 @@
 //! of the request was written, `Rejected` only for the answer that the servers' protocol states was never
 //! run, `Reset` for a connection that was lost after that, whoever closed it and why.
 
+mod answers;
+
 use super::clients::{Client, InFlightRequest};
 use super::timers::TimerKind;
 use super::{ConnectionId, Proxy};
 use calloop::{Interest, Readiness};
-use http::StatusCode;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
-use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_http1::{Framing, ResponseHead, write_chunk, write_last_chunk};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_http1::client::ClientConn;
+use violetseam_http1::{ResponseHead, write_chunk, write_last_chunk};
+use violetseam_loopio::{Socket, connect};
 
 /// A connection to a server.
 pub(super) struct Server {
@@ -112,7 +113,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
         in_flight.connections.resize(attempt + 1, None);
         let active = ActiveAttempt { request, attempt, written: false, answer: AnswerState::Awaited };
-        while let Some(key) = self.idle.get_mut(&id).and_then(Vec::pop) {
+        while let Some(key) = self.idle_servers.get_mut(&id).and_then(Vec::pop) {
             let Some(server) = self.servers.get_mut(key) else { continue };
             // Closed by the server while idle: seen now, the request need not be lost on it.
             if server.socket.is_stale() {
@@ -134,7 +135,7 @@
     }
 
     fn open_server(&mut self, id: ServerId, active: ActiveAttempt) -> Option<()> {
-        let stream = connect(self.roster.address(id)?).ok()?;
+        let stream = connect(self.server_list.address(id)?).ok()?;
         let generation = self.next_generation();
         let limit_at = self.now() + self.settings.connections.connect_timeout;
         let entry = self.servers.vacant_entry();
@@ -250,10 +251,10 @@
         }
         let server = self.servers.remove(key);
         server.socket.end(&self.handle);
-        if let Some(idle) = self.idle.get_mut(&server.id) {
+        if let Some(idle) = self.idle_servers.get_mut(&server.id) {
             idle.retain(|k| *k != key);
             if idle.is_empty() {
-                self.idle.remove(&server.id);
+                self.idle_servers.remove(&server.id);
             }
         }
     }
@@ -339,190 +340,11 @@
         }
     }
 
-    fn read_server(&mut self, key: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        if let Some(server) = self.servers.get_mut(key) {
-            match server.socket.read(&mut scratch) {
-                Got::Bytes(n) => {
-                    server.http.feed(&scratch[..n]);
-                    self.server_events(key);
-                }
-                Got::Nothing => {}
-                Got::Closed => match server.http.close() {
-                    Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
-                    _ => self.on_server_lost(key),
-                },
-                Got::Broken => self.on_server_lost(key),
-            }
-        }
-        self.scratch = scratch;
-    }
-
-    fn server_events(&mut self, key: usize) {
-        while let Some(server) = self.servers.get_mut(key) {
-            let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
-            match event {
-                ClientEvent::Head(head) => self.on_answer_head(key, head),
-                ClientEvent::Body(bytes) => self.on_answer_body(key, &bytes),
-                ClientEvent::End { reusable } => {
-                    self.on_answer_complete(key, reusable);
-                    if self.servers.get(key).is_none_or(Server::is_idle) {
-                        return;
-                    }
-                }
-                ClientEvent::Fault(fault) => {
-                    let id = server.id;
-                    tracing::debug!(server = id, "malformed answer: {fault}");
-                    return self.on_server_lost(key);
-                }
-            }
-        }
-    }
-
-    /// What an answer's status says of the attempt.
-    fn outcome_of(&self, head: &ResponseHead) -> Outcome {
-        let not_run = head.headers.contains_key(&self.settings.headers.not_run);
-        match head.status {
-            StatusCode::SERVICE_UNAVAILABLE if not_run => Outcome::Rejected,
-            status if status.is_server_error() => Outcome::Error,
-            _ => Outcome::Ok,
-        }
-    }
-
-    fn on_answer_head(&mut self, key: usize, head: Box<ResponseHead>) {
-        let outcome = self.outcome_of(&head);
-        let Some(server) = self.servers.get_mut(key) else { return };
-        let State::Busy(active) = &mut server.state else { return };
-        let request = active.request;
-        let attempt = active.attempt;
-        let is_stream_class = self
-            .in_flight
-            .get(&request)
-            .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
-        if outcome != Outcome::Ok {
-            // Reported at once: what follows of such an answer is read only to use the connection again.
-            server.state = State::Discarding { body_bytes: 0 };
-            self.detach_attempt(request, attempt);
-            self.end_attempt(request, attempt, outcome);
-        } else if is_stream_class {
-            self.start_streaming(key, &head, &[]);
-        } else {
-            active.answer = AnswerState::Buffered { head, body: Vec::new() };
-        }
-    }
-
-    fn on_answer_body(&mut self, key: usize, bytes: &[u8]) {
-        let max_buffered = self.settings.connections.keep_answer;
-        let Some(server) = self.servers.get_mut(key) else { return };
-        match &mut server.state {
-            State::Discarding { body_bytes } => {
-                *body_bytes += bytes.len();
-                if *body_bytes > max_buffered {
-                    self.close_server(key);
-                }
-            }
-            State::Busy(active) => match &mut active.answer {
-                AnswerState::Buffered { head, body } => {
-                    body.extend_from_slice(bytes);
-                    if body.len() > max_buffered {
-                        let head = head.clone();
-                        let body = std::mem::take(body);
-                        self.start_streaming(key, &head, &body);
-                    }
-                }
-                AnswerState::Streaming => {
-                    let request = active.request;
-                    if let Some(client) = self.waiting_client(request) {
-                        self.write_answer_body(client, bytes);
-                        self.flush_client(client);
-                    }
-                }
-                AnswerState::Awaited => {}
-            },
-            State::Connecting(_) | State::Idle => {}
-        }
-    }
-
-    /// From here on the answer is the client's: no time-out of the request applies any more.
-    fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
-        let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
-        active.answer = AnswerState::Streaming;
-        let request = active.request;
-        let attempt = active.attempt;
-        let now = self.now();
-        if !self.engine.on_stream_started(now, request, attempt) {
-            // Another attempt's answer is the client's already.
-            self.detach_attempt(request, attempt);
-            self.close_server(key);
-            self.end_attempt(request, attempt, Outcome::Cancelled);
-            return;
-        }
-        let answer = self.draw();
-        self.engine.record_delivered_answer(request, attempt, answer);
-        let framing = if head.framing == Framing::UntilClose { Framing::Chunked } else { head.framing };
-        if let Some(in_flight) = self.in_flight.get_mut(&request) {
-            in_flight.streaming_from = Some(key);
-        }
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
-            self.flush_client(client);
-        }
-    }
-
-    /// The answer is complete.
-    fn on_answer_complete(&mut self, key: usize, reusable: bool) {
-        let Some(server) = self.servers.get_mut(key) else { return };
-        // A request that is not completely written cannot be told from a next one by the server.
-        let reusable = reusable && !server.socket.waits();
-        let state = std::mem::replace(&mut server.state, State::Idle);
-        let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
-        let request = active.request;
-        let attempt = active.attempt;
-        let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
-        self.detach_attempt(request, attempt);
-        self.pool_or_close(key, reusable && is_request_written);
-        match active.answer {
-            AnswerState::Buffered { head, body } => {
-                let answer = self.draw();
-                self.engine.record_delivered_answer(request, attempt, answer);
-                if self.end_attempt(request, attempt, Outcome::Ok) {
-                    self.deliver_buffered(request, &head, &body, answer);
-                }
-            }
-            AnswerState::Streaming => {
-                let client = self.waiting_client(request);
-                self.end_attempt(request, attempt, Outcome::Ok);
-                if let Some(client) = client {
-                    self.finish_answer(client);
-                }
-            }
-            AnswerState::Awaited => {}
-        }
-    }
-
-    /// Gives the client an answer that is complete.
-    fn deliver_buffered(&mut self, request: RequestId, head: &ResponseHead, body: &[u8], answer: u64) {
-        tracing::debug!(request, status = head.status.as_u16(), "final answer");
-        // An answer without a body may still state the length that one would have (HEAD, 304).
-        let stated =
-            head.headers.get(http::header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-        let bodiless = body.is_empty() && head.framing == Framing::Length(0);
-        let framing = match stated {
-            Some(length) if bodiless => Framing::Length(length),
-            None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
-            _ => Framing::Length(body.len() as u64),
-        };
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
-            self.finish_answer(client);
-        }
-    }
-
     /// Keeps a connection for later attempts, if it can carry them and there are not too many.
     fn pool_or_close(&mut self, key: usize, reusable: bool) {
         let max_idle = self.settings.connections.idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
-        let idle = self.idle.entry(server.id).or_default();
+        let idle = self.idle_servers.entry(server.id).or_default();
         if reusable && idle.len() < max_idle {
             idle.push(key);
             self.rearm_server(key);
@@ -538,7 +360,7 @@
             return;
         }
         let Some(in_flight) = self.in_flight.get(&request) else { return };
-        let Some(addr) = self.roster.address(id) else { return };
+        let Some(addr) = self.server_list.address(id) else { return };
         let bytes = [&in_flight.head[..], &in_flight.body].concat();
         std::thread::spawn(move || {
             use std::io::{Read, Write};
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -1,9 +1,8 @@
 //! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch on
 //! the server list and the release's state are answers without an end, one JSON line a message.
 
-use super::ConnectionId;
-use super::Proxy;
 use super::timers::TimerKind;
+use super::{ConnectionId, ListedServer, Proxy};
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, Outcome, ReleaseStatus, Verdict};
@@ -97,7 +96,7 @@
             self.close_call(before);
         }
         let position = self.settings.decisions.position;
-        let path = match self.roster.version() {
+        let path = match self.server_list.version() {
             Some(version) => format!("/v1/roster/watch?proxy={position}&since={version}"),
             None => format!("/v1/roster/watch?proxy={position}"),
         };
@@ -314,14 +313,14 @@
     fn on_list_line(&mut self, line: &[u8]) -> Result<(), CallError> {
         let message = roster::Message::parse(line).map_err(CallError::malformed)?;
         let now = self.now();
-        let applied = self.roster.apply(now, &message);
+        let applied = self.server_list.apply(now, &message);
         #[allow(unused_mut)]
         let (kind, mut entries) = match applied {
             Ok(applied) => applied,
             Err(fault) => {
                 // Whatever discovery lost, its whole list is asked for next and must be newer.
                 if message.kind == roster::Kind::Delta {
-                    self.roster.forget_version();
+                    self.server_list.forget_version();
                 }
                 return Err(CallError::malformed(fault));
             }
@@ -333,17 +332,17 @@
             }
         }
         if kind == ListKind::Full {
-            self.roster_lines.clear();
+            self.listed_servers.clear();
         }
-        for line in message.servers {
-            if line.state == roster::State::Gone {
-                self.roster_lines.remove(&line.id);
+        for entry in message.servers {
+            if entry.state == roster::State::Gone {
+                self.listed_servers.remove(&entry.id);
             } else {
-                self.roster_lines.insert(line.id, (now, line));
+                self.listed_servers.insert(entry.id, ListedServer { received_at: now, entry });
             }
         }
-        self.roster_changed = true;
-        self.list_heard = Some(now);
+        self.list_changed = true;
+        self.list_received_at = Some(now);
         self.engine.on_server_list(now, kind, &entries);
         Ok(())
     }
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -249,7 +249,7 @@
         let now = self.now();
         if let Some(message) = self.load_saved_list() {
             // Addresses only: the module knows the servers, and what it has learned of them.
-            self.roster.restore(now, &message);
+            self.server_list.restore(now, &message);
         }
         self.engine.on_server_list(now, ListKind::Failed, &[]);
         self.restore_pause();
@@ -301,7 +301,8 @@
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
         stream.write_all(&line)?;
         stream.write_all(&module)?;
-        let mut descriptors: Vec<BorrowedFd<'_>> = self.listeners.iter().map(|l| l.0.as_fd()).collect();
+        let mut descriptors: Vec<BorrowedFd<'_>> =
+            self.listeners.iter().map(|open| open.listener.as_fd()).collect();
         descriptors.extend(self.udp.as_ref().map(|socket| socket.as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -92,7 +92,7 @@
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
         }
-        if std::mem::take(&mut self.roster_changed) {
+        if std::mem::take(&mut self.list_changed) {
             self.save_list();
         }
     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -218,7 +218,7 @@
     pub fn drain(mut self) -> Summary {
         self.stop.store(true, Ordering::Relaxed);
         let summary = self.thread.take().unwrap().join().unwrap().unwrap();
-        assert_eq!((summary.left_open, summary.left_in_hand), (0, 0), "leaked: {summary:?}");
+        assert_eq!((summary.left_open, summary.left_in_flight), (0, 0), "leaked: {summary:?}");
         assert_eq!(summary.counts.overdue, 0, "the module owed an answer");
         let c = summary.counts;
         assert_eq!(
