--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -3,23 +3,21 @@
 //!
 //! Requests in flight keep the class that they began with: a route is looked up once, when the head is read.
 
+mod exchange;
+
 use super::Proxy;
 use super::configuration_store::{self, ConfigurationStore};
 use super::timers::TimerKind;
 use crate::distributed_routes::DistributedRoutes;
-use calloop::{Interest, Readiness};
+use exchange::{CallPurpose, Exchange};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use violetseam::interface::Micros;
 use violetseam_control::state::{ConfigurationVersion, Distributed, RefusedVersion};
-use violetseam_distribution::message::{LINE_BYTES_MOST, REPORT_BYTES_MOST};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{Message, Report, Subscribe, Version};
-use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
 use violetseam_settings::RouteTable;
-use violetseam_site::lines::Lines;
 
 /// Opens a watch.
 const WATCH_PATH: &str = "/v1/configuration/watch";
@@ -34,23 +32,6 @@
 /// Between two attempts to open a store that could not be opened again.
 const STORE_REOPEN_INTERVAL: Micros = 1_000_000;
 
-/// What an exchange with the publisher is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallPurpose {
-    Watch,
-    Report,
-}
-
-/// One HTTP exchange on a connection of its own.
-struct Exchange {
-    generation: u64,
-    socket: Socket,
-    http: ClientConn,
-    lines: Lines,
-    /// The answer's status has come and the body is worth reading.
-    accepted: bool,
-}
-
 /// The subscription of one proxy.
 pub(super) struct Subscription {
     publisher: SocketAddr,
@@ -277,131 +258,6 @@
         }
     }
 
-    /// Begins an exchange; whether it did.
-    fn exchange_with_publisher(
-        &mut self,
-        purpose: CallPurpose,
-        method: &str,
-        path: &str,
-        body: &[u8],
-    ) -> bool {
-        self.close_exchange(purpose);
-        let generation = self.next_generation();
-        let Some(subscription) = &mut self.subscription else { return false };
-        let to = subscription.publisher;
-        let Ok(stream) = connect(to) else { return false };
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| {
-            proxy.on_publisher(purpose, generation, readiness);
-        };
-        let Ok(mut socket) = Socket::register(&self.handle, stream, Interest::BOTH, on_ready) else {
-            return false;
-        };
-        let head = format!(
-            "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
-            body.len()
-        );
-        socket.out().extend_from_slice(head.as_bytes());
-        socket.out().extend_from_slice(body);
-        let mut http = ClientConn::new(violetseam_http1::Limits::default());
-        http.expect_answer(false);
-        let max_line_bytes = if purpose == CallPurpose::Watch { LINE_BYTES_MOST } else { REPORT_BYTES_MOST };
-        let exchange =
-            Exchange { generation, socket, http, lines: Lines::new(max_line_bytes), accepted: false };
-        *subscription.exchange(purpose) = Some(exchange);
-        true
-    }
-
-    fn close_exchange(&mut self, purpose: CallPurpose) {
-        if let Some(exchange) = self.subscription.as_mut().and_then(|s| s.exchange(purpose).take()) {
-            exchange.socket.remove(&self.handle);
-        }
-    }
-
-    fn on_publisher(&mut self, purpose: CallPurpose, generation: u64, readiness: Readiness) {
-        self.had_socket_events = true;
-        if readiness.writable && !self.write_to_publisher(purpose, generation) {
-            self.exchange_ended(purpose);
-        }
-        if readiness.readable || readiness.error {
-            self.read_publisher(purpose, generation);
-        }
-        self.run_subscription();
-        self.pump();
-    }
-
-    /// Whether the connection stands.
-    fn write_to_publisher(&mut self, purpose: CallPurpose, generation: u64) -> bool {
-        let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
-        let Some(exchange) = exchange else { return true };
-        if exchange.socket.connect_error().is_some() || exchange.socket.flush().is_err() {
-            return false;
-        }
-        exchange.socket.want(&self.handle, true);
-        true
-    }
-
-    fn read_publisher(&mut self, purpose: CallPurpose, generation: u64) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        while let Some(exchange) =
-            self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
-        {
-            match exchange.socket.read(&mut scratch) {
-                Got::Bytes(count) => {
-                    exchange.http.feed(&scratch[..count]);
-                    self.publisher_events(purpose, generation);
-                }
-                Got::Nothing => break,
-                Got::Closed | Got::Broken => self.exchange_ended(purpose),
-            }
-        }
-        self.scratch = scratch;
-    }
-
-    fn publisher_events(&mut self, purpose: CallPurpose, generation: u64) {
-        while let Some(exchange) =
-            self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
-        {
-            match exchange.http.next_event() {
-                None => return,
-                Some(ClientEvent::Head(head)) => {
-                    self.on_publisher_status(purpose, generation, head.status.into());
-                }
-                Some(ClientEvent::Body(bytes)) if exchange.accepted => {
-                    exchange.lines.feed(&bytes);
-                    self.publisher_lines(generation);
-                }
-                Some(ClientEvent::Body(_)) => {}
-                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => self.exchange_ended(purpose),
-            }
-        }
-    }
-
-    /// A watch is answered with lines, or with 503 and the one line that says when to come back.
-    fn on_publisher_status(&mut self, purpose: CallPurpose, generation: u64, status: u16) {
-        let now = self.now();
-        match purpose {
-            CallPurpose::Watch if status == 200 || status == 503 => {
-                let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
-                if let Some(exchange) = exchange {
-                    exchange.accepted = true;
-                }
-            }
-            CallPurpose::Watch => {
-                if self.log_limit.allows(now) {
-                    tracing::warn!(status, "the publisher does not open a watch");
-                }
-                self.exchange_ended(purpose);
-            }
-            // Received; what the publisher does not take (409) it would not take the next time either.
-            CallPurpose::Report => {
-                if let Some(subscription) = &mut self.subscription {
-                    subscription.report_in_flight = None;
-                }
-                self.exchange_ended(purpose);
-            }
-        }
-    }
-
     fn publisher_lines(&mut self, generation: u64) {
         let now = self.now();
         while let Some(subscription) = &mut self.subscription {
@@ -472,14 +328,6 @@
         }
     }
 
-    fn exchange_ended(&mut self, purpose: CallPurpose) {
-        self.close_exchange(purpose);
-        match purpose {
-            CallPurpose::Watch => self.watch_closed(),
-            CallPurpose::Report => self.report_failed(),
-        }
-    }
-
     fn watch_closed(&mut self) {
         let now = self.now();
         if let Some(subscription) = &mut self.subscription {
