--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -57,8 +57,8 @@
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
-        if let Some((_, line)) = self.roster_lines.get(&server) {
-            self.attempts_by_build.count(line.build);
+        if let Some(listed) = self.listed_servers.get(&server) {
+            self.attempts_by_build.count(listed.entry.build);
         }
     }
 
@@ -67,7 +67,7 @@
         let now = self.now();
         let control = self.control.as_ref();
         let pause = control.and_then(|control| control.command_log.pause());
-        let recent_peers = self.peers_heard.values().filter(|at| **at + RECENT_PEER_SPAN > now);
+        let recent_peers = self.peers_heard_at.values().filter(|at| **at + RECENT_PEER_SPAN > now);
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
@@ -85,8 +85,8 @@
             },
             pending_responses: self.engine.pending_responses() as u64,
             peers: recent_peers.count() as u64,
-            endpoint_list_age_us: self.list_heard.map(|at| now.saturating_sub(at)),
-            servers: self.roster_lines.len() as u64,
+            endpoint_list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
+            servers: self.listed_servers.len() as u64,
             configuration: self.configuration_reading(),
             quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
