--- a/crates/release/src/event.rs
+++ b/crates/release/src/event.rs
@@ -4,26 +4,26 @@
 use serde::{Deserialize, Serialize};
 use violetseam_plan::{Micros, Plan};
 
-/// The moment of an event, microseconds.
+/// The time of an event on two clocks, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Now {
     /// Since 1970 UTC, as the controller's clock has it.
     pub wall: Micros,
-    /// Of a clock that never jumps; its zero is anywhere and changes with each start.
+    /// Of a monotonic clock; its zero is arbitrary and changes with each start.
     pub steady: Micros,
 }
 
-/// What a proxy votes.
+/// What a proxy votes for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Move on.
+    /// Move on to the next wave.
     On,
-    /// Stop the clock.
+    /// Stay in this wave.
     Hold,
-    /// Send back.
+    /// Roll the build back.
     Back,
-    /// No vote.
+    /// Withdraw the vote.
     Withdraw,
 }
 
@@ -34,66 +34,66 @@
     pub proxy: u32,
     /// The build.
     pub build: u16,
-    /// The stage that it means.
+    /// The stage.
     pub stage: u8,
-    /// What it votes.
+    /// The verdict.
     pub verdict: Verdict,
 }
 
-/// What a person orders beside the plan.
+/// An order of an operator outside the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Stand still, at most for so long.
+    /// Stay in this wave, for at most so long.
     Hold(Micros),
-    /// Go on.
+    /// End a hold.
     Resume,
-    /// Send the build back.
+    /// Roll the build back.
     Back,
     /// Skip what is left of the soak.
     Skip,
 }
 
-/// Something that happened.
+/// An event that the release takes in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A controller begins with what was durable: its steady clock is another one.
+    /// A controller started from the durable state: its steady clock is another one.
     Started,
     /// Time passed.
     Tick,
-    /// A build is offered.
+    /// An operator offers a plan.
     Offer(Box<Plan>),
     /// A proxy votes.
     Vote(Vote),
-    /// Somebody approves a wave.
+    /// An operator approves a wave.
     Sign {
-        /// Who.
+        /// The operator.
         who: String,
         /// The wave.
         wave: String,
     },
-    /// Somebody takes an approval back.
+    /// An operator revokes an approval.
     Unsign {
-        /// Who.
+        /// The operator.
         who: String,
         /// The wave.
         wave: String,
     },
-    /// Somebody orders something.
+    /// An operator gives an order.
     Order {
-        /// Who.
+        /// The operator.
         who: String,
-        /// What.
+        /// The order.
         order: Order,
     },
-    /// A place tells what it runs.
+    /// The platform reports a build in a place.
     Place {
         /// Its number.
         place: u32,
         /// The build.
         build: u16,
-        /// How it is.
+        /// Its state.
         state: PlaceState,
     },
 }
