--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -13,8 +13,10 @@
 pub mod digest;
 pub mod message;
 pub mod publisher;
+pub mod report;
 pub mod resource;
 pub mod subscriber;
+pub mod subscription;
 pub mod version;
 
 mod log;
@@ -25,8 +27,10 @@
 
 pub use configuration::{ApplyError, Configuration};
 pub use digest::Digest;
-pub use message::{Change, Delta, Line, Message, ParseError, Report, SnapshotPart, Subscribe};
+pub use message::{Change, Delta, Line, Message, ParseError, SnapshotPart};
+pub use report::Report;
 pub use resource::{Resource, ResourceKey, Route, RouteKey, RouteValue, Tenant, TenantValue};
+pub use subscription::Subscribe;
 pub use version::{Term, Version};
 
 /// A point in time or a span, in microseconds; the origin is the caller's.
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,9 +1,9 @@
-//! Messages between publisher and subscribers: JSON, one message a line, checked and bounded on reading.
+//! Messages of a publisher to its subscribers: JSON, one message a line, checked and bounded on reading.
 
 use crate::Micros;
 use crate::digest::Digest;
 use crate::resource::{Resource, ResourceError, ResourceKey};
-use crate::version::{MAX_VERSION_NUMBER, Term, Version};
+use crate::version::{MAX_VERSION_NUMBER, Version};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::sync::Arc;
 use thiserror::Error;
@@ -121,41 +121,6 @@
     },
 }
 
-/// A call for everything after the version known. Carried as the query of the watch's path.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Subscribe {
-    /// The subscriber's name.
-    pub subscriber: String,
-    /// The current version; none: nothing yet.
-    pub known: Option<Version>,
-    /// A snapshot not older than `known` is required even where deltas would lead on from it: the current
-    /// configuration has proved to differ from what was published. `whole` in the query.
-    pub snapshot_required: bool,
-}
-
-/// What a subscriber reports on a version.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Report {
-    /// The version is in force.
-    Acknowledge {
-        /// The subscriber's name.
-        subscriber: String,
-        /// The version in force.
-        version: Version,
-    },
-    /// The version was rejected; the one before stays in force.
-    #[serde(rename = "refuse")]
-    Reject {
-        /// The subscriber's name.
-        subscriber: String,
-        /// The rejected version.
-        version: Version,
-        /// The reason, for people.
-        reason: String,
-    },
-}
-
 /// Why a message was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
@@ -283,138 +248,18 @@
     }
 }
 
-impl Report {
-    /// A rejection; a reason that is too long is cut, control characters become spaces.
-    pub fn reject(subscriber: &str, version: Version, reason: &str) -> Report {
-        let printable = reason.chars().map(|c| if c.is_control() { ' ' } else { c });
-        let mut cut = String::new();
-        for character in printable {
-            if cut.len() + character.len_utf8() > MAX_REASON_BYTES {
-                break;
-            }
-            cut.push(character);
-        }
-        Report::Reject { subscriber: subscriber.to_owned(), version, reason: cut }
-    }
-
-    /// The name of the reporting subscriber.
-    pub fn subscriber(&self) -> &str {
-        match self {
-            Report::Acknowledge { subscriber, .. } | Report::Reject { subscriber, .. } => subscriber,
-        }
-    }
-
-    /// Parses a report.
-    ///
-    /// # Errors
-    /// The line is too long, or holds no valid report.
-    pub fn parse(line: &[u8]) -> Result<Report, ParseError> {
-        let report: Report = read_json(line, MAX_REPORT_BYTES)?;
-        validate_subscriber_name(report.subscriber())?;
-        match &report {
-            Report::Acknowledge { version, .. } => check_version(*version)?,
-            Report::Reject { version, reason, .. } => {
-                check_version(*version)?;
-                if reason.len() > MAX_REASON_BYTES || reason.chars().any(char::is_control) {
-                    return Err(ParseError::InvalidReason);
-                }
-            }
-        }
-        Ok(report)
-    }
-
-    /// Encodes one line, with its line feed.
-    pub fn write(&self) -> Line {
-        write_line(self)
-    }
-}
-
-impl Subscribe {
-    /// Writes the query of the watch's path: `subscriber=proxy-1&term=3&number=1402`, without term and
-    /// number where nothing is known, and with `whole=true` where a snapshot is wanted.
-    pub fn to_query(&self) -> String {
-        let mut query = format!("subscriber={}", self.subscriber);
-        if let Some(known) = self.known {
-            query.push_str(&format!("&term={}&number={}", known.term, known.number));
-        }
-        if self.snapshot_required {
-            query.push_str("&whole=true");
-        }
-        query
-    }
-
-    /// Parses the query of the watch's path.
-    ///
-    /// # Errors
-    /// A field is missing, repeated, unknown or malformed.
-    pub fn from_query(query: &str) -> Result<Subscribe, ParseError> {
-        let mut subscriber = None;
-        let mut term = None;
-        let mut number = None;
-        let mut whole = None;
-        for field in query.split('&') {
-            let (name, value) = field.split_once('=').ok_or(ParseError::InvalidQuery)?;
-            let slot = match name {
-                "subscriber" => &mut subscriber,
-                "term" => &mut term,
-                "number" => &mut number,
-                "whole" => &mut whole,
-                _ => return Err(ParseError::InvalidQuery),
-            };
-            if slot.replace(value).is_some() {
-                return Err(ParseError::InvalidQuery);
-            }
-        }
-        let subscriber = subscriber.ok_or(ParseError::InvalidQuery)?.to_owned();
-        validate_subscriber_name(&subscriber)?;
-        let known = match (term, number) {
-            (None, None) => None,
-            (Some(term), Some(number)) => {
-                Some(Version::new(Term(read_integer(term)?), read_integer(number)?))
-            }
-            _ => return Err(ParseError::InvalidQuery),
-        };
-        known.map_or(Ok(()), check_version)?;
-        let snapshot_required = match whole {
-            None | Some("false") => false,
-            Some("true") => true,
-            Some(_) => return Err(ParseError::InvalidQuery),
-        };
-        Ok(Subscribe { subscriber, known, snapshot_required })
-    }
-}
-
-/// Checks a subscriber's name.
-///
-/// # Errors
-/// The name is empty, too long, or holds another character.
-pub fn validate_subscriber_name(name: &str) -> Result<(), ParseError> {
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if name.is_empty() || name.len() > MAX_SUBSCRIBER_NAME_BYTES || !name.bytes().all(allowed) {
-        return Err(ParseError::InvalidSubscriberName);
-    }
-    Ok(())
-}
-
-fn check_version(version: Version) -> Result<(), ParseError> {
+pub(crate) fn check_version(version: Version) -> Result<(), ParseError> {
     if version.is_bounded() { Ok(()) } else { Err(ParseError::VersionOutOfRange) }
 }
 
-fn read_integer(text: &str) -> Result<u64, ParseError> {
-    if !text.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(ParseError::InvalidQuery);
-    }
-    text.parse().map_err(|_| ParseError::InvalidQuery)
-}
-
-fn read_json<T: DeserializeOwned>(line: &[u8], max_bytes: usize) -> Result<T, ParseError> {
+pub(crate) fn read_json<T: DeserializeOwned>(line: &[u8], max_bytes: usize) -> Result<T, ParseError> {
     if line.len() > max_bytes {
         return Err(ParseError::LineTooLong(max_bytes));
     }
     serde_json::from_slice(line).map_err(|error| ParseError::InvalidJson(JsonError(Arc::new(error))))
 }
 
-fn write_line<T: Serialize>(message: &T) -> Line {
+pub(crate) fn write_line<T: Serialize>(message: &T) -> Line {
     // Plain structures with string keys: serialization does not fail.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -7,9 +7,11 @@
 use crate::Micros;
 use crate::configuration::{ApplyError, Configuration};
 use crate::log::Log;
-use crate::message::{Change, Delta, MAX_DELTA_BYTES, MAX_DELTA_CHANGES, Message, Report, Subscribe};
+use crate::message::{Change, Delta, MAX_DELTA_BYTES, MAX_DELTA_CHANGES, Message};
+use crate::report::Report;
 use crate::resource::Resource;
 use crate::subscriber_table::SubscriberTable;
+use crate::subscription::Subscribe;
 use crate::version::{MAX_VERSION_NUMBER, Term, Version};
 use std::sync::Arc;
 use thiserror::Error;
@@ -206,7 +208,7 @@
         Ok(Configuration::from_resources(version, resources)?)
     }
 
-    /// Replaces the configuration. The log starts anew, so that every subscriber needs a snapshot: open
+    /// Replaces the configuration. The log is cleared, so that every subscriber needs a snapshot: open
     /// watches are to be closed, and their callers pass admission as they come back.
     ///
     /// # Errors
@@ -224,7 +226,7 @@
     }
 
     /// Continues with the same resources and number under a higher term, after the end of the log was lost.
-    /// The log starts anew. To be stored durably before anything is sent.
+    /// The log is cleared. To be stored durably before anything is sent.
     ///
     /// # Errors
     /// The term is not above the present one, or out of bounds; nothing has changed.
@@ -240,7 +242,7 @@
         Ok(())
     }
 
-    /// SubscribeResponses a subscription and notes what its subscriber holds. A snapshot is to be sent only as
+    /// Responds to a subscription and records which version its subscriber has. A snapshot is sent only as
     /// [`crate::admission::Admission`] allows.
     pub fn subscribe(&mut self, now: Micros, subscribe: &Subscribe) -> SubscribeResponse {
         self.subscribers.on_subscribe(now, &subscribe.subscriber, subscribe.known);
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -4,9 +4,11 @@
 use crate::backoff::{Backoff, INITIAL_BACKOFF};
 use crate::configuration::{ApplyError, Configuration};
 use crate::digest::Digest;
-use crate::message::{Change, Delta, MAX_DELTA_BYTES, Message, ParseError, Report, SnapshotPart, Subscribe};
+use crate::message::{Change, Delta, MAX_DELTA_BYTES, Message, ParseError, SnapshotPart};
 use crate::rejected::{Rejected, encoded_bytes, merge};
+use crate::report::Report;
 use crate::snapshot_assembly::SnapshotAssembly;
+use crate::subscription::Subscribe;
 use crate::version::Version;
 
 pub use crate::subscriber_table::Rejection;
--- a/crates/distribution/src/subscriber_table.rs
+++ b/crates/distribution/src/subscriber_table.rs
@@ -1,7 +1,7 @@
 //! What a publisher knows of its subscribers: which version each has, and which one it rejected.
 
 use crate::Micros;
-use crate::message::Report;
+use crate::report::Report;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -47,7 +47,7 @@
     prop::collection::vec(change(), 1..4)
 }
 
-fn whole() -> impl Strategy<Value = Vec<Resource>> {
+fn resources() -> impl Strategy<Value = Vec<Resource>> {
     prop::collection::vec(resource(), 0..6).prop_map(|resources| {
         let by_key = resources.into_iter().map(|resource| (resource.key(), resource));
         by_key.collect::<std::collections::BTreeMap<ResourceKey, Resource>>().into_values().collect()
@@ -66,7 +66,7 @@
 }
 
 fn restart() -> impl Strategy<Value = Restart> {
-    prop_oneof![Just(Restart::Whole), Just(Restart::LogLost), (1..4usize).prop_map(Restart::EndLost)]
+    prop_oneof![Just(Restart::Intact), Just(Restart::LogLost), (1..4usize).prop_map(Restart::EndLost)]
 }
 
 fn reach() -> impl Strategy<Value = Reach> {
@@ -77,7 +77,7 @@
     let subscriber = 0..SUBSCRIBERS;
     prop_oneof![
         12 => (reach(), changes()).prop_map(|(by, changes)| Step::Publish(by, changes)),
-        1 => whole().prop_map(Step::Install),
+        1 => resources().prop_map(Step::Install),
         3 => Just(Step::Heartbeat),
         40 => (subscriber.clone(), fault()).prop_map(|(index, fault)| Step::Deliver(index, fault)),
         10 => (0..3 * SECOND).prop_map(Step::Advance),
@@ -89,7 +89,7 @@
     ]
 }
 
-fn take(world: &mut World, step: Step) {
+fn apply_step(world: &mut World, step: Step) {
     match step {
         Step::Publish(by, changes) => world.publish(by, changes),
         Step::Install(resources) => world.install(resources),
@@ -104,8 +104,8 @@
     }
 }
 
-/// Removes what subscribers refuse.
-fn mend(world: &mut World) {
+/// Removes the resources that subscribers reject.
+fn remove_rejected_resources(world: &mut World) {
     for n in 0..4u8 {
         let key = RouteKey { method: Some("GET".to_owned()), prefix: format!("/{n}") };
         world.publish(Reach::Current, vec![Change::Remove(ResourceKey::Route(key))]);
@@ -120,10 +120,10 @@
     fn no_change_is_lost_and_no_configuration_is_mixed(steps in prop::collection::vec(step(), 1..250)) {
         let mut world = World::new(SUBSCRIBERS);
         for step in steps {
-            take(&mut world, step);
+            apply_step(&mut world, step);
         }
         world.stop_replaced();
-        mend(&mut world);
+        remove_rejected_resources(&mut world);
         prop_assert!(world.settles_within(SETTLED_WITHIN), "not all hold what is published");
     }
 }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub enum Restart {
     /// With its log.
-    Whole,
+    Intact,
     /// With nothing: under a higher term. The one before may still run somewhere.
     LogLost,
     /// Without the newest versions, as from an old copy of its disk. Where a term began among them, it goes on
@@ -133,7 +133,7 @@
         self.end_watches(Reach::Current);
         self.admission = Admission::new(ADMISSION);
         match restart {
-            Restart::Whole => self.restore(0),
+            Restart::Intact => self.restore(0),
             Restart::EndLost(versions) => self.restore(*versions),
             Restart::LogLost => {
                 self.end_watches(Reach::Replaced);
