--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,10 +5,12 @@
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::sync::Arc;
 use std::time::Duration;
 use violetseam_control::{Action, Request, Response};
 use violetseam_fleet::report::{self, ExitStatus};
 use violetseam_fleet::{CommandOptions, DaemonReading, Delivery, Fleet, select_members, wall_clock};
+use violetseam_settings::Identity;
 
 #[derive(ClapArgs)]
 pub struct Args {
@@ -111,65 +113,76 @@
 pub fn run(args: &Args) -> Result<ExitCode, String> {
     let file = violetseam_settings::read_fleet(&args.fleet, &args.set).map_err(|e| e.to_string())?;
     let members = select_members(file.members, &args.only).map_err(|e| e.to_string())?;
-    let keys = match &file.identity {
-        Some(identity) => {
-            let now_s = (wall_clock() / 1_000_000) as i64;
-            let files = key_files(identity);
-            let loaded = violetseam_keys::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
-            if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
-                eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
-            }
-            Some(loaded.config)
-        }
-        None => None,
-    };
-    let names: Vec<String> = members.iter().map(|m| m.name.clone()).collect();
+    let identity = file.identity.as_ref().map(client_tls).transpose()?;
+    let names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
     let timeout = Duration::from_secs_f64(args.timeout.clamp(0.05, 600.0));
-    let fleet = Fleet { members, timeout, parallel: args.parallel, identity: keys };
+    let fleet = Fleet { members, timeout, parallel: args.parallel, identity };
     let terminal = std::io::stderr().is_terminal();
     let all = names.len();
-    let mut heard = |done: usize| {
+    let mut progress = |done: usize| {
         if terminal {
             eprint!("\r{done} of {all} ");
             let _ = std::io::stderr().flush();
         }
     };
     match &args.command {
-        Command::Watch { every, count } => {
-            let every = Duration::from_secs_f64(every.clamp(0.1, 3_600.0));
-            let mut left = count.unwrap_or(u64::MAX);
-            while left > 0 {
-                show(args, report::state_table, &fleet, &mut |_| {})?;
-                left -= 1;
-                if left > 0 {
-                    std::thread::sleep(every);
-                }
-            }
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::State => show(args, report::state_table, &fleet, &mut heard),
-        Command::Rights => show(args, report::quota_table, &fleet, &mut heard),
-        Command::Configuration => show(args, report::configuration_table, &fleet, &mut heard),
-        Command::Whoami => whoami(args, &fleet, &names, &mut heard),
-        command => {
-            let Some(action) = action(command) else { return Err("nothing to do".into()) };
-            if !args.yes && !confirmed(action.name(), all)? {
-                return Err("not confirmed, nothing was sent".into());
-            }
-            let issuer = args.issuer.clone().or_else(|| std::env::var("USER").ok());
-            let issuer = issuer.unwrap_or_else(|| "unknown".into());
-            let validity = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
-            let delivery = if args.all_or_none { Delivery::AllOrNone } else { Delivery::Independent };
-            let options = CommandOptions { issuer, validity, delivery };
-            let command_report = fleet.send_command(&action, &options, &mut heard);
-            if args.json {
-                println!("{}", report::command_json(&command_report));
-            } else {
-                print!("{}", report::command_table(&command_report));
-            }
-            Ok(ExitCode::from(report::exit_status(&command_report).code()))
+        Command::Watch { every, count } => watch(args, &fleet, *every, *count),
+        Command::State => show(args, report::state_table, &fleet, &mut progress),
+        Command::Rights => show(args, report::quota_table, &fleet, &mut progress),
+        Command::Configuration => show(args, report::configuration_table, &fleet, &mut progress),
+        Command::Whoami => whoami(args, &fleet, &names, &mut progress),
+        command => send(args, command, &fleet, &mut progress),
+    }
+}
+
+/// The TLS settings of an operator's identity; warns where its certificate ends soon.
+fn client_tls(identity: &Identity) -> Result<Arc<rustls::ClientConfig>, String> {
+    let now_s = (wall_clock() / 1_000_000) as i64;
+    let files = key_files(identity);
+    let loaded = violetseam_keys::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
+    if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
+        eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
+    }
+    Ok(loaded.config)
+}
+
+/// Shows the state again and again, `count` times or for ever.
+fn watch(args: &Args, fleet: &Fleet, every: f64, count: Option<u64>) -> Result<ExitCode, String> {
+    let interval = Duration::from_secs_f64(every.clamp(0.1, 3_600.0));
+    let mut left = count.unwrap_or(u64::MAX);
+    while left > 0 {
+        show(args, report::state_table, fleet, &mut |_| {})?;
+        left -= 1;
+        if left > 0 {
+            std::thread::sleep(interval);
         }
     }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Sends a command to all daemons, once it is confirmed, and reports what became of it.
+fn send(
+    args: &Args,
+    command: &Command,
+    fleet: &Fleet,
+    progress: &mut dyn FnMut(usize),
+) -> Result<ExitCode, String> {
+    let Some(action) = action(command) else { return Err("nothing to do".into()) };
+    if !args.yes && !confirmed(action.name(), fleet.members.len())? {
+        return Err("not confirmed, nothing was sent".into());
+    }
+    let issuer = args.issuer.clone().or_else(|| std::env::var("USER").ok());
+    let issuer = issuer.unwrap_or_else(|| "unknown".into());
+    let validity = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
+    let delivery = if args.all_or_none { Delivery::AllOrNone } else { Delivery::Independent };
+    let options = CommandOptions { issuer, validity, delivery };
+    let command_report = fleet.send_command(&action, &options, progress);
+    if args.json {
+        println!("{}", report::command_json(&command_report));
+    } else {
+        print!("{}", report::command_table(&command_report));
+    }
+    Ok(ExitCode::from(report::exit_status(&command_report).code()))
 }
 
 fn show(
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -377,7 +377,7 @@
         while let Some(action) = self.proxies[n].engine.next_action() {
             match action {
                 EngineAction::StartAttempt { request, attempt, server } => {
-                    self.start(n, request, attempt, server)
+                    self.start(n, request, attempt, server);
                 }
                 EngineAction::CloseAttempt { request, attempt } => {
                     let mine = |a: &Attempt| (a.proxy, a.request, a.attempt) == (n, request, attempt);
@@ -401,7 +401,7 @@
                     self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true));
                 }
                 EngineAction::FetchServerList => {
-                    self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true))
+                    self.world.agenda.at(now + 2 * NETWORK, Happening::List(n, true));
                 }
                 EngineAction::Vote { build, stage, verdict } => {
                     let verdict = match verdict {
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -40,7 +40,6 @@
             .map_err(|e| e.to_string())
     }
 
-    #[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
     fn fleet(&self, timeout: Duration) -> Fleet {
         let member = |n: usize| Member {
             name: format!("d{n}"),
@@ -103,6 +102,7 @@
 ///
 /// # Errors
 /// A text that says which process or measurement failed.
+#[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
 pub fn fleet(plan: &Plan, many: usize, say: &mut dyn FnMut(&str)) -> Result<String, String> {
     std::fs::create_dir_all(&plan.out).map_err(|e| e.to_string())?;
     let mut text = String::new();
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -4,7 +4,7 @@
 use super::server_list::whole_list;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{
     Action, AttemptEnd, Event, GateMode, Idempotency, Limits, ListKind, Micros, Outcome, Phase,
     ReleaseStatus, Request, RequestClass, RequestId, Rollout, ServerEntry, ServerId, ServiceRules, Settings,
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -168,9 +168,11 @@
         match exchange.list_evidence(&failure) {
             ListEvidence::WatchAlive => self.confirm_list(now, self.previous_poll_at),
             ListEvidence::ServiceDown => {
-                self.engine.update_list_lease(now, |lease| lease.away(exchange.began_at));
+                self.engine.update_list_lease(now, |lease| lease.discovery_down(exchange.began_at));
+            }
+            ListEvidence::PartialList => {
+                self.engine.update_list_lease(now, |lease| lease.notification_missed(now))
             }
-            ListEvidence::PartialList => self.engine.update_list_lease(now, |lease| lease.missed(now)),
             ListEvidence::None => {}
         }
         match failure {
@@ -230,7 +232,7 @@
         }
         let now = self.now();
         if self.discovery.pushed {
-            self.engine.update_list_lease(now, |lease| lease.unwatched(now));
+            self.engine.update_list_lease(now, |lease| lease.watch_lost(now));
         }
         let drawn = now + self.with_jitter(span);
         let at = self.lease_renewal_at(now).map_or(drawn, |latest| drawn.min(latest));
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -180,7 +180,7 @@
         self.discovery.is_confirmed = false;
         self.abandon_query();
         let now = self.now();
-        self.engine.update_list_lease(now, |lease| lease.move_discovery(now));
+        self.engine.update_list_lease(now, |lease| lease.discovery_moved(now));
         self.schedule_verification();
         if self.discovery.pushed {
             self.start_query(None);
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -106,7 +106,7 @@
     fn run_engine_action(&mut self, action: EngineAction) {
         match action {
             EngineAction::StartAttempt { request, attempt, server } => {
-                self.start_attempt(request, attempt, server)
+                self.start_attempt(request, attempt, server);
             }
             EngineAction::CloseAttempt { request, attempt } => self.cancel_attempt(request, attempt),
             EngineAction::Respond { request, response } => self.send_own_response(request, response),
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 use violetseam::interface::{ListKind, Micros, RequestId, ServerId};
-use violetseam::permission::ListLease;
+use violetseam::lease::ListLease;
 use violetseam_loopio::quiet::RateLimit;
 use violetseam_loopio::timers::Timers;
 use violetseam_platform::config::Config;
--- a/crates/platform-proxy/src/shutdown.rs
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -4,7 +4,7 @@
 use crate::event_loop::{ConnectionId, TimerKind};
 use crate::proxy::Proxy;
 use violetseam::interface::Micros;
-use violetseam::permission::Lifetime;
+use violetseam::lease::ShutdownSchedule;
 use violetseam_proxy::engine::Counts;
 
 /// After SIGTERM new connections are still accepted, and clients go on with those that they have: the platform states
@@ -69,11 +69,15 @@
         self.log_counts("ending");
         let now = self.now();
         let longest_deadline = self.config.instance.decisions.longest_deadline();
-        let lifetime = self.engine.begin_shutdown(now, Lifetime::told_to_end(now, longest_deadline));
-        tracing::info!(answer_in_us = lifetime.answer_by - now, end_in_us = lifetime.end_by - now, "SIGTERM");
+        let lifetime = self.engine.begin_shutdown(now, ShutdownSchedule::starting_at(now, longest_deadline));
+        tracing::info!(
+            answer_in_us = lifetime.answer_by - now,
+            end_in_us = lifetime.exit_by - now,
+            "SIGTERM"
+        );
         self.timers.set(now + ACCEPT_AFTER_SIGTERM, TimerKind::BeginDrain);
         self.timers.set(lifetime.answer_by, TimerKind::FinalResponses);
-        self.timers.set(lifetime.end_by, TimerKind::Stop);
+        self.timers.set(lifetime.exit_by, TimerKind::Stop);
         self.run_engine_actions();
     }
 
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -22,7 +22,7 @@
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{ListKind, Micros};
 
 /// The layout of what is handed over; a later one is refused, and the old process serves on. 2 has a listener
--- a/crates/proxy/src/engine/attempts.rs
+++ b/crates/proxy/src/engine/attempts.rs
@@ -4,7 +4,7 @@
 use super::requests::InFlightRequest;
 use super::{Engine, EngineAction};
 use violetseam::interface::{AttemptEnd, Event, Micros, Outcome, RequestId, ServerId};
-use violetseam::permission::{AttemptFacts, Denial};
+use violetseam::lease::{AttemptFacts, SendDenial};
 
 /// One try of a request on a server.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
         let Some(cut_at) = self.attempt_deadline(id, number) else { return false };
         let Some(request) = self.requests.get(&id) else { return false };
         let facts = self.attempt_facts(request, number, cut_at);
-        let denied = self.permissions.may_write(now, &facts).is_err();
+        let denied = self.permissions.may_send(now, &facts).is_err();
         if denied {
             self.counts.cancelled_before_send += 1;
             self.cancel_before_send(now, id, number);
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Starts an attempt, or ends it at once where none may start ([`violetseam::permission::Permissions::may_start`])
+    /// Starts an attempt, or ends it at once where none may start ([`violetseam::lease::Permissions::may_start`])
     /// or the fleet's budget is used up.
     pub(super) fn start_attempt(&mut self, now: Micros, id: RequestId, server: ServerId, cut_at: Micros) {
         let Some(request) = self.requests.get(&id) else { return };
@@ -111,7 +111,7 @@
         let facts = self.attempt_facts(request, number, cut_at);
         let permitted = self.permissions.may_start(now, &facts);
         // The budget is spent last, for an attempt that would be sent now.
-        let within_budget = permitted.is_err() || !facts.earlier_left || self.spend_budget(now, id);
+        let within_budget = permitted.is_err() || !facts.earlier_sent || self.spend_budget(now, id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = Attempt { server, sent_at: now, cut_at, ended: false, cancelled_before_send: false };
         request.attempts.push(attempt);
@@ -125,12 +125,12 @@
             Ok(()) => {
                 self.on_attempt_ended(now, id, number, Outcome::NotSent);
             }
-            Err(Denial::TimeOver) => {
+            Err(SendDenial::DeadlineExceeded) => {
                 self.on_attempt_ended(now, id, number, Outcome::Timeout);
             }
             Err(denial) => {
                 // The module is told of both, and has to keep to them by itself.
-                let is_violation = matches!(denial, Denial::Ending | Denial::ListExpired);
+                let is_violation = matches!(denial, SendDenial::ShuttingDown | SendDenial::LeaseExpired);
                 self.counts.violations += u64::from(is_violation);
                 self.on_attempt_ended(now, id, number, Outcome::NotSent);
             }
@@ -139,12 +139,12 @@
 
     fn attempt_facts(&self, request: &InFlightRequest, number: usize, cut_at: Micros) -> AttemptFacts {
         AttemptFacts {
-            request_over: request.finished,
+            request_finished: request.finished,
             streaming: request.streaming.is_some(),
-            earlier: number,
-            earlier_left: request.sent_before(number),
-            most: self.settings.limits.max_attempts,
-            repeatable: request.repeatable,
+            earlier_attempts: number,
+            earlier_sent: request.sent_before(number),
+            max_attempts: self.settings.limits.max_attempts,
+            body_replayable: request.repeatable,
             cut_at,
         }
     }
--- a/crates/proxy/src/engine/mod.rs
+++ b/crates/proxy/src/engine/mod.rs
@@ -24,9 +24,9 @@
 use requests::InFlightRequest;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Event, ReleaseStatus, RequestId, Settings};
-use violetseam::permission::{ListLease, Permissions};
+use violetseam::lease::{ListLease, SendPermissions};
 use violetseam_recorder::Recorder;
 use violetseam_shared::fleet_quotas::FleetQuotas;
 
@@ -46,7 +46,7 @@
     deferred_events: VecDeque<Event<'static>>,
     /// An event is with the module, or its actions are being applied.
     dispatching: bool,
-    permissions: Permissions,
+    permissions: SendPermissions,
     /// What this proxy may spend of the fleet's budgets of further attempts.
     budgets: Option<FleetQuotas>,
     counts: Counts,
@@ -70,7 +70,7 @@
             pending_actions: VecDeque::new(),
             deferred_events: VecDeque::new(),
             dispatching: false,
-            permissions: Permissions::new(ListLease::unlimited()),
+            permissions: SendPermissions::new(ListLease::unlimited()),
             budgets: None,
             counts: Counts::default(),
             release: None,
--- a/crates/proxy/src/engine/shutdown.rs
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -2,9 +2,9 @@
 
 use super::deadlines::TimerKind;
 use super::{Engine, LocalResponse};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{Event, Micros, RequestId};
-use violetseam::permission::{Lifetime, ListLease, Permissions};
+use violetseam::lease::{ListLease, SendPermissions, ShutdownSchedule};
 
 impl Engine {
     /// The decision module as a process that takes over will have it.
@@ -16,7 +16,7 @@
     /// ends as not sent. After a hand-over the successor's module counts exposure and the load of servers that
     /// warm up, and nothing may be sent that it cannot know of.
     pub fn suspend_attempts(&mut self, suspended: bool) {
-        self.permissions.hand_over(suspended);
+        self.permissions.set_handed_over(suspended);
     }
 
     /// Limits the list's use from now on: it is used only while this lease holds. Before the first request.
@@ -36,14 +36,14 @@
     }
 
     /// What this process may do now.
-    pub fn permissions(&self) -> &Permissions {
+    pub fn permissions(&self) -> &SendPermissions {
         &self.permissions
     }
 
     /// The process was told to end: nothing is sent after, and everything has its final answer by, the times that
     /// are returned, which are earlier ones where it was told before.
-    pub fn begin_shutdown(&mut self, now: Micros, lifetime: Lifetime) -> Lifetime {
-        let lifetime = self.permissions.end(lifetime);
+    pub fn begin_shutdown(&mut self, now: Micros, lifetime: ShutdownSchedule) -> ShutdownSchedule {
+        let lifetime = self.permissions.begin_shutdown(lifetime);
         let at = lifetime.answer_by;
         let mut shortened = Vec::new();
         for (&id, request) in &mut self.requests {
--- a/crates/proxy/tests/stored_module.rs
+++ b/crates/proxy/tests/stored_module.rs
@@ -1,7 +1,7 @@
 //! A module handed over by an earlier build is read, written again to the same bytes, and decides as it did there.
 
 use std::path::{Path, PathBuf};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::*;
 
 fn stored(name: &str) -> PathBuf {
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::read::{ReadFault, Reader};
 use std::collections::BTreeMap;
 use std::path::Path;
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Build, Micros, RequestId};
 
 /// What to print of a replay.
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -1,7 +1,7 @@
 //! Recordings are read back as written, replay the same, and stop plainly where they are damaged.
 
 use std::path::{Path, PathBuf};
-use violetseam::balance::Balancer;
+use violetseam::balancer::Balancer;
 use violetseam::interface::*;
 use violetseam_recorder::{Bounds, Interest, Reader, Recorder, replay};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,12 +25,3 @@
 pub mod state;
 pub mod statistics;
 mod time;
-
-/// The former path of [`balancer`]; it goes once all packages use the new one.
-#[doc(hidden)]
-pub mod balance {
-    pub use crate::balancer::Balancer;
-}
-/// The former path of [`lease`]; it goes once all packages use the new one.
-#[doc(hidden)]
-pub use crate::lease as permission;
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -4,7 +4,7 @@
 
 use common::{MS, S, settings};
 use violetseam::interface::Micros;
-use violetseam::lease::{AttemptFacts, Denial, Lifetime, ListLease, Permissions};
+use violetseam::lease::{AttemptFacts, ListLease, SendDenial, SendPermissions, ShutdownSchedule};
 
 /// After a change counts as told it may be ignored for so long: the grace of the settings, less a hold-up.
 const GRACE: Micros = 1_750 * MS;
@@ -15,12 +15,12 @@
 
 fn attempt(cut_at: Micros) -> AttemptFacts {
     AttemptFacts {
-        request_over: false,
+        request_finished: false,
         streaming: false,
-        earlier: 0,
-        earlier_left: false,
-        most: 4,
-        repeatable: true,
+        earlier_attempts: 0,
+        earlier_sent: false,
+        max_attempts: 4,
+        body_replayable: true,
         cut_at,
     }
 }
@@ -48,14 +48,14 @@
 fn an_outage_lengthens_the_lease_unless_something_was_told_and_missed() {
     let mut lease = lease();
     lease.confirm(100 * S);
-    lease.away(104 * S);
+    lease.discovery_down(104 * S);
     assert_eq!(lease.until(), 110 * S + GRACE);
-    lease.missed(105 * S);
+    lease.notification_missed(105 * S);
     assert_eq!(lease.until(), 105 * S + GRACE);
-    lease.away(106 * S);
+    lease.discovery_down(106 * S);
     assert_eq!(lease.until(), 105 * S + GRACE, "an outage brings no list");
     lease.confirm(107 * S);
-    lease.away(108 * S);
+    lease.discovery_down(108 * S);
     assert_eq!(lease.until(), 114 * S + GRACE);
 }
 
@@ -63,14 +63,14 @@
 fn a_move_and_the_loss_of_a_pushed_watch_shorten_the_lease() {
     let mut moved = lease();
     moved.confirm(100 * S);
-    moved.move_discovery(100 * S);
+    moved.discovery_moved(100 * S);
     assert_eq!(moved.until(), 104 * S + GRACE);
-    moved.move_discovery(101 * S);
-    moved.away(103 * S);
+    moved.discovery_moved(101 * S);
+    moved.discovery_down(103 * S);
     assert_eq!(moved.until(), 104 * S + GRACE, "the first move counts, and an outage does not lengthen it");
     let mut pushed = lease();
     pushed.confirm(100 * S);
-    pushed.unwatched(101 * S);
+    pushed.watch_lost(101 * S);
     assert_eq!(pushed.until(), 101 * S + GRACE);
 }
 
@@ -79,37 +79,42 @@
     for (longest, killed_at) in
         [(300 * MS, S), (3 * S, 3_700 * MS), (7_933 * MS, 3_700 * MS), (70 * S, 3_700 * MS)]
     {
-        let life = Lifetime::told_to_end(100 * S, longest);
-        assert!(100 * S < life.answer_by && life.answer_by < life.end_by, "{life:?}");
+        let life = ShutdownSchedule::starting_at(100 * S, longest);
+        assert!(100 * S < life.answer_by && life.answer_by < life.exit_by, "{life:?}");
         // A process may be held up for 0.15 s between reading its clock and writing.
-        assert!(life.end_by + 150 * MS < 100 * S + killed_at, "{longest}: {life:?}");
+        assert!(life.exit_by + 150 * MS < 100 * S + killed_at, "{longest}: {life:?}");
     }
 }
 
 #[test]
 fn what_may_start_is_decided_by_the_first_reason_against_it() {
     let mut list = lease();
-    let mut permissions = Permissions::new(list);
+    let mut permissions = SendPermissions::new(list);
     let now = 100 * S;
-    assert_eq!(permissions.may_start(now, &attempt(now + S)), Err(Denial::ListExpired));
+    assert_eq!(permissions.may_start(now, &attempt(now + S)), Err(SendDenial::LeaseExpired));
     list.confirm(now);
     permissions.list = list;
     assert_eq!(permissions.may_start(now, &attempt(now + S)), Ok(()));
-    let over = AttemptFacts { request_over: true, ..attempt(now + S) };
-    assert_eq!(permissions.may_write(now, &over), Err(Denial::RequestOver));
-    let spent = AttemptFacts { earlier: 4, ..attempt(now + S) };
-    assert_eq!(permissions.may_start(now, &spent), Err(Denial::AttemptsSpent));
-    let gone = AttemptFacts { repeatable: false, earlier: 1, earlier_left: true, ..attempt(now + S) };
-    assert_eq!(permissions.may_start(now, &gone), Err(Denial::BodyGone));
-    assert_eq!(permissions.may_start(now, &attempt(now)), Err(Denial::TimeOver));
-    permissions.hand_over(true);
-    assert_eq!(permissions.may_start(now, &attempt(now + S)), Err(Denial::HandedOver));
-    assert_eq!(permissions.may_write(now, &attempt(now + S)), Ok(()), "what was booked before may leave");
-    permissions.hand_over(false);
-    let life = permissions.end(Lifetime::told_to_end(now, 2 * S));
-    assert_eq!(permissions.end(Lifetime::told_to_end(now + S, 2 * S)), life, "the first word stands");
+    let over = AttemptFacts { request_finished: true, ..attempt(now + S) };
+    assert_eq!(permissions.may_send(now, &over), Err(SendDenial::RequestFinished));
+    let spent = AttemptFacts { earlier_attempts: 4, ..attempt(now + S) };
+    assert_eq!(permissions.may_start(now, &spent), Err(SendDenial::AttemptsExhausted));
+    let gone =
+        AttemptFacts { body_replayable: false, earlier_attempts: 1, earlier_sent: true, ..attempt(now + S) };
+    assert_eq!(permissions.may_start(now, &gone), Err(SendDenial::BodyNotReplayable));
+    assert_eq!(permissions.may_start(now, &attempt(now)), Err(SendDenial::DeadlineExceeded));
+    permissions.set_handed_over(true);
+    assert_eq!(permissions.may_start(now, &attempt(now + S)), Err(SendDenial::HandedOver));
+    assert_eq!(permissions.may_send(now, &attempt(now + S)), Ok(()), "what was booked before may leave");
+    permissions.set_handed_over(false);
+    let life = permissions.begin_shutdown(ShutdownSchedule::starting_at(now, 2 * S));
+    assert_eq!(
+        permissions.begin_shutdown(ShutdownSchedule::starting_at(now + S, 2 * S)),
+        life,
+        "the first word stands"
+    );
     assert_eq!(permissions.answer_by(now + 60 * S), life.answer_by);
     assert_eq!(permissions.answer_by(now + S), now + S);
     let late = life.answer_by;
-    assert_eq!(permissions.may_start(late, &attempt(late + S)), Err(Denial::Ending));
+    assert_eq!(permissions.may_start(late, &attempt(late + S)), Err(SendDenial::ShuttingDown));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -477,8 +477,8 @@
 
     fn change_list(&mut self, pick: u16) -> Vec<Action> {
         let id = 10 + u64::from(pick % 4);
-        let status = if pick % 3 == 0 { ServerStatus::Draining } else { ServerStatus::Ready };
-        let started_at = if pick % 5 == 0 { self.rig.now } else { 0 };
+        let status = if pick.is_multiple_of(3) { ServerStatus::Draining } else { ServerStatus::Ready };
+        let started_at = if pick.is_multiple_of(5) { self.rig.now } else { 0 };
         if status == ServerStatus::Ready {
             self.watch.draining.remove(&id);
         } else {
