--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -52,6 +52,7 @@
         if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
+    /// Closes a connection, which the engine need not hear of.
     pub(in super::super) fn close_client(&mut self, key: usize) {
         if self.clients.contains(key) {
             self.clients.remove(key).socket.remove(&self.handle);
@@ -69,6 +70,7 @@
         }
     }
 
+    /// A connection is ready to be read or written.
     pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
         if readiness.writable {
             self.flush_client(key);
@@ -79,6 +81,7 @@
         self.pump();
     }
 
+    /// Reads once.
     pub(super) fn read_client(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(client) = self.clients.get_mut(key) {
@@ -96,6 +99,7 @@
         self.rearm_client(key);
     }
 
+    /// The client has closed its side of the connection.
     fn on_client_half_closed(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let serve = self.settings.connections.half_close == HalfClose::Serve;
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// When a drain gives up what still waits for room: first requests have had their time to come, and those that
+    /// When a drain abandons what still waits for room: first requests have had their time to come, and those that
     /// keep the room their deadline.
     pub(in super::super) fn listen_deadline(&self) -> Micros {
         self.now() + FIRST_REQUEST_TIMEOUT + self.settings.decisions.longest_deadline()
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -14,6 +14,7 @@
 const MAX_COST_HINT: Micros = 3_600_000_000;
 
 impl Proxy {
+    /// A head has come.
     pub(super) fn on_head(&mut self, key: usize, head: RequestHead) {
         let purpose = self.request_purpose(&head);
         // The client's wait began when it sent; for as long as this event loop is late, the head may have been unread.
@@ -32,6 +33,7 @@
         }
     }
 
+    /// What becomes of a request with this head.
     pub(super) fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
         let s = &self.settings;
         let path = head.target.split(['?', '#']).next().unwrap_or("");
@@ -60,6 +62,7 @@
         RequestPurpose::Route { class: route.class }
     }
 
+    /// Bytes of a body have come.
     pub(super) fn on_body(&mut self, key: usize, bytes: Vec<u8>) {
         let keep = self.settings.connections.keep_body;
         let Some(client) = self.clients.get_mut(key) else { return };
@@ -82,6 +85,7 @@
         }
     }
 
+    /// A body is complete.
     pub(super) fn on_end(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         match &client.state {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// The engine has nothing in hand of the request any more.
+    /// The request is no longer in flight.
     pub(in super::super) fn forget(&mut self, id: RequestId) {
         self.in_flight.remove(&id);
     }
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -23,7 +23,7 @@
 const WATCH_PATH: &str = "/v1/configuration/watch";
 /// Takes acknowledgements and refusals.
 const ACKNOWLEDGE_PATH: &str = "/v1/configuration/acknowledge";
-/// A report that takes longer is given up.
+/// A report that takes longer has failed.
 const REPORT_TIMEOUT: Micros = 3_000_000;
 /// A report that failed is sent again after this.
 const REPORT_RETRY_DELAY: Micros = 1_000_000;
@@ -219,7 +219,7 @@
         }
     }
 
-    /// How the subscription stands; none where the settings name no publisher.
+    /// The state of the subscription; none where the settings name no publisher.
     pub(super) fn configuration_reading(&self) -> Option<Distributed> {
         self.subscription.as_ref().map(|subscription| subscription.reading(self.now()))
     }
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -79,7 +79,7 @@
         self.pump();
     }
 
-    /// Whether the connection stands.
+    /// Writes what waits; whether the connection is still open.
     fn write_to_publisher(&mut self, purpose: CallPurpose, generation: u64) -> bool {
         let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
         let Some(exchange) = exchange else { return true };
--- a/crates/proxy/src/driver/configuration_store.rs
+++ b/crates/proxy/src/driver/configuration_store.rs
@@ -122,7 +122,7 @@
 }
 
 /// Opens the store of a position, for at most `wait` while another process has it; also the configuration
-/// that it held, if that is sound.
+/// that it held, if that is undamaged.
 pub(super) fn open(
     folder: &Path,
     position: usize,
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -85,11 +85,11 @@
 pub enum Sabotage {
     /// Every twentieth request goes out twice.
     DoubleSend,
-    /// Final answers of the proxy's own are held back until after the deadline.
+    /// Final answers of the proxy's own are delayed until after the deadline.
     LateAnswer,
     /// Discovery's notice that a server drains is ignored.
     IgnoreDrains,
-    /// The fleet's budgets are not kept to.
+    /// The fleet's budgets are ignored.
     Spendthrift,
 }
 
@@ -158,7 +158,7 @@
     release_stream: Option<usize>,
     /// Which of the settings' controllers is called.
     release_service_index: usize,
-    /// The highest fencing number heard of a controller.
+    /// The highest fencing number received from a controller.
     release_fence: u64,
     /// To a publisher's configuration, where the settings name one.
     subscription: Option<Box<Subscription>>,
--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Queues a command, or refuses it where too many wait.
     pub(super) fn queue_command(&mut self, queued: QueuedCommand) {
         let Some(control) = &mut self.control else { return };
         if control.queue.len() >= MAX_QUEUED_COMMANDS {
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -41,10 +41,12 @@
 }
 
 impl ControlServer {
+    /// Connections over the local socket.
     pub(super) fn local_connections(&self) -> usize {
         self.connections.iter().filter(|(_, connection)| connection.is_local()).count()
     }
 
+    /// Connections over TCP.
     pub(super) fn remote_connections(&self) -> usize {
         self.connections.iter().filter(|(_, connection)| !connection.is_local()).count()
     }
@@ -55,12 +57,14 @@
         handshakes.min_by_key(|(_, connection)| connection.generation).map(|(key, _)| key)
     }
 
+    /// Whether a connection is still the one that was meant.
     pub(super) fn is_open(&self, id: ConnectionId) -> bool {
         self.connections.get(id.key).is_some_and(|connection| connection.generation == id.generation)
     }
 }
 
 impl Proxy {
+    /// Puts an operator's connection on the event loop.
     pub(super) fn add_operator(
         &mut self,
         transport: Transport,
@@ -78,6 +82,7 @@
         self.timers.set(now + timeout, TimerKind::Operator(ConnectionId { key, generation }));
     }
 
+    /// The time that was set for a connection may be over.
     pub(in super::super) fn operator_timeout(&mut self, id: ConnectionId) {
         let now = self.now();
         let Some(control) = &self.control else { return };
@@ -94,6 +99,7 @@
         }
     }
 
+    /// Closes a connection.
     pub(in super::super) fn close_operator(&mut self, key: usize) {
         let Some(control) = &mut self.control else { return };
         if let Some(connection) = control.connections.try_remove(key) {
@@ -214,6 +220,7 @@
         ControlFlow::Continue(())
     }
 
+    /// Sends an answer; closes the connection of an operator that does not read.
     pub(super) fn send_answer(&mut self, key: usize, answer: &Answer) {
         let Some(control) = &mut self.control else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -142,7 +142,7 @@
     /// The answer is complete.
     fn on_answer_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        // A request that is not completely written cannot be told from a next one by the server.
+        // A request that is not completely written cannot be distinguished from a next one by the server.
         let reusable = reusable && !server.socket.waits();
         let state = std::mem::replace(&mut server.state, State::Idle);
         let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -17,7 +17,7 @@
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPurpose {
-    /// Changes of the server list, from the version held on.
+    /// Changes of the server list, from the present version on.
     WatchList,
     /// The whole server list, once.
     FetchList,
@@ -402,6 +402,7 @@
         self.engine.on_server_list(now, ListKind::Failed, &[]);
     }
 
+    /// The time that was set for a call may be over.
     pub(super) fn call_timeout(&mut self, id: ConnectionId) {
         let ConnectionId { key, generation } = id;
         let now = self.now();
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -118,7 +118,7 @@
     peers: bool,
     #[serde(default)]
     control: bool,
-    /// The highest fencing number heard of a release controller.
+    /// The highest fencing number received from a release controller.
     #[serde(default)]
     desk_fence: u64,
     clients: usize,
@@ -150,7 +150,7 @@
         self.control_listener.take()
     }
 
-    /// The highest fencing number heard of a release controller.
+    /// The highest fencing number received from a release controller.
     pub(super) fn release_fence(&self) -> u64 {
         self.release_fence
     }
@@ -296,7 +296,7 @@
         let Some(mut stream) = self.operator_stream(connection) else {
             return Err(std::io::Error::other("the connection is gone"));
         };
-        // For this one exchange the loop waits, some milliseconds: traffic is held anyway.
+        // For this one exchange the event loop blocks, some milliseconds: traffic waits anyway.
         stream.set_nonblocking(false)?;
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
         stream.write_all(&line)?;
--- a/crates/proxy/src/engine/action.rs
+++ b/crates/proxy/src/engine/action.rs
@@ -14,7 +14,7 @@
         /// The server.
         server: ServerId,
     },
-    /// Close an attempt's connection; the decision module has been told of its end already.
+    /// Close an attempt's connection; its end has been reported to the decision module already.
     CloseAttempt {
         /// The request.
         request: RequestId,
--- a/crates/proxy/src/engine/attempts.rs
+++ b/crates/proxy/src/engine/attempts.rs
@@ -129,7 +129,7 @@
                 self.on_attempt_ended(now, id, number, Outcome::Timeout);
             }
             Err(denial) => {
-                // The module is told of both, and has to keep to them by itself.
+                // Both are reported to the module, which has to obey them by itself.
                 let is_violation = matches!(denial, Denial::Ending | Denial::ListExpired);
                 self.counts.violations += u64::from(is_violation);
                 self.on_attempt_ended(now, id, number, Outcome::NotSent);
--- a/crates/proxy/src/engine/shutdown.rs
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -40,8 +40,8 @@
         &self.permissions
     }
 
-    /// The process was told to end: nothing is sent after, and everything has its final answer by, the times that
-    /// are returned, which are earlier ones where it was told before.
+    /// The process is shutting down: nothing is sent after, and each request has its final answer by, the times that
+    /// are returned. They are earlier ones where a shutdown had begun before.
     pub fn begin_shutdown(&mut self, now: Micros, lifetime: Lifetime) -> Lifetime {
         let lifetime = self.permissions.end(lifetime);
         let at = lifetime.answer_by;
