--- a/crates/controller/src/serve/connections.rs
+++ b/crates/controller/src/serve/connections.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
-use violetseam_loopio::{Got, Socket};
+use violetseam_loopio::{ReadOutcome, Socket};
 use violetseam_site::{desk, places};
 
 /// Connections at once; further ones are closed.
@@ -91,12 +91,12 @@
         let mut bytes = [0; READ_BUFFER_LEN];
         let Some(connection) = self.connections.get_mut(key) else { return };
         match connection.socket.read(&mut bytes) {
-            Got::Bytes(len) => {
+            ReadOutcome::Bytes(len) => {
                 connection.http.feed(&bytes[..len]);
                 self.process_input(key);
             }
-            Got::Nothing => {}
-            Got::Closed | Got::Broken => self.close(key),
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
         }
     }
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 
 /// What is measured and for how long.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
         let mut bytes = [0; 16 * 1024];
         let Some((socket, held)) = self.conns.get_mut(key) else { return };
         match socket.read(&mut bytes) {
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 held.extend_from_slice(&bytes[..n]);
                 while let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
                     held.drain(..end + 4);
@@ -72,8 +72,8 @@
                     return socket.want(&self.handle, true);
                 }
             }
-            Got::Nothing => return,
-            Got::Closed | Got::Broken => {}
+            ReadOutcome::Nothing => return,
+            ReadOutcome::Closed | ReadOutcome::Broken => {}
         }
         let (socket, _) = self.conns.remove(key);
         socket.remove(&self.handle);
@@ -136,9 +136,9 @@
         let mut bytes = [0; 4096];
         let (socket, held, at, out) = &mut self.conns[n];
         match socket.read(&mut bytes) {
-            Got::Bytes(count) => held.extend_from_slice(&bytes[..count]),
-            Got::Nothing => return,
-            Got::Closed | Got::Broken => {
+            ReadOutcome::Bytes(count) => held.extend_from_slice(&bytes[..count]),
+            ReadOutcome::Nothing => return,
+            ReadOutcome::Closed | ReadOutcome::Broken => {
                 self.broken += u64::from(*out);
                 socket.remove(&self.handle);
                 return;
--- a/crates/lab/src/scale/hollow_release.rs
+++ b/crates/lab/src/scale/hollow_release.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use violetseam::interface::{Micros, Outcome};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 use violetseam_site::desk::{LINE_MOST, News, Vote, VoteReply};
 use violetseam_site::lines::Lines;
 
@@ -390,7 +390,7 @@
         let mut bytes = [0; 16 * 1024];
         let Some(call) = self.calls.get_mut(key) else { return };
         match call.socket.read(&mut bytes) {
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 match call.purpose {
                     Purpose::Watch => self.counts.watched += n as u64,
                     Purpose::Vote => self.counts.replied += n as u64,
@@ -398,8 +398,8 @@
                 call.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            Got::Nothing => {}
-            Got::Closed | Got::Broken => self.call_lost(key),
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Closed | ReadOutcome::Broken => self.call_lost(key),
         }
     }
 
--- a/crates/loopio/src/lib.rs
+++ b/crates/loopio/src/lib.rs
@@ -76,9 +76,6 @@
     Broken,
 }
 
-/// The former name of [`ReadOutcome`], for callers that have not moved to it yet.
-pub use ReadOutcome as Got;
-
 /// A connection: its stream, its registration on the event loop and its unwritten bytes.
 pub struct Socket<S = TcpStream> {
     stream: Rc<S>,
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -171,7 +171,7 @@
                 self.engine.update_list_lease(now, |lease| lease.discovery_down(exchange.began_at));
             }
             ListEvidence::PartialList => {
-                self.engine.update_list_lease(now, |lease| lease.notification_missed(now))
+                self.engine.update_list_lease(now, |lease| lease.notification_missed(now));
             }
             ListEvidence::None => {}
         }
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use violetseam::interface::Micros;
 use violetseam_http1::server::ServerEvent;
-use violetseam_loopio::{Got, HIGH_WATER};
+use violetseam_loopio::{HIGH_WATER, ReadOutcome};
 use violetseam_settings::HalfClose;
 
 /// A client's unread input is bounded by this and one read.
@@ -52,6 +52,7 @@
         if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
+    /// Closes a connection, which the engine need not hear of.
     pub(in super::super) fn close_client(&mut self, key: usize) {
         if self.clients.contains(key) {
             self.clients.remove(key).socket.remove(&self.handle);
@@ -69,6 +70,7 @@
         }
     }
 
+    /// A connection is ready to be read or written.
     pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
         if readiness.writable {
             self.flush_client(key);
@@ -79,23 +81,25 @@
         self.pump();
     }
 
+    /// Reads once.
     pub(super) fn read_client(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(client) = self.clients.get_mut(key) {
             match client.socket.read(&mut scratch) {
-                Got::Bytes(n) => {
+                ReadOutcome::Bytes(n) => {
                     client.http.feed(&scratch[..n]);
                     self.client_events(key);
                 }
-                Got::Nothing => {}
-                Got::Closed => self.on_client_half_closed(key),
-                Got::Broken => self.on_client_lost(key),
+                ReadOutcome::Nothing => {}
+                ReadOutcome::Closed => self.on_client_half_closed(key),
+                ReadOutcome::Broken => self.on_client_lost(key),
             }
         }
         self.scratch = scratch;
         self.rearm_client(key);
     }
 
+    /// The client has closed its side of the connection.
     fn on_client_half_closed(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let serve = self.settings.connections.half_close == HalfClose::Serve;
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -4,7 +4,7 @@
 use calloop::{Interest, Readiness};
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 use violetseam_site::lines::Lines;
 
 /// What an exchange with the publisher is for.
@@ -79,7 +79,7 @@
         self.pump();
     }
 
-    /// Whether the connection stands.
+    /// Writes what waits; whether the connection is still open.
     fn write_to_publisher(&mut self, purpose: CallPurpose, generation: u64) -> bool {
         let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
         let Some(exchange) = exchange else { return true };
@@ -96,12 +96,12 @@
             self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
         {
             match exchange.socket.read(&mut scratch) {
-                Got::Bytes(count) => {
+                ReadOutcome::Bytes(count) => {
                     exchange.http.feed(&scratch[..count]);
                     self.publisher_events(purpose, generation);
                 }
-                Got::Nothing => break,
-                Got::Closed | Got::Broken => self.exchange_ended(purpose),
+                ReadOutcome::Nothing => break,
+                ReadOutcome::Closed | ReadOutcome::Broken => self.exchange_ended(purpose),
             }
         }
         self.scratch = scratch;
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 use violetseam_site::lines::Lines;
 use violetseam_site::{desk, roster};
 
@@ -17,7 +17,7 @@
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPurpose {
-    /// Changes of the server list, from the version held on.
+    /// Changes of the server list, from the present version on.
     WatchList,
     /// The whole server list, once.
     FetchList,
@@ -233,19 +233,19 @@
         let mut scratch = std::mem::take(&mut self.scratch);
         while let Some(call) = self.calls.get_mut(key) {
             match call.socket.read(&mut scratch) {
-                Got::Bytes(n) => {
+                ReadOutcome::Bytes(n) => {
                     call.http.feed(&scratch[..n]);
                     self.call_events(key);
                 }
-                Got::Nothing => break,
-                Got::Closed => {
+                ReadOutcome::Nothing => break,
+                ReadOutcome::Closed => {
                     if let Some(ClientEvent::End { .. }) = call.http.close() {
                         self.call_complete(key);
                     }
                     self.call_ended(key, &CallError::Closed);
                     break;
                 }
-                Got::Broken => {
+                ReadOutcome::Broken => {
                     self.call_ended(key, &CallError::ConnectionLost);
                     break;
                 }
@@ -402,6 +402,7 @@
         self.engine.on_server_list(now, ListKind::Failed, &[]);
     }
 
+    /// The time that was set for a call may be over.
     pub(super) fn call_timeout(&mut self, id: ConnectionId) {
         let ConnectionId { key, generation } = id;
         let now = self.now();
--- a/crates/proxy/src/engine/shutdown.rs
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -40,11 +40,11 @@
         &self.permissions
     }
 
-    /// The process was told to end: nothing is sent after, and everything has its final answer by, the times that
-    /// are returned, which are earlier ones where it was told before.
-    pub fn begin_shutdown(&mut self, now: Micros, lifetime: ShutdownSchedule) -> ShutdownSchedule {
-        let lifetime = self.permissions.begin_shutdown(lifetime);
-        let at = lifetime.answer_by;
+    /// The process is shutting down: nothing is sent after, and each request has its final answer by, the times that
+    /// are returned. They are earlier ones where a shutdown had begun before.
+    pub fn begin_shutdown(&mut self, now: Micros, schedule: ShutdownSchedule) -> ShutdownSchedule {
+        let schedule = self.permissions.begin_shutdown(schedule);
+        let at = schedule.answer_by;
         let mut shortened = Vec::new();
         for (&id, request) in &mut self.requests {
             if request.deadline <= at {
@@ -65,7 +65,7 @@
             self.schedule(at, kind);
         }
         self.feed(now, Event::ShutdownAt { at });
-        lifetime
+        schedule
     }
 
     /// The process ends: each request without a final answer fails, and the decision module hears that its client
--- a/crates/publisher/src/connection.rs
+++ b/crates/publisher/src/connection.rs
@@ -9,7 +9,7 @@
 use violetseam_distribution::message::{Line, MAX_REPORT_BYTES};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
-use violetseam_loopio::{Got, HIGH_WATER, Socket};
+use violetseam_loopio::{HIGH_WATER, ReadOutcome, Socket};
 
 /// Bytes that are read at once.
 const READ_BYTES: usize = 16 * 1024;
@@ -34,7 +34,7 @@
 }
 
 /// What was read from a connection.
-pub(crate) enum ReadOutcome {
+pub(crate) enum ConnectionInput {
     /// There may be events to process.
     Input,
     /// Nothing for now.
@@ -72,17 +72,17 @@
         self.socket.unwritten() > HIGH_WATER
     }
 
-    pub(crate) fn read(&mut self) -> ReadOutcome {
+    pub(crate) fn read(&mut self) -> ConnectionInput {
         let mut bytes = [0; READ_BYTES];
         match self.socket.read(&mut bytes) {
             // A subscriber sends nothing on its watch.
-            Got::Bytes(_) if self.watch.is_some() => ReadOutcome::Closed,
-            Got::Bytes(count) => {
+            ReadOutcome::Bytes(_) if self.watch.is_some() => ConnectionInput::Closed,
+            ReadOutcome::Bytes(count) => {
                 self.http.feed(&bytes[..count]);
-                ReadOutcome::Input
+                ConnectionInput::Input
             }
-            Got::Nothing => ReadOutcome::Nothing,
-            Got::Closed | Got::Broken => ReadOutcome::Closed,
+            ReadOutcome::Nothing => ConnectionInput::Nothing,
+            ReadOutcome::Closed | ReadOutcome::Broken => ConnectionInput::Closed,
         }
     }
 
--- a/crates/standin/src/drive/clients.rs
+++ b/crates/standin/src/drive/clients.rs
@@ -20,7 +20,7 @@
 use violetseam_audit::{Entry, Record};
 use violetseam_http1::Limits;
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{Got, Socket, connect};
+use violetseam_loopio::{ReadOutcome, Socket, connect};
 
 /// How long past its deadline a client still waits, so that a late answer is seen as late.
 const PATIENCE: u64 = 400_000;
@@ -374,7 +374,7 @@
         let mut bytes = [0; 16 * 1024];
         let Some(conn) = self.conns.get_mut(key) else { return };
         match conn.socket.read(&mut bytes) {
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 if matches!(conn.work, Work::Idle) {
                     let proxy = conn.proxy as u32;
                     self.see(Record::Surplus { proxy });
@@ -383,8 +383,8 @@
                 conn.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            Got::Nothing => {}
-            Got::Closed | Got::Broken => self.lost(key),
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Closed | ReadOutcome::Broken => self.lost(key),
         }
     }
 
