--- a/crates/lab/src/scale/hollow_registry.rs
+++ b/crates/lab/src/scale/hollow_registry.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits};
-use violetseam_loopio::{Got, Socket};
+use violetseam_loopio::{ReadOutcome, Socket};
 use violetseam_site::desk::{News, PhaseName};
 use violetseam_site::roster::{Kind, Line, Message, State};
 use violetseam_standin::model::roster::Roster;
@@ -258,13 +258,13 @@
         let mut bytes = [0; 16 * 1024];
         let Some(conn) = self.conns.get_mut(key) else { return };
         match conn.socket.read(&mut bytes) {
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 conn.received += n as u64;
                 conn.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            Got::Nothing => {}
-            Got::Closed | Got::Broken => self.close(key),
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
         }
     }
 
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
-use violetseam_loopio::{Got, Socket};
+use violetseam_loopio::{ReadOutcome, Socket};
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 4_096;
@@ -79,10 +79,10 @@
     }
 
     /// Reads once; what an operator sent is appended to `input`.
-    pub(super) fn read(&mut self, input: &mut Vec<u8>) -> Got {
+    pub(super) fn read(&mut self, input: &mut Vec<u8>) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         let got = self.socket.read(&mut bytes);
-        let Got::Bytes(n) = got else { return got };
+        let ReadOutcome::Bytes(n) = got else { return got };
         let Some(tls) = &mut self.tls else {
             input.extend_from_slice(&bytes[..n]);
             return got;
@@ -92,22 +92,22 @@
         while !sealed.is_empty() {
             // Nothing is flushed on a fault: a peer without a trusted certificate gets no reason.
             if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
-                return Got::Broken;
+                return ReadOutcome::Broken;
             }
             let mut plain = [0; READ_BYTES];
             loop {
                 match tls.reader().read(&mut plain) {
                     Ok(0) => {
                         let read = input.len() - before;
-                        return if read > 0 { Got::Bytes(read) } else { Got::Closed };
+                        return if read > 0 { ReadOutcome::Bytes(read) } else { ReadOutcome::Closed };
                     }
                     Ok(n) => input.extend_from_slice(&plain[..n]),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(_) => return Got::Broken,
+                    Err(_) => return ReadOutcome::Broken,
                 }
             }
         }
-        if self.flush().is_err() { Got::Broken } else { Got::Bytes(input.len() - before) }
+        if self.flush().is_err() { ReadOutcome::Broken } else { ReadOutcome::Bytes(input.len() - before) }
     }
 
     /// Takes bytes to be sent.
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -6,23 +6,23 @@
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_http1::client::ClientEvent;
 use violetseam_http1::{Framing, ResponseHead};
-use violetseam_loopio::Got;
+use violetseam_loopio::ReadOutcome;
 
 impl Proxy {
     pub(super) fn read_server(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(server) = self.servers.get_mut(key) {
             match server.socket.read(&mut scratch) {
-                Got::Bytes(n) => {
+                ReadOutcome::Bytes(n) => {
                     server.http.feed(&scratch[..n]);
                     self.server_events(key);
                 }
-                Got::Nothing => {}
-                Got::Closed => match server.http.close() {
+                ReadOutcome::Nothing => {}
+                ReadOutcome::Closed => match server.http.close() {
                     Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
                     _ => self.on_server_lost(key),
                 },
-                Got::Broken => self.on_server_lost(key),
+                ReadOutcome::Broken => self.on_server_lost(key),
             }
         }
         self.scratch = scratch;
@@ -142,7 +142,7 @@
     /// The answer is complete.
     fn on_answer_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        // A request that is not completely written cannot be told from a next one by the server.
+        // A request that is not completely written cannot be distinguished from a next one by the server.
         let reusable = reusable && !server.socket.waits();
         let state = std::mem::replace(&mut server.state, State::Idle);
         let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -1,6 +1,6 @@
 //! The server: accepts connections, passes requests to the service, feeds the watches.
 
-use crate::connection::{BodyBudget, Connection, ReadOutcome};
+use crate::connection::{BodyBudget, Connection, ConnectionInput};
 use crate::http_messages::{Request, Response};
 use crate::service::{Outcome, RequestContext, Service};
 use crate::settings::Bounds;
@@ -201,9 +201,9 @@
     fn read(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         match connection.read() {
-            ReadOutcome::Input => self.process_input(key),
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed => self.close(key),
+            ConnectionInput::Input => self.process_input(key),
+            ConnectionInput::Nothing => {}
+            ConnectionInput::Closed => self.close(key),
         }
     }
 
