--- a/src/analysis/gossip.rs
+++ b/src/analysis/gossip.rs
@@ -1,8 +1,8 @@
 //! Gossip: balancers exchange their counters on the stage.
 //!
-//! In a small fleet each sends its counters to all. In a large one each sends them to a few aggregators, drawn
-//! anew for each stage, which send the totals to all: each hears a few messages a second, however many there
-//! are.
+//! In a small fleet each sends its counters to all. In a large one each sends them to a few aggregators,
+//! drawn anew for each stage, which send the totals to all: each hears a few messages a second, however
+//! many there are.
 
 use super::windows::MAX_WINDOW_ATTEMPTS;
 use crate::balancer::Balancer;
--- a/src/analysis/verdict.rs
+++ b/src/analysis/verdict.rs
@@ -68,8 +68,8 @@
 }
 
 impl Balancer {
-    /// Compares the new build with the earlier one over the open window, then failures over the stage: a small
-    /// steady share passes each window's bounds, but not the whole stage's.
+    /// Compares the new build with the earlier one over the open window, then failures over the stage: a
+    /// small steady share passes each window's bounds, but not the whole stage's.
     pub(super) fn evaluate_window(
         &mut self,
         now: Micros,
@@ -130,8 +130,8 @@
         Significance::for_judges(self.settings.fleet_size as f64 / votes)
     }
 
-    /// Compares the arms. `alone`: there is no earlier arm to compare with, so that time-outs and resets may be
-    /// the load's or the servers' and only errors and wrong answers count.
+    /// Compares the arms. `alone`: there is no earlier arm to compare with, so that time-outs and resets
+    /// may be the load's or the servers' and only errors and wrong answers count.
     fn compare_arms(
         &self,
         evidence: &Evidence,
@@ -170,9 +170,9 @@
 
 /// The result that a violation leads to; `None`: it clears the build.
 ///
-/// A queue that builds up and drains lifts median and tail for a while: a mild violation counts over the whole
-/// span only (till then no vote to promote stands). The doing of some servers among many for a whole span is
-/// cleared by the others.
+/// A queue that builds up and drains lifts median and tail for a while: a mild violation counts over the
+/// whole span only (till then no vote to promote stands). The doing of some servers among many for a whole
+/// span is cleared by the others.
 fn weigh_violation(found: ArmViolation, age: Micros, many_servers: bool) -> Option<WindowResult> {
     let ArmViolation { violation, by_few_servers } = found;
     let whole_span = age >= MAX_WINDOW_SPAN;
--- a/src/analysis/votes.rs
+++ b/src/analysis/votes.rs
@@ -41,8 +41,8 @@
         if by_clock { Verdict::Hold } else { Verdict::Withdraw }
     }
 
-    /// An operator's command: a pause suspends votes while the analysis goes on, a rollback stands as a verdict
-    /// to roll back does.
+    /// An operator's command: a pause suspends votes while the analysis goes on, a rollback stands as a
+    /// verdict to roll back does.
     pub(crate) fn on_operator_command(
         &mut self,
         now: Micros,
--- a/src/analysis/windows.rs
+++ b/src/analysis/windows.rs
@@ -37,8 +37,8 @@
 impl Balancer {
     /// Counts an attempt's end as evidence about the build.
     ///
-    /// Rejections, failed connects and attempts never sent are no answers of the build. One that was cut short
-    /// took at least so long, which says something only past the typical time.
+    /// Rejections, failed connects and attempts never sent are no answers of the build. One that was cut
+    /// short took at least so long, which says something only past the typical time.
     pub(crate) fn record_build_outcome(&mut self, context: &AttemptContext, end: AttemptEnd) {
         let &AttemptContext { attempt, class, work, late } = context;
         let elapsed = end.elapsed as f64;
@@ -92,8 +92,8 @@
         })
     }
 
-    /// Closes the window when it is full or old enough, and turns its result into a verdict. A window that says
-    /// too little stays open and carries its evidence on until it suffices.
+    /// Closes the window when it is full or old enough, and turns its result into a verdict. A window that
+    /// says too little stays open and carries its evidence on until it suffices.
     pub(crate) fn close_window(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(release) = self.release_under_analysis() else { return };
         let age = now.saturating_sub(self.state.analysis.window_start);
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -4,8 +4,8 @@
 use crate::interface::{Action, DedupGroup, Idempotency, Micros, RequestId};
 
 impl Balancer {
-    /// Gives the final answer: a rejection where nothing can have run or a repeat is harmless, else a failure.
-    /// It is never held back. `overloaded`: the request is rejected to shed load.
+    /// Gives the final answer: a rejection where nothing can have run or a repeat is harmless, else a
+    /// failure. It is never held back. `overloaded`: the request is rejected to shed load.
     pub(crate) fn finish_unanswered(
         &mut self,
         now: Micros,
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -1,7 +1,8 @@
 //! The event loop of a balancer: one event in, the actions that it leads to out.
 //!
-//! Requests are admitted in `admission.rs`, get a server in `routing.rs`, attempts in `attempts.rs`, retries and
-//! hedges in `retry.rs` and their final answer in `completion.rs`. Builds on trial are judged in `analysis/`.
+//! Requests are admitted in `admission.rs`, get a server in `routing.rs`, attempts in `attempts.rs`,
+//! retries and hedges in `retry.rs` and their final answer in `completion.rs`. Builds on trial are judged
+//! in `analysis/`.
 
 use crate::analysis::GOSSIP_INTERVAL;
 use crate::balancer::Balancer;
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -10,7 +10,8 @@
 const ROUNDING: f64 = 1e-9;
 
 impl Balancer {
-    /// Whether a build is on trial for this balancer: the newest one unless released, and any later one listed.
+    /// Whether a build is on trial for this balancer: the newest one unless released, and any later one
+    /// listed.
     pub(crate) fn on_trial(&self, build: Build) -> bool {
         match self.state.release {
             Some(release) => {
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -22,8 +22,8 @@
 /// Clients need so long to read the final responses and the ends of their connections.
 const FINAL_RESPONSE_SPAN: Micros = 200_000;
 
-/// For how long the server list may be used: until no change that was missed could have counted as notified for
-/// longer than its grace.
+/// For how long the server list may be used: until no change that was missed could have counted as notified
+/// for longer than its grace.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLease {
     /// `None`: nothing limits the list's use.
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -92,7 +92,8 @@
             Outcome::Ok => {
                 smooth(&mut server.failure_share, 0.0, RECORD_SMOOTHING);
                 let per_attempt = elapsed as f64 / f64::from(concurrency.max(1));
-                // Few attempts in flight overstate it, and rejections would keep them few: down fast, up slowly.
+                // Few attempts in flight overstate it, and rejections would keep them few: down fast, up
+                // slowly.
                 let faster = per_attempt < server.latency_per_attempt;
                 let weight = if faster { FASTER_SMOOTHING } else { RECORD_SMOOTHING };
                 smooth(&mut server.latency_per_attempt, per_attempt, weight);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -78,8 +78,9 @@
         let time_left = now + 4 * self.settings.tick < request.request.deadline;
         let attempts_left =
             request.attempts.len() < self.settings.limits.max_attempts && outcome != Outcome::NotSent;
-        // The budget keeps retries from feeding an overload; those after a proven rejection cost as much as any.
-        // After a first attempt that was cancelled before it was sent, the next one is the first that is sent.
+        // The budget keeps retries from feeding an overload; those after a proven rejection cost as much as
+        // any. After a first attempt that was cancelled before it was sent, the next one is the first that
+        // is sent.
         let first_cancelled = outcome == Outcome::CancelledBeforeSend && request.attempts.len() == 1;
         let price = if first_cancelled { 0.0 } else { 1.0 };
         let allowed = time_left && attempts_left && self.may_repeat(now, request, None);
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -200,7 +200,8 @@
         }
     }
 
-    /// Two random choices by own attempts in flight, drawn again while the better one is busier than the mean.
+    /// Two random choices by own attempts in flight, drawn again while the better one is busier than the
+    /// mean.
     fn choose_server(
         &mut self,
         total_weight: f64,
