--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -41,7 +41,7 @@
     /// After a drain that was called off: connections between requests have their ordinary time again.
     pub(in super::super) fn reset_idle_timeouts(&mut self) {
         for key in self.idle_clients() {
-            self.clients[key].limit_at = Micros::MAX;
+            self.clients[key].timeout.set(None);
             self.rearm_client(key);
         }
     }
@@ -171,18 +171,11 @@
             State::Closing => Some(settings.head_timeout),
             State::Lingering => Some(LINGER_TIMEOUT),
         };
-        let is_running = client.limit_at != Micros::MAX;
-        match timeout {
-            None => client.limit_at = Micros::MAX,
-            // A client that trickles its head must not push its own limit on with each byte.
-            Some(timeout) if is_running && client.limit_at <= now + timeout => {}
-            Some(timeout) => client.limit_at = now + timeout,
-        }
-        if client.limit_at < client.armed_at {
-            client.armed_at = client.limit_at;
-            let id = ConnectionId { key, generation: client.generation };
-            self.timers.set(client.limit_at, TimerKind::Client(id));
-        }
+        // A client that trickles its head must not push its own limit on with each byte.
+        let timeout_at = timeout.map(|timeout| now + timeout);
+        client.timeout.set(timeout_at.map(|at| client.timeout.at().map_or(at, |running| running.min(at))));
+        let id = ConnectionId { key, generation: client.generation };
+        client.timeout.arm(&mut self.timers, TimerKind::Client(id));
     }
 
     /// A body that grows is read as fast as its server takes it, and not before it has one.
@@ -201,12 +194,7 @@
         let Some(client) = self.clients.get_mut(id.key).filter(|c| c.generation == id.generation) else {
             return;
         };
-        client.armed_at = Micros::MAX;
-        if client.limit_at > now {
-            if client.limit_at < Micros::MAX {
-                client.armed_at = client.limit_at;
-                self.timers.set(client.limit_at, TimerKind::Client(id));
-            }
+        if !client.timeout.on_timer(now, &mut self.timers, TimerKind::Client(id)) {
             return;
         }
         let is_receiving = client.http.is_receiving() || matches!(client.state, State::Collecting(_));
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -1,6 +1,6 @@
 //! Listeners for clients, and the connections that they accept.
 
-use super::super::timers::{ACCEPT_PAUSE, TimerKind};
+use super::super::timers::{ACCEPT_PAUSE, StateTimeout, TimerKind};
 use super::super::{ClientListener, ConnectionId, Proxy};
 use super::{Client, FIRST_REQUEST_TIMEOUT, State};
 use calloop::generic::Generic;
@@ -143,12 +143,13 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let generation = self.next_generation();
-        let limit_at = self.now() + self.first_request_timeout();
+        let timeout_at = self.now() + self.first_request_timeout();
         let http = ServerConn::new(self.head_limits);
         let entry = self.clients.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
+        let kind = TimerKind::Client(ConnectionId { key, generation });
         entry.insert(Client {
             generation,
             socket,
@@ -156,10 +157,8 @@
             state: State::Idle,
             used: false,
             half_closed: false,
-            limit_at,
-            armed_at: limit_at,
+            timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
-        self.timers.set(limit_at, TimerKind::Client(ConnectionId { key, generation }));
         Ok(())
     }
 }
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -6,6 +6,7 @@
 mod responses;
 
 use super::ConnectionId;
+use super::timers::StateTimeout;
 use http::StatusCode;
 use violetseam::interface::{Micros, RequestId};
 use violetseam_http1::RequestHead;
@@ -25,10 +26,7 @@
     used: bool,
     /// The client closed its side; it may still read.
     half_closed: bool,
-    /// When the present state has lasted too long.
-    limit_at: Micros,
-    /// When a timer checks that.
-    armed_at: Micros,
+    timeout: StateTimeout,
 }
 
 /// What a client connection is doing.
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -5,7 +5,7 @@
 use crate::engine::LocalResponse;
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
-use violetseam::interface::{Micros, RequestId};
+use violetseam::interface::RequestId;
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_loopio::HIGH_WATER;
 use violetseam_site::flag;
@@ -117,7 +117,7 @@
             State::Closing if drained && client.half_closed => return self.close_client(key),
             State::Closing if drained => {
                 client.state = State::Lingering;
-                client.limit_at = Micros::MAX;
+                client.timeout.set(None);
                 client.socket.close_write();
             }
             State::Waiting(id) if client.socket.unwritten() <= HIGH_WATER => {
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -1,6 +1,7 @@
 //! HTTP exchanges with the publisher: a watch, and one report at a time.
 
 use super::super::Proxy;
+use super::super::http_request::queue_request;
 use calloop::{Interest, Readiness};
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_http1::client::{ClientConn, ClientEvent};
@@ -46,14 +47,7 @@
         let Ok(mut socket) = Socket::register(&self.handle, stream, Interest::BOTH, on_ready) else {
             return false;
         };
-        let head = format!(
-            "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
-            body.len()
-        );
-        socket.out().extend_from_slice(head.as_bytes());
-        socket.out().extend_from_slice(body);
-        let mut http = ClientConn::new(violetseam_http1::Limits::default());
-        http.expect_answer(false);
+        let http = queue_request(&mut socket, to, method, path, body);
         let max_line_bytes = if purpose == CallPurpose::Watch { MAX_LINE_BYTES } else { MAX_REPORT_BYTES };
         let exchange =
             Exchange { generation, socket, http, lines: Lines::new(max_line_bytes), accepted: false };
--- /dev/null
+++ b/crates/proxy/src/driver/http_request.rs
@@ -0,0 +1,25 @@
+//! A request of the proxy's own, alone on its connection: to discovery, the release service or the publisher.
+
+use std::net::SocketAddr;
+use violetseam_http1::Limits;
+use violetseam_http1::client::ClientConn;
+use violetseam_loopio::Socket;
+
+/// Queues a request on a new connection to `to`; gives the reader of its answer.
+pub(super) fn queue_request(
+    socket: &mut Socket,
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> ClientConn {
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
+    socket.out().extend_from_slice(head.as_bytes());
+    socket.out().extend_from_slice(body);
+    let mut http = ClientConn::new(Limits::default());
+    http.expect_answer(false);
+    http
+}
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -9,6 +9,7 @@
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
 //! - `configuration_store.rs`: the last good configuration on disk
 //! - `operators/`: the control sockets, commands and the reading of the state
+//! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
 //! - `takeover.rs`: a new process takes the sockets and what the module learned
 //! - `descriptor_passing.rs`: file descriptors in messages
@@ -20,6 +21,7 @@
 mod descriptor_passing;
 mod drain;
 mod event_loop;
+mod http_request;
 mod operators;
 mod peers;
 mod saved_list;
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -7,7 +7,7 @@
 mod answers;
 
 use super::clients::{Client, InFlightRequest};
-use super::timers::TimerKind;
+use super::timers::{StateTimeout, TimerKind};
 use super::{ConnectionId, Proxy};
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
@@ -22,9 +22,7 @@
     socket: Socket,
     http: ClientConn,
     state: State,
-    /// When the present state has lasted too long, and when a timer looks at that.
-    limit_at: Micros,
-    armed_at: Micros,
+    timeout: StateTimeout,
 }
 
 /// What a connection to a server is doing.
@@ -137,23 +135,22 @@
     fn open_server(&mut self, id: ServerId, active: ActiveAttempt) -> Option<()> {
         let stream = connect(self.server_list.address(id)?).ok()?;
         let generation = self.next_generation();
-        let limit_at = self.now() + self.settings.connections.connect_timeout;
+        let timeout_at = self.now() + self.settings.connections.connect_timeout;
         let entry = self.servers.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
         let request = active.request;
         let attempt = active.attempt;
+        let kind = TimerKind::Server(ConnectionId { key, generation });
         entry.insert(Server {
             generation,
             id,
             socket,
             http: ClientConn::new(self.head_limits),
             state: State::Connecting(active),
-            limit_at,
-            armed_at: limit_at,
+            timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
-        self.timers.set(limit_at, TimerKind::Server(ConnectionId { key, generation }));
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
             in_flight.connections[attempt] = Some(key);
         }
@@ -215,12 +212,9 @@
             State::Busy(_) => None,
             State::Discarding { .. } | State::Idle => Some(settings.server_idle),
         };
-        server.limit_at = timeout.map_or(Micros::MAX, |timeout| now + timeout);
-        if server.limit_at < server.armed_at {
-            server.armed_at = server.limit_at;
-            let id = ConnectionId { key, generation: server.generation };
-            self.timers.set(server.limit_at, TimerKind::Server(id));
-        }
+        server.timeout.set(timeout.map(|timeout| now + timeout));
+        let id = ConnectionId { key, generation: server.generation };
+        server.timeout.arm(&mut self.timers, TimerKind::Server(id));
         server.socket.want(&self.handle, reads);
     }
 
@@ -229,12 +223,7 @@
         let Some(server) = self.servers.get_mut(id.key).filter(|s| s.generation == id.generation) else {
             return;
         };
-        server.armed_at = Micros::MAX;
-        if server.limit_at > now {
-            if server.limit_at < Micros::MAX {
-                server.armed_at = server.limit_at;
-                self.timers.set(server.limit_at, TimerKind::Server(id));
-            }
+        if !server.timeout.on_timer(now, &mut self.timers, TimerKind::Server(id)) {
             return;
         }
         match server.state {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -1,6 +1,7 @@
 //! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch on
 //! the server list and the release's state are answers without an end, one JSON line a message.
 
+use super::http_request::queue_request;
 use super::timers::TimerKind;
 use super::{ConnectionId, ListedServer, Proxy};
 use calloop::{Interest, Readiness};
@@ -181,14 +182,7 @@
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_call(key, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let head = format!(
-            "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
-            body.len()
-        );
-        socket.out().extend_from_slice(head.as_bytes());
-        socket.out().extend_from_slice(body);
-        let mut http = ClientConn::new(violetseam_http1::Limits::default());
-        http.expect_answer(false);
+        let http = queue_request(&mut socket, *to, method, path, body);
         let max_line_bytes = match purpose {
             CallPurpose::WatchRelease => desk::LINE_MOST,
             _ => roster::LINE_MOST,
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -48,6 +48,54 @@
 /// All of them, by time.
 pub type Timers = violetseam_loopio::timers::Timers<TimerKind>;
 
+/// When the present state of a connection has lasted too long.
+///
+/// One timer at most is set for it: a later time needs no new one, as a timer that fires early is set again.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StateTimeout {
+    /// [`Micros::MAX`]: the state may last.
+    at: Micros,
+    /// When the timer fires that checks that; [`Micros::MAX`]: none is set.
+    armed_at: Micros,
+}
+
+impl StateTimeout {
+    /// A time-out with its timer, which fires as `kind`.
+    pub(super) fn start(at: Micros, timers: &mut Timers, kind: TimerKind) -> Self {
+        let mut timeout = StateTimeout { at, armed_at: Micros::MAX };
+        timeout.arm(timers, kind);
+        timeout
+    }
+
+    /// When it is over; `None`: never.
+    pub(super) fn at(&self) -> Option<Micros> {
+        (self.at < Micros::MAX).then_some(self.at)
+    }
+
+    /// Moves it; [`StateTimeout::arm`] sets its timer.
+    pub(super) fn set(&mut self, at: Option<Micros>) {
+        self.at = at.unwrap_or(Micros::MAX);
+    }
+
+    /// Sets a timer, unless one fires early enough.
+    pub(super) fn arm(&mut self, timers: &mut Timers, kind: TimerKind) {
+        if self.at < self.armed_at {
+            self.armed_at = self.at;
+            timers.set(self.at, kind);
+        }
+    }
+
+    /// A timer has fired: whether the time-out is over. If it is not, a timer is set again.
+    pub(super) fn on_timer(&mut self, now: Micros, timers: &mut Timers, kind: TimerKind) -> bool {
+        self.armed_at = Micros::MAX;
+        if self.at <= now {
+            return true;
+        }
+        self.arm(timers, kind);
+        false
+    }
+}
+
 impl super::Proxy {
     /// Runs the driver's time-outs that are due.
     pub(super) fn run_timers(&mut self, now: Micros) {
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -38,10 +38,20 @@
                 Record::ServerTable(number, entries) => {
                     self.tables.insert(number, entries);
                 }
-                record => {
-                    let instance = instance.ok_or(WireError::NoContext)?;
-                    self.play(now, instance, record, &mut out)?;
+                Record::Born(seed, settings) => {
+                    let id = named(instance)?;
+                    let settings = violetseam_instance::parse(settings)?;
+                    self.balancers.insert(id, Balancer::new(settings, seed));
                 }
+                Record::Kill => {
+                    self.balancers.remove(&named(instance)?);
+                }
+                Record::ServerList(kind, number) => {
+                    let id = named(instance)?;
+                    let entries = self.entries(kind, number)?;
+                    self.deliver(id, now, Event::ServerList { kind, entries: &entries }, &mut out);
+                }
+                Record::Event(event) => self.deliver(named(instance)?, now, event, &mut out),
             }
         }
         if !reader.is_empty() {
@@ -52,29 +62,12 @@
         Ok(out)
     }
 
-    /// Plays a record of one instance.
-    fn play(&mut self, now: Micros, id: u32, record: Record, out: &mut Vec<u8>) -> Result<(), WireError> {
-        match record {
-            Record::Born(seed, settings) => {
-                let settings = violetseam_instance::parse(settings)?;
-                self.balancers.insert(id, Balancer::new(settings, seed));
-            }
-            Record::Kill => {
-                self.balancers.remove(&id);
-            }
-            Record::ServerList(kind, number) => {
-                let entries = match (kind, self.tables.get(&number)) {
-                    (ListKind::Failed, _) => Vec::new(),
-                    (_, Some(entries)) => entries.clone(),
-                    (_, None) => return Err(WireError::UnknownList(number)),
-                };
-                self.deliver(id, now, Event::ServerList { kind, entries: &entries }, out);
-            }
-            Record::Event(event) => self.deliver(id, now, event, out),
-            // Records of the whole batch, which name no instance.
-            Record::Context(_) | Record::ServerTable(..) => {}
+    /// What a server list event carries: nothing for a failed call, else the list of that number.
+    fn entries(&self, kind: ListKind, number: u8) -> Result<Vec<ServerEntry>, WireError> {
+        if kind == ListKind::Failed {
+            return Ok(Vec::new());
         }
-        Ok(())
+        self.tables.get(&number).cloned().ok_or(WireError::UnknownList(number))
     }
 
     fn deliver(&mut self, id: u32, now: Micros, event: Event, out: &mut Vec<u8>) {
@@ -97,6 +90,11 @@
     }
 }
 
+/// The instance that a record is about.
+fn named(instance: Option<u32>) -> Result<u32, WireError> {
+    instance.ok_or(WireError::NoContext)
+}
+
 /// What a panic said.
 fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
     let owned = cause.downcast_ref::<String>().cloned();
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -3,7 +3,7 @@
 use crate::admission::LANE_LATE_MARGIN;
 use crate::analysis::AttemptContext;
 use crate::balancer::Balancer;
-use crate::interface::{Action, AttemptEnd, Micros, Outcome, Phase, RequestId};
+use crate::interface::{Action, AttemptEnd, Micros, Outcome, Phase};
 use crate::retry::MAX_RETRY_BUDGET;
 use crate::state::{Attempt, Lane, MAX_TRIAL_CREDIT, smooth};
 
@@ -41,10 +41,11 @@
         if let Some(key) = inner.key {
             self.record_key_outcome(key, &attempt, end.outcome);
         }
-        self.after_attempt(now, end.request, end, out);
+        self.after_attempt(now, end, out);
     }
 
-    fn after_attempt(&mut self, now: Micros, id: RequestId, end: AttemptEnd, out: &mut Vec<Action>) {
+    fn after_attempt(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
+        let id = end.request;
         let Some(request) = self.state.requests.get(&id) else { return };
         if end.finishes_request || request.done {
             self.finish(id, out);
