--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -7,9 +7,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use violetseam_control::{Action, Request, Response};
 use violetseam_fleet::report::{self, ExitStatus};
 use violetseam_fleet::{CommandOptions, DaemonReading, Delivery, Fleet, select_members, wall_clock};
+use violetseam_operator_commands::{Action, Request, Response};
 use violetseam_settings::Identity;
 
 #[derive(ClapArgs)]
@@ -139,8 +139,8 @@
 fn client_tls(identity: &Identity) -> Result<Arc<rustls::ClientConfig>, String> {
     let now_s = (wall_clock() / 1_000_000) as i64;
     let files = key_files(identity);
-    let loaded = violetseam_keys::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
-    if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
+    let loaded = violetseam_tls_config::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
+    if loaded.expires_at_s - now_s < violetseam_tls_config::EXPIRY_WARNING_S {
         eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
     }
     Ok(loaded.config)
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -4,8 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use violetseam_lab::{Lab, days, disturbed, drawn, fleet, measure, report, scale};
-use violetseam_standin::day::Day;
+use violetseam_scale_bench as scale;
+use violetseam_scenarios::{Lab, days, disturbed, drawn, fleet, measure, report};
+use violetseam_simulated_site::day::Day;
 
 #[derive(Args)]
 pub struct DemoArgs {
@@ -160,8 +161,8 @@
 fn check(file: &Path) -> Result<ExitCode, String> {
     let mut input = std::fs::File::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let (rules, entries) =
-        violetseam_audit::record::read(&mut input).map_err(|e| format!("{}: {e}", file.display()))?;
-    let verdict = violetseam_audit::check(&rules, &entries);
+        violetseam_invariants::record::read(&mut input).map_err(|e| format!("{}: {e}", file.display()))?;
+    let verdict = violetseam_invariants::check(&rules, &entries);
     println!("{} records; looked at by rule: {:?}", entries.len(), verdict.looked_at);
     for v in &verdict.violations {
         println!("{:.3} s rule {}: {}", v.at as f64 / 1e6, v.rule, v.what);
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use violetseam_plan::{Micros, Plan, moment_of};
-use violetseam_rehearsal::{Played, chart, play};
+use violetseam_plan_simulation::{Played, chart, play};
 
 #[derive(ClapArgs)]
 pub struct Source {
@@ -103,7 +103,9 @@
         }
         Command::Simulate { source, script, chart } => {
             let script = match script {
-                Some(path) => Some(violetseam_rehearsal::read_file(path, &[]).map_err(|e| e.to_string())?),
+                Some(path) => {
+                    Some(violetseam_plan_simulation::read_file(path, &[]).map_err(|e| e.to_string())?)
+                }
                 None => None,
             };
             let at = match &script {
@@ -112,7 +114,7 @@
             };
             let plan = read(&source.file, &source.set, at)?;
             let before = plan.build.checked_sub(1).unwrap_or(1);
-            let script = script.unwrap_or_else(|| violetseam_rehearsal::healthy(&plan, at, before));
+            let script = script.unwrap_or_else(|| violetseam_plan_simulation::healthy(&plan, at, before));
             let played = play(&plan, &script, &mut |_| {});
             timeline(&played);
             if let Some(path) = chart {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -9,11 +9,11 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry, reload};
-use violetseam_daemon::{OpenedStore, Store, StoreError};
-use violetseam_keys::KeyFiles;
+use violetseam_operator_store::{OpenedStore, Store, StoreError};
 use violetseam_proxy::driver::{Operators, Options, Reloaded, Reopened, SetLog, inherit, serve_operated};
 use violetseam_recorder::Bounds;
 use violetseam_settings::{Identity, ProxySettings, read_file};
+use violetseam_tls_config::KeyFiles;
 
 #[derive(ClapArgs)]
 pub struct Args {
@@ -195,9 +195,9 @@
 fn keys_of(settings: &ProxySettings) -> Result<Option<Arc<rustls::ServerConfig>>, String> {
     let Some((_, identity)) = &settings.control_tls else { return Ok(None) };
     let now_s = (violetseam_fleet::wall_clock() / 1_000_000) as i64;
-    let loaded =
-        violetseam_keys::server_tls(&key_files(identity), now_s).map_err(|e| format!("control_tls: {e}"))?;
-    if loaded.expires_at_s - now_s < violetseam_keys::EXPIRY_WARNING_S {
+    let loaded = violetseam_tls_config::server_tls(&key_files(identity), now_s)
+        .map_err(|e| format!("control_tls: {e}"))?;
+    if loaded.expires_at_s - now_s < violetseam_tls_config::EXPIRY_WARNING_S {
         tracing::warn!(cert = identity.cert, "the certificate for control over TCP ends in under two weeks");
     }
     Ok(Some(loaded.config))
--- a/crates/cli/tests/control_tls.rs
+++ b/crates/cli/tests/control_tls.rs
@@ -14,7 +14,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 use time::OffsetDateTime;
-use violetseam_keys::KeyFiles;
+use violetseam_tls_config::KeyFiles;
 
 /// An authority that issues certificates into a folder.
 struct Authority {
@@ -104,7 +104,7 @@
 
     fn connect(&self, name: &str) -> StreamOwned<ClientConnection, TcpStream> {
         let now = OffsetDateTime::now_utc().unix_timestamp();
-        let config = violetseam_keys::client_tls(&files(&self.keys, name), now).unwrap().config;
+        let config = violetseam_tls_config::client_tls(&files(&self.keys, name), now).unwrap().config;
         let stream = TcpStream::connect(self.listen).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let host = ServerName::try_from("127.0.0.1").unwrap();
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -3,9 +3,9 @@
 
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
-use violetseam_lab::{Lab, Outcome, days, report};
 use violetseam_recorder::{Interest, replay};
-use violetseam_standin::day::Day;
+use violetseam_scenarios::{Lab, Outcome, days, report};
+use violetseam_simulated_site::day::Day;
 
 fn folder(number: u8, day: &Day) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", day.name))
@@ -78,7 +78,7 @@
     day.length = 9_000_000;
     day.traffic.rate = 200.0;
     day.releases =
-        vec![violetseam_standin::day::Release { at: 500_000, fault: None, strength: 0.0, speed: 1.0 }];
+        vec![violetseam_simulated_site::day::Release { at: 500_000, fault: None, strength: 0.0, speed: 1.0 }];
     let outcome = play_under(7, &day, &[], true);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
     assert_eq!(outcome.site.fates.len(), 1);
@@ -88,7 +88,7 @@
 /// A day for the saboteurs: servers fail, builds come, drains happen.
 #[cfg(feature = "sabotage")]
 fn rough() -> Day {
-    use violetseam_standin::day::{Kind, Release, Trouble};
+    use violetseam_simulated_site::day::{Kind, Release, Trouble};
     let mut day = days::quiet();
     day.name = "rough".into();
     day.length = 14_000_000;
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
-use violetseam_lab::{Lab, Outcome, fleet_days, report, script};
-use violetseam_standin::day::Day;
-use violetseam_standin::drive::Net;
+use violetseam_scenarios::{Lab, Outcome, fleet_days, report, script};
+use violetseam_simulated_site::day::Day;
+use violetseam_simulated_site::drive::Net;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_violetseam");
 
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -16,15 +16,20 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::time::{Duration, Instant};
-use violetseam_controller::journal::StateDir;
-use violetseam_daemon::Store;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use violetseam_controller::journal::{Record, StateDir, encode};
 use violetseam_distribution::Message;
+use violetseam_operator_store::Store;
 use violetseam_recorder::{Interest, replay};
+use violetseam_release::{Event, Now, Phase};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 /// The version that the stored configuration and the publisher's store end with.
 const STORED_VERSION: &str = "1796219051902.2";
+/// When the stored journal of a controller ends, in microseconds since 1970.
+const STORED_JOURNAL_END: u64 = 1_796_219_059_054_867;
+/// How long the plan in that journal lets its release last, in microseconds.
+const STORED_PLAN_LONGEST: u64 = 3_600_000_000;
 /// The boot number in the stored daemon state.
 const STORED_BOOT: u64 = 2;
 
@@ -84,48 +89,126 @@
     std::fs::remove_dir_all(state).unwrap();
 }
 
+/// A controller on a copy of the stored journal, which another one wrote in term 1.
+struct StoredController {
+    folder: PathBuf,
+    process: Child,
+}
+
+impl StoredController {
+    /// A folder with the term that the stored journal belongs to, and nothing else.
+    fn folder(name: &str) -> PathBuf {
+        let folder = scratch(name);
+        std::fs::create_dir_all(folder.join("state")).unwrap();
+        std::fs::copy(stored("controller").join("term-1"), folder.join("state/term-1")).unwrap();
+        folder
+    }
+
+    fn start(folder: PathBuf) -> StoredController {
+        let settings = folder.join("controller.star");
+        let text = format!(
+            "controller(name = \"two\", listen = \"127.0.0.1:0\", build = 1, control = \"{}\", lease = \"400ms\", beat = \"100ms\")\n",
+            folder.join("control").display()
+        );
+        std::fs::write(&settings, text).unwrap();
+        let process = Command::new(PROGRAM)
+            .args(["controller", "--log", "error", "--settings"])
+            .arg(&settings)
+            .arg("--state")
+            .arg(folder.join("state"))
+            .stdout(Stdio::null())
+            .spawn()
+            .unwrap();
+        StoredController { folder, process }
+    }
+
+    /// What the controller announces once it leads and is in this phase.
+    fn announcement(&self, phase: &str) -> Value {
+        let mut said = Value::Null;
+        wait_for("the controller speaks in a new term", || {
+            let out = Command::new(PROGRAM)
+                .args(["release", "--json", "--timeout", "2", "--as", "lead", "--control"])
+                .arg(self.folder.join("control"))
+                .arg("state")
+                .output()
+                .unwrap();
+            said = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
+            said["state"]["term"] == 2 && said["state"]["news"]["phase"] == phase
+        });
+        said["state"]["news"].take()
+    }
+
+    fn end(mut self) {
+        self.process.kill().unwrap();
+        self.process.wait().unwrap();
+        std::fs::remove_dir_all(self.folder).unwrap();
+    }
+}
+
+/// Moves each time of the wall clock in a journal's record.
+fn move_wall_times(value: &mut Value, by: u64) {
+    match value {
+        Value::Object(fields) => {
+            for (name, field) in fields {
+                match field.as_u64() {
+                    Some(wall) if name == "wall" => *field = (wall + by).into(),
+                    _ => move_wall_times(field, by),
+                }
+            }
+        }
+        Value::Array(items) => items.iter_mut().for_each(|item| move_wall_times(item, by)),
+        _ => {}
+    }
+}
+
+/// The stored journal as the same controller would have written it if it had stopped a moment ago.
+fn journal_that_ends_now() -> Vec<u8> {
+    let text = std::fs::read_to_string(stored("controller").join("journal-1-0")).unwrap();
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
+    let by = now - STORED_JOURNAL_END;
+    let mut moved = Vec::new();
+    for line in text.lines() {
+        let (_checksum, json) = line.split_once(' ').unwrap();
+        let mut record: Value = serde_json::from_str(json).unwrap();
+        move_wall_times(&mut record, by);
+        moved.extend(encode(&serde_json::from_value::<Record>(record).unwrap()));
+    }
+    moved
+}
+
 #[test]
 fn a_stored_controllers_journal_is_gone_on_from() {
-    let folder = scratch("controller");
+    let folder = StoredController::folder("controller");
     let state = folder.join("state");
-    std::fs::create_dir_all(&state).unwrap();
-    for name in ["term-1", "journal-1-0"] {
-        std::fs::copy(stored("controller").join(name), state.join(name)).unwrap();
-    }
+    std::fs::write(state.join("journal-1-0"), journal_that_ends_now()).unwrap();
     let replay = StateDir::open(&state).unwrap().read().unwrap().unwrap();
     assert_eq!((replay.event_count, replay.torn), (11, false));
-    assert_as_before("release.json", &serde_json::to_value(&replay.release).unwrap());
+    let controller = StoredController::start(folder);
+    let news = controller.announcement("trial");
+    assert_eq!(news, json!({"build": 7, "stage": 0, "phase": "trial", "cap": 0.25}));
+    controller.end();
+}
 
-    let control = folder.join("control");
-    let settings = folder.join("controller.star");
-    let text = format!(
-        "controller(name = \"two\", listen = \"127.0.0.1:0\", build = 1, control = \"{}\", lease = \"400ms\", beat = \"100ms\")\n",
-        control.display()
-    );
-    std::fs::write(&settings, text).unwrap();
-    let mut controller = Command::new(PROGRAM)
-        .args(["controller", "--log", "error", "--settings"])
-        .arg(&settings)
-        .arg("--state")
-        .arg(&state)
-        .stdout(Stdio::null())
-        .spawn()
-        .unwrap();
-    let mut said = Value::Null;
-    wait_for("the controller speaks in a new term", || {
-        let out = Command::new(PROGRAM)
-            .args(["release", "--json", "--timeout", "2", "--as", "lead", "--control"])
-            .arg(&control)
-            .arg("state")
-            .output()
-            .unwrap();
-        said = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
-        said["state"]["term"] == 2
-    });
-    assert_eq!(said["state"]["news"], json!({"build": 7, "stage": 0, "phase": "trial", "cap": 0.25}));
-    controller.kill().unwrap();
-    controller.wait().unwrap();
-    std::fs::remove_dir_all(folder).unwrap();
+/// The stored plan lets its release last an hour, and the time without a controller counts towards it. The journal as
+/// it was written ended on 2026-12-02 at 13:44 UTC.
+#[test]
+fn a_stored_release_whose_time_is_over_is_rolled_back() {
+    let folder = StoredController::folder("late");
+    let state = folder.join("state");
+    std::fs::copy(stored("controller").join("journal-1-0"), state.join("journal-1-0")).unwrap();
+    let mut replay = StateDir::open(&state).unwrap().read().unwrap().unwrap();
+    assert_eq!((replay.event_count, replay.torn), (11, false));
+    assert_as_before("release.json", &serde_json::to_value(&replay.release).unwrap());
+    let restart_after = |span: u64| Now { wall: STORED_JOURNAL_END + span, steady: 0 };
+    let mut in_time = replay.release.clone();
+    in_time.on_event(restart_after(STORED_PLAN_LONGEST - 10_000_000), &Event::Started);
+    assert_eq!(in_time.announcement().phase, Phase::Trial);
+    replay.release.on_event(restart_after(STORED_PLAN_LONGEST), &Event::Started);
+    assert_eq!(replay.release.announcement().phase, Phase::RollingBack);
+    let controller = StoredController::start(folder);
+    let news = controller.announcement("rolling_back");
+    assert_eq!(news, json!({"build": 7, "stage": 0, "phase": "rolling_back", "cap": 0.25}));
+    controller.end();
 }
 
 #[test]
--- a/crates/controller/src/serve/connections.rs
+++ b/crates/controller/src/serve/connections.rs
@@ -6,10 +6,10 @@
 use http::{HeaderMap, StatusCode};
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
+use violetseam_event_io::{ReadOutcome, Socket};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
-use violetseam_loopio::{ReadOutcome, Socket};
-use violetseam_site::{desk, places};
+use violetseam_site_protocol::{placement, release_service};
 
 /// Connections at once; further ones are closed.
 const MAX_CONNECTIONS: usize = 4_096;
@@ -59,7 +59,7 @@
         entry.insert(Connection {
             generation: self.last_generation,
             socket,
-            http: ServerConn::new(Limits { body: places::LINE_MOST as u64, ..Limits::default() }),
+            http: ServerConn::new(Limits { body: placement::MAX_LINE_BYTES as u64, ..Limits::default() }),
             head: None,
             body: Vec::new(),
             watch: Watch::None,
@@ -148,6 +148,6 @@
     /// The longest body of the request that is being read: only the platform's reports are long.
     fn max_body_len(&self) -> usize {
         let is_place_report = self.head.as_ref().is_some_and(|head| head.target.starts_with("/v1/places"));
-        if is_place_report { places::LINE_MOST } else { desk::LINE_MOST }
+        if is_place_report { placement::MAX_LINE_BYTES } else { release_service::MAX_LINE_BYTES }
     }
 }
--- a/crates/controller/src/serve/requests.rs
+++ b/crates/controller/src/serve/requests.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 use violetseam_release::{Event, PlaceState, Verdict, Vote};
-use violetseam_site::desk::{self, VerdictName, VoteOutcome};
-use violetseam_site::places::{self, Report, StateName};
+use violetseam_site_protocol::placement::{self, PlaceReport, PlaceStateName};
+use violetseam_site_protocol::release_service::{self, VerdictName, VoteOutcome};
 
 impl Controller {
     /// Handles a complete request.
@@ -27,7 +27,7 @@
             (&Method::GET, "/v1/stage/watch") => self.watch_release(key),
             (&Method::GET, "/v1/places/watch") => self.watch_desired_builds(key),
             (&Method::POST, "/v1/vote") => self.on_vote(id, &body),
-            (&Method::POST, "/v1/places") => match places::parse_reports(&body) {
+            (&Method::POST, "/v1/places") => match placement::parse_reports(&body) {
                 Ok(reports) => {
                     let is_complete = query.split('&').any(|parameter| parameter == "whole=1");
                     self.on_place_reports(id, &reports, is_complete);
@@ -44,7 +44,7 @@
         if !term.vote_limit.try_take(steady) {
             return self.respond_to_vote(id, VoteOutcome::Full);
         }
-        match desk::Vote::parse(body) {
+        match release_service::Vote::parse(body) {
             Ok(vote) => {
                 let event = Event::Vote(to_vote(&vote));
                 term.queue.push(QueuedEvent { event, origin: Origin::Vote(id) });
@@ -54,7 +54,7 @@
     }
 
     /// Queues reports as events. What a complete report leaves out is gone.
-    fn on_place_reports(&mut self, id: ConnectionId, reports: &[Report], is_complete: bool) {
+    fn on_place_reports(&mut self, id: ConnectionId, reports: &[PlaceReport], is_complete: bool) {
         let Some(term) = &mut self.term else { return };
         if is_complete {
             let reported: BTreeSet<(u32, u16)> =
@@ -79,7 +79,7 @@
     }
 }
 
-fn to_vote(vote: &desk::Vote) -> Vote {
+fn to_vote(vote: &release_service::Vote) -> Vote {
     let verdict = match vote.verdict {
         VerdictName::On => Verdict::On,
         VerdictName::Hold => Verdict::Hold,
@@ -90,11 +90,11 @@
     Vote { proxy, build: vote.build, stage: vote.stage, verdict }
 }
 
-fn to_place_state(state: StateName) -> PlaceState {
+fn to_place_state(state: PlaceStateName) -> PlaceState {
     match state {
-        StateName::Starting => PlaceState::Starting,
-        StateName::Running => PlaceState::Running,
-        StateName::Draining => PlaceState::Draining,
-        StateName::Gone => PlaceState::Gone,
+        PlaceStateName::Starting => PlaceState::Starting,
+        PlaceStateName::Running => PlaceState::Running,
+        PlaceStateName::Draining => PlaceState::Draining,
+        PlaceStateName::Gone => PlaceState::Gone,
     }
 }
--- a/crates/controller/src/serve/responses.rs
+++ b/crates/controller/src/serve/responses.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use std::sync::mpsc::Sender;
 use violetseam_release::Reply;
-use violetseam_site::desk::{VoteOutcome, VoteReply};
+use violetseam_site_protocol::release_service::{VoteOutcome, VoteReply};
 
 /// Where an event came from: who waits for its outcome.
 pub(super) enum Origin {
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use violetseam_http1::Framing;
 use violetseam_release::{Announcement, Phase};
-use violetseam_site::desk::{self, PhaseName};
-use violetseam_site::places::Wanted;
+use violetseam_site_protocol::placement::DesiredBuilds;
+use violetseam_site_protocol::release_service::{self, PhaseName};
 
 /// A connection without a watch or a request for so many heartbeats is closed, so that idle ones keep nobody out.
 const MAX_IDLE_HEARTBEATS: u32 = 30;
@@ -23,14 +23,14 @@
     /// Nothing.
     None,
     /// The release.
-    Release(Option<desk::News>),
+    Release(Option<release_service::ReleaseUpdate>),
     /// The version of the desired builds.
     DesiredBuilds(u64),
 }
 
 impl Controller {
     /// The announcement to proxies; all of it is durable.
-    pub(super) fn announcement(&self) -> Option<desk::News> {
+    pub(super) fn announcement(&self) -> Option<release_service::ReleaseUpdate> {
         let term = self.term.as_ref()?;
         let Announcement { build, stage, phase, cap } = term.release.announcement();
         let phase = match phase {
@@ -39,7 +39,7 @@
             Phase::Released => PhaseName::Released,
             Phase::Withdrawn => PhaseName::Withdrawn,
         };
-        Some(desk::News { build, stage, phase, cap, fence: term.number })
+        Some(release_service::ReleaseUpdate { build, stage, phase, cap, fence: term.number })
     }
 
     pub(super) fn watch_release(&mut self, key: usize) {
@@ -115,10 +115,10 @@
     }
 }
 
-fn announcement_line(announcement: Option<desk::News>) -> Vec<u8> {
+fn announcement_line(announcement: Option<release_service::ReleaseUpdate>) -> Vec<u8> {
     announcement.map(|news| news.write()).unwrap_or_default()
 }
 
 fn desired_builds_line(term: &Term) -> Vec<u8> {
-    Wanted { fence: term.number, wanted: term.desired_builds.iter().copied().collect() }.write()
+    DesiredBuilds { fence: term.number, wanted: term.desired_builds.iter().copied().collect() }.write()
 }
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam_script::{Call, Placed, ScriptError, Span, evaluate_file, needed};
+use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate_file, needed};
 
 /// The longest name, in bytes.
 const MAX_NAME_LEN: usize = 64;
@@ -14,7 +14,7 @@
 /// The shortest interval of heartbeats.
 const MIN_HEARTBEAT_MICROS: u64 = 10_000;
 
-violetseam_script::functions! { functions: controller }
+violetseam_starlark_config::functions! { functions: controller }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/emulator/src/agenda.rs
+++ b/crates/emulator/src/agenda.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use violetseam::interface::{Outcome, ReleaseStatus};
 use violetseam_release::Vote;
-use violetseam_standin::model::server::Reply;
+use violetseam_simulated_site::model::server::Reply;
 
 /// Something that happens.
 #[derive(Clone, Debug)]
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! What decides is the product's own: each proxy is its [`violetseam_proxy::engine::Engine`] round the decision
 //! module, releases are the controller's state machine over the day's plans. Modelled are the servers, the
-//! roster and the traffic (`violetseam-standin`, the very models that the days over sockets use), the network
+//! roster and the traffic (`violetseam-simulated-site`, the very models that the days over sockets use), the network
 //! between them, and the clients. The rules are checked from what crossed between the models, by the checker
 //! that the days over sockets use.
 //!
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -6,20 +6,20 @@
 use rand::{Rng, RngExt, SeedableRng};
 use std::collections::HashMap;
 use violetseam::interface as v;
-use violetseam_audit::record::{Answer, Call, Phase as RulePhase};
-use violetseam_audit::{Record, Verdict};
+use violetseam_invariants::record::{Answer, Call, Phase as RulePhase};
+use violetseam_invariants::{Record, Verdict};
 use violetseam_plan::moment_of;
+use violetseam_plan_simulation::platform::Platform;
 use violetseam_proxy::engine::{Engine, EngineAction, LocalResponse};
-use violetseam_rehearsal::platform::Platform;
 use violetseam_release::{
     Announcement, Event, Now, Phase, PlaceState, Release, Reply as Word, Vote, VoteRateLimit,
 };
-use violetseam_site::roster::Kind as ListKind;
-use violetseam_standin::day::{Day, Kind};
-use violetseam_standin::drive::Net;
-use violetseam_standin::model::Rng as Draws;
-use violetseam_standin::model::server::Reply;
-use violetseam_standin::model::traffic::{Traffic, Wish};
+use violetseam_simulated_site::day::{Day, Kind};
+use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::model::Rng as Draws;
+use violetseam_simulated_site::model::server::Reply;
+use violetseam_simulated_site::model::traffic::{Traffic, Wish};
+use violetseam_site_protocol::endpoint_list::UpdateKind as ListKind;
 
 /// From the start to the first request, as in the days over sockets.
 const PRELUDE: u64 = 2_000_000;
@@ -132,8 +132,11 @@
     let mut day = day.clone();
     day.troubles.iter_mut().for_each(|t| t.at += PRELUDE);
     day.releases.iter_mut().for_each(|r| r.at += PRELUDE);
-    let text =
-        violetseam_lab::script::settings(&day, Net::of_process(0), std::path::Path::new("/nonexistent"));
+    let text = violetseam_scenarios::script::settings(
+        &day,
+        Net::of_process(0),
+        std::path::Path::new("/nonexistent"),
+    );
     // Streams of their own, so that one more draw here leaves all others as they were.
     let stream = |n: u64| Draws::seed_from_u64(day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
     let mut seeds = stream(1);
@@ -184,7 +187,7 @@
         let Run { world, proxies, .. } = self;
         world.roster.advance(0).into_iter().for_each(|(server, state)| {
             let record = Record::Listed { server, state: rule_state(state) };
-            world.entries.push(violetseam_audit::Entry { at: 0, record });
+            world.entries.push(violetseam_invariants::Entry { at: 0, record });
         });
         for proxy in proxies.iter_mut() {
             proxy.engine.on_server_list(0, v::ListKind::Cached, &[]);
@@ -357,7 +360,7 @@
             return;
         }
         // A failed request may have run: only what is harmless to repeat is asked again.
-        let harmless = kind == 1 || class.effect == violetseam_standin::day::Effect::Safe;
+        let harmless = kind == 1 || class.effect == violetseam_simulated_site::day::Effect::Safe;
         if asked.try_left == 0 || !harmless {
             self.asked.remove(&number);
             return;
@@ -508,7 +511,7 @@
         if message.kind == ListKind::Full {
             let there: Vec<u64> = message.servers.iter().map(|l| l.id).collect();
             for server in (1..self.world.next_machine).filter(|id| !there.contains(id)) {
-                let (proxy, state) = (n as u32, violetseam_audit::record::State::Gone);
+                let (proxy, state) = (n as u32, violetseam_invariants::record::State::Gone);
                 self.world.see(Record::Told { proxy, server, state, started: None });
             }
         }
@@ -606,7 +609,7 @@
     }
 
     fn offer(&mut self, n: usize) -> Result<(), String> {
-        let text = violetseam_lab::plan(&self.world.day, n);
+        let text = violetseam_scenarios::plan(&self.world.day, n);
         let plan = violetseam_plan::read_text("day", &text, &[], self.wall + self.world.now);
         let plan =
             plan.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
@@ -624,7 +627,7 @@
     fn finish(mut self) -> Outcome {
         let rules = self.world.day.rules(1_000);
         self.world.entries.sort_by_key(|e| e.at);
-        let verdict: Verdict = violetseam_audit::check(&rules, &self.world.entries);
+        let verdict: Verdict = violetseam_invariants::check(&rules, &self.world.entries);
         self.out.broken = verdict.broken.to_vec();
         self.out.looked_at = verdict.looked_at.to_vec();
         self.out.worth = self.worth.0 / self.worth.1.max(1e-9);
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -2,14 +2,14 @@
 
 use crate::agenda::{Agenda, Happening};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use violetseam_audit::record::{Arrival, Finish, Start, State as RuleState};
-use violetseam_audit::{End, Entry, Record};
+use violetseam_invariants::record::{Arrival, Finish, Start, State as RuleState};
+use violetseam_invariants::{End, Entry, Record};
 use violetseam_proxy::engine::Engine;
-use violetseam_site::roster::{Line, Roster as Held, State};
-use violetseam_standin::day::{Day, Effect, Kind, Trouble};
-use violetseam_standin::model::Rng as Draws;
-use violetseam_standin::model::roster::Roster;
-use violetseam_standin::model::server::{Build, Job, KeyMemory, Reply, Server, strike};
+use violetseam_simulated_site::day::{Day, Effect, Kind, Trouble};
+use violetseam_simulated_site::model::Rng as Draws;
+use violetseam_simulated_site::model::roster::Roster;
+use violetseam_simulated_site::model::server::{Build, Job, KeyMemory, Reply, Server, strike};
+use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointList as Held, EndpointState};
 
 /// Between a proxy and a server, one way, in microseconds.
 pub const NETWORK: u64 = 250;
@@ -135,7 +135,7 @@
         self.machines.insert(machine, entry);
         self.by_place.insert((place, build), machine);
         let at = if warm { self.now } else { self.now + self.day.roster.add };
-        self.list(at, machine, State::Ready);
+        self.list(at, machine, EndpointState::Ready);
     }
 
     /// A machine drains, and later ends.
@@ -144,12 +144,12 @@
         if let Some(m) = self.machines.get_mut(&machine) {
             m.draining = true;
         }
-        self.list(self.now + self.day.roster.notice, machine, State::Draining);
+        self.list(self.now + self.day.roster.notice, machine, EndpointState::Draining);
     }
 
     pub fn end(&mut self, place: u32, build: u16) {
         let Some(machine) = self.by_place.remove(&(place, build)) else { return };
-        self.list(self.now + self.day.roster.notice, machine, State::Gone);
+        self.list(self.now + self.day.roster.notice, machine, EndpointState::Gone);
         self.lose(machine);
         self.machines.remove(&machine);
     }
@@ -164,11 +164,11 @@
         }
     }
 
-    fn list(&mut self, at: u64, machine: u64, state: State) {
+    fn list(&mut self, at: u64, machine: u64, state: EndpointState) {
         let Some(m) = self.machines.get(&machine) else { return };
         let late = self.active(Kind::RosterLate).map_or(0, |t| (t.size * 1e6) as u64);
         let octets = machine.to_be_bytes();
-        let line = Line {
+        let line = Endpoint {
             id: machine,
             // Nobody connects to it: it only has to be one.
             addr: std::net::SocketAddr::from(([127, octets[5], octets[6], octets[7]], 1)),
@@ -293,7 +293,7 @@
         }
         for machine in lost {
             self.lose(machine);
-            self.list(now + self.day.roster.silent_notice, machine, State::Gone);
+            self.list(now + self.day.roster.silent_notice, machine, EndpointState::Gone);
         }
         for machine in back {
             self.come_back(machine);
@@ -306,7 +306,7 @@
         let Some(m) = self.machines.get_mut(&machine) else { return };
         m.server = Server::start(m.server.spec.clone(), m.server.build.clone(), now, false);
         m.up = true;
-        let state = if m.draining { State::Draining } else { State::Ready };
+        let state = if m.draining { EndpointState::Draining } else { EndpointState::Ready };
         let (cold_from, cold_span) = (m.server.spec.cold_from, m.server.spec.cold_span);
         let start = Start { capacity: m.server.capacity(), cold_from, cold_span };
         self.see(Record::Started { server: machine, start });
@@ -315,10 +315,10 @@
 }
 
 /// A state as the checker knows it.
-pub fn rule_state(state: State) -> RuleState {
+pub fn rule_state(state: EndpointState) -> RuleState {
     match state {
-        State::Ready => RuleState::Ready,
-        State::Draining => RuleState::Draining,
-        State::Gone => RuleState::Gone,
+        EndpointState::Ready => RuleState::Ready,
+        EndpointState::Draining => RuleState::Draining,
+        EndpointState::Gone => RuleState::Gone,
     }
 }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days in simulated time: the same every time, the rules kept, and close to the same days over sockets.
 
 use violetseam_emulator::{run, unplayed};
-use violetseam_lab::days;
-use violetseam_standin::day::{Day, Kind};
+use violetseam_scenarios::days;
+use violetseam_simulated_site::day::{Day, Kind};
 
 /// The demo's day, without what is not played here.
 fn demo() -> Day {
--- a/crates/shared/tests/fleet_quotas.rs
+++ b/crates/fleet-state/tests/fleet_quotas.rs
@@ -2,10 +2,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use violetseam_shared::OutgoingMessage;
-use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaPlan, QuotaStatus};
-use violetseam_shared::lease_messages::{self, ClassMessage, LeaseMessage, LeasePayload};
-use violetseam_shared::quota_leases::{LeaseGrant, LeaseRequest};
+use violetseam_fleet_state::OutgoingMessage;
+use violetseam_fleet_state::fleet_quotas::{FleetQuotas, QuotaPlan, QuotaStatus};
+use violetseam_fleet_state::lease_messages::{self, ClassMessage, LeaseMessage, LeasePayload};
+use violetseam_fleet_state::quota_leases::{LeaseGrant, LeaseRequest};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/shared/tests/lease_fleets.rs
+++ b/crates/fleet-state/tests/lease_fleets.rs
@@ -5,8 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
-use violetseam_shared::Rate;
-use violetseam_shared::quota_leases::{LeaseGrant, LeaseRequest, LeaseSettings, QuotaLeases};
+use violetseam_fleet_state::Rate;
+use violetseam_fleet_state::quota_leases::{LeaseGrant, LeaseRequest, LeaseSettings, QuotaLeases};
 
 const STEP: u64 = 20_000;
 const SECOND: u64 = 1_000_000;
--- a/crates/shared/tests/lease_model.rs
+++ b/crates/fleet-state/tests/lease_model.rs
@@ -5,8 +5,8 @@
 //! its own, as every order of the others' steps is searched while its clock goes on.
 
 use pathfinding::directed::bfs::bfs_reach;
-use violetseam_shared::Rate;
-use violetseam_shared::quota_leases::{LeaseGrant, LeaseRequest, LeaseSettings, QuotaLeases};
+use violetseam_fleet_state::Rate;
+use violetseam_fleet_state::quota_leases::{LeaseGrant, LeaseRequest, LeaseSettings, QuotaLeases};
 
 const TICK: u64 = 1_000_000;
 const LEASE: u64 = 3 * TICK;
--- a/crates/shared/tests/outlier_gossip.rs
+++ b/crates/fleet-state/tests/outlier_gossip.rs
@@ -4,8 +4,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
-use violetseam_shared::OutgoingMessage;
-use violetseam_shared::outlier_gossip::{
+use violetseam_fleet_state::OutgoingMessage;
+use violetseam_fleet_state::outlier_gossip::{
     GossipSettings, MAX_PAYLOAD_BYTES, Outcome, OutlierGossip, ServerEndpoint,
 };
 
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
-use violetseam_control::wire::{MAX_LINE_BYTES, Request, Response, encode_line};
+use violetseam_operator_commands::wire::{MAX_LINE_BYTES, Request, Response, encode_line};
 
 /// The longest response line, in bytes: a state is longer than a request.
 const MAX_RESPONSE_BYTES: usize = 4 * MAX_LINE_BYTES;
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use violetseam_control::{
+use violetseam_operator_commands::{
     Action, Command, DaemonState, Fence, Phase, ReleaseStage, Reply, Request, Response,
 };
 use violetseam_settings::Member;
--- a/crates/fleet/src/report/configuration.rs
+++ b/crates/fleet/src/report/configuration.rs
@@ -2,8 +2,8 @@
 
 use super::{answered, new_table, seconds, unanswered};
 use crate::fleet::DaemonReading;
-use violetseam_control::DaemonState;
-use violetseam_control::daemon_state::{ConfigurationState, ConfigurationVersion};
+use violetseam_operator_commands::DaemonState;
+use violetseam_operator_commands::daemon_state::{ConfigurationState, ConfigurationVersion};
 
 const COLUMNS: [&str; 7] = ["daemon", "version", "behind", "routes", "confirmed", "watch", "refused"];
 
--- a/crates/fleet/src/report/mod.rs
+++ b/crates/fleet/src/report/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::fleet::DaemonReading;
 use comfy_table::{Table, presets};
-use violetseam_control::DaemonState;
+use violetseam_operator_commands::DaemonState;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/crates/fleet/src/report/quota.rs
+++ b/crates/fleet/src/report/quota.rs
@@ -3,7 +3,7 @@
 use super::{answered, new_table, unanswered};
 use crate::fleet::DaemonReading;
 use std::collections::{BTreeMap, BTreeSet};
-use violetseam_control::daemon_state::QuotaState;
+use violetseam_operator_commands::daemon_state::QuotaState;
 
 /// Rates are in thousandths a second.
 const RATE_SCALE: f64 = 1e3;
--- a/crates/fleet/src/report/state.rs
+++ b/crates/fleet/src/report/state.rs
@@ -3,7 +3,7 @@
 use super::{new_table, seconds, unanswered};
 use crate::fleet::DaemonReading;
 use serde_json::{Value, json};
-use violetseam_control::DaemonState;
+use violetseam_operator_commands::DaemonState;
 
 const COLUMNS: [&str; 15] = [
     "daemon", "boot", "build", "stage", "phase", "cap", "vote", "paused", "served", "refused", "failed",
--- a/crates/fleet/tests/calls.rs
+++ b/crates/fleet/tests/calls.rs
@@ -4,12 +4,12 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use violetseam_control::daemon_state::{QuotaState, ReleaseState};
-use violetseam_control::wire::encode_line;
-use violetseam_control::{Action, DaemonState, ReleaseStage, Reply, Request, Response};
 use violetseam_fleet::{
     CallError, CommandOptions, DaemonOutcome, DaemonReading, Delivery, Fleet, Outcome, report, select_members,
 };
+use violetseam_operator_commands::daemon_state::{QuotaState, ReleaseState};
+use violetseam_operator_commands::wire::encode_line;
+use violetseam_operator_commands::{Action, DaemonState, ReleaseStage, Reply, Request, Response};
 use violetseam_settings::Member;
 
 fn daemon(name: &str, play: impl Fn(UnixStream, usize) + Send + 'static) -> Member {
--- a/crates/fleet/tests/report.rs
+++ b/crates/fleet/tests/report.rs
@@ -2,12 +2,12 @@
 //! the build before the types were renamed, and is not written again to make a test pass.
 
 use std::fmt::Write;
-use violetseam_control::ReleaseStage;
-use violetseam_control::daemon_state::{
+use violetseam_fleet::{CallError, CommandReport, DaemonOutcome, DaemonReading, Outcome, report};
+use violetseam_operator_commands::ReleaseStage;
+use violetseam_operator_commands::daemon_state::{
     ConfigurationState, ConfigurationVersion, ConnectionCounts, DaemonState, PauseState, QuotaState,
     RejectedVersion, ReleaseState, RequestCounts,
 };
-use violetseam_fleet::{CallError, CommandReport, DaemonOutcome, DaemonReading, Outcome, report};
 
 const GOLDEN: &str = include_str!("report/golden.txt");
 
--- a/crates/audit/tests/planted.rs
+++ b/crates/invariants/tests/planted.rs
@@ -1,7 +1,7 @@
 //! The checker can fail: a sound run passes, and each planted violation is named under its rule.
 
-use violetseam_audit::record::*;
-use violetseam_audit::{Arrival, End, Entry, Finish, Record, Rules, check};
+use violetseam_invariants::record::*;
+use violetseam_invariants::{Arrival, End, Entry, Finish, Record, Rules, check};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/control/tests/command_log.rs
+++ b/crates/operator-commands/tests/command_log.rs
@@ -1,7 +1,7 @@
 //! Commands twice, late, out of order, for others, in two steps, and contrary ones at one moment.
 
-use violetseam_control::wire::{encode_line, parse_request};
-use violetseam_control::{
+use violetseam_operator_commands::wire::{encode_line, parse_request};
+use violetseam_operator_commands::{
     Action, Change, Command, CommandLog, DaemonContext, Decision, Fence, PersistedState, Phase, ReleaseStage,
     Reply, Request,
 };
--- a/crates/control/tests/wire_format.rs
+++ b/crates/operator-commands/tests/wire_format.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
-use violetseam_control::daemon_state::{
+use violetseam_operator_commands::daemon_state::{
     BuildAttempts, ConfigurationState, ConfigurationVersion, ConnectionCounts, DaemonState, PauseState,
     QuotaState, RejectedVersion, ReleaseState, RequestCounts,
 };
-use violetseam_control::persisted_state::{CommandInForce, DecidedCommand, Pause, PersistedState};
-use violetseam_control::wire::encode_line;
-use violetseam_control::{Action, Command, Fence, Phase, ReleaseStage, Reply, Request, Response};
+use violetseam_operator_commands::persisted_state::{CommandInForce, DecidedCommand, Pause, PersistedState};
+use violetseam_operator_commands::wire::encode_line;
+use violetseam_operator_commands::{Action, Command, Fence, Phase, ReleaseStage, Reply, Request, Response};
 
 const MESSAGES: &str = include_str!("wire_format/messages.jsonl");
 const PERSISTED_STATES: &str = include_str!("wire_format/persisted_states.jsonl");
--- a/crates/daemon/src/database.rs
+++ b/crates/operator-store/src/database.rs
@@ -7,7 +7,7 @@
 use redb::{Key, Table, Value, WriteTransaction};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use violetseam_control::PersistedState;
+use violetseam_operator_commands::PersistedState;
 
 const STATE_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
 const BOOT_KEY: &str = "boot";
--- a/crates/daemon/src/store.rs
+++ b/crates/operator-store/src/store.rs
@@ -6,7 +6,7 @@
 use std::io::ErrorKind;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
-use violetseam_control::PersistedState;
+use violetseam_operator_commands::PersistedState;
 use violetseam_proxy::driver::{StateWriter, StateWriterError};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
--- a/crates/daemon/tests/store.rs
+++ b/crates/operator-store/tests/store.rs
@@ -2,9 +2,9 @@
 //! a damaged file in the safe way.
 
 use std::path::PathBuf;
-use violetseam_control::ReleaseStage;
-use violetseam_control::persisted_state::{Pause, PersistedState};
-use violetseam_daemon::{Store, StoreError};
+use violetseam_operator_commands::ReleaseStage;
+use violetseam_operator_commands::persisted_state::{Pause, PersistedState};
+use violetseam_operator_store::{Store, StoreError};
 use violetseam_proxy::driver::StateWriter;
 
 const NOW: u64 = 1_700_000_000_000_000;
--- a/crates/rehearsal/src/script.rs
+++ b/crates/plan-simulation/src/script.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 use violetseam_plan::{Micros, Plan, Power};
 use violetseam_release::Verdict;
-use violetseam_script::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, one};
+use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, one};
 
-violetseam_script::functions! {
+violetseam_starlark_config::functions! {
     functions: start, votes, sign, unsign, order, lose, clock, away, end
 }
 
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/plan-simulation/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetseam_plan::{Gate, OnClose, Plan, Power};
-use violetseam_rehearsal::Step;
+use violetseam_plan_simulation::Step;
 use violetseam_release::{Announcement, Event, Order, Phase, PlaceState, Reply, Verdict};
 
 pub const S: u64 = 1_000_000;
--- a/crates/rehearsal/tests/courses.rs
+++ b/crates/plan-simulation/tests/courses.rs
@@ -1,7 +1,7 @@
 //! The courses that releases take when something comes at the wrong moment.
 
 use violetseam_plan::{Plan, moment_of, read_text};
-use violetseam_rehearsal::{Played, Script, play};
+use violetseam_plan_simulation::{Played, Script, play};
 use violetseam_release::{Announcement, Event, Now, Order, Phase, PlaceState, Release, Reply, Verdict, Vote};
 
 const S: u64 = 1_000_000;
@@ -31,7 +31,7 @@
 
 fn script(text: &str) -> Script {
     let base = "start(at = \"2026-12-01T08:00\", build = 1)\n";
-    violetseam_rehearsal::read_text("s", &format!("{base}{text}")).unwrap_or_else(|e| panic!("{e}"))
+    violetseam_plan_simulation::read_text("s", &format!("{base}{text}")).unwrap_or_else(|e| panic!("{e}"))
 }
 
 const ALL_ON: &str = "votes(proxies = 4, verdict = \"on\", every = \"10s\")\n";
@@ -126,7 +126,7 @@
         let mut p = plan_at(at, "hold", windows);
         p.waves[0].soak = 3_000 * S;
         p.waves[1].soak = 3_000 * S;
-        let script = violetseam_rehearsal::read_text("s", &text(date)).unwrap();
+        let script = violetseam_plan_simulation::read_text("s", &text(date)).unwrap();
         play(&p, &script, &mut |_| {})
     };
     // One hour is open in March: the first wave fits, the second soaks ten minutes of fifty.
--- a/crates/rehearsal/tests/random.rs
+++ b/crates/plan-simulation/tests/random.rs
@@ -1,6 +1,6 @@
 //! Random plans under random scripts: every decision is read against the plan by the tests' own reading.
 //!
-//! The short run is part of the tests; the long one is measured: `cargo test --release -p violetseam-rehearsal
+//! The short run is part of the tests; the long one is measured: `cargo test --release -p violetseam-plan-simulation
 //! --test random -- --ignored --nocapture`.
 
 mod common;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use violetseam_plan::{Plan, moment_of, read_text};
-use violetseam_rehearsal::{Script, play};
+use violetseam_plan_simulation::{Script, play};
 use violetseam_release::Release;
 
 /// A plan's text; now and then with a contradiction in it.
@@ -168,7 +168,7 @@
     if rng.random::<f64>() < 0.3 {
         let _ = writeln!(s, "away(at = \"{}\", **{{\"for\": \"{}s\"}})", at(rng), rng.random_range(1..600));
     }
-    violetseam_rehearsal::read_text("script", &s).unwrap_or_else(|e| panic!("{e}\n{s}"))
+    violetseam_plan_simulation::read_text("script", &s).unwrap_or_else(|e| panic!("{e}\n{s}"))
 }
 
 /// The kind of a contradiction, from its words.
@@ -278,7 +278,7 @@
         wave(name = \"a\", share = 0.5, cap = 0.5, soak = \"60s\", gate = \"share\", votes = 0.5)\n\
         wave(name = \"b\", share = 1.0, cap = 1.0, soak = \"60s\", gate = \"share\", votes = 0.5)\n";
     let plan = read_text("r", text, &[], start).unwrap();
-    let script = violetseam_rehearsal::healthy(&plan, start, 1);
+    let script = violetseam_plan_simulation::healthy(&plan, start, 1);
     let objects = |stricter: &dyn Fn(&mut Plan)| {
         let mut other = plan.clone();
         stricter(&mut other);
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -7,7 +7,7 @@
 use crate::document::{Sections, WaveSection};
 use crate::{Gate, Micros, OnClose, Plan, Power, Wave};
 use std::collections::BTreeSet;
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 struct Faults(Vec<ScriptError>);
 
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -5,9 +5,9 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
-use violetseam_script::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, needed};
+use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, needed};
 
-violetseam_script::functions! { functions: plan, fleet, wave, hold, window, freeze, sign_off, allow }
+violetseam_starlark_config::functions! { functions: plan, fleet, wave, hold, window, freeze, sign_off, allow }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -17,7 +17,7 @@
 pub use calendar::{Calendar, Freeze, Window, moment_of};
 pub use diff::diff;
 pub use document::{read_file, read_text};
-pub use violetseam_script::ScriptError;
+pub use violetseam_starlark_config::ScriptError;
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/platform/src/call.rs
+++ b/crates/platform-protocol/src/call.rs
@@ -6,8 +6,8 @@
 use crate::CallError;
 use std::ops::Range;
 use violetseam::interface::{Idempotency, Micros};
-use violetseam_instance::Instance;
-use violetseam_site::key_number;
+use violetseam_instance_settings::Instance;
+use violetseam_site_protocol::key_number;
 
 /// The command for idempotent classes.
 pub const GET: &[u8] = b"CALL.GET";
--- a/crates/platform/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
-use violetseam_instance::Instance;
+use violetseam_instance_settings::Instance;
 
 /// The longest configuration that is parsed, in bytes.
 pub const MAX_CONFIG_BYTES: usize = 8 << 20;
@@ -100,7 +100,7 @@
             return Err(ConfigurationError::TooLong { limit: MAX_CONFIG_BYTES });
         }
         let text: ConfigText = serde_json::from_slice(text).map_err(ConfigurationError::Json)?;
-        let instance = violetseam_instance::read(text.settings.get().as_bytes())
+        let instance = violetseam_instance_settings::read(text.settings.get().as_bytes())
             .map_err(|error| ConfigurationError::Settings { reason: error.to_string() })?;
         if instance.decisions.classes.is_empty() {
             return Err(ConfigurationError::NoClasses);
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform-protocol/tests/protocol.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, Phase, ReleaseStatus, ServerStatus, Verdict};
-use violetseam_instance::Instance;
-use violetseam_platform::answer::{Answer, parse_answer};
-use violetseam_platform::call::{Call, Command, parse};
-use violetseam_platform::config::Config;
-use violetseam_platform::discovery::{ListUpdate, ServerList};
-use violetseam_platform::pipeline::{self, Message};
-use violetseam_platform::{AnswerError, CallError};
+use violetseam_instance_settings::Instance;
+use violetseam_platform_protocol::answer::{Answer, parse_answer};
+use violetseam_platform_protocol::call::{Call, Command, parse};
+use violetseam_platform_protocol::config::Config;
+use violetseam_platform_protocol::discovery::{ListUpdate, ServerList};
+use violetseam_platform_protocol::pipeline::{self, Message};
+use violetseam_platform_protocol::{AnswerError, CallError};
 use violetseam_resp::{Bounds, FramingError};
 
 const SETTINGS: &str = r#"{"Classes": [
@@ -18,7 +18,7 @@
     "Tenants": [{"Name": "one", "QuotaPerS": 10}, {"Name": "two", "QuotaPerS": 20}], "Localities": ["a", "b"]}"#;
 
 fn instance() -> Instance {
-    violetseam_instance::read(SETTINGS.as_bytes()).unwrap()
+    violetseam_instance_settings::read(SETTINGS.as_bytes()).unwrap()
 }
 
 fn call(words: &[&str]) -> Result<Call, CallError> {
--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -4,7 +4,7 @@
 use crate::proxy::Proxy;
 use crate::servers::Server;
 use violetseam::interface::Micros;
-use violetseam_platform::config::Limits;
+use violetseam_platform_protocol::config::Limits;
 
 /// Descriptors for the loop, the log, signals, listener, datagrams, discovery, pipeline and votes.
 const RESERVED_DESCRIPTORS: usize = 24;
--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -3,7 +3,7 @@
 use calloop::LoopHandle;
 use std::collections::VecDeque;
 use violetseam::interface::{Micros, RequestId};
-use violetseam_loopio::{HIGH_WATER, Socket};
+use violetseam_event_io::{HIGH_WATER, Socket};
 
 /// Commands of one connection that wait for their responses at once, and that one read may bring: clients open
 /// more connections where all are busy, so a longer burst does not come from one of them.
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -8,9 +8,9 @@
 use crate::proxy::Proxy;
 use calloop::Readiness;
 use violetseam::interface::Micros;
-use violetseam_loopio::ReadOutcome;
-use violetseam_platform::answer;
-use violetseam_platform::call::{self, Command};
+use violetseam_event_io::ReadOutcome;
+use violetseam_platform_protocol::answer;
+use violetseam_platform_protocol::call::{self, Command};
 use violetseam_resp::{Bounds, command};
 
 /// The reason given for a burst of more commands than may wait on one connection.
--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -6,7 +6,7 @@
 use crate::start::retry_transient_errors;
 use std::path::Path;
 use violetseam::interface::Micros;
-use violetseam_platform::config::Config;
+use violetseam_platform_protocol::config::Config;
 
 /// A configuration that cannot be read at a reload is read again after this span ...
 const RELOAD_RETRY_INTERVAL: Micros = 200_000;
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -8,9 +8,9 @@
 use crate::proxy::Proxy;
 use calloop::Readiness;
 use violetseam::interface::Micros;
+use violetseam_event_io::ReadOutcome;
 use violetseam_http1::client::ClientEvent;
-use violetseam_loopio::ReadOutcome;
-use violetseam_platform::discovery::{ListUpdate, MAX_ANSWER_BYTES};
+use violetseam_platform_protocol::discovery::{ListUpdate, MAX_ANSWER_BYTES};
 
 impl Proxy {
     /// Handles the connection's readiness.
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -3,9 +3,9 @@
 use std::io::ErrorKind;
 use thiserror::Error;
 use violetseam::interface::Micros;
+use violetseam_event_io::Socket;
 use violetseam_http1::client::ClientConn;
-use violetseam_loopio::Socket;
-use violetseam_platform::ListError;
+use violetseam_platform_protocol::ListError;
 
 /// The status of an answer that carries a list.
 const STATUS_OK: u16 = 200;
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -28,8 +28,8 @@
     START_SPREAD_TENTHS, VERIFY_FROM_TENTHS, VERIFY_UNTIL_TENTHS, WATCH_WAIT_TENTHS,
 };
 use violetseam::interface::Micros;
-use violetseam_loopio::{Socket, connect};
-use violetseam_platform::discovery::{LIST_PATH, watch_path};
+use violetseam_event_io::{Socket, connect};
+use violetseam_platform_protocol::discovery::{LIST_PATH, watch_path};
 
 /// Discovery as this proxy speaks to it.
 pub(super) struct Discovery {
--- a/crates/platform-proxy/src/error.rs
+++ b/crates/platform-proxy/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use thiserror::Error;
-use violetseam_platform::ConfigurationError;
+use violetseam_platform_protocol::ConfigurationError;
 
 /// Why the configuration could not be used.
 #[derive(Debug, Error)]
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -46,7 +46,7 @@
 use proxy::Proxy;
 use start::retry_transient_errors;
 use std::path::PathBuf;
-use violetseam_platform::config::Config;
+use violetseam_platform_protocol::config::Config;
 
 /// Binds all sockets and serves until SIGTERM or SIGINT, and then until every request has its final response. SIGHUP
 /// reads the configuration file again.
--- a/crates/platform-proxy/src/listener.rs
+++ b/crates/platform-proxy/src/listener.rs
@@ -9,7 +9,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use violetseam::interface::Micros;
-use violetseam_loopio::{Socket, listen};
+use violetseam_event_io::{Socket, listen};
 
 /// Connections accepted in one turn of the loop.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -6,7 +6,7 @@
 use calloop::{Interest, Mode, PostAction};
 use std::net::UdpSocket;
 use std::rc::Rc;
-use violetseam_site::peer::PAYLOAD_MOST;
+use violetseam_site_protocol::peer_datagram::MAX_PAYLOAD_BYTES;
 
 /// Datagrams received in one turn of the loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
@@ -33,10 +33,10 @@
     }
 
     fn on_datagrams(&mut self, socket: &UdpSocket) {
-        let mut bytes = [0; PAYLOAD_MOST + 1];
+        let mut bytes = [0; MAX_PAYLOAD_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, sender)) = socket.recv_from(&mut bytes) else { return };
-            if length > PAYLOAD_MOST {
+            if length > MAX_PAYLOAD_BYTES {
                 continue;
             }
             let Some(position) = self.config.peers.iter().position(|peer| *peer == sender) else { continue };
@@ -49,7 +49,7 @@
     /// Sends a message to one peer, or to all of them.
     pub(super) fn gossip_to_peers(&mut self, to: Option<usize>, payload: &[u8]) {
         let Some(socket) = &self.gossip_socket else { return };
-        if payload.len() > PAYLOAD_MOST {
+        if payload.len() > MAX_PAYLOAD_BYTES {
             tracing::error!(bytes = payload.len(), "a message to peers is too long and was not sent");
             return;
         }
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -19,10 +19,10 @@
 use std::time::Instant;
 use violetseam::interface::{ListKind, Micros, RequestId, ServerId};
 use violetseam::lease::ListLease;
-use violetseam_loopio::quiet::RateLimit;
-use violetseam_loopio::timers::Timers;
-use violetseam_platform::config::Config;
-use violetseam_platform::discovery::ServerList;
+use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::timers::Timers;
+use violetseam_platform_protocol::config::Config;
+use violetseam_platform_protocol::discovery::ServerList;
 use violetseam_proxy::engine::Engine;
 use violetseam_resp::Bounds;
 
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -7,9 +7,9 @@
 use slab::Slab;
 use std::net::SocketAddr;
 use violetseam::interface::{Micros, ReleaseStatus};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::pipeline::{self, MAX_LINE_BYTES, Message};
-use violetseam_site::lines::Lines;
+use violetseam_event_io::{ReadOutcome, Socket, connect};
+use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
+use violetseam_site_protocol::line_reader::LineReader;
 
 /// The service sends a heartbeat each second; without one for this span the watch is opened again.
 const SILENCE_TIMEOUT: Micros = 3_000_000;
@@ -34,7 +34,7 @@
 struct Watch {
     generation: u64,
     socket: Socket,
-    lines: Lines,
+    lines: LineReader,
     last_received_at: Micros,
 }
 
@@ -71,7 +71,7 @@
         match opened {
             Ok(mut socket) => {
                 socket.out().extend(pipeline::watch_call(WATCH_CALL_ID));
-                let lines = Lines::new(MAX_LINE_BYTES);
+                let lines = LineReader::new(MAX_LINE_BYTES);
                 self.pipeline.watch = Some(Watch { generation, socket, lines, last_received_at: now });
                 self.timers.set(now + SILENCE_TIMEOUT, TimerKind::ReleaseWatchSilence(generation));
             }
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -4,8 +4,8 @@
 use crate::event_loop::ConnectionId;
 use crate::proxy::Proxy;
 use violetseam::interface::{Micros, Request, RequestId};
-use violetseam_platform::answer;
-use violetseam_platform::call::Call;
+use violetseam_platform_protocol::answer;
+use violetseam_platform_protocol::call::Call;
 use violetseam_proxy::engine::LocalResponse;
 
 /// A request that the engine has accepted: what it takes to send it, and where its response goes.
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -11,8 +11,8 @@
 use calloop::{Interest, Readiness};
 use std::collections::VecDeque;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::answer::{self, Answer, parse_answer};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
+use violetseam_platform_protocol::answer::{self, Answer, parse_answer};
 
 /// An idle connection is closed at this share of the time after which its server would close it ...
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -7,9 +7,9 @@
 use crate::proxy::Proxy;
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Build, Micros, Outcome, ReleaseStatus, Verdict};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_platform::pipeline::{self, MAX_LINE_BYTES, Message};
-use violetseam_site::lines::Lines;
+use violetseam_event_io::{ReadOutcome, Socket, connect};
+use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
+use violetseam_site_protocol::line_reader::LineReader;
 
 /// Votes in flight at once; the engine casts one at a time, and one may be on its way to a former address.
 const MAX_OPEN_VOTES: usize = 4;
@@ -22,7 +22,7 @@
     /// The number of its call.
     id: u64,
     socket: Socket,
-    lines: Lines,
+    lines: LineReader,
 }
 
 /// The end of a vote.
@@ -55,7 +55,7 @@
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote(slot, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
         socket.out().extend(call);
-        entry.insert(Vote { generation, id, socket, lines: Lines::new(MAX_LINE_BYTES) });
+        entry.insert(Vote { generation, id, socket, lines: LineReader::new(MAX_LINE_BYTES) });
         let timeout = self.config.instance.decisions.rollout.vote_timeout.min(MAX_VOTE_TIMEOUT);
         let timeout_at = self.now() + timeout;
         self.timers.set(timeout_at, TimerKind::VoteTimeout(ConnectionId { slot, generation }));
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -7,8 +7,8 @@
 use http::StatusCode;
 use std::net::TcpStream;
 use violetseam::interface::Micros;
+use violetseam_event_io::{HIGH_WATER, ReadOutcome};
 use violetseam_http1::server::ServerEvent;
-use violetseam_loopio::{HIGH_WATER, ReadOutcome};
 use violetseam_settings::HalfClose;
 
 /// A client's unread input is bounded by this and one read.
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -8,8 +8,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use violetseam::interface::Micros;
+use violetseam_event_io::{Socket, listen};
 use violetseam_http1::server::ServerConn;
-use violetseam_loopio::{Socket, listen};
 
 /// Connections that may wait in a listener's queue.
 const LISTEN_BACKLOG: i32 = 4_096;
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -9,9 +9,9 @@
 use super::timers::StateTimeout;
 use http::StatusCode;
 use violetseam::interface::{Micros, RequestId};
+use violetseam_event_io::{HIGH_WATER, Socket};
 use violetseam_http1::RequestHead;
 use violetseam_http1::server::ServerConn;
-use violetseam_loopio::{HIGH_WATER, Socket};
 
 /// While draining, a connection that has carried no request yet may take so long to begin its first one.
 const FIRST_REQUEST_TIMEOUT: Micros = 1_000_000;
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -8,7 +8,7 @@
 use violetseam_http1::client::write_request_head;
 use violetseam_http1::{Framing, RequestHead, write_chunk, write_last_chunk};
 use violetseam_settings::ProxySettings;
-use violetseam_site::{flag, key_number};
+use violetseam_site_protocol::{answer_report, key_number};
 
 /// A longer expected service time is taken for an unknown one.
 const MAX_COST_HINT: Micros = 3_600_000_000;
@@ -70,7 +70,9 @@
             State::Collecting(pending) => {
                 match pending.purpose {
                     RequestPurpose::Decline { .. } => return,
-                    RequestPurpose::AnswerReport if pending.body.len() > flag::BODY_MOST => return,
+                    RequestPurpose::AnswerReport if pending.body.len() > answer_report::MAX_BODY_BYTES => {
+                        return;
+                    }
                     _ => pending.body.extend_from_slice(&bytes),
                 }
                 if pending.body.len() > keep && matches!(pending.purpose, RequestPurpose::Route { .. }) {
@@ -163,7 +165,7 @@
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
         let State::Collecting(pending) = std::mem::replace(&mut client.state, State::Idle) else { return };
-        match flag::parse(&pending.body) {
+        match answer_report::parse(&pending.body) {
             Ok(answer) if self.engine.on_answer_reported(now, answer) => {
                 self.write_local_response(key, StatusCode::ACCEPTED, "", &[]);
             }
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -6,9 +6,9 @@
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
 use violetseam::interface::RequestId;
+use violetseam_event_io::HIGH_WATER;
 use violetseam_http1::{Framing, ResponseHead};
-use violetseam_loopio::HIGH_WATER;
-use violetseam_site::flag;
+use violetseam_site_protocol::answer_report;
 
 /// Says how a final answer came about: served, refused or failed.
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("violetseam-answer");
@@ -79,7 +79,7 @@
         answer: u64,
     ) -> Option<usize> {
         let key = self.waiting_client(id)?;
-        let answer = flag::write_id(answer);
+        let answer = answer_report::write_id(answer);
         let leaving = self.is_leaving();
         let client = self.clients.get_mut(key)?;
         let fields = [
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -14,9 +14,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use violetseam::interface::Micros;
-use violetseam_control::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_distribution::subscriber::{Effect, Subscriber};
 use violetseam_distribution::{Message, Report, Subscribe, Version};
+use violetseam_operator_commands::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_settings::RouteTable;
 
 /// Opens a watch.
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -4,9 +4,9 @@
 use super::super::http_request::queue_request;
 use calloop::{Interest, Readiness};
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_site::lines::Lines;
+use violetseam_site_protocol::line_reader::LineReader;
 
 /// What an exchange with the publisher is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub(super) generation: u64,
     socket: Socket,
     http: ClientConn,
-    pub(super) lines: Lines,
+    pub(super) lines: LineReader,
     /// The answer's status has come and the body is worth reading.
     accepted: bool,
 }
@@ -50,7 +50,7 @@
         let http = queue_request(&mut socket, to, method, path, body);
         let max_line_bytes = if purpose == CallPurpose::Watch { MAX_LINE_BYTES } else { MAX_REPORT_BYTES };
         let exchange =
-            Exchange { generation, socket, http, lines: Lines::new(max_line_bytes), accepted: false };
+            Exchange { generation, socket, http, lines: LineReader::new(max_line_bytes), accepted: false };
         *subscription.exchange(purpose) = Some(exchange);
         true
     }
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -13,9 +13,9 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use violetseam::interface::{ListKind, Micros, RequestId};
+use violetseam_fleet_state::fleet_quotas::FleetQuotas;
 use violetseam_settings::ProxySettings;
-use violetseam_shared::fleet_quotas::FleetQuotas;
-use violetseam_site::peer::Kind;
+use violetseam_site_protocol::peer_datagram::PayloadKind;
 
 /// How often a proxy checks whether it is to stop, where no signal stops it.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -209,9 +209,9 @@
                 self.record_vote(build, stage, verdict);
                 self.call_vote(build, stage, verdict);
             }
-            EngineAction::Gossip { to, payload } => self.send_to_peers(to, Kind::Decisions, &payload),
+            EngineAction::Gossip { to, payload } => self.send_to_peers(to, PayloadKind::Gossip, &payload),
             EngineAction::BudgetMessage { to, payload } => {
-                self.send_to_peers(Some(to), Kind::Rights, &payload);
+                self.send_to_peers(Some(to), PayloadKind::QuotaLeases, &payload);
             }
             EngineAction::Log(text) => {
                 tracing::info!(target: "verdict", "{text}");
--- a/crates/proxy/src/driver/http_request.rs
+++ b/crates/proxy/src/driver/http_request.rs
@@ -1,9 +1,9 @@
 //! A request of the proxy's own, alone on its connection: to discovery, the release service or the publisher.
 
 use std::net::SocketAddr;
+use violetseam_event_io::Socket;
 use violetseam_http1::Limits;
 use violetseam_http1::client::ClientConn;
-use violetseam_loopio::Socket;
 
 /// Queues a request on a new connection to `to`; gives the reader of its answer.
 pub(super) fn queue_request(
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -55,11 +55,11 @@
 use std::time::{Duration, Instant};
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
+use violetseam_event_io::quiet::RateLimit;
 use violetseam_http1::Limits as HeadLimits;
-use violetseam_loopio::quiet::RateLimit;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
-use violetseam_site::roster::{self, Roster};
+use violetseam_site_protocol::endpoint_list::{self, EndpointList};
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 64 * 1024;
@@ -126,7 +126,7 @@
 /// An entry of the server list, and when it was received.
 struct ListedServer {
     received_at: Micros,
-    entry: roster::Line,
+    entry: endpoint_list::Endpoint,
 }
 
 /// One proxy on its event loop.
@@ -151,7 +151,7 @@
     /// Connections to servers that are ready for an attempt.
     idle_servers: BTreeMap<ServerId, Vec<usize>>,
     timers: Timers,
-    server_list: Roster,
+    server_list: EndpointList,
     /// The entries of the server list as discovery stated them.
     listed_servers: BTreeMap<ServerId, ListedServer>,
     /// The list has changed since it was saved.
@@ -224,7 +224,7 @@
             in_flight: HashMap::new(),
             idle_servers: BTreeMap::new(),
             timers: Timers::default(),
-            server_list: Roster::default(),
+            server_list: EndpointList::default(),
             listed_servers: BTreeMap::new(),
             list_changed: false,
             watch: None,
--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -5,8 +5,8 @@
 use super::reload::ReloadError;
 use super::{DaemonError, wall_clock};
 use violetseam::interface::OperatorCommand;
-use violetseam_control::wire::{Reply, Response};
-use violetseam_control::{Change, Command, CommandLog, DaemonContext, Decision, ReleaseStage};
+use violetseam_operator_commands::wire::{Reply, Response};
+use violetseam_operator_commands::{Change, Command, CommandLog, DaemonContext, Decision, ReleaseStage};
 
 /// Commands that wait to be stored.
 const MAX_QUEUED_COMMANDS: usize = 256;
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -11,8 +11,8 @@
 use std::ops::ControlFlow;
 use std::os::unix::net::UnixStream;
 use violetseam::interface::Micros;
-use violetseam_control::wire::{self, Request, Response};
-use violetseam_loopio::ReadOutcome;
+use violetseam_event_io::ReadOutcome;
+use violetseam_operator_commands::wire::{self, Request, Response};
 
 /// Over TCP, how long the other side may take to show its certificate.
 pub(super) const HANDSHAKE_TIMEOUT: Micros = 3_000_000;
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
-use violetseam_control::CommandLog;
+use violetseam_operator_commands::CommandLog;
 
 /// Operators' connections at once, of each kind, so that a flood from the network leaves the local socket
 /// free; further ones are closed unread.
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -1,6 +1,6 @@
 //! The control sockets, local and TCP: operators' questions and commands, and the one reading of the state.
 //!
-//! What a command leads to is decided in `violetseam-control`. A command is stored durably before it is applied
+//! What a command leads to is decided in `violetseam-operator-commands`. A command is stored durably before it is applied
 //! and answered: the state writer works on a thread of its own, as a slow disk must not hold up traffic, and commands
 //! wait for each other meanwhile. A command that cannot be stored is refused and changes nothing.
 
@@ -24,7 +24,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
-use violetseam_control::{CommandLog, PersistedState};
+use violetseam_operator_commands::{CommandLog, PersistedState};
 use violetseam_settings::ProxySettings;
 
 /// An error of the daemon round this proxy.
--- a/crates/proxy/src/driver/operators/persistence.rs
+++ b/crates/proxy/src/driver/operators/persistence.rs
@@ -4,7 +4,7 @@
 use super::{DaemonError, Reopened, StateWriter, StateWriterError};
 use calloop::channel::Sender;
 use std::sync::mpsc;
-use violetseam_control::{CommandLog, PersistedState};
+use violetseam_operator_commands::{CommandLog, PersistedState};
 
 /// A state to be stored with its line of the audit log.
 pub(super) struct PersistRequest {
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -3,10 +3,10 @@
 use super::super::Proxy;
 use std::collections::BTreeMap;
 use violetseam::interface::{Build, Micros, Phase, ReleaseStatus, ServerId, Verdict};
-use violetseam_control::daemon_state::{
+use violetseam_fleet_state::fleet_quotas::QuotaStatus;
+use violetseam_operator_commands::daemon_state::{
     BuildAttempts, ConnectionCounts, DaemonState, PauseState, QuotaState, ReleaseState, RequestCounts,
 };
-use violetseam_shared::fleet_quotas::QuotaStatus;
 
 /// Peers heard from so recently count as heard.
 const RECENT_PEER_SPAN: Micros = 10_000_000;
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
-use violetseam_loopio::{ReadOutcome, Socket};
+use violetseam_event_io::{ReadOutcome, Socket};
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 4_096;
@@ -75,7 +75,7 @@
     /// Who the certificate says it is; none over the local socket, whose mode says who can open it.
     pub(super) fn certificate_holder(&self) -> Option<String> {
         let certs = self.tls.as_ref()?.peer_certificates()?;
-        certs.first().map(|cert| violetseam_keys::holder(cert))
+        certs.first().map(|cert| violetseam_tls_config::holder(cert))
     }
 
     /// Reads once; what an operator sent is appended to `input`.
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -5,7 +5,7 @@
 use calloop::{Interest, Mode, PostAction};
 use std::net::UdpSocket;
 use std::rc::Rc;
-use violetseam_site::peer::{self, Kind};
+use violetseam_site_protocol::peer_datagram::{self, PayloadKind};
 
 /// Datagrams received in one turn of the event loop; more wait for the next, or are dropped by the kernel.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
@@ -35,11 +35,11 @@
     }
 
     fn on_datagrams(&mut self, socket: &UdpSocket) {
-        let mut bytes = [0; peer::DATAGRAM_MOST + 1];
+        let mut bytes = [0; peer_datagram::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, from)) = socket.recv_from(&mut bytes) else { return };
             let now = self.now();
-            match peer::decode(self.settings.site, &bytes[..length]) {
+            match peer_datagram::decode(self.settings.site, &bytes[..length]) {
                 // A position that does not come from its own address is somebody else's message.
                 Ok((number, kind, payload))
                     if self.settings.peers.get(usize::from(number)) == Some(&from) =>
@@ -47,8 +47,8 @@
                     let number = usize::from(number);
                     self.peers_heard_at.insert(number, now);
                     match kind {
-                        Kind::Decisions => self.engine.on_peer_message(now, number, payload),
-                        Kind::Rights => self.engine.on_budget_message(now, number, payload),
+                        PayloadKind::Gossip => self.engine.on_peer_message(now, number, payload),
+                        PayloadKind::QuotaLeases => self.engine.on_budget_message(now, number, payload),
                     }
                     self.pump();
                 }
@@ -75,11 +75,11 @@
     }
 
     /// Sends a message to one peer, or to all.
-    pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: Kind, payload: &[u8]) {
+    pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: PayloadKind, payload: &[u8]) {
         let own = self.settings.decisions.position;
         let Some(socket) = &self.udp else { return };
         let Ok(from) = u16::try_from(own) else { return };
-        let Some(datagram) = peer::encode(self.settings.site, from, kind, payload) else { return };
+        let Some(datagram) = peer_datagram::encode(self.settings.site, from, kind, payload) else { return };
         for (position, addr) in self.settings.peers.iter().enumerate() {
             let is_addressed = to.is_none_or(|to| to == position);
             if position == own || !is_addressed {
--- a/crates/proxy/src/driver/saved_list.rs
+++ b/crates/proxy/src/driver/saved_list.rs
@@ -4,7 +4,7 @@
 use super::{ListedServer, Proxy};
 use std::path::Path;
 use violetseam::interface::Micros;
-use violetseam_site::roster;
+use violetseam_site_protocol::endpoint_list;
 
 /// Why a saved list is not used.
 #[derive(Debug, thiserror::Error)]
@@ -12,13 +12,13 @@
     #[error("no time of saving")]
     NoTime,
     #[error("{0}")]
-    Malformed(#[source] violetseam_site::Malformed),
+    Malformed(#[source] violetseam_site_protocol::Malformed),
 }
 
 impl Proxy {
     /// The list as saved before a restart. Ages count on over the restart by the wall clock; should that have
     /// gone back, servers look younger than they are, which is the safe side.
-    pub(super) fn load_saved_list(&mut self) -> Option<roster::Message> {
+    pub(super) fn load_saved_list(&mut self) -> Option<endpoint_list::ListUpdate> {
         let path = self.settings.state_dir.as_ref()?.join(self.saved_list_file());
         let bytes = std::fs::read(&path).ok()?;
         let mut parts = bytes.splitn(2, |byte| *byte == b'\n');
@@ -27,7 +27,8 @@
         match parse_saved_list(saved_at, list) {
             Ok(message) => {
                 let now = self.now();
-                let listed = |entry: &roster::Line| ListedServer { received_at: now, entry: entry.clone() };
+                let listed =
+                    |entry: &endpoint_list::Endpoint| ListedServer { received_at: now, entry: entry.clone() };
                 self.listed_servers = message.servers.iter().map(|entry| (entry.id, listed(entry))).collect();
                 Some(message)
             }
@@ -54,13 +55,14 @@
 
     /// The time of saving, then the list as one message.
     fn list_to_save(&self, now: Micros) -> Vec<u8> {
-        let aged = |ListedServer { received_at, entry }: &ListedServer| roster::Line {
+        let aged = |ListedServer { received_at, entry }: &ListedServer| endpoint_list::Endpoint {
             age_us: entry.age_us.map(|age| age + now.saturating_sub(*received_at)),
             ..entry.clone()
         };
         let servers = self.listed_servers.values().map(aged).collect();
         let version = self.server_list.version().unwrap_or(0);
-        let message = roster::Message { kind: roster::Kind::Full, version, base: 0, servers };
+        let message =
+            endpoint_list::ListUpdate { kind: endpoint_list::UpdateKind::Full, version, base: 0, servers };
         let mut bytes = format!("{}\n", wall_clock()).into_bytes();
         bytes.extend(message.write());
         bytes
@@ -71,8 +73,9 @@
     }
 }
 
-fn parse_saved_list(saved_at: &[u8], list: &[u8]) -> Result<roster::Message, SavedListError> {
-    let mut message = roster::Message::parse(list.trim_ascii_end()).map_err(SavedListError::Malformed)?;
+fn parse_saved_list(saved_at: &[u8], list: &[u8]) -> Result<endpoint_list::ListUpdate, SavedListError> {
+    let mut message =
+        endpoint_list::ListUpdate::parse(list.trim_ascii_end()).map_err(SavedListError::Malformed)?;
     let saved_at = std::str::from_utf8(saved_at).ok().and_then(|text| text.parse::<u64>().ok());
     let saved_at = saved_at.ok_or(SavedListError::NoTime)?;
     let since = wall_clock().saturating_sub(saved_at);
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -4,9 +4,9 @@
 use super::{AnswerState, Server, State};
 use http::StatusCode;
 use violetseam::interface::{Outcome, RequestId};
+use violetseam_event_io::ReadOutcome;
 use violetseam_http1::client::ClientEvent;
 use violetseam_http1::{Framing, ResponseHead};
-use violetseam_loopio::ReadOutcome;
 
 impl Proxy {
     pub(super) fn read_server(&mut self, key: usize) {
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -11,9 +11,9 @@
 use super::{ConnectionId, Proxy};
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
+use violetseam_event_io::{Socket, connect};
 use violetseam_http1::client::ClientConn;
 use violetseam_http1::{ResponseHead, write_chunk, write_last_chunk};
-use violetseam_loopio::{Socket, connect};
 
 /// A connection to a server.
 pub(super) struct Server {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -7,10 +7,10 @@
 use calloop::{Interest, Readiness};
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, Outcome, ReleaseStatus, Verdict};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_site::lines::Lines;
-use violetseam_site::{desk, roster};
+use violetseam_site_protocol::line_reader::LineReader;
+use violetseam_site_protocol::{endpoint_list, release_service};
 
 /// The least wait for another try on the release service's stream, or for a line on it.
 const MIN_STREAM_SPAN: Micros = 10_000;
@@ -77,7 +77,7 @@
     purpose: CallPurpose,
     socket: Socket,
     http: ClientConn,
-    lines: Lines,
+    lines: LineReader,
     /// A vote's reply as it comes.
     body: Vec<u8>,
     /// At least one byte of the call may have reached the other side.
@@ -158,7 +158,8 @@
     /// Sends a vote to the release service.
     pub(super) fn call_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
-        let body = desk::Vote::new(self.settings.decisions.position, build, stage, verdict).write();
+        let body =
+            release_service::Vote::new(self.settings.decisions.position, build, stage, verdict).write();
         let call = self.call(&CallRequest {
             purpose: CallPurpose::Vote,
             to: self.release_service(),
@@ -184,15 +185,15 @@
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
         let http = queue_request(&mut socket, *to, method, path, body);
         let max_line_bytes = match purpose {
-            CallPurpose::WatchRelease => desk::LINE_MOST,
-            _ => roster::LINE_MOST,
+            CallPurpose::WatchRelease => release_service::MAX_LINE_BYTES,
+            _ => endpoint_list::MAX_LINE_BYTES,
         };
         entry.insert(Call {
             generation,
             purpose: *purpose,
             socket,
             http,
-            lines: Lines::new(max_line_bytes),
+            lines: LineReader::new(max_line_bytes),
             body: Vec::new(),
             written: false,
             answered: false,
@@ -260,7 +261,7 @@
                 }
                 Some(ClientEvent::Body(bytes)) if call.purpose == CallPurpose::Vote => {
                     call.body.extend_from_slice(&bytes);
-                    if call.body.len() > desk::LINE_MOST {
+                    if call.body.len() > release_service::MAX_LINE_BYTES {
                         return self.call_ended(key, &CallError::ReplyTooLong);
                     }
                 }
@@ -305,7 +306,7 @@
     }
 
     fn on_list_line(&mut self, line: &[u8]) -> Result<(), CallError> {
-        let message = roster::Message::parse(line).map_err(CallError::malformed)?;
+        let message = endpoint_list::ListUpdate::parse(line).map_err(CallError::malformed)?;
         let now = self.now();
         let applied = self.server_list.apply(now, &message);
         #[allow(unused_mut)]
@@ -313,7 +314,7 @@
             Ok(applied) => applied,
             Err(fault) => {
                 // Whatever discovery lost, its whole list is asked for next and must be newer.
-                if message.kind == roster::Kind::Delta {
+                if message.kind == endpoint_list::UpdateKind::Delta {
                     self.server_list.forget_version();
                 }
                 return Err(CallError::malformed(fault));
@@ -329,7 +330,7 @@
             self.listed_servers.clear();
         }
         for entry in message.servers {
-            if entry.state == roster::State::Gone {
+            if entry.state == endpoint_list::EndpointState::Gone {
                 self.listed_servers.remove(&entry.id);
             } else {
                 self.listed_servers.insert(entry.id, ListedServer { received_at: now, entry });
@@ -342,7 +343,7 @@
     }
 
     fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
-        let (release, fence) = desk::News::parse(line).map_err(CallError::malformed)?;
+        let (release, fence) = release_service::ReleaseUpdate::parse(line).map_err(CallError::malformed)?;
         if fence < self.release_fence {
             // A controller that stood still while another took its place: not obeyed, and left.
             return Err(CallError::Fenced { fence, highest: self.release_fence });
@@ -369,7 +370,7 @@
 
     fn on_vote_ended(&mut self, outcome: Outcome, body: &[u8]) {
         let (outcome, release) = match outcome {
-            Outcome::Ok => desk::VoteReply::parse(body).unwrap_or_else(|fault| {
+            Outcome::Ok => release_service::VoteReply::parse(body).unwrap_or_else(|fault| {
                 tracing::warn!("{fault}");
                 // It was taken by something that does not speak the protocol; whether it counts is open.
                 (Outcome::Timeout, None)
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -46,7 +46,7 @@
 }
 
 /// All of them, by time.
-pub type Timers = violetseam_loopio::timers::Timers<TimerKind>;
+pub type Timers = violetseam_event_io::timers::Timers<TimerKind>;
 
 /// When the present state of a connection has lasted too long.
 ///
--- a/crates/proxy/src/engine/budgets.rs
+++ b/crates/proxy/src/engine/budgets.rs
@@ -3,8 +3,8 @@
 use super::deadlines::TimerKind;
 use super::{Engine, EngineAction};
 use violetseam::interface::{Micros, RequestId};
-use violetseam_shared::OutgoingMessage;
-use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaStatus};
+use violetseam_fleet_state::OutgoingMessage;
+use violetseam_fleet_state::fleet_quotas::{FleetQuotas, QuotaStatus};
 
 impl Engine {
     /// Keeps to the fleet's budgets from now on: an attempt beyond a request's first is started only if the
--- a/crates/proxy/src/engine/mod.rs
+++ b/crates/proxy/src/engine/mod.rs
@@ -27,8 +27,8 @@
 use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Event, ReleaseStatus, RequestId, Settings};
 use violetseam::lease::{ListLease, SendPermissions};
+use violetseam_fleet_state::fleet_quotas::FleetQuotas;
 use violetseam_recorder::Recorder;
-use violetseam_shared::fleet_quotas::FleetQuotas;
 
 /// One proxy's requests, attempts and decisions.
 pub struct Engine {
--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 use violetseam::interface::*;
+use violetseam_fleet_state::fleet_quotas::{FleetQuotas, QuotaPlan};
 use violetseam_proxy::engine::{Engine, EngineAction, LocalResponse};
-use violetseam_shared::fleet_quotas::{FleetQuotas, QuotaPlan};
 
 const MS: Micros = 1_000;
 
--- a/crates/proxy/tests/site.rs
+++ b/crates/proxy/tests/site.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::channel;
 use std::time::Duration;
-use violetseam_site::peer;
+use violetseam_site_protocol::peer_datagram::{self, PayloadKind};
 
 const READ: &str = "GET /read/1 HTTP/1.1";
 
@@ -138,14 +138,14 @@
     let proxy = Proxy::with(site, &text);
     wait_for("the list to be known", || outcome(&proxy.ask(READ, "")) == "served");
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let sound = peer::encode(4, 1, peer::Kind::Decisions, &[0; 64]).unwrap();
+    let sound = peer_datagram::encode(4, 1, PayloadKind::Gossip, &[0; 64]).unwrap();
     for n in 0..2_000u32 {
         let mut bytes = sound.clone();
         match n % 5 {
             0 => bytes[2] = 9,
             1 => bytes.truncate((n % 60) as usize),
             2 => bytes[12 + (n % 60) as usize] ^= 0xff,
-            3 => bytes = peer::encode(4, n as u16, peer::Kind::Decisions, &[n as u8; 200]).unwrap(),
+            3 => bytes = peer_datagram::encode(4, n as u16, PayloadKind::Gossip, &[n as u8; 200]).unwrap(),
             _ => {}
         }
         stranger.send_to(&bytes, own).unwrap();
--- a/crates/publisher/src/connection.rs
+++ b/crates/publisher/src/connection.rs
@@ -7,9 +7,9 @@
 use http::header::{HeaderMap, HeaderName};
 use violetseam_distribution::Micros;
 use violetseam_distribution::message::{Line, MAX_REPORT_BYTES};
+use violetseam_event_io::{HIGH_WATER, ReadOutcome, Socket};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
-use violetseam_loopio::{HIGH_WATER, ReadOutcome, Socket};
 
 /// Bytes that are read at once.
 const READ_BYTES: usize = 16 * 1024;
--- a/crates/publisher/src/serve.rs
+++ b/crates/publisher/src/serve.rs
@@ -59,7 +59,7 @@
     raise_descriptor_limit(bounds.connections).map_err(ServeError::DescriptorLimit)?;
     let store = Store::open(&state)?;
     let publisher = restore(&store, term, bounds.log)?;
-    let listener = violetseam_loopio::listen(listen, LISTEN_BACKLOG).map_err(ServeError::Listen)?;
+    let listener = violetseam_event_io::listen(listen, LISTEN_BACKLOG).map_err(ServeError::Listen)?;
     let address = listener.local_addr().map_err(ServeError::Listen)?;
     let version = publisher.version();
     let service = Service::new(publisher, store, bounds.snapshots_per_second);
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -17,10 +17,10 @@
 use violetseam_distribution::Micros;
 use violetseam_distribution::message::Line;
 use violetseam_distribution::subscriber::HEARTBEAT_INTERVAL;
+use violetseam_event_io::Socket;
+use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::timers::Timers;
 use violetseam_http1::server::ServerEvent;
-use violetseam_loopio::Socket;
-use violetseam_loopio::quiet::RateLimit;
-use violetseam_loopio::timers::Timers;
 
 /// After connections could not be accepted, the next ones are after this long.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
--- a/crates/publisher/src/service.rs
+++ b/crates/publisher/src/service.rs
@@ -15,7 +15,7 @@
 use violetseam_distribution::publisher::{Publisher, SubscribeResponse, SubscriberStatus};
 use violetseam_distribution::resource::{MAX_ROUTES, MAX_TENANTS};
 use violetseam_distribution::{ApplyError, Change, Micros, Report, Resource, Subscribe};
-use violetseam_loopio::quiet::RateLimit;
+use violetseam_event_io::quiet::RateLimit;
 
 /// Missing deltas of more bytes than this pass admission as a snapshot does.
 const MAX_UNADMITTED_DELTA_BYTES: usize = 256 * 1024;
--- a/crates/publisher/src/watch.rs
+++ b/crates/publisher/src/watch.rs
@@ -4,8 +4,8 @@
 use violetseam_distribution::Micros;
 use violetseam_distribution::message::Line;
 use violetseam_distribution::subscriber::HEARTBEAT_INTERVAL;
+use violetseam_event_io::Socket;
 use violetseam_http1::server::ServerConn;
-use violetseam_loopio::Socket;
 
 /// Bytes that are copied for the socket ahead of what it accepts, up to twice as many; the backlog beyond them
 /// is shared among all watches.
--- a/crates/lab/src/scale/evidence.rs
+++ b/crates/scale-bench/src/evidence.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use violetseam::interface::{Event, Micros};
-use violetseam_site::peer;
+use violetseam_site_protocol::peer_datagram;
 
 const SERVERS: u64 = 40;
 /// Before anything is counted.
@@ -133,7 +133,8 @@
 
 /// Bytes of the datagrams that carry these messages, without the headers of UDP and IP.
 fn bytes_of<'a>(told: impl Iterator<Item = &'a Told>) -> f64 {
-    let datagram = |told: &Told| peer::encode(0, 0, peer::Kind::Decisions, &told.payload);
+    let datagram =
+        |told: &Told| peer_datagram::encode(0, 0, peer_datagram::PayloadKind::Gossip, &told.payload);
     told.filter_map(datagram).map(|bytes| bytes.len()).sum::<usize>() as f64
 }
 
--- a/crates/lab/src/scale/hollow_engine.rs
+++ b/crates/scale-bench/src/hollow_engine.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use violetseam::interface::*;
 use violetseam_proxy::engine::{Engine, EngineAction};
-use violetseam_site::desk::Vote;
-use violetseam_site::peer::{self, Kind};
+use violetseam_site_protocol::peer_datagram::{self, PayloadKind};
+use violetseam_site_protocol::release_service::Vote;
 
 /// The fleet's number in the header of its datagrams.
 const SITE: u32 = 34;
@@ -301,7 +301,7 @@
     pub fn deliver(&mut self, now: Micros, to: usize, datagram: &[u8]) {
         let proxy = &mut self.proxies[to];
         proxy.traffic.received.add(datagram.len());
-        if let Ok((from, Kind::Decisions, payload)) = peer::decode(SITE, datagram) {
+        if let Ok((from, PayloadKind::Gossip, payload)) = peer_datagram::decode(SITE, datagram) {
             proxy.engine.on_peer_message(now, usize::from(from), payload);
             self.follow_orders(now, to);
         }
@@ -339,7 +339,8 @@
 
     fn send(&mut self, from: usize, to: Option<usize>, payload: &[u8]) {
         let sender = u16::try_from(from).ok();
-        let Some(bytes) = sender.and_then(|sender| peer::encode(SITE, sender, Kind::Decisions, payload))
+        let Some(bytes) =
+            sender.and_then(|sender| peer_datagram::encode(SITE, sender, PayloadKind::Gossip, payload))
         else {
             return;
         };
--- a/crates/lab/src/scale/hollow_evidence.rs
+++ b/crates/scale-bench/src/hollow_evidence.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use violetseam::interface::Micros;
-use violetseam_site::peer::DATAGRAM_MOST;
+use violetseam_site_protocol::peer_datagram::MAX_DATAGRAM_BYTES;
 
 /// A datagram's way in simulated time.
 const LATENCY: Micros = 500;
@@ -207,7 +207,7 @@
 }
 
 fn read_datagrams(number: usize, socket: &UdpSocket, inbox: &mut Inbox) {
-    let mut bytes = [0; DATAGRAM_MOST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     for _ in 0..TURN_MOST {
         let Ok(length) = socket.recv(&mut bytes) else { return };
         inbox.push((number, bytes[..length].into()));
--- a/crates/lab/src/scale/hollow_list.rs
+++ b/crates/scale-bench/src/hollow_list.rs
@@ -13,8 +13,8 @@
 /// Between two looks at what is awaited.
 const LOOK: Duration = Duration::from_millis(2);
 
-/// Most servers that are listed: what a proxy takes (`violetseam_site::roster::SERVERS_MOST`).
-const SERVERS_MOST: u64 = violetseam_site::roster::SERVERS_MOST as u64;
+/// Most servers that are listed: what a proxy takes (`violetseam_site_protocol::endpoint_list::MAX_SERVERS`).
+const SERVERS_MOST: u64 = violetseam_site_protocol::endpoint_list::MAX_SERVERS as u64;
 
 /// Arguments of `violetseam lab scale hollow-registry`.
 #[derive(Args, Clone, Debug)]
--- a/crates/lab/src/scale/hollow_processes.rs
+++ b/crates/scale-bench/src/hollow_processes.rs
@@ -12,7 +12,7 @@
 /// Most processes of one run.
 const PROCESSES_MOST: u64 = 150;
 /// Most servers that are listed.
-const SERVERS_MOST: u64 = violetseam_site::roster::SERVERS_MOST as u64;
+const SERVERS_MOST: u64 = violetseam_site_protocol::endpoint_list::MAX_SERVERS as u64;
 /// Longest wait for all to hold the list.
 const PATIENCE: Duration = Duration::from_secs(60);
 /// After the list is there, before processor time counts.
--- a/crates/lab/src/scale/hollow_registry.rs
+++ b/crates/scale-bench/src/hollow_registry.rs
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
+use violetseam_event_io::{ReadOutcome, Socket};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits};
-use violetseam_loopio::{ReadOutcome, Socket};
-use violetseam_site::desk::{News, PhaseName};
-use violetseam_site::roster::{Kind, Line, Message, State};
-use violetseam_standin::model::roster::Roster;
+use violetseam_simulated_site::model::roster::Roster;
+use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
+use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
 /// Calls that wait in the kernel to be accepted.
 const BACKLOG: i32 = 4_096;
@@ -92,7 +92,7 @@
     /// # Errors
     /// Errors of the sockets or the thread.
     pub fn start(servers: usize) -> std::io::Result<Registry> {
-        let listener = violetseam_loopio::listen((Ipv4Addr::LOCALHOST, 0).into(), BACKLOG)?;
+        let listener = violetseam_event_io::listen((Ipv4Addr::LOCALHOST, 0).into(), BACKLOG)?;
         let addr = listener.local_addr()?;
         let counters = Arc::new(Counters::default());
         let (commands, heard) = channel();
@@ -154,14 +154,14 @@
     /// The next server to change.
     turn: usize,
     /// A whole list or a delta as it was last written, with its base and version.
-    written: Option<(Kind, u64, u64, Rc<Vec<u8>>)>,
+    written: Option<(UpdateKind, u64, u64, Rc<Vec<u8>>)>,
     counters: Arc<Counters>,
     stopping: bool,
 }
 
-fn line(number: usize, state: State) -> Line {
+fn line(number: usize, state: EndpointState) -> Endpoint {
     let host = Ipv4Addr::new(127, 1, (number / 250) as u8, (number % 250) as u8 + 1);
-    Line {
+    Endpoint {
         id: number as u64 + 1,
         addr: SocketAddr::new(host.into(), 8_080),
         build: BUILD,
@@ -182,7 +182,7 @@
     let mut event_loop: EventLoop<'static, Server> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let mut list = Roster::default();
-    (0..servers).for_each(|number| list.change(0, line(number, State::Ready), 0));
+    (0..servers).for_each(|number| list.change(0, line(number, EndpointState::Ready), 0));
     list.advance(0);
     let accept = Generic::new(listener, Interest::READ, Mode::Level);
     handle
@@ -308,7 +308,8 @@
         let target = std::mem::take(&mut conn.target);
         conn.counted = target.starts_with("/v1/roster");
         if !conn.counted {
-            let news = News { build: BUILD, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 };
+            let news =
+                ReleaseUpdate { build: BUILD, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 };
             return self.begin_answer(key, &news.write(), false);
         }
         add(&self.counters.calls, 1);
@@ -326,17 +327,17 @@
 
     /// The line for a caller: what changed since a version, or the whole list.
     fn message(&mut self, since: Option<u64>) -> Rc<Vec<u8>> {
-        let (kind, base) = since.map_or((Kind::Full, 0), |base| (Kind::Delta, base));
+        let (kind, base) = since.map_or((UpdateKind::Full, 0), |base| (UpdateKind::Delta, base));
         let version = self.list.version();
         if let Some((held, its_base, its_version, line)) = &self.written
             && (*held, *its_base, *its_version) == (kind, base, version)
         {
             return line.clone();
         }
-        let empty = || Message { kind: Kind::Delta, version: base, base, servers: Vec::new() };
+        let empty = || ListUpdate { kind: UpdateKind::Delta, version: base, base, servers: Vec::new() };
         let message = match kind {
-            Kind::Full => self.list.full(0),
-            Kind::Delta => self.list.since(0, base).unwrap_or_else(empty),
+            UpdateKind::Full => self.list.full(0),
+            UpdateKind::Delta => self.list.since(0, base).unwrap_or_else(empty),
         };
         let line = Rc::new(message.write());
         self.written = Some((kind, base, version, line.clone()));
@@ -360,7 +361,7 @@
         let now = self.list.version();
         for _ in 0..count.min(self.servers) {
             let (number, round) = (self.turn % self.servers, self.turn / self.servers);
-            let state = if round.is_multiple_of(2) { State::Draining } else { State::Ready };
+            let state = if round.is_multiple_of(2) { EndpointState::Draining } else { EndpointState::Ready };
             self.list.change(now, line(number, state), 0);
             self.turn += 1;
         }
--- a/crates/lab/src/scale/hollow_release.rs
+++ b/crates/scale-bench/src/hollow_release.rs
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use violetseam::interface::{Micros, Outcome};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
-use violetseam_site::desk::{LINE_MOST, News, Vote, VoteReply};
-use violetseam_site::lines::Lines;
+use violetseam_site_protocol::line_reader::LineReader;
+use violetseam_site_protocol::release_service::{MAX_LINE_BYTES, ReleaseUpdate, Vote, VoteReply};
 
 /// Most hollow proxies: each holds a descriptor here and one in the controller, and votes take more.
 const PROXIES_MOST: u64 = 6_000;
@@ -178,7 +178,7 @@
     purpose: Purpose,
     socket: Socket,
     http: ClientConn,
-    lines: Lines,
+    lines: LineReader,
     body: Vec<u8>,
     began: Instant,
 }
@@ -371,7 +371,7 @@
         }
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
-        let (lines, began) = (Lines::new(LINE_MOST), Instant::now());
+        let (lines, began) = (LineReader::new(MAX_LINE_BYTES), Instant::now());
         entry.insert(Call { proxy, purpose, socket, http, lines, body: Vec::new(), began });
         Ok(())
     }
@@ -429,7 +429,7 @@
             let proxy = call.proxy;
             let news = match call.lines.next_line() {
                 Ok(Some([])) => continue,
-                Ok(Some(line)) => News::parse(line),
+                Ok(Some(line)) => ReleaseUpdate::parse(line),
                 Ok(None) => return,
                 Err(fault) => Err(fault),
             };
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/scale-bench/src/simulated.rs
@@ -10,7 +10,7 @@
     ReleaseStatus, Request, RequestClass, RequestId, Rollout, ServerEntry, ServerId, ServiceRules, Settings,
     Tenant,
 };
-use violetseam_site::roster::Roster;
+use violetseam_site_protocol::endpoint_list::EndpointList;
 
 /// One millisecond of simulated time.
 pub const MILLISECOND: Micros = 1_000;
@@ -75,7 +75,7 @@
 /// # Errors
 /// [`ScaleError`] if the list does not read.
 pub fn entries(servers: u64, seed: u64) -> Result<Vec<ServerEntry>, ScaleError> {
-    let applied = Roster::default().apply(1, &whole_list(servers, seed));
+    let applied = EndpointList::default().apply(1, &whole_list(servers, seed));
     applied.map(|(_, entries)| entries).map_err(|e| ScaleError::Failed(e.to_string()))
 }
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/scale-bench/tests/scale.rs
@@ -1,15 +1,15 @@
 //! How the costs of a large fleet grow, by counts that are the same on every machine: bytes, messages and
 //! entries, never times. Small sizes of what `violetseam lab scale` measures at large ones.
 
-use violetseam_lab::scale::evidence::Evidence;
-use violetseam_lab::scale::fit::{Curve, FitError, Point, line, power};
-use violetseam_lab::scale::memory::Memory;
-use violetseam_lab::scale::routing::Routing;
-use violetseam_lab::scale::server_list::{ServerList, changes, whole_list, zone_lines};
-use violetseam_lab::scale::settings::Settings;
-use violetseam_lab::scale::table::{Measurement, Table, Unit};
-use violetseam_lab::scale::{Run, Slope, measure};
-use violetseam_site::roster::{Message, SERVERS_MOST};
+use violetseam_scale_bench::evidence::Evidence;
+use violetseam_scale_bench::fit::{Curve, FitError, Point, line, power};
+use violetseam_scale_bench::memory::Memory;
+use violetseam_scale_bench::routing::Routing;
+use violetseam_scale_bench::server_list::{ServerList, changes, whole_list, zone_lines};
+use violetseam_scale_bench::settings::Settings;
+use violetseam_scale_bench::table::{Measurement, Table, Unit};
+use violetseam_scale_bench::{Run, Slope, measure};
+use violetseam_site_protocol::endpoint_list::{ListUpdate, MAX_SERVERS};
 
 const RUN: Run = Run { quick: true, seed: 7 };
 
@@ -102,9 +102,9 @@
 
 #[test]
 fn a_list_past_the_bound_is_refused_and_one_at_the_bound_is_taken() {
-    let most = SERVERS_MOST as u64;
-    assert!(Message::parse(&whole_list(most, 1).write()).is_ok());
-    let refused = Message::parse(&whole_list(most + 1, 1).write()).unwrap_err();
+    let most = MAX_SERVERS as u64;
+    assert!(ListUpdate::parse(&whole_list(most, 1).write()).is_ok());
+    let refused = ListUpdate::parse(&whole_list(most + 1, 1).write()).unwrap_err();
     assert_eq!(refused.to_string(), "roster: too many servers");
     let table = measure(&ServerList, &[most, most + 1], &RUN).unwrap();
     assert_eq!((table.value("refused", most), table.value("refused", most + 1)), (Some(0.0), Some(1.0)));
@@ -116,9 +116,9 @@
     let whole = whole_list(1_100, 3);
     let zone = changes(&whole, zone_lines(&whole));
     assert_eq!(zone.servers.len(), 100);
-    let mut roster = violetseam_site::roster::Roster::default();
-    roster.apply(1, &Message::parse(&whole.write()).unwrap()).unwrap();
-    let (_, entries) = roster.apply(2, &Message::parse(&zone.write()).unwrap()).unwrap();
+    let mut roster = violetseam_site_protocol::endpoint_list::EndpointList::default();
+    roster.apply(1, &ListUpdate::parse(&whole.write()).unwrap()).unwrap();
+    let (_, entries) = roster.apply(2, &ListUpdate::parse(&zone.write()).unwrap()).unwrap();
     assert_eq!(entries.len(), 100);
 }
 
--- a/crates/lab/tests/scale_distribution.rs
+++ b/crates/scale-bench/tests/scale_distribution.rs
@@ -1,8 +1,8 @@
 //! Distribution of configuration: what a subscriber exchanges does not grow with their number.
 
-use violetseam_lab::scale::Run;
-use violetseam_lab::scale::distribution::bytes_at;
-use violetseam_lab::scale::table::Measurement;
+use violetseam_scale_bench::Run;
+use violetseam_scale_bench::distribution::bytes_at;
+use violetseam_scale_bench::table::Measurement;
 
 /// Bytes a second that a proxy may spend on it, of the 5 KB/s for all control.
 const BYTES_A_SECOND_MOST: f64 = 1_000.0;
--- a/crates/lab/tests/scale_hollow.rs
+++ b/crates/scale-bench/tests/scale_hollow.rs
@@ -2,9 +2,9 @@
 //! proxies in simulated time, and small fleets over real connections.
 
 use std::time::Duration;
-use violetseam_lab::scale::hollow_engine::{Releases, Shape};
-use violetseam_lab::scale::hollow_evidence::{Carrier, Evidence, Plan, measure};
-use violetseam_lab::scale::hollow_list;
+use violetseam_scale_bench::hollow_engine::{Releases, Shape};
+use violetseam_scale_bench::hollow_evidence::{Carrier, Evidence, Plan, measure};
+use violetseam_scale_bench::hollow_list;
 
 /// A proxy tells its counters this often, by the decisions' rule.
 const TELLS_PER_SECOND: f64 = 1.0 / 0.8;
--- a/crates/lab/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::{Order, Reply};
-use violetseam_standin::Clock;
-use violetseam_standin::day::{Day, Gate};
-use violetseam_standin::drive::Net;
+use violetseam_simulated_site::Clock;
+use violetseam_simulated_site::day::{Day, Gate};
+use violetseam_simulated_site::drive::Net;
 
 /// One controller.
 pub struct Controller {
--- a/crates/lab/src/days.rs
+++ b/crates/scenarios/src/days.rs
@@ -1,7 +1,7 @@
 //! Days that come with the program.
 
 use crate::fleet_days;
-use violetseam_standin::day::*;
+use violetseam_simulated_site::day::*;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/lab/src/drawn.rs
+++ b/crates/scenarios/src/drawn.rs
@@ -2,7 +2,7 @@
 //! carries. What cannot be played is named, never skipped silently.
 
 use serde::Deserialize;
-use violetseam_standin::day::*;
+use violetseam_simulated_site::day::*;
 
 /// The most proxies that are started, each a process.
 const PROXIES_MOST: usize = 8;
--- a/crates/lab/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
-use violetseam_control::Action;
 use violetseam_fleet::{CommandOptions, Delivery, Fleet, Outcome, wall_clock};
+use violetseam_operator_commands::Action;
 use violetseam_settings::Member;
 
 struct Daemons {
--- a/crates/lab/src/fleet_days.rs
+++ b/crates/scenarios/src/fleet_days.rs
@@ -2,7 +2,7 @@
 //! proxies want more further attempts than the fleet has, while links, processes and places fail.
 
 use crate::days::{base, trouble};
-use violetseam_standin::day::*;
+use violetseam_simulated_site::day::*;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/lab/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -11,7 +11,6 @@
 mod proxies;
 pub mod report;
 mod run;
-pub mod scale;
 pub mod script;
 
 pub use controller::plan;
--- a/crates/lab/src/measure.rs
+++ b/crates/scenarios/src/measure.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
 
 /// What is measured and for how long.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/proxies.rs
+++ b/crates/scenarios/src/proxies.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use violetseam_standin::drive::Net;
+use violetseam_simulated_site::drive::Net;
 
 /// How the processes are started.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -4,8 +4,8 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
-use violetseam_audit::Verdict;
-use violetseam_standin::day::Day;
+use violetseam_invariants::Verdict;
+use violetseam_simulated_site::day::Day;
 
 /// Worth served in time over worth asked for.
 pub fn served_worth(outcome: &Outcome) -> f64 {
--- a/crates/lab/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -11,12 +11,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
-use violetseam_audit::{Entry, Record, Verdict};
-use violetseam_standin::Clock;
-use violetseam_standin::day::{Day, Kind, Trouble};
-use violetseam_standin::drive::clients::{ClientReport, Progress};
-use violetseam_standin::drive::site::SiteReport;
-use violetseam_standin::drive::{Net, clients, site};
+use violetseam_invariants::{Entry, Record, Verdict};
+use violetseam_simulated_site::Clock;
+use violetseam_simulated_site::day::{Day, Kind, Trouble};
+use violetseam_simulated_site::drive::clients::{ClientReport, Progress};
+use violetseam_simulated_site::drive::site::SiteReport;
+use violetseam_simulated_site::drive::{Net, clients, site};
 
 /// From the stand-ins' start to the first request, in microseconds.
 const PRELUDE: u64 = 2_000_000;
@@ -240,9 +240,9 @@
         entries.sort_by_key(|e| e.at);
         let rules = day.rules(SLACK);
         let file = File::create(out.join("records.vsau")).map_err(io("records"))?;
-        violetseam_audit::record::write(&mut BufWriter::new(file), &rules, &entries)
+        violetseam_invariants::record::write(&mut BufWriter::new(file), &rules, &entries)
             .map_err(io("records"))?;
-        let verdict = violetseam_audit::check(&rules, &entries);
+        let verdict = violetseam_invariants::check(&rules, &entries);
         let outcome = Outcome { verdict, clients, site, faults, cpu, records: entries.len() };
         let summary =
             serde_json::to_vec_pretty(&report::summary(day, &outcome)).map_err(|e| e.to_string())?;
--- a/crates/lab/src/script.rs
+++ b/crates/scenarios/src/script.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write;
 use std::path::Path;
-use violetseam_standin::day::{Day, Effect, Gate};
-use violetseam_standin::drive::Net;
+use violetseam_simulated_site::day::{Day, Effect, Gate};
+use violetseam_simulated_site::drive::Net;
 
 /// Where the proxies of a run have their control sockets, less `-N`.
 pub fn control_path(net: Net) -> std::path::PathBuf {
--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -1,8 +1,8 @@
 //! Budgets of further attempts that the whole fleet keeps.
 
 use crate::sections::{BudgetParts, Fleet, RequestClass};
-use violetseam_script::{Placed, ScriptError};
-use violetseam_shared::fleet_quotas::QuotaPlan;
+use violetseam_fleet_state::fleet_quotas::QuotaPlan;
+use violetseam_starlark_config::{Placed, ScriptError};
 
 /// The largest budget of further attempts, a second.
 const FURTHER_MOST: f64 = 1e6;
--- a/crates/settings/src/check/classes.rs
+++ b/crates/settings/src/check/classes.rs
@@ -1,7 +1,7 @@
 //! Classes of requests.
 
 use crate::sections::{EffectName, RequestClass};
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 pub(super) fn check_classes(
     script: &str,
--- a/crates/settings/src/check/connections.rs
+++ b/crates/settings/src/check/connections.rs
@@ -3,7 +3,7 @@
 use crate::sections::{ConnectionLimits, HeaderNames};
 use crate::settings::{Connections, Headers};
 use http::HeaderName;
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 pub(super) fn check_headers(names: Option<&Placed<HeaderNames>>) -> Result<Headers, ScriptError> {
     let is = names.map(|n| n.is.clone()).unwrap_or_default();
--- a/crates/settings/src/check/decisions.rs
+++ b/crates/settings/src/check/decisions.rs
@@ -3,7 +3,7 @@
 use crate::collect::Sections;
 use crate::sections::{Contract, EffectName, Fleet, GateName, GroupName, Limits, RequestClass, Rollout};
 use violetseam::interface as decision;
-use violetseam_script::Placed;
+use violetseam_starlark_config::Placed;
 
 pub(super) fn decisions(
     sections: &Sections,
--- a/crates/settings/src/check/fleet.rs
+++ b/crates/settings/src/check/fleet.rs
@@ -4,7 +4,7 @@
 use crate::sections::{ControlTls, Fleet, Identity, Member, Peers, Publisher};
 use crate::settings::FleetFile;
 use std::net::SocketAddr;
-use violetseam_script::{Placed, ScriptError, one};
+use violetseam_starlark_config::{Placed, ScriptError, one};
 
 pub(super) fn check_fleet(fleet: &Placed<Fleet>, peers: Option<&Placed<Peers>>) -> Result<(), ScriptError> {
     let Fleet { name, size, position, .. } = &fleet.is;
--- a/crates/settings/src/check/mod.rs
+++ b/crates/settings/src/check/mod.rs
@@ -21,7 +21,7 @@
 use routes::check_routes;
 use std::path::PathBuf;
 use tenants::check_tenants;
-use violetseam_script::{ScriptError, needed, one};
+use violetseam_starlark_config::{ScriptError, needed, one};
 
 pub(crate) fn check(script: &str, s: &Sections) -> Result<ProxySettings, ScriptError> {
     let fleet = needed(script, "fleet", &s.fleet)?;
--- a/crates/settings/src/check/rollout.rs
+++ b/crates/settings/src/check/rollout.rs
@@ -1,7 +1,7 @@
 //! How a release goes on, what servers promise, and the limits of attempts.
 
 use crate::sections::{Contract, EffectName, Limits, RequestClass, Rollout};
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 pub(super) fn check_rollout(
     rollout: &Placed<Rollout>,
--- a/crates/settings/src/check/routes.rs
+++ b/crates/settings/src/check/routes.rs
@@ -5,7 +5,7 @@
 use crate::settings::Route;
 use http::Method;
 use std::collections::HashMap;
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 /// The routes in the order of the script, and their table. A route that an earlier one covers is refused:
 /// it could never match.
--- a/crates/settings/src/check/tenants.rs
+++ b/crates/settings/src/check/tenants.rs
@@ -2,7 +2,7 @@
 
 use crate::sections::Tenant;
 use std::collections::BTreeMap;
-use violetseam_script::{Placed, ScriptError};
+use violetseam_starlark_config::{Placed, ScriptError};
 
 /// Tenants' indices by name, in the order of the script.
 pub(super) fn check_tenants(calls: &[Placed<Tenant>]) -> Result<BTreeMap<String, usize>, ScriptError> {
--- a/crates/settings/src/collect.rs
+++ b/crates/settings/src/collect.rs
@@ -1,7 +1,7 @@
 //! The calls of a script, gathered by section.
 
 use crate::sections::*;
-use violetseam_script::{Call, Placed, ScriptError};
+use violetseam_starlark_config::{Call, Placed, ScriptError};
 
 /// All sections of a script, as called.
 #[derive(Debug, Default)]
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -4,10 +4,10 @@
 use crate::collect::collect;
 use crate::settings::{FleetFile, ProxySettings};
 use std::path::Path;
-pub use violetseam_script::ScriptError;
-use violetseam_script::{evaluate, evaluate_file};
+pub use violetseam_starlark_config::ScriptError;
+use violetseam_starlark_config::{evaluate, evaluate_file};
 
-violetseam_script::functions! { functions: fleet, listen, roster, desk, publisher, peers, request_class, route, tenant, headers, budgets, rollout, limits, contract, connections, member, identity, control_tls }
+violetseam_starlark_config::functions! { functions: fleet, listen, roster, desk, publisher, peers, request_class, route, tenant, headers, budgets, rollout, limits, contract, connections, member, identity, control_tls }
 
 /// Reads and checks a settings file. `options` are what `option(...)` gives.
 ///
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 use std::net::SocketAddr;
-use violetseam_script::Span;
+use violetseam_starlark_config::Span;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use violetseam::interface::{Micros, Settings};
-use violetseam_shared::fleet_quotas::QuotaPlan;
+use violetseam_fleet_state::fleet_quotas::QuotaPlan;
 
 /// Requests with this method and path prefix are of this class.
 #[derive(Clone, Debug)]
--- a/crates/standin/src/day.rs
+++ b/crates/simulated-site/src/day.rs
@@ -2,7 +2,7 @@
 //! and writes as JSON. Times are microseconds from the day's start, work is microseconds of a standard core.
 
 use serde::{Deserialize, Serialize};
-use violetseam_audit::record::{Class as RuleClass, Effect as RuleEffect, Group, Rules};
+use violetseam_invariants::record::{Class as RuleClass, Effect as RuleEffect, Group, Rules};
 
 /// A day.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/standin/src/drive/clients.rs
+++ b/crates/simulated-site/src/drive/clients.rs
@@ -16,11 +16,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use violetseam_audit::record::Answer;
-use violetseam_audit::{Entry, Record};
+use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::Limits;
 use violetseam_http1::client::{ClientConn, ClientEvent};
-use violetseam_loopio::{ReadOutcome, Socket, connect};
+use violetseam_invariants::record::Answer;
+use violetseam_invariants::{Entry, Record};
 
 /// How long past its deadline a client still waits, so that a late answer is seen as late.
 const PATIENCE: u64 = 400_000;
--- a/crates/standin/src/drive/connection.rs
+++ b/crates/simulated-site/src/drive/connection.rs
@@ -1,10 +1,10 @@
 //! A connection to the site, and what is kept of all of them: attempts out, watches, what is to be done later.
 
 use std::collections::{BTreeMap, HashMap};
+use violetseam_event_io::Socket;
 use violetseam_http1::RequestHead;
 use violetseam_http1::server::ServerConn;
-use violetseam_loopio::Socket;
-use violetseam_site::desk::{News, Vote};
+use violetseam_site_protocol::release_service::{ReleaseUpdate, Vote};
 
 /// What a connection is to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// The attempt that is out on it.
     pub(super) job: Option<u64>,
     /// It is an endless answer to this proxy: what was told last, and when.
-    pub(super) stream: Option<(u32, Option<News>, u64)>,
+    pub(super) stream: Option<(u32, Option<ReleaseUpdate>, u64)>,
     /// Who sent the last request on it to a server.
     pub(super) sender: Option<u32>,
     /// Nothing of it arrives any more, either way.
--- a/crates/standin/src/drive/desk_http.rs
+++ b/crates/simulated-site/src/drive/desk_http.rs
@@ -5,7 +5,7 @@
 use crate::day::Kind;
 use http::Method;
 use rand::RngExt;
-use violetseam_site::desk::{Vote, VoteOutcome, VoteReply};
+use violetseam_site_protocol::release_service::{Vote, VoteOutcome, VoteReply};
 
 impl Site {
     pub(super) fn serve_desk(&mut self, key: usize) {
--- a/crates/standin/src/drive/machines.rs
+++ b/crates/simulated-site/src/drive/machines.rs
@@ -7,9 +7,9 @@
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use std::net::TcpListener;
 use std::rc::Rc;
-use violetseam_audit::Record;
-use violetseam_audit::record::Start;
-use violetseam_site::roster::{Line, State};
+use violetseam_invariants::Record;
+use violetseam_invariants::record::Start;
+use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
 
 impl Site {
     pub(super) fn start_machine(
@@ -52,7 +52,7 @@
     }
 
     fn listen_server(&mut self, machine: u64) -> std::io::Result<(Rc<TcpListener>, RegistrationToken)> {
-        let listener = Rc::new(violetseam_loopio::listen(self.net.machine(machine), 1024)?);
+        let listener = Rc::new(violetseam_event_io::listen(self.net.machine(machine), 1024)?);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self
             .handle
@@ -73,10 +73,10 @@
     }
 
     /// Lists a machine so at a moment; later while the roster is late.
-    pub(super) fn list(&mut self, at: u64, machine: u64, state: State) {
+    pub(super) fn list(&mut self, at: u64, machine: u64, state: EndpointState) {
         let Some(m) = self.machines.get(&machine) else { return };
         let late = self.active(Kind::RosterLate).map_or(0, |t| (t.size * 1e6) as u64);
-        let line = Line {
+        let line = Endpoint {
             id: machine,
             addr: self.net.machine(machine),
             build: m.server.build.number,
@@ -117,7 +117,7 @@
         m.down_until = Some(back_at);
         let (noticed, back) = (now + self.day.roster.silent_notice, back_at + self.day.roster.add);
         if noticed < back {
-            self.list(noticed, machine, State::Gone);
+            self.list(noticed, machine, EndpointState::Gone);
         }
     }
 
@@ -142,7 +142,7 @@
             let (server, draining) = (Server::start(spec, build, now, false), m.draining);
             self.see_start(machine, &server);
             self.machines.entry(machine).and_modify(|m| m.server = server);
-            let state = if draining { State::Draining } else { State::Ready };
+            let state = if draining { EndpointState::Draining } else { EndpointState::Ready };
             self.list(now + self.day.roster.add, machine, state);
         }
     }
--- a/crates/standin/src/drive/remote.rs
+++ b/crates/simulated-site/src/drive/remote.rs
@@ -14,8 +14,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
-use violetseam_site::desk::{News, PhaseName, Vote, VoteReply};
-use violetseam_site::places::{Report, StateName, Wanted, write_reports};
+use violetseam_site_protocol::placement::{DesiredBuilds, PlaceReport, PlaceStateName, write_reports};
+use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate, Vote, VoteReply};
 
 /// Threads that carry votes.
 const CARRIERS: usize = 8;
@@ -25,8 +25,8 @@
 const AGAIN: Duration = Duration::from_millis(50);
 
 enum Heard {
-    News(News),
-    Wanted(Wanted),
+    ReleaseUpdate(ReleaseUpdate),
+    DesiredBuilds(DesiredBuilds),
     Reply(u64, Option<VoteReply>),
 }
 
@@ -48,9 +48,9 @@
     plan: Rollout,
     heard: Receiver<Heard>,
     to_carriers: Sender<(u64, Vec<u8>)>,
-    to_reporter: Sender<Vec<Report>>,
+    to_reporter: Sender<Vec<PlaceReport>>,
     stop: Arc<AtomicBool>,
-    news: News,
+    news: ReleaseUpdate,
     wanted: BTreeSet<(u32, u16)>,
     machines: BTreeMap<u64, Machine>,
     next_machine: u64,
@@ -104,6 +104,21 @@
     answer.starts_with(b"HTTP/1.1 200").then(|| answer.split_off(end))
 }
 
+/// Starts the thread that reports places: in order, and each until it was taken, as the controller may be gone for a
+/// while.
+fn spawn_reporter(addr: SocketAddr, stop: Arc<AtomicBool>) -> std::io::Result<Sender<Vec<PlaceReport>>> {
+    let (to_reporter, reports) = channel::<Vec<PlaceReport>>();
+    std::thread::Builder::new().name("reports".to_owned()).spawn(move || {
+        while let Ok(report) = reports.recv() {
+            let body = write_reports(&report);
+            while post(addr, "/v1/places", &body).is_none() && !stop.load(Ordering::Relaxed) {
+                std::thread::sleep(AGAIN);
+            }
+        }
+    })?;
+    Ok(to_reporter)
+}
+
 impl Remote {
     /// A link to the controller at an address; all places run the first build, machines 1, 2 and so on.
     pub fn start(addr: SocketAddr, plan: Rollout, places: usize) -> std::io::Result<Remote> {
@@ -115,8 +130,8 @@
             named("watch").spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let _ = watch(addr, path, &|line| {
-                        let news = News::read(line).map(Heard::News).ok();
-                        let wanted = || Wanted::parse(line).map(Heard::Wanted).ok();
+                        let news = ReleaseUpdate::read(line).map(Heard::ReleaseUpdate).ok();
+                        let wanted = || DesiredBuilds::parse(line).map(Heard::DesiredBuilds).ok();
                         let _ = news.or_else(wanted).map(|heard| tell.send(heard));
                     });
                     std::thread::sleep(AGAIN);
@@ -138,25 +153,16 @@
                 }
             })?;
         }
-        let (to_reporter, reports) = channel::<Vec<Report>>();
-        let over = stop.clone();
-        named("reports").spawn(move || {
-            // In order, and each until it was taken: the controller may be gone for a while.
-            while let Ok(report) = reports.recv() {
-                let body = write_reports(&report);
-                while post(addr, "/v1/places", &body).is_none() && !over.load(Ordering::Relaxed) {
-                    std::thread::sleep(AGAIN);
-                }
-            }
-        })?;
+        let to_reporter = spawn_reporter(addr, stop.clone())?;
         let build = plan.first_build;
         let running =
             |place: usize| (place as u64 + 1, Machine { place: place as u32, build, life: Life::Running });
         let machines: BTreeMap<u64, Machine> = (0..places).map(running).collect();
-        let all = machines.values().map(|m| Report { place: m.place, build, state: StateName::Running });
+        let all =
+            machines.values().map(|m| PlaceReport { place: m.place, build, state: PlaceStateName::Running });
         let _ = to_reporter.send(all.collect());
         Ok(Remote {
-            news: News { build, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 },
+            news: ReleaseUpdate { build, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 },
             plan,
             heard,
             to_carriers,
@@ -171,7 +177,7 @@
     }
 
     /// The latest news.
-    pub fn news(&self) -> News {
+    pub fn news(&self) -> ReleaseUpdate {
         self.news
     }
 
@@ -179,12 +185,14 @@
     pub fn advance(&mut self, now: u64, out: &mut Vec<Command>) {
         while let Ok(heard) = self.heard.try_recv() {
             match heard {
-                Heard::News(news) if news.fence >= self.news.fence => self.heard_news(now, news),
-                Heard::Wanted(wanted) if wanted.fence >= self.news.fence && !wanted.wanted.is_empty() => {
+                Heard::ReleaseUpdate(news) if news.fence >= self.news.fence => self.heard_news(now, news),
+                Heard::DesiredBuilds(wanted)
+                    if wanted.fence >= self.news.fence && !wanted.wanted.is_empty() =>
+                {
                     self.wanted = wanted.wanted.into_iter().collect();
                 }
                 Heard::Reply(token, reply) => self.replies.push_back((token, reply)),
-                Heard::News(_) | Heard::Wanted(_) => {}
+                Heard::ReleaseUpdate(_) | Heard::DesiredBuilds(_) => {}
             }
         }
         let mut reports = Vec::new();
@@ -195,7 +203,7 @@
         }
     }
 
-    fn heard_news(&mut self, now: u64, news: News) {
+    fn heard_news(&mut self, now: u64, news: ReleaseUpdate) {
         let before = std::mem::replace(&mut self.news, news);
         if news.build != before.build {
             self.fates.push(Fate { build: news.build, offered: now, released: None, back: None });
@@ -209,14 +217,18 @@
     }
 
     /// Boots end, drains end.
-    fn tend(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<Report>) {
+    fn tend(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<PlaceReport>) {
         let mut gone = Vec::new();
         for (&machine, m) in &mut self.machines {
             match m.life {
                 Life::Booting(at) if at <= now => {
                     m.life = Life::Running;
                     out.push(Command::Start { machine, place: m.place as usize, build: m.build });
-                    reports.push(Report { place: m.place, build: m.build, state: StateName::Running });
+                    reports.push(PlaceReport {
+                        place: m.place,
+                        build: m.build,
+                        state: PlaceStateName::Running,
+                    });
                 }
                 Life::Draining(at) if at <= now => gone.push(machine),
                 _ => {}
@@ -225,13 +237,13 @@
         for machine in gone {
             if let Some(m) = self.machines.remove(&machine) {
                 out.push(Command::Stop { machine });
-                reports.push(Report { place: m.place, build: m.build, state: StateName::Gone });
+                reports.push(PlaceReport { place: m.place, build: m.build, state: PlaceStateName::Gone });
             }
         }
     }
 
     /// Starts what is wanted and missing, drains what is not wanted.
-    fn reconcile(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<Report>) {
+    fn reconcile(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<PlaceReport>) {
         if self.wanted.is_empty() {
             return;
         }
@@ -242,7 +254,7 @@
             let life = Life::Booting(now + self.plan.boot);
             self.machines.insert(self.next_machine, Machine { place, build, life });
             self.next_machine += 1;
-            reports.push(Report { place, build, state: StateName::Starting });
+            reports.push(PlaceReport { place, build, state: PlaceStateName::Starting });
         }
         let mut dropped = Vec::new();
         for (&machine, m) in &mut self.machines {
@@ -255,14 +267,18 @@
                 Life::Running => {
                     m.life = Life::Draining(now + self.plan.drain);
                     out.push(Command::Drain { machine });
-                    reports.push(Report { place: m.place, build: m.build, state: StateName::Draining });
+                    reports.push(PlaceReport {
+                        place: m.place,
+                        build: m.build,
+                        state: PlaceStateName::Draining,
+                    });
                 }
                 Life::Draining(_) => {}
             }
         }
         for machine in dropped {
             if let Some(m) = self.machines.remove(&machine) {
-                reports.push(Report { place: m.place, build: m.build, state: StateName::Gone });
+                reports.push(PlaceReport { place: m.place, build: m.build, state: PlaceStateName::Gone });
             }
         }
     }
--- a/crates/standin/src/drive/roster_http.rs
+++ b/crates/simulated-site/src/drive/roster_http.rs
@@ -2,9 +2,9 @@
 
 use super::state::{Site, rule_state};
 use crate::day::Kind;
-use violetseam_audit::Record;
-use violetseam_audit::record::{Call, State as RuleState};
-use violetseam_site::roster::{Kind as ListKind, Message};
+use violetseam_invariants::Record;
+use violetseam_invariants::record::{Call, State as RuleState};
+use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind as ListKind};
 
 impl Site {
     pub(super) fn serve_roster(&mut self, key: usize) {
@@ -26,12 +26,12 @@
             return self.stream(key, &[b"{\"kind\":\"full\",\"version\":", &b"7,]\n"[..]].concat(), true);
         }
         let delta = since.filter(|_| watch).map(|base| {
-            let none = Message { kind: ListKind::Delta, version: base, base, servers: Vec::new() };
+            let none = ListUpdate { kind: ListKind::Delta, version: base, base, servers: Vec::new() };
             self.roster.since(now, base).unwrap_or(none)
         });
         let mut message = delta.unwrap_or_else(|| self.roster.full(now));
         if self.active(Kind::RosterBack).is_some() {
-            message = Message { version: 1, ..self.roster.full(now) };
+            message = ListUpdate { version: 1, ..self.roster.full(now) };
         }
         self.see(Record::Called { proxy, call: if watch { Call::Watch } else { Call::Fetch } });
         self.see_told(proxy, &message);
@@ -45,7 +45,7 @@
         }
     }
 
-    fn see_told(&mut self, proxy: u32, message: &Message) {
+    fn see_told(&mut self, proxy: u32, message: &ListUpdate) {
         for line in &message.servers {
             let started = self.roster.started(line.id);
             let state = rule_state(line.state);
@@ -86,7 +86,7 @@
             match kind {
                 Kind::RosterGarbage => self.stream_more(key, b"\xff\xfe not a list\n"),
                 Kind::RosterBack => {
-                    let old = Message { version: 1, ..self.roster.full(now) };
+                    let old = ListUpdate { version: 1, ..self.roster.full(now) };
                     self.stream_more(key, &old.write());
                 }
                 _ => self.close(key),
--- a/crates/standin/src/drive/site.rs
+++ b/crates/simulated-site/src/drive/site.rs
@@ -24,7 +24,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Sender;
 use std::time::Duration;
-use violetseam_site::roster::State;
+use violetseam_site_protocol::endpoint_list::EndpointState;
 
 /// Between two turns of the desk and of troubles, in microseconds.
 const TURN: u64 = 20_000;
@@ -100,7 +100,7 @@
         for place in 0..day.servers.len() {
             let machine = place as u64 + 1;
             site.start_machine(machine, place, build.clone(), true)?;
-            site.list(0, machine, State::Ready);
+            site.list(0, machine, EndpointState::Ready);
         }
         site.list_due();
         Ok(site)
@@ -160,7 +160,7 @@
                 self.generations[place] += 1;
                 let build = self.build(build);
                 match self.start_machine(machine, index, build, false) {
-                    Ok(()) => self.list(now + self.day.roster.add, machine, State::Ready),
+                    Ok(()) => self.list(now + self.day.roster.add, machine, EndpointState::Ready),
                     Err(e) => drop(self.say.send(format!("machine {machine} does not start: {e}"))),
                 }
             }
@@ -168,10 +168,10 @@
                 if let Some(m) = self.machines.get_mut(&machine) {
                     m.draining = true;
                 }
-                self.list(now + self.day.roster.notice, machine, State::Draining);
+                self.list(now + self.day.roster.notice, machine, EndpointState::Draining);
             }
             Command::Stop { machine } => {
-                self.list(now + self.day.roster.notice, machine, State::Gone);
+                self.list(now + self.day.roster.notice, machine, EndpointState::Gone);
                 self.stop_machine(machine);
                 self.machines.remove(&machine);
             }
--- a/crates/standin/src/drive/site_http.rs
+++ b/crates/simulated-site/src/drive/site_http.rs
@@ -11,14 +11,14 @@
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use violetseam_audit::{Arrival, End, Record};
+use violetseam_event_io::{ReadOutcome, Socket};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits};
-use violetseam_loopio::{ReadOutcome, Socket};
+use violetseam_invariants::{Arrival, End, Record};
 
 impl Site {
     pub(super) fn listen_http(&mut self, addr: SocketAddr, role: Role) -> std::io::Result<()> {
-        let source = Generic::new(violetseam_loopio::listen(addr, 1024)?, Interest::READ, Mode::Level);
+        let source = Generic::new(violetseam_event_io::listen(addr, 1024)?, Interest::READ, Mode::Level);
         self.handle
             .insert_source(source, move |_, listener, site: &mut Site| {
                 while let Ok((stream, _)) = listener.accept() {
--- a/crates/standin/src/drive/state.rs
+++ b/crates/simulated-site/src/drive/state.rs
@@ -16,10 +16,10 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
-use violetseam_audit::record::{Phase as RulePhase, State as RuleState};
-use violetseam_audit::{End, Entry, Finish, Record};
-use violetseam_site::desk::{News, PhaseName};
-use violetseam_site::roster::State;
+use violetseam_invariants::record::{Phase as RulePhase, State as RuleState};
+use violetseam_invariants::{End, Entry, Finish, Record};
+use violetseam_site_protocol::endpoint_list::EndpointState;
+use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
 /// A machine: a server, its listener and its place in the fleet.
 pub struct Machine {
@@ -62,7 +62,7 @@
 }
 
 impl Releases {
-    pub fn news(&self) -> News {
+    pub fn news(&self) -> ReleaseUpdate {
         match self {
             Releases::StandIn(desk) => desk.news(),
             Releases::Controller(remote) => remote.news(),
@@ -102,8 +102,8 @@
     pub(super) report: SiteReport,
     /// Memories of keys, by group: 0 for all, zones and cells from there.
     pub(super) memories: HashMap<u32, KeyMemory>,
-    /// News as they were, to be told late.
-    pub(super) news: Vec<(u64, News)>,
+    /// ReleaseUpdate as they were, to be told late.
+    pub(super) news: Vec<(u64, ReleaseUpdate)>,
     /// Machines that have stood in each place.
     pub(super) generations: Vec<usize>,
     pub(super) next_turn: u64,
@@ -142,7 +142,7 @@
     }
 
     /// The news as the desk tells them at a moment: those of a while ago.
-    pub(super) fn news_told(&self, now: u64) -> News {
+    pub(super) fn news_told(&self, now: u64) -> ReleaseUpdate {
         let late = self.active(Kind::DeskLate).map_or(0, |t| (t.size * 1e6) as u64);
         let seen = now.saturating_sub(self.day.rollout.told_late + late);
         let known = self.news.iter().rev().find(|n| n.0 <= seen);
@@ -150,7 +150,7 @@
     }
 
     /// Records news as told to a proxy.
-    pub(super) fn see_news(&mut self, proxy: u32, news: News) {
+    pub(super) fn see_news(&mut self, proxy: u32, news: ReleaseUpdate) {
         let phase = match news.phase {
             PhaseName::Trial => RulePhase::Trial,
             PhaseName::RollingBack => RulePhase::RollingBack,
@@ -175,10 +175,10 @@
 }
 
 /// A state as the checker knows it.
-pub(super) fn rule_state(state: State) -> RuleState {
+pub(super) fn rule_state(state: EndpointState) -> RuleState {
     match state {
-        State::Ready => RuleState::Ready,
-        State::Draining => RuleState::Draining,
-        State::Gone => RuleState::Gone,
+        EndpointState::Ready => RuleState::Ready,
+        EndpointState::Draining => RuleState::Draining,
+        EndpointState::Gone => RuleState::Gone,
     }
 }
--- a/crates/standin/src/drive/streams.rs
+++ b/crates/simulated-site/src/drive/streams.rs
@@ -5,9 +5,9 @@
 use crate::day::{Kind, Trouble};
 use http::StatusCode;
 use http::header::HeaderMap;
-use violetseam_audit::record::Call;
-use violetseam_audit::{End, Record};
 use violetseam_http1::Framing;
+use violetseam_invariants::record::Call;
+use violetseam_invariants::{End, Record};
 
 impl Site {
     pub(super) fn flush(&mut self, key: usize) {
--- a/crates/standin/src/model/desk.rs
+++ b/crates/simulated-site/src/model/desk.rs
@@ -6,7 +6,7 @@
 
 use crate::day::{Gate, Release, Rollout};
 use std::collections::BTreeMap;
-use violetseam_site::desk::{News, PhaseName, VerdictName, Vote, VoteOutcome};
+use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate, VerdictName, Vote, VoteOutcome};
 
 /// A stage's clock starts so long after all its machines run, in microseconds ...
 const SETTLE: u64 = 1_000_000;
@@ -82,7 +82,7 @@
     places: usize,
     machines: BTreeMap<u64, Machine>,
     next_machine: u64,
-    news: News,
+    news: ReleaseUpdate,
     /// The build that runs everywhere before the newest.
     earlier: u16,
     launched: u64,
@@ -103,7 +103,7 @@
         let build = plan.first_build;
         let running = |place| Machine { place, build, life: Life::Running };
         let machines: BTreeMap<u64, Machine> = (0..places).map(|p| (p as u64 + 1, running(p))).collect();
-        let news = News { build, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 };
+        let news = ReleaseUpdate { build, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 };
         Desk {
             releases,
             offered: 0,
@@ -127,7 +127,7 @@
     }
 
     /// The present news.
-    pub fn news(&self) -> News {
+    pub fn news(&self) -> ReleaseUpdate {
         self.news
     }
 
@@ -169,8 +169,13 @@
         }
         self.offered += 1;
         let newest = self.plan.first_build + self.offered as u16;
-        self.news =
-            News { build: newest, stage: 0, phase: PhaseName::Trial, cap: self.plan.caps[0], fence: 0 };
+        self.news = ReleaseUpdate {
+            build: newest,
+            stage: 0,
+            phase: PhaseName::Trial,
+            cap: self.plan.caps[0],
+            fence: 0,
+        };
         self.fates.push(Fate { build: newest, offered: now, released: None, back: None });
         (self.launched, self.settled, self.on_hold) = (now, None, 0);
         self.votes.clear();
--- a/crates/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -40,7 +40,7 @@
                 }
                 Record::Born(seed, settings) => {
                     let id = named(instance)?;
-                    let settings = violetseam_instance::parse(settings)?;
+                    let settings = violetseam_instance_settings::parse(settings)?;
                     self.balancers.insert(id, Balancer::new(settings, seed));
                 }
                 Record::Kill => {
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,8 +2,8 @@
 
 use std::io::{self, BufReader, BufWriter, ErrorKind, Read, Write};
 use std::process::ExitCode;
-use violetseam_wirehost::host::Host;
-use violetseam_wirehost::reader::WireError;
+use violetseam_simulator_adapter::host::Host;
+use violetseam_simulator_adapter::reader::WireError;
 
 /// Why the adapter ends before its input does.
 #[derive(Debug, thiserror::Error)]
@@ -65,11 +65,11 @@
 
 fn main() -> ExitCode {
     // A failure of decision code is told on the wire, so the default trace is not wanted as well.
-    std::panic::set_hook(Box::new(|info| eprintln!("violetseam-wirehost: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("violetseam-simulator-adapter: {info}")));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("violetseam-wirehost: {error}");
+            eprintln!("violetseam-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -29,7 +29,7 @@
     UnknownList(u8),
     /// An instance's settings do not read.
     #[error(transparent)]
-    Settings(#[from] violetseam_instance::SettingsError),
+    Settings(#[from] violetseam_instance_settings::SettingsError),
     /// Bytes are left after the last record.
     #[error("bytes left over after the last record")]
     TrailingBytes,
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,10 +3,10 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use violetseam::interface::*;
-use violetseam_wirehost::action::{write_action, write_by};
-use violetseam_wirehost::host::Host;
-use violetseam_wirehost::reader::Reader;
-use violetseam_wirehost::record::{Record, read_record};
+use violetseam_simulator_adapter::action::{write_action, write_by};
+use violetseam_simulator_adapter::host::Host;
+use violetseam_simulator_adapter::reader::Reader;
+use violetseam_simulator_adapter::record::{Record, read_record};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -109,7 +109,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_violetseam-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_violetseam-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/site/src/flag.rs
+++ b/crates/site-protocol/src/answer_report.rs
@@ -4,11 +4,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest body that is taken, in bytes.
-pub const BODY_MOST: usize = 256;
+pub const MAX_BODY_BYTES: usize = 256;
 
 /// A report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flag {
+pub struct AnswerReport {
     /// The answer's id: 16 hexadecimal digits, as its header gave it.
     pub answer: String,
 }
@@ -18,10 +18,10 @@
 /// # Errors
 /// [`Malformed`] if the body is not a report.
 pub fn parse(body: &[u8]) -> Result<u64, Malformed> {
-    if body.len() > BODY_MOST {
+    if body.len() > MAX_BODY_BYTES {
         return malformed("flag: too long");
     }
-    let flag: Flag = serde_json::from_slice(body).map_err(|e| Malformed(format!("flag: {e}")))?;
+    let flag: AnswerReport = serde_json::from_slice(body).map_err(|e| Malformed(format!("flag: {e}")))?;
     if flag.answer.len() != 16 || !flag.answer.bytes().all(|b| b.is_ascii_hexdigit()) {
         return malformed("flag: an answer id has 16 hexadecimal digits");
     }
--- a/crates/site/src/roster.rs
+++ b/crates/site-protocol/src/endpoint_list.rs
@@ -7,14 +7,14 @@
 use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
 /// The longest line that is taken, in bytes.
-pub const LINE_MOST: usize = 4 << 20;
+pub const MAX_LINE_BYTES: usize = 4 << 20;
 /// The most servers that are taken.
-pub const SERVERS_MOST: usize = 20_000;
+pub const MAX_SERVERS: usize = 20_000;
 
 /// Whether a message carries the whole list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum UpdateKind {
     /// The whole list.
     Full,
     /// The lines that changed since `base`.
@@ -24,7 +24,7 @@
 /// A server's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes its work; nothing new.
@@ -35,7 +35,7 @@
 
 /// One server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Endpoint {
     /// Its id, the same at every proxy and after a restart.
     pub id: ServerId,
     /// Where it listens.
@@ -43,7 +43,7 @@
     /// The build it runs.
     pub build: u16,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
     /// Its zone's number.
     #[serde(default)]
     pub zone: u16,
@@ -64,26 +64,27 @@
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Message {
+pub struct ListUpdate {
     /// Whole list or changes.
-    pub kind: Kind,
+    pub kind: UpdateKind,
     /// The list's version after it; never falls.
     pub version: u64,
     /// For changes: the version they apply to.
     #[serde(default)]
     pub base: u64,
     /// The lines.
-    pub servers: Vec<Line>,
+    pub servers: Vec<Endpoint>,
 }
 
-impl Message {
+impl ListUpdate {
     /// Reads one line.
     ///
     /// # Errors
     /// [`Malformed`] if the line is not JSON of this form, lists a server twice, or a figure is out of bounds.
-    pub fn parse(line: &[u8]) -> Result<Message, Malformed> {
-        let message: Message = serde_json::from_slice(line).map_err(|e| Malformed(format!("roster: {e}")))?;
-        if message.servers.len() > SERVERS_MOST {
+    pub fn parse(line: &[u8]) -> Result<ListUpdate, Malformed> {
+        let message: ListUpdate =
+            serde_json::from_slice(line).map_err(|e| Malformed(format!("roster: {e}")))?;
+        if message.servers.len() > MAX_SERVERS {
             return malformed("roster: too many servers");
         }
         let mut seen = BTreeSet::new();
@@ -91,7 +92,7 @@
             if !(line.size.is_finite() && line.size > 0.0 && line.size < 1e9) {
                 return malformed(format!("roster: server {} has no usable size", line.id));
             }
-            if message.kind == Kind::Full && line.state == State::Gone {
+            if message.kind == UpdateKind::Full && line.state == EndpointState::Gone {
                 return malformed(format!("roster: server {} gone in a whole list", line.id));
             }
             if !seen.insert(line.id) {
@@ -111,12 +112,12 @@
 
 /// The list as this proxy holds it.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct EndpointList {
     version: Option<u64>,
     addresses: BTreeMap<ServerId, SocketAddr>,
 }
 
-impl Roster {
+impl EndpointList {
     /// The version held, to ask for what changed since.
     pub fn version(&self) -> Option<u64> {
         self.version
@@ -136,30 +137,30 @@
     pub fn apply(
         &mut self,
         now: Micros,
-        message: &Message,
+        message: &ListUpdate,
     ) -> Result<(ListKind, Vec<ServerEntry>), Malformed> {
         let held = self.version.unwrap_or(0);
         if self.version.is_some() && message.version < held {
             return malformed(format!("roster: version {} after {held}", message.version));
         }
-        if message.kind == Kind::Delta && self.version != Some(message.base) {
+        if message.kind == UpdateKind::Delta && self.version != Some(message.base) {
             return malformed(format!("roster: changes to version {} on top of {held}", message.base));
         }
         for line in &message.servers {
             self.addresses.insert(line.id, line.addr);
         }
         // Addresses of servers that left stay until the table is full of them.
-        if self.addresses.len() > 2 * SERVERS_MOST && message.kind == Kind::Full {
+        if self.addresses.len() > 2 * MAX_SERVERS && message.kind == UpdateKind::Full {
             self.addresses = message.servers.iter().map(|l| (l.id, l.addr)).collect();
         }
         self.version = Some(message.version);
-        let kind = if message.kind == Kind::Full { ListKind::Full } else { ListKind::Delta };
+        let kind = if message.kind == UpdateKind::Full { ListKind::Full } else { ListKind::Delta };
         Ok((kind, entries(now, &message.servers)))
     }
 
     /// The list a proxy held before it restarted, as it was saved: addresses are known again, the version
     /// is not, so that the whole list is asked for.
-    pub fn restore(&mut self, now: Micros, saved: &Message) -> Vec<ServerEntry> {
+    pub fn restore(&mut self, now: Micros, saved: &ListUpdate) -> Vec<ServerEntry> {
         self.addresses = saved.servers.iter().map(|l| (l.id, l.addr)).collect();
         entries(now, &saved.servers)
     }
@@ -170,16 +171,16 @@
     }
 }
 
-fn entries(now: Micros, lines: &[Line]) -> Vec<ServerEntry> {
-    let entry = |line: &Line| ServerEntry {
+fn entries(now: Micros, lines: &[Endpoint]) -> Vec<ServerEntry> {
+    let entry = |line: &Endpoint| ServerEntry {
         id: line.id,
         zone: line.zone,
         build: line.build,
         cell: line.cell,
         status: match line.state {
-            State::Ready => ServerStatus::Ready,
-            State::Draining => ServerStatus::Draining,
-            State::Gone => ServerStatus::Removed,
+            EndpointState::Ready => ServerStatus::Ready,
+            EndpointState::Draining => ServerStatus::Draining,
+            EndpointState::Gone => ServerStatus::Removed,
         },
         size: line.size,
         started_at: line.age_us.map_or(0, |age| now.saturating_sub(age).max(1)),
--- a/crates/site/src/lib.rs
+++ b/crates/site-protocol/src/lib.rs
@@ -4,12 +4,12 @@
 //! datagrams. `docs/protocols.md` is the published description. Whatever is malformed becomes an error
 //! with a reason here and never reaches the decisions.
 
-pub mod desk;
-pub mod flag;
-pub mod lines;
-pub mod peer;
-pub mod places;
-pub mod roster;
+pub mod answer_report;
+pub mod endpoint_list;
+pub mod line_reader;
+pub mod peer_datagram;
+pub mod placement;
+pub mod release_service;
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/crates/site/src/lines.rs
+++ b/crates/site-protocol/src/line_reader.rs
@@ -4,17 +4,17 @@
 
 /// Collects bytes and gives whole lines; a line past the bound is an error, after which nothing is given.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineReader {
     held: Vec<u8>,
     used: usize,
     most: usize,
     broken: bool,
 }
 
-impl Lines {
+impl LineReader {
     /// Lines of at most `most` bytes.
     pub fn new(most: usize) -> Self {
-        Lines { held: Vec::new(), used: 0, most, broken: false }
+        LineReader { held: Vec::new(), used: 0, most, broken: false }
     }
 
     /// Hands over bytes.
--- a/crates/site/src/desk.rs
+++ b/crates/site-protocol/src/release_service.rs
@@ -5,7 +5,7 @@
 use violetseam::interface::{Build, Outcome, Phase, ReleaseStatus, Verdict};
 
 /// The longest line that is taken, in bytes.
-pub const LINE_MOST: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 4096;
 
 /// Where a build stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 /// The desk's word on the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct ReleaseUpdate {
     /// The newest build.
     pub build: Build,
     /// Its stage, from 0.
@@ -32,7 +32,7 @@
     pub phase: PhaseName,
     /// The exposure cap, 0 to 1.
     pub cap: f64,
-    /// The fencing number of the controller that says so; 0: a desk without one. News with a lower number
+    /// The fencing number of the controller that says so; 0: a desk without one. ReleaseUpdate with a lower number
     /// than heard before are not obeyed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub fence: u64,
@@ -42,13 +42,13 @@
     *n == 0
 }
 
-impl News {
+impl ReleaseUpdate {
     /// Reads one line: the news and the fencing number of whoever says so.
     ///
     /// # Errors
     /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
     pub fn parse(line: &[u8]) -> Result<(ReleaseStatus, u64), Malformed> {
-        let news = News::read(line)?;
+        let news = ReleaseUpdate::read(line)?;
         Ok((news.check()?, news.fence))
     }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
-    pub fn read(line: &[u8]) -> Result<News, Malformed> {
+    pub fn read(line: &[u8]) -> Result<ReleaseUpdate, Malformed> {
         serde_json::from_slice(line).map_err(|e| Malformed(format!("desk: {e}")))
     }
 
@@ -155,7 +155,7 @@
     pub outcome: VoteOutcome,
     /// The present news, with a vote that counts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub news: Option<News>,
+    pub news: Option<ReleaseUpdate>,
 }
 
 impl VoteReply {
--- a/crates/site/tests/protocols.rs
+++ b/crates/site-protocol/tests/protocols.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, ServerStatus};
-use violetseam_site::{desk, flag, lines::Lines, peer, roster};
+use violetseam_site_protocol::{
+    answer_report, endpoint_list, line_reader::LineReader, peer_datagram, release_service,
+};
 
 fn message(kind: &str, version: u64, base: u64, servers: &str) -> String {
     format!(r#"{{"kind":"{kind}","version":{version},"base":{base},"servers":[{servers}]}}"#)
@@ -12,12 +14,12 @@
 
 #[test]
 fn a_whole_list_and_changes_on_top_of_it_are_taken() {
-    let mut held = roster::Roster::default();
-    let full = roster::Message::parse(message("full", 4, 0, ONE).as_bytes()).unwrap();
+    let mut held = endpoint_list::EndpointList::default();
+    let full = endpoint_list::ListUpdate::parse(message("full", 4, 0, ONE).as_bytes()).unwrap();
     let (kind, entries) = held.apply(10_000, &full).unwrap();
     assert_eq!((kind, entries[0].id, entries[0].build, entries[0].started_at), (ListKind::Full, 7, 3, 9_500));
     let gone = ONE.replace("ready", "gone");
-    let delta = roster::Message::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
+    let delta = endpoint_list::ListUpdate::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
     let (kind, entries) = held.apply(20_000, &delta).unwrap();
     assert_eq!((kind, entries[0].status, held.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
     assert!(held.address(7).is_some(), "attempts may still be out at a server that left");
@@ -25,11 +27,11 @@
 
 #[test]
 fn versions_that_go_back_and_changes_past_a_gap_leave_the_list_as_it_was() {
-    let mut held = roster::Roster::default();
-    let at = |version| roster::Message::parse(message("full", version, 0, ONE).as_bytes()).unwrap();
+    let mut held = endpoint_list::EndpointList::default();
+    let at = |version| endpoint_list::ListUpdate::parse(message("full", version, 0, ONE).as_bytes()).unwrap();
     held.apply(0, &at(9)).unwrap();
     assert!(held.apply(0, &at(8)).is_err());
-    let gap = roster::Message::parse(message("delta", 12, 11, ONE).as_bytes()).unwrap();
+    let gap = endpoint_list::ListUpdate::parse(message("delta", 12, 11, ONE).as_bytes()).unwrap();
     assert!(held.apply(0, &gap).is_err());
     assert_eq!(held.version(), Some(9));
 }
@@ -47,23 +49,30 @@
         String::new(),
     ];
     for text in rosters {
-        assert!(roster::Message::parse(text.as_bytes()).is_err(), "{text}");
+        assert!(endpoint_list::ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
-    assert!(desk::News::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err());
-    assert!(desk::News::parse(br#"{"build":70000,"stage":0,"phase":"trial","cap":0.5}"#).is_err());
-    assert!(desk::News::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":0.5}"#).is_ok());
-    assert!(desk::VoteReply::parse(br#"{"outcome":"maybe"}"#).is_err());
-    let full = desk::VoteReply::parse(br#"{"outcome":"full"}"#).unwrap();
+    assert!(
+        release_service::ReleaseUpdate::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err()
+    );
+    assert!(
+        release_service::ReleaseUpdate::parse(br#"{"build":70000,"stage":0,"phase":"trial","cap":0.5}"#)
+            .is_err()
+    );
+    assert!(
+        release_service::ReleaseUpdate::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":0.5}"#).is_ok()
+    );
+    assert!(release_service::VoteReply::parse(br#"{"outcome":"maybe"}"#).is_err());
+    let full = release_service::VoteReply::parse(br#"{"outcome":"full"}"#).unwrap();
     assert_eq!(full, (Outcome::Rejected, None));
-    assert_eq!(flag::parse(br#"{"answer":"00000000000000ff"}"#), Ok(255));
+    assert_eq!(answer_report::parse(br#"{"answer":"00000000000000ff"}"#), Ok(255));
     for text in [&br#"{"answer":"ff"}"#[..], br#"{"answer":"+0000000000000ff"}"#, b"[]", &[b' '; 300]] {
-        assert!(flag::parse(text).is_err());
+        assert!(answer_report::parse(text).is_err());
     }
 }
 
 #[test]
 fn lines_come_whole_and_a_line_past_the_bound_breaks_the_stream() {
-    let mut lines = Lines::new(8);
+    let mut lines = LineReader::new(8);
     lines.feed(b"one\ntw");
     assert_eq!(lines.next_line().unwrap(), Some(&b"one"[..]));
     assert_eq!(lines.next_line().unwrap(), None);
@@ -76,31 +85,34 @@
 
 #[test]
 fn datagrams_of_another_version_site_or_length_are_dropped() {
-    let sound = peer::encode(5, 3, peer::Kind::Rights, b"payload").unwrap();
-    assert_eq!(peer::decode(5, &sound), Ok((3, peer::Kind::Rights, &b"payload"[..])));
-    assert!(peer::decode(6, &sound).is_err());
-    assert!(peer::encode(5, 3, peer::Kind::Decisions, &[0; 257]).is_none());
+    let sound = peer_datagram::encode(5, 3, peer_datagram::PayloadKind::QuotaLeases, b"payload").unwrap();
+    assert_eq!(
+        peer_datagram::decode(5, &sound),
+        Ok((3, peer_datagram::PayloadKind::QuotaLeases, &b"payload"[..]))
+    );
+    assert!(peer_datagram::decode(6, &sound).is_err());
+    assert!(peer_datagram::encode(5, 3, peer_datagram::PayloadKind::Gossip, &[0; 257]).is_none());
     let mut other = sound.clone();
     other[2] = 2;
-    assert!(peer::decode(5, &other).unwrap_err().0.contains("version 2"));
-    assert!(peer::decode(5, &sound[..sound.len() - 1]).is_err());
+    assert!(peer_datagram::decode(5, &other).unwrap_err().0.contains("version 2"));
+    assert!(peer_datagram::decode(5, &sound[..sound.len() - 1]).is_err());
 }
 
 proptest! {
     #[test]
     fn any_single_damage_to_a_datagram_is_noticed(at in 0usize..23, flip in 1u8..) {
-        let mut bytes = peer::encode(5, 3, peer::Kind::Decisions, b"payload").unwrap();
+        let mut bytes = peer_datagram::encode(5, 3, peer_datagram::PayloadKind::Gossip, b"payload").unwrap();
         let at = at % bytes.len();
         bytes[at] ^= flip;
-        prop_assert!(peer::decode(5, &bytes).is_err());
+        prop_assert!(peer_datagram::decode(5, &bytes).is_err());
     }
 
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = roster::Message::parse(&bytes);
-        let _ = desk::News::parse(&bytes);
-        let _ = desk::VoteReply::parse(&bytes);
-        let _ = flag::parse(&bytes);
-        let _ = peer::decode(1, &bytes);
+        let _ = endpoint_list::ListUpdate::parse(&bytes);
+        let _ = release_service::ReleaseUpdate::parse(&bytes);
+        let _ = release_service::VoteReply::parse(&bytes);
+        let _ = answer_report::parse(&bytes);
+        let _ = peer_datagram::decode(1, &bytes);
     }
 }
--- a/crates/script/tests/span.rs
+++ b/crates/starlark-config/tests/span.rs
@@ -1,6 +1,6 @@
 //! Durations in the form that scripts write them.
 
-use violetseam_script::Span;
+use violetseam_starlark_config::Span;
 
 fn parse(text: &str) -> Option<Span> {
     serde_json::from_value(serde_json::Value::String(text.to_owned())).ok()
--- a/crates/keys/tests/files.rs
+++ b/crates/tls-config/tests/files.rs
@@ -9,7 +9,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use time::{Duration, OffsetDateTime};
-use violetseam_keys::{KeyFileError, KeyFiles, client_tls, holder, server_tls};
+use violetseam_tls_config::{KeyFileError, KeyFiles, client_tls, holder, server_tls};
 
 type Authority = CertifiedIssuer<'static, KeyPair>;
 
