--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,6 +1,8 @@
 //! `violetseam fleet`: asks every daemon of a fleet, or tells them all.
 
-use crate::serve::{key_files, pair};
+use crate::arguments::{operator_name, script_option, timeout};
+use crate::serve::key_files;
+use anyhow::{Context, bail};
 use clap::{Args as ClapArgs, Subcommand};
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
@@ -18,7 +20,7 @@
     #[arg(long)]
     fleet: PathBuf,
     /// A value for the script's option(...): NAME=VALUE
-    #[arg(long = "set", value_parser = pair)]
+    #[arg(long = "set", value_parser = script_option)]
     set: Vec<(String, String)>,
     /// Only this member or group; may be given again
     #[arg(long)]
@@ -110,13 +112,12 @@
 }
 
 /// Runs a fleet command.
-pub fn run(args: &Args) -> Result<ExitCode, String> {
-    let file = violetseam_settings::read_fleet(&args.fleet, &args.set).map_err(|e| e.to_string())?;
-    let members = select_members(file.members, &args.only).map_err(|e| e.to_string())?;
+pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
+    let file = violetseam_settings::read_fleet(&args.fleet, &args.set)?;
+    let members = select_members(file.members, &args.only)?;
     let identity = file.identity.as_ref().map(client_tls).transpose()?;
     let names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
-    let timeout = Duration::from_secs_f64(args.timeout.clamp(0.05, 600.0));
-    let fleet = Fleet { members, timeout, parallel: args.parallel, identity };
+    let fleet = Fleet { members, timeout: timeout(args.timeout), parallel: args.parallel, identity };
     let terminal = std::io::stderr().is_terminal();
     let all = names.len();
     let mut progress = |done: usize| {
@@ -136,10 +137,10 @@
 }
 
 /// The TLS settings of an operator's identity; warns where its certificate ends soon.
-fn client_tls(identity: &Identity) -> Result<Arc<rustls::ClientConfig>, String> {
+fn client_tls(identity: &Identity) -> anyhow::Result<Arc<rustls::ClientConfig>> {
     let now_s = (wall_clock() / 1_000_000) as i64;
     let files = key_files(identity);
-    let loaded = violetseam_tls_config::client_tls(&files, now_s).map_err(|e| format!("identity: {e}"))?;
+    let loaded = violetseam_tls_config::client_tls(&files, now_s).context("identity")?;
     if loaded.expires_at_s - now_s < violetseam_tls_config::EXPIRY_WARNING_S {
         eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
     }
@@ -147,13 +148,13 @@
 }
 
 /// Shows the state again and again, `count` times or for ever.
-fn watch(args: &Args, fleet: &Fleet, every: f64, count: Option<u64>) -> Result<ExitCode, String> {
+fn watch(args: &Args, fleet: &Fleet, every: f64, count: Option<u64>) -> anyhow::Result<ExitCode> {
     let interval = Duration::from_secs_f64(every.clamp(0.1, 3_600.0));
-    let mut left = count.unwrap_or(u64::MAX);
-    while left > 0 {
+    let mut remaining = count.unwrap_or(u64::MAX);
+    while remaining > 0 {
         show(args, report::state_table, fleet, &mut |_| {})?;
-        left -= 1;
-        if left > 0 {
+        remaining -= 1;
+        if remaining > 0 {
             std::thread::sleep(interval);
         }
     }
@@ -166,13 +167,12 @@
     command: &Command,
     fleet: &Fleet,
     progress: &mut dyn FnMut(usize),
-) -> Result<ExitCode, String> {
-    let Some(action) = action(command) else { return Err("nothing to do".into()) };
+) -> anyhow::Result<ExitCode> {
+    let Some(action) = action(command) else { bail!("nothing to do") };
     if !args.yes && !confirmed(action.name(), fleet.members.len())? {
-        return Err("not confirmed, nothing was sent".into());
+        bail!("not confirmed, nothing was sent");
     }
-    let issuer = args.issuer.clone().or_else(|| std::env::var("USER").ok());
-    let issuer = issuer.unwrap_or_else(|| "unknown".into());
+    let issuer = operator_name(args.issuer.as_deref());
     let validity = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
     let delivery = if args.all_or_none { Delivery::AllOrNone } else { Delivery::Independent };
     let options = CommandOptions { issuer, validity, delivery };
@@ -189,26 +189,26 @@
     args: &Args,
     table: impl Fn(&[DaemonReading]) -> String,
     fleet: &Fleet,
-    heard: &mut dyn FnMut(usize),
-) -> Result<ExitCode, String> {
-    let readings = fleet.state(heard);
+    progress: &mut dyn FnMut(usize),
+) -> anyhow::Result<ExitCode> {
+    let readings = fleet.state(progress);
     if args.json {
         println!("{}", report::state_json(&readings));
     } else {
         print!("{}", table(&readings));
     }
-    let silent = readings.iter().any(|reading| reading.state.is_err());
-    Ok(query_exit_code(silent))
+    let any_unanswered = readings.iter().any(|reading| reading.state.is_err());
+    Ok(query_exit_code(any_unanswered))
 }
 
 fn whoami(
     args: &Args,
     fleet: &Fleet,
     names: &[String],
-    heard: &mut dyn FnMut(usize),
-) -> Result<ExitCode, String> {
-    let answers = fleet.query(&|_| Some(Request::Whoami), heard);
-    let mut silent = false;
+    progress: &mut dyn FnMut(usize),
+) -> anyhow::Result<ExitCode> {
+    let answers = fleet.query(&|_| Some(Request::Whoami), progress);
+    let mut any_unanswered = false;
     for (member, answer) in names.iter().zip(answers) {
         match answer {
             Ok(Response::Whoami { name, boot, version }) if args.json => {
@@ -222,12 +222,12 @@
             }
             Ok(other) => println!("{member}: answered something else: {other:?}"),
             Err(error) => {
-                silent = true;
+                any_unanswered = true;
                 println!("{member}: SILENT: {error}");
             }
         }
     }
-    Ok(query_exit_code(silent))
+    Ok(query_exit_code(any_unanswered))
 }
 
 /// The exit code for a request that changes nothing.
@@ -236,13 +236,13 @@
     ExitCode::from(status.code())
 }
 
-fn confirmed(what: &str, count: usize) -> Result<bool, String> {
+fn confirmed(what: &str, count: usize) -> anyhow::Result<bool> {
     if !std::io::stdin().is_terminal() {
-        return Err("give --yes to change something without being asked".into());
+        bail!("give --yes to change something without being asked");
     }
     eprint!("{what} on {count} daemons? [y/N] ");
     let _ = std::io::stderr().flush();
     let mut line = String::new();
-    std::io::stdin().read_line(&mut line).map_err(|e| e.to_string())?;
+    std::io::stdin().read_line(&mut line)?;
     Ok(matches!(line.trim(), "y" | "yes"))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,6 @@
 //! The violetseam program. Each subcommand is a thin layer over its package.
 
+mod arguments;
 mod controller;
 mod fleet;
 mod lab;
@@ -7,12 +8,16 @@
 mod plan;
 mod platform;
 mod publisher;
+mod release;
+mod replay;
 mod serve;
+mod settings;
 
 use clap::{Parser, Subcommand};
-use std::path::PathBuf;
 use std::process::ExitCode;
-use violetseam_recorder::Interest;
+
+/// Exit status where a command failed or its arguments are faulty.
+const FAILED: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about = "Release controller and the router that moves traffic between builds")]
@@ -35,87 +40,53 @@
     /// Run a release controller in the foreground
     Controller(controller::Args),
     /// Speak to a release controller
-    Release(controller::ReleaseArgs),
+    Release(release::Args),
     /// Run a configuration publisher in the foreground
     Publisher(publisher::Args),
     /// Publish changes of the configuration, or show who has which version
     Publish(publisher::PublishArgs),
     /// Settings scripts
     #[command(subcommand)]
-    Settings(SettingsCommand),
+    Settings(settings::Command),
     /// Have a fresh decision module decide a recording again, and compare
-    Replay {
-        /// The recording, as `serve --record` wrote it
-        file: PathBuf,
-        /// Print all that concerns this request
-        #[arg(long)]
-        request: Option<u64>,
-        /// Print news, votes and findings on this build
-        #[arg(long)]
-        build: Option<u16>,
-    },
+    Replay(replay::Args),
     /// Scripted days on real sockets, the rules checked from the wire
     #[command(subcommand)]
     Lab(lab::Command),
 }
 
-#[derive(Subcommand)]
-enum SettingsCommand {
-    /// Read a script, say what is wrong with it or that nothing is
-    Check {
-        /// The script
-        file: PathBuf,
-        /// A value for the script's option(...): NAME=VALUE
-        #[arg(long = "set", value_parser = serve::pair)]
-        set: Vec<(String, String)>,
-    },
+fn main() -> ExitCode {
+    run(Cli::parse().command).unwrap_or_else(|error| {
+        eprintln!("violetseam: {}", describe(&error));
+        ExitCode::from(FAILED)
+    })
 }
 
-fn main() -> ExitCode {
-    let result = match Cli::parse().command {
-        Command::Demo(args) => lab::demo(&args),
+fn run(command: Command) -> anyhow::Result<ExitCode> {
+    match command {
+        Command::Demo(args) => lab::demo(&args).map_err(anyhow::Error::msg),
         Command::Serve(args) => serve::run(&args),
         Command::Fleet(args) => fleet::run(&args),
         Command::Plan(command) => plan::run(&command),
-        Command::Controller(args) => controller::serve(&args),
-        Command::Release(args) => controller::release(&args),
+        Command::Controller(args) => controller::run(&args),
+        Command::Release(args) => release::run(&args),
         Command::Publisher(args) => publisher::serve(&args),
         Command::Publish(args) => publisher::publish(&args),
-        Command::Settings(SettingsCommand::Check { file, set }) => {
-            violetseam_settings::read_file(&file, &set).map(|s| {
-                let (classes, routes) = (s.class_names.len(), s.routes.len());
-                println!("{}: {classes} classes, {routes} routes, no fault found", file.display());
-                ExitCode::SUCCESS
-            })
-        }
-        .map_err(|fault| fault.to_string()),
-        Command::Replay { file, request, build } => replay(&file, Interest { request, build }),
-        Command::Lab(command) => lab::run(&command),
-    };
-    result.unwrap_or_else(|why| {
-        eprintln!("violetseam: {why}");
-        ExitCode::from(2)
-    })
+        Command::Settings(command) => settings::run(&command),
+        Command::Replay(args) => replay::run(&args),
+        Command::Lab(command) => lab::run(&command).map_err(anyhow::Error::msg),
+    }
 }
 
-fn replay(file: &std::path::Path, interest: Interest) -> Result<ExitCode, String> {
-    let report = violetseam_recorder::replay(file, interest, &mut |line| println!("{line}"))
-        .map_err(|fault| fault.to_string())?;
-    println!("{} events, {} actions, {} starts", report.events, report.actions, report.starts);
-    for (kind, count) in &report.kinds {
-        println!("  {kind}: {count}");
-    }
-    if report.full {
-        println!("the recording ended at its bound");
-    }
-    if let Some((event, recorded, again)) = report.difference {
-        println!("different at event {event}:\n  recorded: {recorded}\n  now:      {again}");
-        return Ok(ExitCode::FAILURE);
-    }
-    if let Some(fault) = report.fault {
-        println!("stopped: {fault}; all before it is the same");
-        return Ok(ExitCode::FAILURE);
+/// An error and its causes on one line. A cause that the text before it already states is left out: many errors
+/// of the packages end with the text of their source.
+fn describe(error: &anyhow::Error) -> String {
+    let mut text = error.to_string();
+    for cause in error.chain().skip(1).map(ToString::to_string) {
+        if !text.contains(&cause) {
+            text.push_str(": ");
+            text.push_str(&cause);
+        }
     }
-    println!("every action is the same");
-    Ok(ExitCode::SUCCESS)
+    text
 }
--- a/crates/cli/src/publisher.rs
+++ b/crates/cli/src/publisher.rs
@@ -1,7 +1,9 @@
 //! `violetseam publisher`, the daemon that distributes the configuration, and `violetseam publish`, which
 //! speaks to it.
 
+use crate::arguments::timeout;
 use crate::logs;
+use anyhow::{Context, bail};
 use clap::Args as ClapArgs;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +19,7 @@
 const REFUSED: u8 = 3;
 /// Exit status where there was no answer.
 const NO_ANSWER: u8 = 4;
-const MICROS_IN_SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(ClapArgs)]
 pub struct Args {
@@ -57,8 +59,8 @@
 }
 
 impl Args {
-    fn settings(&self) -> Result<Settings, String> {
-        let catch_up = Duration::try_from_secs_f64(self.catch_up).map_err(|e| format!("--catch-up: {e}"))?;
+    fn settings(&self) -> anyhow::Result<Settings> {
+        let catch_up = Duration::try_from_secs_f64(self.catch_up).context("--catch-up")?;
         let bounds = Bounds {
             connections: self.connections,
             unread_bytes: self.unread_bytes,
@@ -69,20 +71,19 @@
         };
         let term = self.term.map(Term);
         if term.is_some_and(|term| term == Term(0) || !Version::new(term, 0).is_bounded()) {
-            return Err("--term: 1 to 2^53 - 1".to_owned());
+            bail!("--term: 1 to 2^53 - 1");
         }
         Ok(Settings { state: self.state.clone(), listen: self.listen, term, bounds })
     }
 }
 
 /// Runs a publisher until it is told to stop.
-pub fn serve(args: &Args) -> Result<ExitCode, String> {
+pub fn serve(args: &Args) -> anyhow::Result<ExitCode> {
     let settings = args.settings()?;
     logs::start(&args.log)?;
     violetseam_publisher::serve::serve(settings, |address, version| {
         println!("publishes from version {version} on {address}");
-    })
-    .map_err(|error| error.to_string())?;
+    })?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -112,25 +113,24 @@
 }
 
 /// Publishes or shows the status. Exit status: 0 done, 2 faulty arguments, 3 refused, 4 no answer.
-pub fn publish(args: &PublishArgs) -> Result<ExitCode, String> {
-    let timeout = Duration::from_secs_f64(args.timeout.clamp(0.05, 600.0));
-    let client = Client { publisher: args.to, timeout };
+pub fn publish(args: &PublishArgs) -> anyhow::Result<ExitCode> {
+    let client = Client { publisher: args.to, timeout: timeout(args.timeout) };
     let Some(file) = &args.file else { return show_status(args, &client) };
-    let lines = std::fs::read(file).map_err(|error| format!("{}: {error}", file.display()))?;
+    let lines = std::fs::read(file).with_context(|| file.display().to_string())?;
     let result = if args.whole { client.publish_whole(&lines) } else { client.publish_changes(&lines) };
     let published = match result {
         Ok(published) => published,
         Err(error) => return Ok(failed(&error)),
     };
     if args.json {
-        println!("{}", to_json(&published)?);
+        println!("{}", serde_json::to_string(&published)?);
     } else {
         println!("published as version {}, digest {}", published.version, published.digest);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn show_status(args: &PublishArgs, client: &Client) -> Result<ExitCode, String> {
+fn show_status(args: &PublishArgs, client: &Client) -> anyhow::Result<ExitCode> {
     let mut report = match client.status() {
         Ok(report) => report,
         Err(error) => return Ok(failed(&error)),
@@ -143,11 +143,13 @@
         report.subscribers.retain(is_behind);
     }
     if args.json {
-        println!("{}", to_json(&report)?);
+        println!("{}", serde_json::to_string(&report)?);
         return Ok(ExitCode::SUCCESS);
     }
     print_heading(&report, known, behind);
-    report.subscribers.iter().for_each(print_row);
+    for row in &report.subscribers {
+        print_row(row);
+    }
     Ok(ExitCode::SUCCESS)
 }
 
@@ -169,8 +171,9 @@
     let status = &row.status;
     let version = status.version.map_or("none".to_owned(), |version| version.to_string());
     let behind = status.behind.map_or("?".to_owned(), |behind| behind.to_string());
-    let seconds = |micros: u64| format!("{:.1} s", micros as f64 / MICROS_IN_SECOND);
-    let (age, heard) = (seconds(status.version_age), seconds(status.last_contact_age));
+    let seconds = |micros: u64| format!("{:.1} s", micros as f64 / MICROS_PER_SECOND);
+    let age = seconds(status.version_age);
+    let heard = seconds(status.last_contact_age);
     let watch = if row.watching { "open" } else { "closed" };
     print!("{:<32} {version:>22} {behind:>8} {age:>10} {heard:>10}  {watch}", status.subscriber);
     match &status.rejected {
@@ -179,10 +182,6 @@
     }
 }
 
-fn to_json(value: &impl serde::Serialize) -> Result<String, String> {
-    serde_json::to_string(value).map_err(|error| error.to_string())
-}
-
 fn failed(error: &ClientError) -> ExitCode {
     eprintln!("violetseam: {error}");
     match error {
