--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use violetseam_scale_bench as scale;
 use violetseam_scenarios::{Lab, days, disturbed, drawn, fleet, measure, report};
-use violetseam_simulated_site::day::Day;
+use violetseam_simulated_site::scenario::Scenario;
 
 #[derive(Args)]
 pub struct DemoArgs {
@@ -66,7 +66,12 @@
     },
 }
 
-fn play(day: &Day, out: Option<PathBuf>, extra: &[String], stand_in_desk: bool) -> Result<ExitCode, String> {
+fn play(
+    day: &Scenario,
+    out: Option<PathBuf>,
+    extra: &[String],
+    stand_in_desk: bool,
+) -> Result<ExitCode, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let out = out.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("violetseam-{}-{}", day.name, std::process::id()))
@@ -139,7 +144,7 @@
     }
 }
 
-fn find(name: &str) -> Result<Day, String> {
+fn find(name: &str) -> Result<Scenario, String> {
     if let Some(day) = days::named(name) {
         return Ok(day);
     }
@@ -149,7 +154,7 @@
             days::NAMES.join(", ")
         )
     })?;
-    if let Ok(day) = serde_json::from_slice::<Day>(&text) {
+    if let Ok(day) = serde_json::from_slice::<Scenario>(&text) {
         return Ok(day);
     }
     let drawn = drawn::read(&text)?;
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -5,9 +5,9 @@
 use std::sync::{Mutex, PoisonError};
 use violetseam_recorder::{Interest, replay};
 use violetseam_scenarios::{Lab, Outcome, days, report};
-use violetseam_simulated_site::day::Day;
+use violetseam_simulated_site::scenario::Scenario;
 
-fn folder(number: u8, day: &Day) -> PathBuf {
+fn folder(number: u8, day: &Scenario) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", day.name))
 }
 
@@ -15,11 +15,11 @@
 /// rules allow for its slowness would not be the same every time.
 static ONE: Mutex<()> = Mutex::new(());
 
-fn play(number: u8, day: &Day, extra: &[&str]) -> Outcome {
+fn play(number: u8, day: &Scenario, extra: &[&str]) -> Outcome {
     play_under(number, day, extra, false)
 }
 
-fn play_under(number: u8, day: &Day, extra: &[&str], stand_in_desk: bool) -> Outcome {
+fn play_under(number: u8, day: &Scenario, extra: &[&str], stand_in_desk: bool) -> Outcome {
     let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let out = folder(number, day);
     let _ = std::fs::remove_dir_all(&out);
@@ -38,8 +38,9 @@
     let outcome = play(0, &day, &["--record", &flight]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
     assert!(outcome.verdict.looked_at.iter().all(|n| *n > 0), "{:?}", outcome.verdict.looked_at);
-    let (fate, bad) = &outcome.site.fates[0];
-    assert!(*bad && fate.released.is_none(), "a bad build was released: {fate:?}");
+    let build = &outcome.site.builds[0];
+    let was_released = build.outcome.released_at.is_some();
+    assert!(build.is_defective && !was_released, "a bad build was released: {build:?}");
     assert!(report::served_worth(&outcome) > 0.6, "{}", report::served_worth(&outcome));
     // What the proxies decided on the way can be decided again, action by action.
     for position in 0..day.proxies.len() {
@@ -54,8 +55,8 @@
 fn takeovers_under_load_lose_no_request_and_break_no_rule() {
     let outcome = play(5, &days::takeover_short(), &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
-    let [_, _, _, broken, unreachable, _] = outcome.clients.tries;
-    assert_eq!((broken, unreachable), (0, 0), "requests were lost in a takeover");
+    let attempts = outcome.clients.attempts;
+    assert_eq!((attempts.broken, attempts.unreachable), (0, 0), "requests were lost in a takeover");
 }
 
 #[test]
@@ -63,8 +64,9 @@
     let day = days::controller_kills_short();
     let outcome = play(6, &day, &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
-    let (fate, bad) = &outcome.site.fates[0];
-    assert!(!bad && fate.back.is_none(), "a good build was sent back: {fate:?}");
+    let build = &outcome.site.builds[0];
+    let was_rolled_back = build.outcome.rolled_back_at.is_some();
+    assert!(!build.is_defective && !was_rolled_back, "a good build was sent back: {build:?}");
     let log = std::fs::read_to_string(folder(6, &day).join("controller.log")).unwrap();
     assert!(log.matches("this controller speaks").count() == 3, "three lives: {log}");
     // It goes on where it stood: the later lives speak of the build on its way.
@@ -77,32 +79,36 @@
     let mut day = days::quiet();
     day.length = 9_000_000;
     day.traffic.rate = 200.0;
-    day.releases =
-        vec![violetseam_simulated_site::day::Release { at: 500_000, fault: None, strength: 0.0, speed: 1.0 }];
+    day.releases = vec![violetseam_simulated_site::scenario::Release {
+        at: 500_000,
+        defect: None,
+        severity: 0.0,
+        speed: 1.0,
+    }];
     let outcome = play_under(7, &day, &[], true);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
-    assert_eq!(outcome.site.fates.len(), 1);
+    assert_eq!(outcome.site.builds.len(), 1);
     assert!(!folder(7, &day).join("controller.log").exists());
 }
 
 /// A day for the saboteurs: servers fail, builds come, drains happen.
 #[cfg(feature = "sabotage")]
-fn rough() -> Day {
-    use violetseam_simulated_site::day::{Kind, Release, Trouble};
+fn rough() -> Scenario {
+    use violetseam_simulated_site::scenario::{Fault, FaultKind, Release};
     let mut day = days::quiet();
     day.name = "rough".into();
     day.length = 14_000_000;
     day.traffic.rate = 300.0;
-    day.rollout.vote_life = 2_000_000;
-    day.releases = vec![Release { at: 500_000, fault: None, strength: 0.0, speed: 1.0 }];
-    day.troubles = vec![Trouble {
-        kind: Kind::FastErrors,
+    day.rollout.vote_lifetime = 2_000_000;
+    day.releases = vec![Release { at: 500_000, defect: None, severity: 0.0, speed: 1.0 }];
+    day.faults = vec![Fault {
+        kind: FaultKind::FastErrors,
         at: 1_000_000,
-        len: 6_000_000,
-        size: 0.9,
-        extra: 0.0,
-        on: vec![0, 2, 5],
-        which: 0,
+        duration: 6_000_000,
+        magnitude: 0.9,
+        parameter: 0.0,
+        targets: vec![0, 2, 5],
+        selector: 0,
     }];
     day
 }
@@ -127,8 +133,8 @@
 fn a_proxy_that_sends_on_to_draining_servers_is_caught() {
     // The grace is shortened, as the machines that drain are soon gone.
     let mut day = rough();
-    day.contract.drain_grace = 100_000;
-    day.rollout.drain = 4_000_000;
+    day.service_rules.drain_grace = 100_000;
+    day.rollout.drain_time = 4_000_000;
     day.rollout.bake = 500_000;
     let outcome = play_under(3, &day, &["--sabotage", "ignore-drains"], true);
     assert!(outcome.verdict.broken[2] > 0, "{:?}", outcome.verdict.broken);
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -14,11 +14,11 @@
 use violetseam_release::{
     Announcement, Event, Now, Phase, PlaceState, Release, Reply as Word, Vote, VoteRateLimit,
 };
-use violetseam_simulated_site::day::{Day, Kind};
-use violetseam_simulated_site::drive::Net;
-use violetseam_simulated_site::model::Rng as Draws;
+use violetseam_simulated_site::model::RandomSource as Draws;
 use violetseam_simulated_site::model::server::Reply;
-use violetseam_simulated_site::model::traffic::{Traffic, Wish};
+use violetseam_simulated_site::model::traffic::{ClientRequest, TrafficGenerator};
+use violetseam_simulated_site::network::AddressPlan;
+use violetseam_simulated_site::scenario::{FaultKind, Scenario};
 use violetseam_site_protocol::endpoint_list::UpdateKind as ListKind;
 
 /// From the start to the first request, as in the days over sockets.
@@ -67,25 +67,25 @@
 }
 
 /// Kinds of trouble in a day that are not played here, by name.
-pub fn unplayed(day: &Day) -> Vec<String> {
-    let played = |kind: Kind| {
-        use Kind::*;
+pub fn unplayed(day: &Scenario) -> Vec<String> {
+    let played = |kind: FaultKind| {
+        use FaultKind::*;
         matches!(
             kind,
-            Crash
-                | Slow
+            ServerCrash
+                | SlowServer
                 | FastErrors
-                | Pauses
-                | Neighbour
-                | SharedSlow
+                | ServerPauses
+                | NoisyNeighbor
+                | SlowFleet
                 | SlowClass
-                | DeskErrors
-                | DeskLate
-                | RosterLate
-                | PeersLost
+                | ReleaseServiceErrors
+                | ReleaseServiceDelay
+                | DiscoveryDelay
+                | GossipOutage
         )
     };
-    let kinds = day.troubles.iter().map(|t| t.kind).filter(|kind| !played(*kind));
+    let kinds = day.faults.iter().map(|t| t.kind).filter(|kind| !played(*kind));
     let mut names: Vec<String> = kinds.map(|kind| format!("{kind:?}")).collect();
     names.sort();
     names.dedup();
@@ -94,7 +94,7 @@
 
 /// A client's request.
 struct Asked {
-    wish: Wish,
+    wish: ClientRequest,
     try_left: u32,
     deadline: u64,
     done: bool,
@@ -105,7 +105,7 @@
 struct Run {
     world: World,
     proxies: Vec<Proxy>,
-    traffic: Traffic,
+    traffic: TrafficGenerator,
     asked: HashMap<u64, Asked>,
     next_asked: u64,
     release: Release,
@@ -124,17 +124,17 @@
 ///
 /// # Errors
 /// A text that says what of the day cannot be played.
-pub fn run(day: &Day) -> Result<Outcome, String> {
+pub fn run(day: &Scenario) -> Result<Outcome, String> {
     let missing = unplayed(day);
     if !missing.is_empty() {
         return Err(format!("not played in simulated time yet: {}", missing.join(", ")));
     }
     let mut day = day.clone();
-    day.troubles.iter_mut().for_each(|t| t.at += PRELUDE);
+    day.faults.iter_mut().for_each(|t| t.at += PRELUDE);
     day.releases.iter_mut().for_each(|r| r.at += PRELUDE);
     let text = violetseam_scenarios::script::settings(
         &day,
-        Net::of_process(0),
+        AddressPlan::of_process(0),
         std::path::Path::new("/nonexistent"),
     );
     // Streams of their own, so that one more draw here leaves all others as they were.
@@ -150,7 +150,12 @@
     }
     let wall = moment_of("2026-12-01T08:00", "UTC").unwrap_or(0);
     let rollout = &day.rollout;
-    let platform = Platform::new(day.servers.len() as u32, rollout.first_build, rollout.boot, rollout.drain);
+    let platform = Platform::new(
+        day.servers.len() as u32,
+        rollout.first_build,
+        rollout.startup_time,
+        rollout.drain_time,
+    );
     let out = Outcome {
         asked: 0,
         in_time: 0,
@@ -164,12 +169,12 @@
     };
     let mut run = Run {
         proxies,
-        traffic: Traffic::new(&day),
+        traffic: TrafficGenerator::new(&day),
         asked: HashMap::new(),
         next_asked: 1,
         release: Release::new(rollout.first_build),
         platform,
-        allowance: VoteRateLimit::new(rollout.calls_per_s, 0),
+        allowance: VoteRateLimit::new(rollout.vote_rate_limit, 0),
         news: vec![(0, Release::new(rollout.first_build).announcement())],
         wall,
         times: Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?,
@@ -185,8 +190,8 @@
 impl Run {
     fn begin(&mut self) {
         let Run { world, proxies, .. } = self;
-        world.roster.advance(0).into_iter().for_each(|(server, state)| {
-            let record = Record::Listed { server, state: rule_state(state) };
+        world.roster.apply_due(0).into_iter().for_each(|change| {
+            let record = Record::Listed { server: change.server, state: rule_state(change.state) };
             world.entries.push(violetseam_invariants::Entry { at: 0, record });
         });
         for proxy in proxies.iter_mut() {
@@ -275,7 +280,7 @@
             Happening::Controller => self.controller(),
             Happening::Offer(n) => return self.offer(n),
             Happening::Troubles => {
-                self.world.strike();
+                self.world.apply_faults();
                 let next = self.world.now + TURN;
                 self.world.agenda.at(next, Happening::Troubles);
             }
@@ -291,7 +296,7 @@
         self.next_asked += 1;
         self.out.asked += 1;
         let class = &self.world.day.classes[wish.class];
-        self.worth.1 += class.worth;
+        self.worth.1 += class.priority_weight;
         let retries = self.world.day.clients.retries;
         let asked = Asked { wish, try_left: retries, deadline: 0, done: false, proxy: 0, sent: 0 };
         self.asked.insert(number, asked);
@@ -324,7 +329,7 @@
             id: 0,
             deadline,
             class,
-            cost_hint: wish.hint,
+            cost_hint: wish.cost_hint,
             key,
             tenant: wish.tenant,
             is_retry: which > 0,
@@ -350,24 +355,25 @@
         if kind == 0 {
             asked.done = true;
             self.times.saturating_record((now - asked.sent).max(1));
-            if now <= PRELUDE + asked.wish.at + class.aim {
+            if now <= PRELUDE + asked.wish.at + class.latency_objective {
                 self.out.in_time += 1;
-                self.worth.0 += class.worth;
+                self.worth.0 += class.priority_weight;
             } else {
-                self.worth.0 += class.late_worth;
+                self.worth.0 += class.late_weight;
             }
             self.asked.remove(&number);
             return;
         }
         // A failed request may have run: only what is harmless to repeat is asked again.
-        let harmless = kind == 1 || class.effect == violetseam_simulated_site::day::Effect::Safe;
+        let harmless =
+            kind == 1 || class.idempotency == violetseam_simulated_site::scenario::Idempotency::Idempotent;
         if asked.try_left == 0 || !harmless {
             self.asked.remove(&number);
             return;
         }
         asked.try_left -= 1;
         let clients = &self.world.day.clients;
-        let honours = self.world.rng.random::<f64>() < clients.honour;
+        let honours = self.world.rng.random::<f64>() < clients.retry_after_compliance;
         let wait = clients.backoff.max(if honours { come_back } else { 0 });
         self.world.agenda.at(now + wait.max(1), Happening::Try(number, which + 1));
     }
@@ -414,13 +420,13 @@
                         v::Verdict::Withdraw => violetseam_release::Verdict::Withdraw,
                     };
                     let vote = Vote { proxy: n as u32, build, stage, verdict };
-                    let call = self.world.day.rollout.call;
+                    let call = self.world.day.rollout.vote_latency;
                     self.world.agenda.at(now + call / 2, Happening::Vote(vote));
                 }
                 // The emulator's settings name no budget of the fleet yet.
                 EngineAction::BudgetMessage { .. } => {}
                 EngineAction::Gossip { to, payload } => {
-                    if self.world.active(Kind::PeersLost).is_some() {
+                    if self.world.active(FaultKind::GossipOutage).is_some() {
                         continue;
                     }
                     let all = 0..self.proxies.len();
@@ -478,9 +484,10 @@
 
     fn roster(&mut self) {
         let now = self.world.now;
-        let changed = self.world.roster.advance(now);
-        for (server, state) in &changed {
-            self.world.see(Record::Listed { server: *server, state: rule_state(*state) });
+        let changed = self.world.roster.apply_due(now);
+        for change in &changed {
+            let state = rule_state(change.state);
+            self.world.see(Record::Listed { server: change.server, state });
         }
         if changed.is_empty() {
             return;
@@ -495,8 +502,8 @@
     fn tell_list(&mut self, n: usize, whole: bool) {
         let (now, version) = (self.world.now, self.proxies[n].version);
         let message = match version.filter(|_| !whole) {
-            Some(version) => self.world.roster.since(now, version),
-            None => Some(self.world.roster.full(now)),
+            Some(version) => self.world.roster.delta_since(now, version),
+            None => Some(self.world.roster.snapshot(now)),
         };
         let Some(message) = message else { return };
         if whole {
@@ -504,7 +511,7 @@
             self.world.see(Record::Called { proxy: n as u32, call });
         }
         for line in &message.servers {
-            let started = self.world.roster.started(line.id);
+            let started = self.world.roster.started_at(line.id);
             let (proxy, server, state) = (n as u32, line.id, rule_state(line.state));
             self.world.see(Record::Told { proxy, server, state, started });
         }
@@ -563,7 +570,7 @@
         let at = self.world.now;
         self.news.push((at, news));
         if news.build != before.build {
-            let bad = self.world.build(news.build).is_bad();
+            let bad = self.world.build(news.build).is_defective();
             let begun = at.saturating_sub(PRELUDE);
             self.out.fates.push(Fate { build: news.build, bad, begun, released: None, back: None });
             self.world.newest = news.build;
@@ -583,14 +590,15 @@
     }
 
     fn late(&self) -> u64 {
-        let more = self.world.active(Kind::DeskLate).map_or(0, |t| (t.size * 1e6) as u64);
-        self.world.day.rollout.told_late + more
+        let more =
+            self.world.active(FaultKind::ReleaseServiceDelay).map_or(0, |t| (t.magnitude * 1e6) as u64);
+        self.world.day.rollout.status_delay + more
     }
 
     fn vote(&mut self, vote: Vote) {
         let (at, n) = (self.world.now, vote.proxy as usize);
-        let back = at + self.world.day.rollout.call / 2;
-        let outcome = if self.world.active(Kind::DeskErrors).is_some() {
+        let back = at + self.world.day.rollout.vote_latency / 2;
+        let outcome = if self.world.active(FaultKind::ReleaseServiceErrors).is_some() {
             v::Outcome::Error
         } else if !self.allowance.try_take(at) {
             v::Outcome::Rejected
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -5,10 +5,12 @@
 use violetseam_invariants::record::{Arrival, Finish, Start, State as RuleState};
 use violetseam_invariants::{End, Entry, Record};
 use violetseam_proxy::engine::Engine;
-use violetseam_simulated_site::day::{Day, Effect, Kind, Trouble};
-use violetseam_simulated_site::model::Rng as Draws;
-use violetseam_simulated_site::model::roster::Roster;
-use violetseam_simulated_site::model::server::{Build, Job, KeyMemory, Reply, Server, strike};
+use violetseam_simulated_site::model::RandomSource as Draws;
+use violetseam_simulated_site::model::endpoint_registry::EndpointRegistry;
+use violetseam_simulated_site::model::server::{
+    Build, DedupCaches, FaultTarget, Reply, Server, ServerRequest,
+};
+use violetseam_simulated_site::scenario::{Fault, FaultKind, Scenario};
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointList as Held, EndpointState};
 
 /// Between a proxy and a server, one way, in microseconds.
@@ -18,10 +20,9 @@
 pub struct Machine {
     pub server: Server,
     pub draining: bool,
-    /// Its number among the day's servers, with those that stood in its place before it.
-    pub index: usize,
+    /// Its index, by which faults name it.
+    pub fault_target: FaultTarget,
     pub up: bool,
-    next_pause: u64,
 }
 
 /// One attempt on its way.
@@ -53,7 +54,7 @@
 }
 
 pub struct World {
-    pub day: Day,
+    pub day: Scenario,
     pub rng: Draws,
     pub now: u64,
     pub agenda: Agenda,
@@ -61,17 +62,17 @@
     pub by_place: BTreeMap<(u32, u16), u64>,
     pub next_machine: u64,
     generations: Vec<usize>,
-    pub roster: Roster,
+    pub roster: EndpointRegistry,
     pub attempts: BTreeMap<u64, Attempt>,
     pub next_attempt: u64,
-    memories: BTreeMap<u32, KeyMemory>,
+    dedup_caches: DedupCaches,
     pub entries: Vec<Entry>,
     pub newest: u16,
     pub lately: (f64, f64),
 }
 
 impl World {
-    pub fn new(day: Day, rng: Draws) -> World {
+    pub fn new(day: Scenario, rng: Draws) -> World {
         let places = day.servers.len();
         let mut world = World {
             rng,
@@ -81,10 +82,10 @@
             by_place: BTreeMap::new(),
             next_machine: 1,
             generations: vec![0; places],
-            roster: Roster::default(),
+            roster: EndpointRegistry::default(),
             attempts: BTreeMap::new(),
             next_attempt: 1,
-            memories: BTreeMap::new(),
+            dedup_caches: DedupCaches::default(),
             entries: Vec::new(),
             newest: day.rollout.first_build,
             lately: (0.0, 1.0),
@@ -101,17 +102,13 @@
     }
 
     /// A trouble of this kind that is going on.
-    pub fn active(&self, kind: Kind) -> Option<&Trouble> {
+    pub fn active(&self, kind: FaultKind) -> Option<&Fault> {
         let now = self.now;
-        self.day.troubles.iter().find(|t| t.kind == kind && t.at <= now && now < t.at + t.len)
+        self.day.active_faults(now).find(|fault| fault.kind == kind)
     }
 
     pub fn build(&self, number: u16) -> Build {
-        let first = self.day.rollout.first_build;
-        match self.day.releases.get(usize::from(number - first).wrapping_sub(1)) {
-            Some(release) => Build::offered(number, release),
-            None => Build::sound(number),
-        }
+        Build::in_scenario(&self.day, number)
     }
 
     /// A machine starts in a place; the roster lists it a while later, or at once before the day.
@@ -120,21 +117,18 @@
         self.next_machine += 1;
         let index = place as usize + n * self.generations[place as usize];
         self.generations[place as usize] += 1;
-        let spec = match index.checked_sub(n) {
-            Some(i) if !self.day.spares.is_empty() => self.day.spares[i % self.day.spares.len()].clone(),
-            Some(i) => self.day.servers[i % n].clone(),
-            None => self.day.servers[index].clone(),
-        };
+        let spec = self.day.server_spec(index).clone();
         let server = Server::start(spec, self.build(build), self.now, warm);
         if !warm {
-            let (cold_from, cold_span) = (server.spec.cold_from, server.spec.cold_span);
+            let (cold_from, cold_span) = (server.spec.slow_start_floor, server.spec.slow_start_span);
             let start = Start { capacity: server.capacity(), cold_from, cold_span };
             self.see(Record::Started { server: machine, start });
         }
-        let entry = Machine { server, draining: false, index, up: true, next_pause: 0 };
+        let entry =
+            Machine { server, draining: false, fault_target: FaultTarget { index, next_pause: 0 }, up: true };
         self.machines.insert(machine, entry);
         self.by_place.insert((place, build), machine);
-        let at = if warm { self.now } else { self.now + self.day.roster.add };
+        let at = if warm { self.now } else { self.now + self.day.discovery.startup_delay };
         self.list(at, machine, EndpointState::Ready);
     }
 
@@ -144,12 +138,12 @@
         if let Some(m) = self.machines.get_mut(&machine) {
             m.draining = true;
         }
-        self.list(self.now + self.day.roster.notice, machine, EndpointState::Draining);
+        self.list(self.now + self.day.discovery.drain_delay, machine, EndpointState::Draining);
     }
 
     pub fn end(&mut self, place: u32, build: u16) {
         let Some(machine) = self.by_place.remove(&(place, build)) else { return };
-        self.list(self.now + self.day.roster.notice, machine, EndpointState::Gone);
+        self.list(self.now + self.day.discovery.drain_delay, machine, EndpointState::Gone);
         self.lose(machine);
         self.machines.remove(&machine);
     }
@@ -166,7 +160,7 @@
 
     fn list(&mut self, at: u64, machine: u64, state: EndpointState) {
         let Some(m) = self.machines.get(&machine) else { return };
-        let late = self.active(Kind::RosterLate).map_or(0, |t| (t.size * 1e6) as u64);
+        let late = self.active(FaultKind::DiscoveryDelay).map_or(0, |t| (t.magnitude * 1e6) as u64);
         let octets = machine.to_be_bytes();
         let line = Endpoint {
             id: machine,
@@ -179,8 +173,8 @@
             size: m.server.spec.cores,
             age_us: None,
         };
-        let started = if m.server.warmth(m.server.born) < 1.0 { m.server.born } else { 0 };
-        self.roster.change(at + late, line, started);
+        let started = m.server.listed_start();
+        self.roster.schedule_change(at + late, line, started);
         self.agenda.at(at + late, Happening::Roster);
     }
 
@@ -213,19 +207,12 @@
             return self.reply(number, Reply::NotRun);
         }
         let spec = &self.day.classes[class];
-        let group = match spec.effect {
-            Effect::KeyedAll => Some(0),
-            Effect::KeyedZone => Some(1 + u32::from(zone)),
-            Effect::KeyedCell => Some(100_000 + u32::from(cell)),
-            Effect::Safe | Effect::Unsafe => None,
-        };
-        let window = spec.window;
-        let memory = group.filter(|_| key != 0).map(|g| self.memories.entry(g).or_default());
-        let repeat = memory.is_some_and(|m| m.is_repeat(self.now, class, key, window));
-        let job = Job { id: number, class, key, work: work as f64 };
-        let bears = (self.day.contract.fall_multiple, self.day.contract.fall_span);
+        let request = ServerRequest { id: number, class, key, work: work as f64 };
+        let limit = self.day.service_rules.overload_limit();
         let Some(m) = self.machines.get_mut(&server) else { return };
-        let (at_once, due) = (m.server.arrive(self.now, job, repeat, bears, &mut self.rng), m.server.due());
+        let is_duplicate = self.dedup_caches.is_duplicate(self.now, spec, class, key, &m.server.spec);
+        let at_once = m.server.accept(self.now, request, is_duplicate, limit, &mut self.rng);
+        let due = m.server.next_completion();
         if let Some(reply) = at_once {
             self.reply(number, reply);
         } else if self.machines.get(&server).is_some_and(|m| m.server.collapsed) {
@@ -239,13 +226,13 @@
     pub fn serve(&mut self, machine: u64) {
         let Some(m) = self.machines.get_mut(&machine).filter(|m| m.up) else { return };
         let mut replies = Vec::new();
-        m.server.advance(self.now, &mut replies);
-        let due = m.server.due();
+        m.server.take_completed(self.now, &mut replies);
+        let due = m.server.next_completion();
         if let Some(due) = due {
             self.agenda.at(due.max(self.now + 1), Happening::Server(machine));
         }
-        for (number, reply) in replies {
-            self.reply(number, reply);
+        for completed in replies {
+            self.reply(completed.id, completed.reply);
         }
     }
 
@@ -264,7 +251,7 @@
         let Some(attempt) = self.attempts.remove(&number).filter(|a| a.arrived) else { return };
         if let Some(m) = self.machines.get_mut(&attempt.server) {
             m.server.cancel(self.now, number);
-            if let Some(due) = m.server.due() {
+            if let Some(due) = m.server.next_completion() {
                 self.agenda.at(due.max(self.now + 1), Happening::Server(attempt.server));
             }
         }
@@ -272,18 +259,18 @@
     }
 
     /// Troubles that go on now, as they strike each machine.
-    pub fn strike(&mut self) {
-        let drag = self.build(self.newest).drag(self.lately.0 / self.lately.1.max(1e-9));
+    pub fn apply_faults(&mut self) {
+        let drag = self.build(self.newest).fleet_slowdown(self.lately.0 / self.lately.1.max(1e-9));
         self.lately = (self.lately.0 * 0.98, self.lately.1 * 0.98 + 0.01);
         let now = self.now;
-        let going: Vec<Trouble> =
-            self.day.troubles.iter().filter(|t| t.at <= now && now < t.at + t.len).cloned().collect();
+        let going: Vec<Fault> = self.day.active_faults(now).cloned().collect();
         let mut lost = Vec::new();
         let mut back = BTreeSet::new();
         for (&machine, m) in &mut self.machines {
-            let down = going.iter().any(|t| t.kind == Kind::Crash && t.on.contains(&m.index));
-            let strain = strike(&mut m.server, &mut m.next_pause, m.index, drag, now, going.iter());
-            m.server.set_strain(strain);
+            let down = going
+                .iter()
+                .any(|t| t.kind == FaultKind::ServerCrash && t.targets.contains(&m.fault_target.index));
+            m.fault_target.apply_faults(&mut m.server, drag, now, going.iter());
             if m.up && down {
                 m.up = false;
                 lost.push(machine);
@@ -293,7 +280,7 @@
         }
         for machine in lost {
             self.lose(machine);
-            self.list(now + self.day.roster.silent_notice, machine, EndpointState::Gone);
+            self.list(now + self.day.discovery.crash_delay, machine, EndpointState::Gone);
         }
         for machine in back {
             self.come_back(machine);
@@ -307,10 +294,10 @@
         m.server = Server::start(m.server.spec.clone(), m.server.build.clone(), now, false);
         m.up = true;
         let state = if m.draining { EndpointState::Draining } else { EndpointState::Ready };
-        let (cold_from, cold_span) = (m.server.spec.cold_from, m.server.spec.cold_span);
+        let (cold_from, cold_span) = (m.server.spec.slow_start_floor, m.server.spec.slow_start_span);
         let start = Start { capacity: m.server.capacity(), cold_from, cold_span };
         self.see(Record::Started { server: machine, start });
-        self.list(now + self.day.roster.add, machine, state);
+        self.list(now + self.day.discovery.startup_delay, machine, state);
     }
 }
 
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -2,10 +2,10 @@
 
 use violetseam_emulator::{run, unplayed};
 use violetseam_scenarios::days;
-use violetseam_simulated_site::day::{Day, Kind};
+use violetseam_simulated_site::scenario::{FaultKind, Scenario};
 
 /// The demo's day, without what is not played here.
-fn demo() -> Day {
+fn demo() -> Scenario {
     let day = days::demo();
     assert_eq!(unplayed(&day), Vec::<String>::new());
     day
@@ -37,6 +37,6 @@
 #[test]
 fn troubles_that_are_not_played_are_named_and_refused() {
     let day = days::bad_day();
-    assert!(unplayed(&day).contains(&format!("{:?}", Kind::ZoneLoss)));
+    assert!(unplayed(&day).contains(&format!("{:?}", FaultKind::ZoneOutage)));
     assert!(run(&day).unwrap_err().contains("not played in simulated time yet"));
 }
--- a/crates/scale-bench/src/hollow_registry.rs
+++ b/crates/scale-bench/src/hollow_registry.rs
@@ -16,7 +16,7 @@
 use violetseam_event_io::{ReadOutcome, Socket};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits};
-use violetseam_simulated_site::model::roster::Roster;
+use violetseam_simulated_site::model::endpoint_registry::EndpointRegistry;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
@@ -149,7 +149,7 @@
 struct Server {
     handle: LoopHandle<'static, Server>,
     conns: Slab<Conn>,
-    list: Roster,
+    list: EndpointRegistry,
     servers: usize,
     /// The next server to change.
     turn: usize,
@@ -181,9 +181,9 @@
 ) -> calloop::Result<()> {
     let mut event_loop: EventLoop<'static, Server> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    let mut list = Roster::default();
-    (0..servers).for_each(|number| list.change(0, line(number, EndpointState::Ready), 0));
-    list.advance(0);
+    let mut list = EndpointRegistry::default();
+    (0..servers).for_each(|number| list.schedule_change(0, line(number, EndpointState::Ready), 0));
+    list.apply_due(0);
     let accept = Generic::new(listener, Interest::READ, Mode::Level);
     handle
         .insert_source(accept, |_, listener, server: &mut Server| {
@@ -336,8 +336,8 @@
         }
         let empty = || ListUpdate { kind: UpdateKind::Delta, version: base, base, servers: Vec::new() };
         let message = match kind {
-            UpdateKind::Full => self.list.full(0),
-            UpdateKind::Delta => self.list.since(0, base).unwrap_or_else(empty),
+            UpdateKind::Full => self.list.snapshot(0),
+            UpdateKind::Delta => self.list.delta_since(0, base).unwrap_or_else(empty),
         };
         let line = Rc::new(message.write());
         self.written = Some((kind, base, version, line.clone()));
@@ -362,10 +362,10 @@
         for _ in 0..count.min(self.servers) {
             let (number, round) = (self.turn % self.servers, self.turn / self.servers);
             let state = if round.is_multiple_of(2) { EndpointState::Draining } else { EndpointState::Ready };
-            self.list.change(now, line(number, state), 0);
+            self.list.schedule_change(now, line(number, state), 0);
             self.turn += 1;
         }
-        self.list.advance(now);
+        self.list.apply_due(now);
         let watches: Vec<(usize, u64)> =
             self.conns.iter().filter_map(|(key, conn)| Some((key, conn.watch?))).collect();
         for (key, told) in watches {
--- a/crates/scenarios/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -10,8 +10,8 @@
 use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::{Order, Reply};
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::day::{Day, Gate};
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
+use violetseam_simulated_site::scenario::{GateMode, Scenario};
 
 /// One controller.
 pub struct Controller {
@@ -28,7 +28,7 @@
     pub fn start(
         program: PathBuf,
         out: PathBuf,
-        net: Net,
+        net: AddressPlan,
         control: PathBuf,
         build: u16,
     ) -> Result<Self, String> {
@@ -95,7 +95,7 @@
 }
 
 /// The plan of a day's `n`th build, as a script.
-pub fn plan(day: &Day, n: usize) -> String {
+pub fn plan(day: &Scenario, n: usize) -> String {
     let r = &day.rollout;
     let us = |span: u64| format!("\"{span}us\"");
     let build = usize::from(r.first_build) + n + 1;
@@ -110,18 +110,20 @@
         "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
         day.proxies.len(),
         day.servers.len(),
-        us(r.vote_life),
-        r.calls_per_s,
+        us(r.vote_lifetime),
+        r.vote_rate_limit,
         r.caps,
-        r.votes_back.max(0.001),
-        if r.beside { "True" } else { "False" }
+        r.votes_to_roll_back.max(0.001),
+        if r.keep_previous_build { "True" } else { "False" }
     );
     for (stage, (share, cap)) in r.stages.iter().zip(&r.caps).enumerate() {
         let (gate, votes, soak) = match r.gate {
-            Gate::Any => ("any", 0.5, r.bake),
-            Gate::Share => ("share", r.votes_on.max(0.001), r.bake),
+            GateMode::Any => ("any", 0.5, r.bake),
+            GateMode::Share => ("share", r.votes_to_promote.max(0.001), r.bake),
             // Nobody's 'hold' stops a clock that no share of them stops.
-            Gate::Timer => ("timer", if r.votes_hold > 0.0 { r.votes_hold } else { 1.0 }, r.step),
+            GateMode::Timer => {
+                ("timer", if r.votes_to_hold > 0.0 { r.votes_to_hold } else { 1.0 }, r.stage_duration)
+            }
         };
         let _ = writeln!(
             s,
@@ -135,7 +137,7 @@
 
 /// Offers the day's builds at their moments: one that is still on trial is called back for the next.
 pub fn offer_builds(
-    day: &Day,
+    day: &Scenario,
     control: &std::path::Path,
     clock: Clock,
     stop: &Arc<AtomicBool>,
--- a/crates/scenarios/src/drawn.rs
+++ b/crates/scenarios/src/drawn.rs
@@ -1,8 +1,8 @@
-//! Day files as the operators' bench draws them, played over the sockets at the scale that one machine
+//! Scenario files as the operators' bench draws them, played over the sockets at the scale that one machine
 //! carries. What cannot be played is named, never skipped silently.
 
 use serde::Deserialize;
-use violetseam_simulated_site::day::*;
+use violetseam_simulated_site::scenario::*;
 
 /// The most proxies that are started, each a process.
 const PROXIES_MOST: usize = 8;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct Drawn {
     /// The day.
-    pub day: Day,
+    pub day: Scenario,
     /// Proxies, servers and traffic of the drawn day that are played, as a share.
     pub scale: f64,
     /// What cannot be played, or is played otherwise.
@@ -223,8 +223,8 @@
             slots: k.slots,
             queue: k.queue,
             connections: (k.conn_cap_per_core.unwrap_or(400.0) * k.cores) as usize,
-            cold_from: k.cold_from,
-            cold_span: k.cold,
+            slow_start_floor: k.cold_from,
+            slow_start_span: k.cold,
             error_rate: k.error_rate,
         })
     };
@@ -253,18 +253,18 @@
     for r in &fam.releases {
         let fault = match r.bad.as_str() {
             "" => None,
-            "errors" => Some(Fault::Errors),
-            "slow" => Some(Fault::Slow),
-            "class" => Some(Fault::Class(r.class)),
-            "load" => Some(Fault::Load),
-            "late" => Some(Fault::Late),
-            "wrong" => Some(Fault::Wrong),
-            "shared" => Some(Fault::Shared),
+            "errors" => Some(BuildDefect::Errors),
+            "slow" => Some(BuildDefect::Slow),
+            "class" => Some(BuildDefect::ClassErrors(r.class)),
+            "load" => Some(BuildDefect::UnderLoad),
+            "late" => Some(BuildDefect::Delayed),
+            "wrong" => Some(BuildDefect::WrongAnswers),
+            "shared" => Some(BuildDefect::SlowsFleet),
             other => return Err(format!("a build with an unknown fault {other:?}")),
         };
-        releases.push(Release { at: r.at, fault, strength: r.strength, speed: r.speed });
+        releases.push(Release { at: r.at, defect: fault, severity: r.strength, speed: r.speed });
     }
-    let day = Day {
+    let day = Scenario {
         name: f.site.clone(),
         length: f.length,
         seed: f.noise,
@@ -285,65 +285,65 @@
         },
         clients: Clients {
             retries: f.clients.retries,
-            try_share: f.clients.try_share,
+            attempt_timeout_share: f.clients.try_share,
             backoff: if f.clients.backoff == "none" { 0 } else { f.clients.backoff_us as u64 },
-            honour: f.clients.honour,
-            impatient: f.clients.impatient,
-            notice: f.front_notice,
+            retry_after_compliance: f.clients.honour,
+            disconnect_share: f.clients.impatient,
+            dead_proxy_detection: f.front_notice,
             own_proxy: f.entry == "own",
         },
-        roster: RosterSpec {
-            add: f.discovery.add,
-            notice: f.discovery.notice,
-            silent_notice: f.discovery.silent_notice,
+        discovery: DiscoveryDelays {
+            startup_delay: f.discovery.add,
+            drain_delay: f.discovery.notice,
+            crash_delay: f.discovery.silent_notice,
         },
         rollout: Rollout {
             gate: match fam.control.as_str() {
-                "any" => Gate::Any,
-                "share" => Gate::Share,
-                "timer" => Gate::Timer,
+                "any" => GateMode::Any,
+                "share" => GateMode::Share,
+                "timer" => GateMode::Timer,
                 other => return Err(format!("an unknown gate {other:?}")),
             },
-            beside: fam.beside,
+            keep_previous_build: fam.beside,
             stages: fam.stages.clone(),
             caps: fam.caps.clone(),
-            votes_on: fam.votes[0],
-            votes_hold: fam.votes[1],
-            votes_back: fam.votes[2],
-            vote_life: fam.vote_life,
+            votes_to_promote: fam.votes[0],
+            votes_to_hold: fam.votes[1],
+            votes_to_roll_back: fam.votes[2],
+            vote_lifetime: fam.vote_life,
             bake: fam.bake,
-            step: fam.step,
-            boot: fam.boot,
-            drain: fam.drain,
-            push: fam.push,
-            told_late: fam.told_late,
-            call: fam.call as u64,
-            call_timeout: fam.call_timeout,
-            calls_per_s: fam.calls_per_s,
-            flag_share: fam.flag_share,
-            flag_late: fam.flag_late,
-            false_flags: fam.false_flags,
-            guarded: fam.guarded,
-            one_way: fam.one_way,
-            window: fam.window,
-            free: fam.free,
-            by_class: fam.by_class,
+            stage_duration: fam.step,
+            startup_time: fam.boot,
+            drain_time: fam.drain,
+            resend_interval: fam.push,
+            status_delay: fam.told_late,
+            vote_latency: fam.call as u64,
+            vote_timeout: fam.call_timeout,
+            vote_rate_limit: fam.calls_per_s,
+            report_share: fam.flag_share,
+            report_delay: fam.flag_late,
+            false_report_share: fam.false_flags,
+            idempotent_only_stages: fam.guarded,
+            sticky_to_new_build: fam.one_way,
+            exposure_window: fam.window,
+            exposure_slack: fam.free,
+            exposure_per_class: fam.by_class,
             first_build: fam.first_build,
         },
         releases,
-        troubles,
-        contract: Contract {
-            answer_grace: 20_000,
-            ask_within: 10_000_000,
-            cold_from: f.tiers[0].stated_cold_from,
-            cold_span: f.tiers[0].stated_cold,
+        faults: troubles,
+        service_rules: ServiceRules {
+            deadline_grace: 20_000,
+            poll_interval_max: 10_000_000,
+            slow_start_floor: f.tiers[0].stated_cold_from,
+            slow_start_span: f.tiers[0].stated_cold,
             drain_grace: f.drain_grace,
-            fall_multiple: f.fall_multiple,
-            fall_span: f.fall_for,
+            overload_multiple: f.fall_multiple,
+            overload_span: f.fall_for,
             max_attempts: f.allow.max_attempts,
-            second_copies: f.allow.second_copies,
+            hedging: f.allow.second_copies,
         },
-        budgets: None,
+        retry_quotas: None,
     };
     if f.zones.len() > 1 {
         notes.push("not played: time between zones".into());
@@ -353,11 +353,11 @@
 
 fn class(c: &FileClass, notes: &mut Vec<String>) -> Result<ClassSpec, String> {
     let effect = match (c.effect.as_str(), c.group.as_str()) {
-        ("safe", _) => Effect::Safe,
-        ("keyed", "all") => Effect::KeyedAll,
-        ("keyed", "zone") => Effect::KeyedZone,
-        ("keyed", "cell") => Effect::KeyedCell,
-        ("unsafe", _) => Effect::Unsafe,
+        ("safe", _) => Idempotency::Idempotent,
+        ("keyed", "all") => Idempotency::KeyedAll,
+        ("keyed", "zone") => Idempotency::KeyedZone,
+        ("keyed", "cell") => Idempotency::KeyedCell,
+        ("unsafe", _) => Idempotency::NonIdempotent,
         (effect, group) => return Err(format!("class {:?}: unknown effect {effect:?}, {group:?}", c.name)),
     };
     if c.stream {
@@ -368,12 +368,12 @@
         share: c.share,
         work: c.work,
         cv: c.cv,
-        aim: c.aim,
+        latency_objective: c.aim,
         deadline: c.deadline,
-        worth: c.worth,
-        late_worth: c.late_worth,
-        effect,
-        window: c.window,
+        priority_weight: c.worth,
+        late_weight: c.late_worth,
+        idempotency: effect,
+        dedup_window: c.window,
     })
 }
 
@@ -382,25 +382,25 @@
     index: &dyn Fn(usize) -> Option<usize>,
     proxies: usize,
     notes: &mut Vec<String>,
-) -> Option<Trouble> {
+) -> Option<Fault> {
     let servers: Vec<usize> = t.on.iter().filter_map(|&i| index(i)).collect();
     let hit: Vec<usize> = t.on.iter().copied().filter(|&i| i < proxies).collect();
     let (kind, on, size) = match t.kind.as_str() {
-        "crash" => (Kind::Crash, servers, t.size),
-        "slow" => (Kind::Slow, servers, t.size),
-        "fast_errors" => (Kind::FastErrors, servers, t.size),
-        "pauses" => (Kind::Pauses, servers, t.size),
-        "neighbour" => (Kind::Neighbour, servers, t.size),
-        "shared_slow" => (Kind::SharedSlow, servers, t.size),
-        "slow_class" => (Kind::SlowClass, servers, t.size),
-        "zone_loss" => (Kind::ZoneLoss, servers, t.size),
-        "peer_down" => (Kind::PeersLost, servers, t.size),
-        "handshake_slow" => (Kind::HandshakeSlow, servers, t.size),
-        "balancer_crash" => (Kind::ProxyCrash, hit, t.size),
-        "balancer_roll" => (Kind::ProxyRoll, hit, (t.size * proxies as f64).ceil()),
-        "control_down" if t.size > 0.0 => (Kind::DeskLate, servers, t.size),
-        "control_down" => (Kind::DeskSilent, servers, t.size),
-        "report_late" => (Kind::DeskLate, servers, t.size),
+        "crash" => (FaultKind::ServerCrash, servers, t.size),
+        "slow" => (FaultKind::SlowServer, servers, t.size),
+        "fast_errors" => (FaultKind::FastErrors, servers, t.size),
+        "pauses" => (FaultKind::ServerPauses, servers, t.size),
+        "neighbour" => (FaultKind::NoisyNeighbor, servers, t.size),
+        "shared_slow" => (FaultKind::SlowFleet, servers, t.size),
+        "slow_class" => (FaultKind::SlowClass, servers, t.size),
+        "zone_loss" => (FaultKind::ZoneOutage, servers, t.size),
+        "peer_down" => (FaultKind::GossipOutage, servers, t.size),
+        "handshake_slow" => (FaultKind::SlowHandshake, servers, t.size),
+        "balancer_crash" => (FaultKind::ProxyCrash, hit, t.size),
+        "balancer_roll" => (FaultKind::ProxyRollingRestart, hit, (t.size * proxies as f64).ceil()),
+        "control_down" if t.size > 0.0 => (FaultKind::ReleaseServiceDelay, servers, t.size),
+        "control_down" => (FaultKind::ReleaseServiceUnresponsive, servers, t.size),
+        "report_late" => (FaultKind::ReleaseServiceDelay, servers, t.size),
         // A mark of the release, which says itself what is wrong with it.
         "bad_build" => return None,
         other => {
@@ -408,5 +408,13 @@
             return None;
         }
     };
-    Some(Trouble { kind, at: t.at, len: t.len, size, extra: t.extra, on, which: t.which })
+    Some(Fault {
+        kind,
+        at: t.at,
+        duration: t.len,
+        magnitude: size,
+        parameter: t.extra,
+        targets: on,
+        selector: t.which,
+    })
 }
--- a/crates/scenarios/src/proxies.rs
+++ b/crates/scenarios/src/proxies.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
 
 /// How the processes are started.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
 /// One fleet of proxies.
 pub struct Proxies {
     launch: Launch,
-    net: Net,
+    net: AddressPlan,
     children: Vec<Option<Child>>,
     /// Processes whose sockets were taken over: each ends by itself.
     leaving: Vec<(usize, Child)>,
@@ -29,7 +29,7 @@
 }
 
 impl Proxies {
-    pub fn new(launch: Launch, net: Net, count: usize) -> Self {
+    pub fn new(launch: Launch, net: AddressPlan, count: usize) -> Self {
         Proxies {
             launch,
             net,
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -5,12 +5,14 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 use violetseam_invariants::Verdict;
-use violetseam_simulated_site::day::Day;
+use violetseam_simulated_site::network::clients::AttemptCounts;
+use violetseam_simulated_site::network::site::BuildReport;
+use violetseam_simulated_site::scenario::Scenario;
 
 /// Worth served in time over worth asked for.
 pub fn served_worth(outcome: &Outcome) -> f64 {
-    let asked: f64 = outcome.clients.classes.iter().map(|c| c.worth.0).sum();
-    let served: f64 = outcome.clients.classes.iter().map(|c| c.worth.1).sum();
+    let asked: f64 = outcome.clients.classes.iter().map(|c| c.requested_weight).sum();
+    let served: f64 = outcome.clients.classes.iter().map(|c| c.served_weight).sum();
     served / asked.max(1e-9)
 }
 
@@ -21,26 +23,26 @@
 }
 
 /// The day as data.
-pub fn summary(day: &Day, outcome: &Outcome) -> Value {
+pub fn summary(day: &Scenario, outcome: &Outcome) -> Value {
     let classes = day.classes.iter().zip(&outcome.clients.classes).map(|(c, t)| {
-        json!({"class": c.name, "asked": t.asked, "in_time": t.in_time, "late": t.late, "wrong": t.wrong, "unserved": t.unserved})
+        json!({"class": c.name, "asked": t.requests, "in_time": t.in_time, "late": t.late, "wrong": t.wrong, "unserved": t.unserved})
     });
-    let builds = outcome.site.fates.iter().map(|(f, bad)| {
-        json!({"build": f.build, "bad": bad, "offered_us": f.offered, "released_us": f.released, "back_us": f.back})
+    let builds = outcome.site.builds.iter().map(|b| {
+        json!({"build": b.outcome.build, "bad": b.is_defective, "offered_us": b.outcome.offered_at, "released_us": b.outcome.released_at, "back_us": b.outcome.rolled_back_at})
     });
-    let [p50, p95, p99] = quantiles(&outcome.clients.times);
+    let [p50, p95, p99] = quantiles(&outcome.clients.latencies_us);
     let v = &outcome.verdict;
     json!({
         "day": day.name, "seed": day.seed, "proxies": day.proxies.len(), "servers": day.servers.len(),
         "served_worth": served_worth(outcome),
         "classes": classes.collect::<Vec<_>>(),
-        "tries": {"served": outcome.clients.tries[0], "refused": outcome.clients.tries[1], "failed": outcome.clients.tries[2],
-            "broken": outcome.clients.tries[3], "no_connection": outcome.clients.tries[4], "left": outcome.clients.tries[5]},
+        "tries": {"served": outcome.clients.attempts.served, "refused": outcome.clients.attempts.rejected, "failed": outcome.clients.attempts.failed,
+            "broken": outcome.clients.attempts.broken, "no_connection": outcome.clients.attempts.unreachable, "left": outcome.clients.attempts.disconnected},
         "answer_us": {"p50": p50, "p95": p95, "p99": p99},
-        "attempts": {"ok": outcome.site.replies[0], "error": outcome.site.replies[1], "not_run": outcome.site.replies[2]},
+        "attempts": {"ok": outcome.site.replies.ok, "error": outcome.site.replies.error, "not_run": outcome.site.replies.not_run},
         "builds": builds.collect::<Vec<_>>(),
         "collapsed": outcome.site.collapsed,
-        "flags_taken": outcome.clients.flags,
+        "flags_taken": outcome.clients.accepted_reports,
         "proxy_cpu_s": outcome.cpu,
         "records": outcome.records,
         "rules": {"broken": v.broken, "looked_at": v.looked_at},
@@ -68,7 +70,7 @@
 
 /// The day in words.
 #[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
-pub fn text(day: &Day, outcome: &Outcome) -> String {
+pub fn text(day: &Scenario, outcome: &Outcome) -> String {
     let mut s = String::new();
     let _ = writeln!(
         s,
@@ -79,12 +81,12 @@
         day.servers.len()
     );
     for (class, t) in day.classes.iter().zip(&outcome.clients.classes) {
-        let share = t.in_time as f64 / t.asked.max(1) as f64;
+        let share = t.in_time as f64 / t.requests.max(1) as f64;
         let _ = writeln!(
             s,
             "  {:<14} asked {:>6}  in time {:>6} ({:>5.1}%)  late {:>4}  wrong {:>4}  unserved {:>5}",
             class.name,
-            t.asked,
+            t.requests,
             t.in_time,
             share * 100.0,
             t.late,
@@ -92,12 +94,13 @@
             t.unserved
         );
     }
-    let [served, refused, failed, broken, unreachable, left] = outcome.clients.tries;
+    let AttemptCounts { served, rejected, failed, broken, unreachable, disconnected } =
+        outcome.clients.attempts;
     let _ = writeln!(
         s,
-        "  tries: served {served}, refused {refused}, failed {failed}, broken {broken}, no connection {unreachable}, left {left}"
+        "  tries: served {served}, refused {rejected}, failed {failed}, broken {broken}, no connection {unreachable}, left {disconnected}"
     );
-    let [p50, p95, p99] = quantiles(&outcome.clients.times);
+    let [p50, p95, p99] = quantiles(&outcome.clients.latencies_us);
     let ms = |us: u64| us as f64 / 1e3;
     let _ = writeln!(
         s,
@@ -107,11 +110,11 @@
         ms(p99)
     );
     let _ = writeln!(s, "  worth served in time: {:.3} of what was asked for", served_worth(outcome));
-    for (fate, bad) in &outcome.site.fates {
-        let kind = if *bad { "bad" } else { "good" };
-        let end = match (fate.released, fate.back) {
-            (_, Some(at)) => format!("sent back after {:.1} s", (at - fate.offered) as f64 / 1e6),
-            (Some(at), None) => format!("released after {:.1} s", (at - fate.offered) as f64 / 1e6),
+    for BuildReport { outcome: fate, is_defective } in &outcome.site.builds {
+        let kind = if *is_defective { "bad" } else { "good" };
+        let end = match (fate.released_at, fate.rolled_back_at) {
+            (_, Some(at)) => format!("sent back after {:.1} s", (at - fate.offered_at) as f64 / 1e6),
+            (Some(at), None) => format!("released after {:.1} s", (at - fate.offered_at) as f64 / 1e6),
             (None, None) => "still on trial at the end".into(),
         };
         let _ = writeln!(s, "  build {} ({kind}): {end}", fate.build);
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use violetseam_invariants::{Entry, Record, Verdict};
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::day::{Day, Kind, Trouble};
-use violetseam_simulated_site::drive::clients::{ClientReport, Progress};
-use violetseam_simulated_site::drive::site::SiteReport;
-use violetseam_simulated_site::drive::{Net, clients, site};
+use violetseam_simulated_site::network::clients::{ClientReport, Progress};
+use violetseam_simulated_site::network::site::{ReleaseDecider, SiteOptions, SiteReport};
+use violetseam_simulated_site::network::{AddressPlan, clients, site};
+use violetseam_simulated_site::scenario::{Fault, FaultKind, Scenario};
 
 /// From the stand-ins' start to the first request, in microseconds.
 const PRELUDE: u64 = 2_000_000;
@@ -77,15 +77,15 @@
 }
 
 /// The blows of a day in order; a proxy hit by two troubles at once stays down until the later end.
-fn blows(day: &Day) -> Vec<(u64, Blow, usize)> {
+fn blows(day: &Scenario) -> Vec<(u64, Blow, usize)> {
     let mut spells: Vec<(usize, u64, u64)> = Vec::new();
-    for t in &day.troubles {
+    for t in &day.faults {
         match t.kind {
-            Kind::ProxyCrash => spells.extend(t.on.iter().map(|&p| (p, t.at, t.at + t.len))),
-            Kind::ProxyRoll => spells.extend(roll(t)),
-            Kind::ZoneLoss if t.size > 0.5 => {
-                let hit = day.proxies.iter().enumerate().filter(|(_, p)| usize::from(p.zone) == t.which);
-                spells.extend(hit.map(|(p, _)| (p, t.at, t.at + t.len)));
+            FaultKind::ProxyCrash => spells.extend(t.targets.iter().map(|&p| (p, t.at, t.at + t.duration))),
+            FaultKind::ProxyRollingRestart => spells.extend(roll(t)),
+            FaultKind::ZoneOutage if t.magnitude > 0.5 => {
+                let hit = day.proxies.iter().enumerate().filter(|(_, p)| usize::from(p.zone) == t.selector);
+                spells.extend(hit.map(|(p, _)| (p, t.at, t.at + t.duration)));
             }
             _ => {}
         }
@@ -101,26 +101,26 @@
     }
     let both = |(p, from, to): (usize, u64, u64)| [(from, Blow::Kill, p), (to, Blow::Start, p)];
     let mut blows: Vec<_> = merged.into_iter().flat_map(both).collect();
-    for t in day.troubles.iter().filter(|t| t.kind == Kind::ProxyTakeover) {
-        let times = t.size.max(1.0) as u64;
-        let at = |i| t.at + i * t.len / times;
-        blows.extend((0..times).flat_map(|i| t.on.iter().map(move |&p| (at(i), Blow::TakeOver, p))));
+    for t in day.faults.iter().filter(|t| t.kind == FaultKind::ProxyTakeover) {
+        let times = t.magnitude.max(1.0) as u64;
+        let at = |i| t.at + i * t.duration / times;
+        blows.extend((0..times).flat_map(|i| t.targets.iter().map(move |&p| (at(i), Blow::TakeOver, p))));
     }
-    for t in day.troubles.iter().filter(|t| t.kind == Kind::ProxyStall) {
-        let span = (t.size * 1e3) as u64;
-        let every = if t.extra > 0.0 { (t.extra * 1e6) as u64 } else { t.len };
-        let times = (t.at..t.at + t.len).step_by(every.max(span + 1) as usize);
+    for t in day.faults.iter().filter(|t| t.kind == FaultKind::ProxyPause) {
+        let span = (t.magnitude * 1e3) as u64;
+        let every = if t.parameter > 0.0 { (t.parameter * 1e6) as u64 } else { t.duration };
+        let times = (t.at..t.at + t.duration).step_by(every.max(span + 1) as usize);
         let both = |at, p| [(at, Blow::Stop, p), (at + span, Blow::GoOn, p)];
-        blows.extend(times.flat_map(|at| t.on.iter().flat_map(move |&p| both(at, p))));
+        blows.extend(times.flat_map(|at| t.targets.iter().flat_map(move |&p| both(at, p))));
     }
-    for t in day.troubles.iter().filter(|t| t.kind == Kind::ProxyTwin) {
-        blows.extend(t.on.iter().map(|&p| (t.at, Blow::StartTwin, p)));
+    for t in day.faults.iter().filter(|t| t.kind == FaultKind::DuplicateProxy) {
+        blows.extend(t.targets.iter().map(|&p| (t.at, Blow::StartTwin, p)));
     }
     blows.retain(|b| b.2 < day.proxies.len());
-    for t in day.troubles.iter().filter(|t| t.kind == Kind::ControllerCrash) {
-        let times = t.size.max(1.0) as u64;
-        let down = (t.extra.max(0.05) * 1e6) as u64;
-        let at = |i| t.at + i * t.len / times;
+    for t in day.faults.iter().filter(|t| t.kind == FaultKind::ControllerCrash) {
+        let times = t.magnitude.max(1.0) as u64;
+        let down = (t.parameter.max(0.05) * 1e6) as u64;
+        let at = |i| t.at + i * t.duration / times;
         blows.extend(
             (0..times)
                 .flat_map(|i| [(at(i), Blow::KillController, 0), (at(i) + down, Blow::StartController, 0)]),
@@ -131,16 +131,16 @@
 }
 
 /// One batch after another, each down for `extra` seconds.
-fn roll(t: &Trouble) -> Vec<(usize, u64, u64)> {
-    let batch = (t.size.max(1.0) as usize).max(1);
-    let batches = t.on.len().div_ceil(batch).max(1) as u64;
-    let down = ((t.extra.max(0.2)) * 1e6) as u64;
-    let step = t.len / batches;
+fn roll(t: &Fault) -> Vec<(usize, u64, u64)> {
+    let batch = (t.magnitude.max(1.0) as usize).max(1);
+    let batches = t.targets.len().div_ceil(batch).max(1) as u64;
+    let down = ((t.parameter.max(0.2)) * 1e6) as u64;
+    let step = t.duration / batches;
     let of = |(i, chunk): (usize, &[usize])| {
         let from = t.at + i as u64 * step;
         chunk.iter().map(|&p| (p, from, from + down)).collect::<Vec<_>>()
     };
-    t.on.chunks(batch).enumerate().flat_map(of).collect()
+    t.targets.chunks(batch).enumerate().flat_map(of).collect()
 }
 
 impl Lab {
@@ -149,19 +149,19 @@
     /// # Errors
     /// A text that says which process or file failed.
     #[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
-    pub fn play(&self, day: &Day, say: &mut dyn FnMut(&str)) -> Result<Outcome, String> {
-        day.check()?;
+    pub fn play(&self, day: &Scenario, say: &mut dyn FnMut(&str)) -> Result<Outcome, String> {
+        day.validate().map_err(|e| e.to_string())?;
         let io = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
         std::fs::create_dir_all(&self.out).map_err(io("output folder"))?;
         let out = self.out.canonicalize().map_err(io("output folder"))?;
-        let net = Net::of_process(self.number);
+        let net = AddressPlan::of_process(self.number);
         let settings = out.join("proxies.star");
         std::fs::write(&settings, script::settings(day, net, &out)).map_err(io("settings"))?;
         let text = serde_json::to_vec_pretty(day).map_err(|e| e.to_string())?;
         std::fs::write(out.join("day.json"), text).map_err(io("day"))?;
 
         let mut shifted = day.clone();
-        shifted.troubles.iter_mut().for_each(|t| t.at += PRELUDE);
+        shifted.faults.iter_mut().for_each(|t| t.at += PRELUDE);
         shifted.releases.iter_mut().for_each(|r| r.at += PRELUDE);
         let (clock, stop) = (Clock::start(), Arc::new(AtomicBool::new(false)));
         let (ready, is_ready) = channel();
@@ -176,7 +176,9 @@
         };
         let site_thread = {
             let (day, stop, remote) = (shifted.clone(), stop.clone(), controller.is_some());
-            std::thread::spawn(move || site::run(&day, net, remote, clock, &stop, &ready, say_site))
+            let release_decider = if remote { ReleaseDecider::Controller } else { ReleaseDecider::Simulated };
+            let options = SiteOptions { addresses: net, release_decider, clock, ready, log: say_site };
+            std::thread::spawn(move || site::run(&day, options, &stop))
         };
         let offers = controller.as_ref().map(|controller| {
             let (day, stop, control) = (shifted.clone(), stop.clone(), controller.control.clone());
@@ -219,21 +221,24 @@
             say,
             || client_thread.is_finished(),
         );
-        let clients =
-            client_thread.join().map_err(|_| "the clients' thread failed")?.map_err(io("clients"))?;
+        let clients = client_thread
+            .join()
+            .map_err(|_| "the clients' thread failed")?
+            .map_err(|e| format!("clients: {e}"))?;
         let cpu = (0..day.proxies.len()).filter_map(|n| proxies.cpu_seconds(n)).sum();
         let mut faults = proxies.drain(Duration::from_secs(20));
         // The site sees the proxies' connections close before it ends.
         std::thread::sleep(Duration::from_millis(150));
         stop.store(true, Ordering::Relaxed);
-        let site = site_thread.join().map_err(|_| "the site's thread failed")?.map_err(io("site"))?;
+        let site =
+            site_thread.join().map_err(|_| "the site's thread failed")?.map_err(|e| format!("site: {e}"))?;
         played?;
         if let Some(Ok(Err(why))) = offers.map(std::thread::JoinHandle::join) {
             return Err(format!("a build could not be offered: {why}"));
         }
         drop(controller);
-        if site.left_open > 0 {
-            faults.push(format!("{} attempts still open after all proxies had drained", site.left_open));
+        if site.open_attempts > 0 {
+            faults.push(format!("{} attempts still open after all proxies had drained", site.open_attempts));
         }
         entries.extend(site.entries.iter().cloned());
         entries.extend(clients.entries.iter().cloned());
@@ -322,8 +327,8 @@
             }
             if now >= told + 5_000_000 {
                 told = now;
-                let [asked, in_time, refused, failed] =
-                    std::array::from_fn(|i| progress.0[i].load(Ordering::Relaxed));
+                let counters = [&progress.requests, &progress.in_time, &progress.rejected, &progress.failed];
+                let [asked, in_time, refused, failed] = counters.map(|count| count.load(Ordering::Relaxed));
                 say(&format!(
                     "{} {asked} requests, {in_time} served in time, tries refused {refused}, failed {failed}",
                     at(now)
--- a/crates/simulated-site/src/lib.rs
+++ b/crates/simulated-site/src/lib.rs
@@ -5,9 +5,9 @@
 //! [`drive`] the sockets. Servers here are models: their work is waiting, not computing, so that a machine
 //! can carry a fleet of them. Figures measured against them are of simulated servers.
 
-pub mod day;
-pub mod drive;
 pub mod model;
+pub mod network;
+pub mod scenario;
 
 use std::time::Instant;
 
--- a/crates/simulated-site/src/model/mod.rs
+++ b/crates/simulated-site/src/model/mod.rs
@@ -1,9 +1,9 @@
-//! What the stand-ins do, without I/O and with time passed in.
+//! What the simulated services do: no I/O, and the time is passed in.
 
-pub mod desk;
-pub mod roster;
+pub mod endpoint_registry;
+pub mod release_service;
 pub mod server;
 pub mod traffic;
 
-/// All draws are from this generator, seeded by the day.
-pub type Rng = rand_pcg::Pcg64Mcg;
+/// The source of all random draws, seeded by the scenario.
+pub type RandomSource = rand_pcg::Pcg64Mcg;
--- a/crates/simulated-site/src/model/traffic.rs
+++ b/crates/simulated-site/src/model/traffic.rs
@@ -1,117 +1,138 @@
-//! Requests as they come: an open loop, drawn ahead of any answer.
+//! Requests as they arrive: an open loop that does not depend on any response.
 
-use super::Rng;
-use crate::day::{ClassSpec, Day};
+use super::RandomSource;
+use crate::scenario::{ClassSpec, Scenario};
 use rand::{RngExt, SeedableRng};
 
-/// What a client wants.
+/// The first of the keys that are drawn when the scenario has no set of keys.
+const FIRST_UNIQUE_KEY: u64 = 1 << 40;
+/// The least rate, in requests per second.
+const MIN_RATE: f64 = 1e-3;
+/// The least uniform draw that a logarithm is taken of.
+const MIN_UNIFORM: f64 = 1e-12;
+/// Coefficient of variation of cost hints around the work.
+const COST_HINT_VARIATION: f64 = 0.3;
+
+/// A client's request.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
-    /// When.
+pub struct ClientRequest {
+    /// When it arrives.
     pub at: u64,
-    /// Of which class.
+    /// Index of its class.
     pub class: usize,
-    /// For which customer.
+    /// Index of its tenant.
     pub tenant: usize,
     /// Its work.
     pub work: u64,
-    /// What it says of its work.
-    pub hint: Option<u64>,
-    /// What it concerns; 0: nothing.
+    /// The client's estimate of its work.
+    pub cost_hint: Option<u64>,
+    /// Its key; 0: none.
     pub key: u64,
 }
 
-/// Draws a day's requests one after another.
+/// Draws a scenario's requests one after another.
 #[derive(Debug)]
-pub struct Traffic {
-    rng: Rng,
-    day: Day,
+pub struct TrafficGenerator {
+    random: RandomSource,
+    scenario: Scenario,
+    /// Time of the last request.
     at: f64,
-    /// Keys' popularity, added up.
-    keys: Vec<f64>,
-    next_key: u64,
+    /// Cumulative popularity of the keys.
+    cumulative_key_weights: Vec<f64>,
+    next_unique_key: u64,
 }
 
-impl Traffic {
-    /// A day's requests.
-    pub fn new(day: &Day) -> Self {
-        let mut sum = 0.0;
-        let weight = |k: u64| 1.0 / ((k + 1) as f64).powf(day.traffic.key_skew);
-        let keys = (0..day.traffic.keys)
-            .map(|k| {
-                sum += weight(k);
-                sum
-            })
-            .collect();
-        Traffic { rng: Rng::seed_from_u64(day.seed), day: day.clone(), at: 0.0, keys, next_key: 1 << 40 }
+impl TrafficGenerator {
+    /// The requests of a scenario.
+    pub fn new(scenario: &Scenario) -> Self {
+        let mut total = 0.0;
+        let key_weight = |key: u64| 1.0 / ((key + 1) as f64).powf(scenario.traffic.key_skew);
+        let cumulative = (0..scenario.traffic.keys).map(|key| {
+            total += key_weight(key);
+            total
+        });
+        TrafficGenerator {
+            cumulative_key_weights: cumulative.collect(),
+            random: RandomSource::seed_from_u64(scenario.seed),
+            scenario: scenario.clone(),
+            at: 0.0,
+            next_unique_key: FIRST_UNIQUE_KEY,
+        }
     }
 
-    fn factor(&self) -> f64 {
-        let place = self.at / self.day.length as f64;
-        let shape = &self.day.traffic.shape;
-        let after = shape.iter().position(|p| p.0 >= place);
-        match after {
-            None => shape.last().map_or(1.0, |p| p.1),
+    /// Factor on the average rate at the present time.
+    fn rate_factor(&self) -> f64 {
+        let position = self.at / self.scenario.length as f64;
+        let shape = &self.scenario.traffic.shape;
+        match shape.iter().position(|point| point.0 >= position) {
+            None => shape.last().map_or(1.0, |point| point.1),
             Some(0) => shape[0].1,
-            Some(i) => {
-                let (a, b) = (shape[i - 1], shape[i]);
-                a.1 + (b.1 - a.1) * (place - a.0) / (b.0 - a.0).max(1e-9)
-            }
+            Some(next) => interpolate(shape[next - 1], shape[next], position),
         }
     }
 
-    fn weighted(&mut self, weights: &[f64]) -> usize {
+    /// An index, drawn by weight.
+    fn weighted_index(&mut self, weights: &[f64]) -> usize {
         let total: f64 = weights.iter().sum();
-        let mut left = self.rng.random::<f64>() * total;
-        for (i, w) in weights.iter().enumerate() {
-            left -= w;
-            if left < 0.0 {
-                return i;
+        let mut remaining = self.random.random::<f64>() * total;
+        for (index, weight) in weights.iter().enumerate() {
+            remaining -= weight;
+            if remaining < 0.0 {
+                return index;
             }
         }
         weights.len().saturating_sub(1)
     }
 
-    /// A lognormal draw of mean 1.
-    fn spread(&mut self, cv: f64) -> f64 {
-        let sigma2 = (1.0 + cv * cv).ln();
-        let (u, v): (f64, f64) = (self.rng.random::<f64>().max(1e-12), self.rng.random());
-        let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
-        (sigma2.sqrt() * normal - sigma2 / 2.0).exp()
+    /// A lognormal draw of mean 1 and the given coefficient of variation.
+    fn lognormal(&mut self, cv: f64) -> f64 {
+        let variance = (1.0 + cv * cv).ln();
+        let radius_draw: f64 = self.random.random::<f64>().max(MIN_UNIFORM);
+        let angle_draw: f64 = self.random.random();
+        let normal = (-2.0 * radius_draw.ln()).sqrt() * (std::f64::consts::TAU * angle_draw).cos();
+        (variance.sqrt() * normal - variance / 2.0).exp()
     }
 
     fn key(&mut self, class: &ClassSpec) -> u64 {
-        if let Some(total) = self.keys.last().copied() {
-            let point = self.rng.random::<f64>() * total;
-            return self.keys.partition_point(|k| *k < point) as u64 + 1;
+        if let Some(total) = self.cumulative_key_weights.last().copied() {
+            let point = self.random.random::<f64>() * total;
+            return self.cumulative_key_weights.partition_point(|weight| *weight < point) as u64 + 1;
         }
-        if !class.effect.is_keyed() {
+        if !class.idempotency.is_keyed() {
             return 0;
         }
-        // A key of its own for each request that needs one.
-        self.next_key += 1;
-        self.next_key
+        self.next_unique_key += 1;
+        self.next_unique_key
     }
 }
 
-impl Iterator for Traffic {
-    type Item = Wish;
+/// The factor at a position between two points of position and factor.
+fn interpolate(before: (f64, f64), after: (f64, f64), position: f64) -> f64 {
+    before.1 + (after.1 - before.1) * (position - before.0) / (after.0 - before.0).max(1e-9)
+}
+
+impl Iterator for TrafficGenerator {
+    type Item = ClientRequest;
 
-    fn next(&mut self) -> Option<Wish> {
-        let rate = (self.day.traffic.rate * self.factor()).max(1e-3);
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() / rate * 1e6;
+    fn next(&mut self) -> Option<ClientRequest> {
+        let rate = (self.scenario.traffic.rate * self.rate_factor()).max(MIN_RATE);
+        let gap = -self.random.random::<f64>().max(MIN_UNIFORM).ln() / rate * 1e6;
         self.at += gap;
-        if self.at >= self.day.length as f64 {
+        if self.at >= self.scenario.length as f64 {
             return None;
         }
-        let shares: Vec<f64> = self.day.classes.iter().map(|c| c.share).collect();
-        let class = self.weighted(&shares);
-        let tenants: Vec<f64> = self.day.tenants.iter().map(|t| t.1).collect();
-        let tenant = self.weighted(&tenants);
-        let spec = self.day.classes[class].clone();
-        let work = (spec.work * self.spread(spec.cv)).max(1.0);
-        let hint = self.day.traffic.hints.then(|| (work * self.spread(0.3)) as u64).filter(|h| *h > 0);
+        let class_shares: Vec<f64> = self.scenario.classes.iter().map(|class| class.share).collect();
+        let class = self.weighted_index(&class_shares);
+        let tenant_shares: Vec<f64> = self.scenario.tenants.iter().map(|tenant| tenant.1).collect();
+        let tenant = self.weighted_index(&tenant_shares);
+        let spec = self.scenario.classes[class].clone();
+        let work = (spec.work * self.lognormal(spec.cv)).max(1.0);
+        let cost_hint = if self.scenario.traffic.hints {
+            Some((work * self.lognormal(COST_HINT_VARIATION)) as u64).filter(|hint| *hint > 0)
+        } else {
+            None
+        };
         let key = self.key(&spec);
-        Some(Wish { at: self.at as u64, class, tenant, work: work as u64, hint, key })
+        Some(ClientRequest { at: self.at as u64, class, tenant, work: work as u64, cost_hint, key })
     }
 }
--- a/crates/simulated-site/src/drive/clients.rs
+++ b/crates/simulated-site/src/network/clients.rs
@@ -1,12 +1,12 @@
 //! Clients: an open loop of requests over kept connections, with deadlines, retries, early leaving and
 //! reports of wrong answers.
 
-use super::Net;
 use super::headers::{BUILD, CLASS, KEY, REQUEST, WORK, WRONG};
+use super::{AddressPlan, NetworkError};
 use crate::Clock;
-use crate::day::{Day, Effect};
-use crate::model::Rng;
-use crate::model::traffic::{Traffic, Wish};
+use crate::model::RandomSource;
+use crate::model::traffic::{ClientRequest, TrafficGenerator};
+use crate::scenario::{Idempotency, Scenario};
 use calloop::{EventLoop, Interest, LoopHandle, Readiness};
 use http::StatusCode;
 use rand::{RngExt, SeedableRng};
@@ -28,7 +28,7 @@
 /// A request from its first try to its last.
 #[derive(Clone, Debug)]
 struct Op {
-    wish: Wish,
+    wish: ClientRequest,
     tries: u32,
 }
 
@@ -76,52 +76,80 @@
     Flag(usize, String),
 }
 
-/// What clients got, by class and all together.
+/// Requests of one class by what became of them.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// First tries.
-    pub asked: u64,
-    /// Served rightly within the aim.
+pub struct ClassCounts {
+    /// Requests that clients made.
+    pub requests: u64,
+    /// Served correctly within the latency objective.
     pub in_time: u64,
-    /// Served rightly, later.
+    /// Served correctly, but later.
     pub late: u64,
-    /// Served wrongly.
+    /// Served with a wrong answer.
     pub wrong: u64,
     /// Never served.
     pub unserved: u64,
-    /// Worth asked for, and worth served in time.
-    pub worth: (f64, f64),
+    /// Priority weight of all requests.
+    pub requested_weight: f64,
+    /// Priority weight earned by responses.
+    pub served_weight: f64,
 }
 
-/// What the clients saw, given back at the end.
+/// Clients' attempts by how they ended.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AttemptCounts {
+    /// Served.
+    pub served: u64,
+    /// Rejected by the proxy.
+    pub rejected: u64,
+    /// Failed, as the proxy's response says.
+    pub failed: u64,
+    /// The connection broke before the response was complete.
+    pub broken: u64,
+    /// No connection to a proxy.
+    pub unreachable: u64,
+    /// The client disconnected before a response.
+    pub disconnected: u64,
+}
+
+/// What the clients observed.
 #[derive(Debug, Default)]
 pub struct ClientReport {
-    /// Records for the rule checker.
+    /// Records for the checker of the invariants.
     pub entries: Vec<Entry>,
     /// By class.
-    pub classes: Vec<Tally>,
-    /// Tries by how they ended: served, refused, failed, broken, no connection, left.
-    pub tries: [u64; 6],
-    /// Answers by build.
-    pub builds: BTreeMap<u16, u64>,
-    /// Times of served answers, in microseconds.
-    pub times: Vec<u64>,
-    /// Reports of wrong answers that a proxy took.
-    pub flags: u64,
+    pub classes: Vec<ClassCounts>,
+    /// Attempts of all classes.
+    pub attempts: AttemptCounts,
+    /// Served responses by build.
+    pub responses_by_build: BTreeMap<u16, u64>,
+    /// Latencies of served attempts, in microseconds.
+    pub latencies_us: Vec<u64>,
+    /// Reports of wrong answers that a proxy accepted.
+    pub accepted_reports: u64,
 }
 
-/// Numbers that whoever watches may read at any time: asked, served in time, refused, failed.
+/// Counters that may be read while the clients run.
 #[derive(Debug, Default)]
-pub struct Progress(pub [AtomicU64; 4]);
+pub struct Progress {
+    /// Requests that clients made.
+    pub requests: AtomicU64,
+    /// Requests served within the latency objective.
+    pub in_time: AtomicU64,
+    /// Rejected attempts.
+    pub rejected: AtomicU64,
+    /// Failed attempts.
+    pub failed: AtomicU64,
+}
 
 /// All clients.
 pub struct Clients {
     clock: Clock,
-    day: Rc<Day>,
-    net: Net,
+    scenario: Rc<Scenario>,
+    net: AddressPlan,
     handle: LoopHandle<'static, Clients>,
-    rng: Rng,
-    traffic: std::iter::Peekable<Traffic>,
+    rng: RandomSource,
+    traffic: std::iter::Peekable<TrafficGenerator>,
     ops: Slab<Op>,
     conns: Slab<Conn>,
     idle: HashMap<usize, Vec<usize>>,
@@ -137,25 +165,26 @@
     progress: Arc<Progress>,
 }
 
-/// Runs the clients until the day is over and nothing is out any more, or until told to stop.
+/// Runs the clients until the scenario is over and nothing is out any more, or until told to stop.
 ///
 /// # Errors
 /// Errors of setting up the event loop or its sockets.
 pub fn run(
-    day: &Day,
-    net: Net,
+    scenario: &Scenario,
+    net: AddressPlan,
     clock: Clock,
     begin: u64,
     stop: &Arc<AtomicBool>,
     progress: Arc<Progress>,
-) -> std::io::Result<ClientReport> {
-    let mut event_loop: EventLoop<'static, Clients> = EventLoop::try_new().map_err(std::io::Error::other)?;
+) -> Result<ClientReport, NetworkError> {
+    let mut event_loop: EventLoop<'static, Clients> =
+        EventLoop::try_new().map_err(NetworkError::EventLoop)?;
     let mut clients = Clients {
         clock,
         net,
         handle: event_loop.handle(),
-        rng: Rng::seed_from_u64(day.seed ^ 0xc1e7),
-        traffic: Traffic::new(day).peekable(),
+        rng: RandomSource::seed_from_u64(scenario.seed ^ 0xc1e7),
+        traffic: TrafficGenerator::new(scenario).peekable(),
         ops: Slab::new(),
         conns: Slab::new(),
         idle: HashMap::new(),
@@ -164,19 +193,19 @@
         next_request: 0,
         entries: Vec::new(),
         report: ClientReport {
-            classes: vec![Tally::default(); day.classes.len()],
+            classes: vec![ClassCounts::default(); scenario.classes.len()],
             ..ClientReport::default()
         },
         shunned: BTreeMap::new(),
         dead_since: BTreeMap::new(),
         progress,
-        day: Rc::new(day.clone()),
+        scenario: Rc::new(scenario.clone()),
     };
     loop {
         let now = clock.now();
         let due = clients.due(begin).unwrap_or(now + 50_000);
         let wait = Duration::from_micros(due.saturating_sub(now).min(50_000));
-        event_loop.dispatch(wait, &mut clients).map_err(std::io::Error::other)?;
+        event_loop.dispatch(wait, &mut clients).map_err(NetworkError::EventLoop)?;
         clients.advance(begin);
         if clients.is_over() || stop.load(Ordering::Relaxed) {
             return Ok(ClientReport { entries: clients.entries, ..clients.report });
@@ -207,12 +236,12 @@
     fn advance(&mut self, begin: u64) {
         let now = self.clock.now();
         while let Some(wish) = self.traffic.next_if(|w| w.at + begin <= now) {
-            let class = &self.day.classes[wish.class];
+            let class = &self.scenario.classes[wish.class];
             let tally = &mut self.report.classes[wish.class];
-            tally.asked += 1;
-            tally.worth.0 += class.worth;
-            self.progress.0[0].fetch_add(1, Ordering::Relaxed);
-            let op = self.ops.insert(Op { wish: Wish { at: wish.at + begin, ..wish }, tries: 0 });
+            tally.requests += 1;
+            tally.requested_weight += class.priority_weight;
+            self.progress.requests.fetch_add(1, Ordering::Relaxed);
+            let op = self.ops.insert(Op { wish: ClientRequest { at: wish.at + begin, ..wish }, tries: 0 });
             self.start(op);
         }
         while let Some((&at, _)) = self.later.first_key_value().filter(|(k, _)| k.0 <= now) {
@@ -231,11 +260,11 @@
         let now = self.clock.now();
         self.shunned.retain(|_, until| *until > now);
         let weights: Vec<f64> = self
-            .day
+            .scenario
             .proxies
             .iter()
             .enumerate()
-            .map(|(n, p)| match (self.shunned.contains_key(&n), self.day.clients.own_proxy) {
+            .map(|(n, p)| match (self.shunned.contains_key(&n), self.scenario.clients.own_proxy) {
                 (true, _) => 0.0,
                 (false, true) => p.weight,
                 (false, false) => 1.0,
@@ -258,13 +287,13 @@
     fn start(&mut self, op: usize) {
         let now = self.clock.now();
         let Some(o) = self.ops.get_mut(op) else { return };
-        let class = self.day.classes[o.wish.class].clone();
+        let class = self.scenario.classes[o.wish.class].clone();
         let ends = o.wish.at + class.deadline;
         if now + 20_000 >= ends {
             return self.over(op, None);
         }
         o.tries += 1;
-        let patience = (class.deadline as f64 * self.day.clients.try_share) as u64;
+        let patience = (class.deadline as f64 * self.scenario.clients.attempt_timeout_share) as u64;
         let deadline = ends.min(now + patience.max(50_000));
         let proxy = self.choose();
         self.next_request += 1;
@@ -303,9 +332,9 @@
         let (op, deadline, request) = (&self.ops[t.op], t.deadline, t.request);
         t.sent = true;
         let (wish, retried) = (op.wish, op.tries > 1);
-        let class = &self.day.classes[wish.class];
-        let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
-        let tenant = self.day.tenants.get(wish.tenant).map_or("", |t| t.0.as_str());
+        let class = &self.scenario.classes[wish.class];
+        let method = if class.idempotency == Idempotency::Idempotent { "GET" } else { "POST" };
+        let tenant = self.scenario.tenants.get(wish.tenant).map_or("", |t| t.0.as_str());
         let left = deadline.saturating_sub(now) / 1_000;
         let mut text = format!(
             "{method} /c{}/{} HTTP/1.1\r\nhost: lab\r\n{REQUEST}: {request}\r\n{CLASS}: {}\r\n{WORK}: {}\r\n\
@@ -315,7 +344,7 @@
         if wish.key != 0 {
             text += &format!("{KEY}: {}\r\n", wish.key);
         }
-        if let Some(hint) = wish.hint {
+        if let Some(hint) = wish.cost_hint {
             text += &format!("x-cost-us: {hint}\r\n");
         }
         if retried {
@@ -328,7 +357,7 @@
         let (proxy, class_index) = (conn.proxy as u32, wish.class);
         self.see(Record::Sent { request, proxy, class: class_index, deadline: now + left * 1_000 });
         self.at(deadline + PATIENCE, Later::GiveUp(key, generation));
-        if self.rng.random::<f64>() < self.day.clients.impatient {
+        if self.rng.random::<f64>() < self.scenario.clients.disconnect_share {
             let at = now + (self.rng.random::<f64>() * (deadline - now) as f64 * 0.8) as u64;
             self.at(at, Later::Leave(key, generation));
         }
@@ -411,7 +440,7 @@
                     if let Work::Try(t) = &mut conn.work {
                         t.head = Some(read);
                     } else {
-                        self.report.flags += u64::from(read.status == StatusCode::ACCEPTED);
+                        self.report.accepted_reports += u64::from(read.status == StatusCode::ACCEPTED);
                     }
                 }
                 Some(ClientEvent::Body(_)) => {}
@@ -453,20 +482,25 @@
         let answer = head.outcome.unwrap_or(Answer::Failed);
         self.see(Record::Answered { request: t.request, answer });
         if answer == Answer::Served {
-            self.report.tries[0] += 1;
-            *self.report.builds.entry(head.build).or_default() += 1;
-            self.report.times.push(now - t.started);
-            let flags = self.day.rollout.clone();
-            let chance = if head.wrong { flags.flag_share } else { flags.false_flags };
+            self.report.attempts.served += 1;
+            *self.report.responses_by_build.entry(head.build).or_default() += 1;
+            self.report.latencies_us.push(now - t.started);
+            let flags = self.scenario.rollout.clone();
+            let chance = if head.wrong { flags.report_share } else { flags.false_report_share };
             if let Some(id) = head.id.clone().filter(|_| self.rng.random::<f64>() < chance) {
-                self.at(now + flags.flag_late, Later::Flag(proxy, id));
+                self.at(now + flags.report_delay, Later::Flag(proxy, id));
             }
             return self.over(t.op, Some((now, head.wrong)));
         }
         let refused = answer == Answer::Refused;
-        self.report.tries[if refused { 1 } else { 2 }] += 1;
-        self.progress.0[if refused { 2 } else { 3 }].fetch_add(1, Ordering::Relaxed);
-        let advised = refused && self.rng.random::<f64>() < self.day.clients.honour;
+        if refused {
+            self.report.attempts.rejected += 1;
+            self.progress.rejected.fetch_add(1, Ordering::Relaxed);
+        } else {
+            self.report.attempts.failed += 1;
+            self.progress.failed.fetch_add(1, Ordering::Relaxed);
+        }
+        let advised = refused && self.rng.random::<f64>() < self.scenario.clients.retry_after_compliance;
         let advice = if advised { head.come_back * 1_000_000 } else { 0 };
         self.again(t.op, refused, advice);
     }
@@ -475,11 +509,11 @@
     fn again(&mut self, op: usize, harmless: bool, advice: u64) {
         let now = self.clock.now();
         let Some(o) = self.ops.get(op) else { return };
-        let class = &self.day.classes[o.wish.class];
-        let keyed = class.effect == Effect::KeyedAll && now < o.wish.at + class.window;
-        let allowed = harmless || class.effect == Effect::Safe || keyed;
-        if allowed && o.tries <= self.day.clients.retries {
-            let wait = self.day.clients.backoff.max(advice);
+        let class = &self.scenario.classes[o.wish.class];
+        let keyed = class.idempotency == Idempotency::KeyedAll && now < o.wish.at + class.dedup_window;
+        let allowed = harmless || class.idempotency == Idempotency::Idempotent || keyed;
+        if allowed && o.tries <= self.scenario.clients.retries {
+            let wait = self.scenario.clients.backoff.max(advice);
             self.at(now + wait, Later::Start(op));
         } else {
             self.over(op, None);
@@ -489,18 +523,18 @@
     /// The request is over: served at a moment, rightly or not, or not at all.
     fn over(&mut self, op: usize, served: Option<(u64, bool)>) {
         let Some(o) = self.ops.try_remove(op) else { return };
-        let class = &self.day.classes[o.wish.class];
+        let class = &self.scenario.classes[o.wish.class];
         let tally = &mut self.report.classes[o.wish.class];
         match served {
             Some((_, true)) => tally.wrong += 1,
-            Some((at, false)) if at <= o.wish.at + class.aim => {
+            Some((at, false)) if at <= o.wish.at + class.latency_objective => {
                 tally.in_time += 1;
-                tally.worth.1 += class.worth;
-                self.progress.0[1].fetch_add(1, Ordering::Relaxed);
+                tally.served_weight += class.priority_weight;
+                self.progress.in_time.fetch_add(1, Ordering::Relaxed);
             }
             Some(_) => {
                 tally.late += 1;
-                tally.worth.1 += class.worth * class.late_worth;
+                tally.served_weight += class.priority_weight * class.late_weight;
             }
             None => tally.unserved += 1,
         }
@@ -509,9 +543,9 @@
     /// No connection: clients notice after a while and stay away from that proxy.
     fn unreachable(&mut self, op: usize, proxy: usize) {
         let now = self.clock.now();
-        self.report.tries[4] += 1;
+        self.report.attempts.unreachable += 1;
         let since = *self.dead_since.entry(proxy).or_insert(now);
-        if now >= since + self.day.clients.notice {
+        if now >= since + self.scenario.clients.dead_proxy_detection {
             self.shunned.insert(proxy, now + 500_000);
         }
         self.again(op, true, 0);
@@ -532,7 +566,7 @@
             return self.unreachable(t.op, proxy);
         }
         self.see(Record::Answered { request: t.request, answer: Answer::Broken });
-        self.report.tries[3] += 1;
+        self.report.attempts.broken += 1;
         self.again(t.op, false, 0);
     }
 
@@ -555,7 +589,7 @@
             return self.unreachable(t.op, proxy);
         }
         self.see(Record::Left { request: t.request });
-        self.report.tries[5] += 1;
+        self.report.attempts.disconnected += 1;
         if early {
             self.over(t.op, None);
         } else {
--- a/crates/simulated-site/src/drive/connection.rs
+++ b/crates/simulated-site/src/network/connection.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     Server(u64),
-    Roster,
-    Desk,
+    Discovery,
+    ReleaseService,
 }
 
 /// One connection.
--- a/crates/simulated-site/src/drive/roster_http.rs
+++ b/crates/simulated-site/src/network/discovery_http.rs
@@ -1,13 +1,13 @@
 //! The roster over HTTP: whole lists, watches, and troubles of both.
 
 use super::state::{Site, rule_state};
-use crate::day::Kind;
+use crate::scenario::FaultKind;
 use violetseam_invariants::Record;
 use violetseam_invariants::record::{Call, State as RuleState};
 use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind as ListKind};
 
 impl Site {
-    pub(super) fn serve_roster(&mut self, key: usize) {
+    pub(super) fn serve_discovery(&mut self, key: usize) {
         let now = self.clock.now();
         let Some(conn) = self.conns.get_mut(key) else { return };
         let Some(head) = conn.head.take() else { return };
@@ -17,21 +17,23 @@
         };
         let (proxy, since) = (query("proxy").unwrap_or(u64::from(u32::MAX)) as u32, query("since"));
         let watch = head.target.starts_with("/v1/roster/watch");
-        if self.active(Kind::RosterLost).is_some() || self.cut_off(Kind::RosterCut, proxy) {
+        if self.active(FaultKind::DiscoveryOutage).is_some()
+            || self.cut_off(FaultKind::DiscoveryPartition, proxy)
+        {
             // Never answered; the caller gives up.
             return self.see(Record::Called { proxy, call: Call::Failed });
         }
-        if self.active(Kind::RosterGarbage).is_some() {
+        if self.active(FaultKind::DiscoveryGarbage).is_some() {
             self.see(Record::Called { proxy, call: Call::Failed });
             return self.stream(key, &[b"{\"kind\":\"full\",\"version\":", &b"7,]\n"[..]].concat(), true);
         }
         let delta = since.filter(|_| watch).map(|base| {
             let none = ListUpdate { kind: ListKind::Delta, version: base, base, servers: Vec::new() };
-            self.roster.since(now, base).unwrap_or(none)
+            self.roster.delta_since(now, base).unwrap_or(none)
         });
-        let mut message = delta.unwrap_or_else(|| self.roster.full(now));
-        if self.active(Kind::RosterBack).is_some() {
-            message = ListUpdate { version: 1, ..self.roster.full(now) };
+        let mut message = delta.unwrap_or_else(|| self.roster.snapshot(now));
+        if self.active(FaultKind::DiscoveryVersionRollback).is_some() {
+            message = ListUpdate { version: 1, ..self.roster.snapshot(now) };
         }
         self.see(Record::Called { proxy, call: if watch { Call::Watch } else { Call::Fetch } });
         self.see_told(proxy, &message);
@@ -47,7 +49,7 @@
 
     fn see_told(&mut self, proxy: u32, message: &ListUpdate) {
         for line in &message.servers {
-            let started = self.roster.started(line.id);
+            let started = self.roster.started_at(line.id);
             let state = rule_state(line.state);
             self.see(Record::Told { proxy, server: line.id, state, started });
         }
@@ -63,13 +65,15 @@
 
     /// What changed goes to those who watch.
     pub(super) fn tell_roster(&mut self, now: u64) {
-        if self.active(Kind::RosterLost).is_some() || self.active(Kind::RosterBack).is_some() {
+        if self.active(FaultKind::DiscoveryOutage).is_some()
+            || self.active(FaultKind::DiscoveryVersionRollback).is_some()
+        {
             return;
         }
         let watches: Vec<(u32, usize)> = self.kept.watches.iter().map(|(p, k)| (*p, *k)).collect();
         for (proxy, key) in watches {
             let Some((_, _, held)) = self.conns.get(key).and_then(|c| c.stream) else { continue };
-            let Some(message) = self.roster.since(now, held) else { continue };
+            let Some(message) = self.roster.delta_since(now, held) else { continue };
             self.see_told(proxy, &message);
             if let Some(conn) = self.conns.get_mut(key) {
                 conn.stream = Some((proxy, None, message.version));
@@ -79,14 +83,14 @@
     }
 
     /// A trouble of the roster begins.
-    pub(super) fn trouble_roster(&mut self, kind: Kind) {
+    pub(super) fn trouble_roster(&mut self, kind: FaultKind) {
         let now = self.clock.now();
         let watches: Vec<usize> = self.kept.watches.values().copied().collect();
         for key in watches {
             match kind {
-                Kind::RosterGarbage => self.stream_more(key, b"\xff\xfe not a list\n"),
-                Kind::RosterBack => {
-                    let old = ListUpdate { version: 1, ..self.roster.full(now) };
+                FaultKind::DiscoveryGarbage => self.stream_more(key, b"\xff\xfe not a list\n"),
+                FaultKind::DiscoveryVersionRollback => {
+                    let old = ListUpdate { version: 1, ..self.roster.snapshot(now) };
                     self.stream_more(key, &old.write());
                 }
                 _ => self.close(key),
--- a/crates/simulated-site/src/drive/machines.rs
+++ b/crates/simulated-site/src/network/machines.rs
@@ -1,8 +1,10 @@
 //! Machines: how they start, stop, crash and come back, and how the roster lists them.
 
+use super::NetworkError;
+use super::listen;
 use super::state::{Machine, Site, rule_state};
-use crate::day::{Kind, Trouble};
-use crate::model::server::{Build, Server};
+use crate::model::server::{Build, FaultTarget, Server};
+use crate::scenario::{Fault, FaultKind};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use std::net::TcpListener;
@@ -18,12 +20,14 @@
         index: usize,
         build: Build,
         warm: bool,
-    ) -> std::io::Result<()> {
-        let n = self.day.servers.len();
+    ) -> Result<(), NetworkError> {
+        let n = self.scenario.servers.len();
         let spec = match index.checked_sub(n) {
-            None => self.day.servers[index].clone(),
-            Some(i) if !self.day.spares.is_empty() => self.day.spares[i % self.day.spares.len()].clone(),
-            Some(i) => self.day.servers[i % n].clone(),
+            None => self.scenario.servers[index].clone(),
+            Some(i) if !self.scenario.spares.is_empty() => {
+                self.scenario.spares[i % self.scenario.spares.len()].clone()
+            }
+            Some(i) => self.scenario.servers[i % n].clone(),
         };
         let now = self.clock.now();
         let server = Server::start(spec, build, now, warm);
@@ -35,24 +39,24 @@
         let entry = Machine {
             server,
             listener: Some(listener),
-            index,
+            fault_target: FaultTarget { index, next_pause },
             silent: false,
             draining: false,
             down_until: None,
-            next_pause,
         };
         self.machines.insert(machine, entry);
         Ok(())
     }
 
     fn see_start(&mut self, machine: u64, server: &Server) {
-        let (cold_from, cold_span) = (server.spec.cold_from, server.spec.cold_span);
+        let (cold_from, cold_span) = (server.spec.slow_start_floor, server.spec.slow_start_span);
         let start = Start { capacity: server.capacity(), cold_from, cold_span };
         self.see(Record::Started { server: machine, start });
     }
 
-    fn listen_server(&mut self, machine: u64) -> std::io::Result<(Rc<TcpListener>, RegistrationToken)> {
-        let listener = Rc::new(violetseam_event_io::listen(self.net.machine(machine), 1024)?);
+    fn listen_server(&mut self, machine: u64) -> Result<(Rc<TcpListener>, RegistrationToken), NetworkError> {
+        let address = self.net.server(machine);
+        let listener = Rc::new(listen(address)?);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self
             .handle
@@ -60,7 +64,7 @@
                 site.accept_server(machine, listener);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
+            .map_err(|e| NetworkError::Register { address, source: e.error })?;
         Ok((listener, token))
     }
 
@@ -75,10 +79,10 @@
     /// Lists a machine so at a moment; later while the roster is late.
     pub(super) fn list(&mut self, at: u64, machine: u64, state: EndpointState) {
         let Some(m) = self.machines.get(&machine) else { return };
-        let late = self.active(Kind::RosterLate).map_or(0, |t| (t.size * 1e6) as u64);
+        let late = self.active(FaultKind::DiscoveryDelay).map_or(0, |t| (t.magnitude * 1e6) as u64);
         let line = Endpoint {
             id: machine,
-            addr: self.net.machine(machine),
+            addr: self.net.server(machine),
             build: m.server.build.number,
             state,
             zone: m.server.spec.zone,
@@ -86,26 +90,26 @@
             size: m.server.spec.cores,
             age_us: None,
         };
-        let started = if m.server.warmth(m.server.born) < 1.0 { m.server.born } else { 0 };
-        self.roster.change(at + late, line, started);
+        let started = if m.server.warm_fraction(m.server.started_at) < 1.0 { m.server.started_at } else { 0 };
+        self.roster.schedule_change(at + late, line, started);
     }
 
     pub(super) fn list_due(&mut self) {
         let now = self.clock.now();
-        let changed = self.roster.advance(now);
-        for (server, state) in &changed {
-            self.see(Record::Listed { server: *server, state: rule_state(*state) });
+        let changed = self.roster.apply_due(now);
+        for change in &changed {
+            self.see(Record::Listed { server: change.server, state: rule_state(change.state) });
         }
         if !changed.is_empty() {
             self.tell_roster(now);
         }
     }
 
-    pub(super) fn hit_by(&self, trouble: &Trouble) -> Vec<u64> {
-        let zone = trouble.kind == Kind::ZoneLoss;
+    pub(super) fn hit_by(&self, trouble: &Fault) -> Vec<u64> {
+        let zone = trouble.kind == FaultKind::ZoneOutage;
         let hit = self.machines.iter().filter(|(_, m)| match zone {
-            true => usize::from(m.server.spec.zone) == trouble.which,
-            false => trouble.on.contains(&m.index),
+            true => usize::from(m.server.spec.zone) == trouble.selector,
+            false => trouble.targets.contains(&m.fault_target.index),
         });
         hit.map(|(id, _)| *id).collect()
     }
@@ -115,7 +119,8 @@
         self.stop_machine(machine);
         let Some(m) = self.machines.get_mut(&machine) else { return };
         m.down_until = Some(back_at);
-        let (noticed, back) = (now + self.day.roster.silent_notice, back_at + self.day.roster.add);
+        let (noticed, back) =
+            (now + self.scenario.discovery.crash_delay, back_at + self.scenario.discovery.startup_delay);
         if noticed < back {
             self.list(noticed, machine, EndpointState::Gone);
         }
@@ -143,7 +148,7 @@
             self.see_start(machine, &server);
             self.machines.entry(machine).and_modify(|m| m.server = server);
             let state = if draining { EndpointState::Draining } else { EndpointState::Ready };
-            self.list(now + self.day.roster.add, machine, state);
+            self.list(now + self.scenario.discovery.startup_delay, machine, state);
         }
     }
 
--- a/crates/simulated-site/src/drive/relay.rs
+++ b/crates/simulated-site/src/network/relay.rs
@@ -1,8 +1,8 @@
 //! The network between peers: its sockets, and the datagrams on their way.
 
-use super::Net;
+use super::{AddressPlan, NetworkError};
 use std::collections::BTreeMap;
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
 /// Ordinary delay of a datagram, in microseconds, from and to.
@@ -14,7 +14,7 @@
     /// Datagrams on their way: when, order, sender, receiver.
     flying: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     next: u64,
-    net: Net,
+    net: AddressPlan,
 }
 
 impl Relay {
@@ -22,12 +22,13 @@
     ///
     /// # Errors
     /// Errors of binding a socket.
-    pub fn bind(net: Net, proxies: usize) -> std::io::Result<Relay> {
+    pub fn bind(net: AddressPlan, proxies: usize) -> Result<Relay, NetworkError> {
         let mut sockets = BTreeMap::new();
         for from in 0..proxies {
             for to in (0..proxies).filter(|to| *to != from) {
-                let socket = UdpSocket::bind(net.relay(from, to))?;
-                socket.set_nonblocking(true)?;
+                let address = net.relay(from, to);
+                let socket = bind_datagram_socket(address)
+                    .map_err(|source| NetworkError::Listen { address, source })?;
                 sockets.insert((from, to), Rc::new(socket));
             }
         }
@@ -62,3 +63,9 @@
         }
     }
 }
+
+fn bind_datagram_socket(address: SocketAddr) -> std::io::Result<UdpSocket> {
+    let socket = UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    Ok(socket)
+}
--- a/crates/simulated-site/src/drive/desk_http.rs
+++ b/crates/simulated-site/src/network/release_http.rs
@@ -2,13 +2,13 @@
 
 use super::connection::{Conn, Later, Role};
 use super::state::{Releases, Site};
-use crate::day::Kind;
+use crate::scenario::FaultKind;
 use http::Method;
 use rand::RngExt;
 use violetseam_site_protocol::release_service::{Vote, VoteOutcome, VoteReply};
 
 impl Site {
-    pub(super) fn serve_desk(&mut self, key: usize) {
+    pub(super) fn serve_release_service(&mut self, key: usize) {
         let now = self.clock.now();
         let Some(conn) = self.conns.get_mut(key) else { return };
         let Some(head) = conn.head.take() else { return };
@@ -17,12 +17,15 @@
         if head.method == Method::POST {
             let reply = self.vote(now, key, generation, &body);
             if let Some(reply) = reply {
-                self.kept.at(now + self.day.rollout.call, Later::Reply(key, generation, reply.write()));
+                self.kept.at(
+                    now + self.scenario.rollout.vote_latency,
+                    Later::Reply(key, generation, reply.write()),
+                );
             }
             return;
         }
         let proxy = head.target.split_once("proxy=").and_then(|(_, n)| n.parse().ok()).unwrap_or(u32::MAX);
-        if self.cut_off(Kind::DeskCut, proxy) {
+        if self.cut_off(FaultKind::ReleaseServicePartition, proxy) {
             return;
         }
         let news = self.news_told(now);
@@ -38,14 +41,14 @@
         let Ok(vote) = Vote::parse(body) else {
             return Some(VoteReply { outcome: VoteOutcome::Error, news: None });
         };
-        if self.cut_off(Kind::DeskCut, vote.proxy as u32) {
+        if self.cut_off(FaultKind::ReleaseServicePartition, vote.proxy as u32) {
             return None;
         }
-        let silent = self.active(Kind::DeskSilent).is_some();
+        let silent = self.active(FaultKind::ReleaseServiceUnresponsive).is_some();
         if silent && self.rng.random::<f64>() < 0.5 {
             return None;
         }
-        if self.active(Kind::DeskErrors).is_some() {
+        if self.active(FaultKind::ReleaseServiceErrors).is_some() {
             return Some(VoteReply { outcome: VoteOutcome::Error, news: None });
         }
         let outcome = match &mut self.desk {
@@ -97,12 +100,12 @@
 
     /// News go to each proxy when they change, and again now and then.
     pub(super) fn tell_news(&mut self, now: u64) {
-        if self.active(Kind::DeskSilent).is_some() {
+        if self.active(FaultKind::ReleaseServiceUnresponsive).is_some() {
             return;
         }
-        let (news, push) = (self.news_told(now), self.day.rollout.push);
+        let (news, push) = (self.news_told(now), self.scenario.rollout.resend_interval);
         let due = |c: &Conn| {
-            let told = c.stream.filter(|_| c.role == Role::Desk);
+            let told = c.stream.filter(|_| c.role == Role::ReleaseService);
             told.filter(|(_, last, at)| *last != Some(news) || now >= at + push).map(|t| t.0)
         };
         let due: Vec<(usize, u32)> = self.conns.iter().filter_map(|(k, c)| Some((k, due(c)?))).collect();
--- a/crates/simulated-site/src/drive/remote.rs
+++ b/crates/simulated-site/src/network/remote.rs
@@ -4,8 +4,9 @@
 //! The controller is another process and may be gone for a while. Its watches and calls are made by threads
 //! with plain blocking sockets; the site's loop only takes what they heard.
 
-use crate::day::Rollout;
-use crate::model::desk::{Command, Fate};
+use super::NetworkError;
+use crate::model::release_service::{BuildOutcome, ServerCommand};
+use crate::scenario::Rollout;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -56,7 +57,7 @@
     next_machine: u64,
     replies: VecDeque<(u64, Option<VoteReply>)>,
     /// What became of each build.
-    pub fates: Vec<Fate>,
+    pub outcomes: Vec<BuildOutcome>,
 }
 
 impl Drop for Remote {
@@ -72,6 +73,11 @@
     Ok(stream)
 }
 
+fn spawn_thread(name: &'static str, body: impl FnOnce() + Send + 'static) -> Result<(), NetworkError> {
+    let spawned = std::thread::Builder::new().name(name.to_owned()).spawn(body);
+    spawned.map(drop).map_err(|source| NetworkError::Thread { name, source })
+}
+
 /// Reads a watch, line by line, until it breaks.
 fn watch(addr: SocketAddr, path: &str, line_heard: &dyn Fn(&[u8])) -> std::io::Result<()> {
     let mut stream = connect(addr)?;
@@ -106,9 +112,9 @@
 
 /// Starts the thread that reports places: in order, and each until it was taken, as the controller may be gone for a
 /// while.
-fn spawn_reporter(addr: SocketAddr, stop: Arc<AtomicBool>) -> std::io::Result<Sender<Vec<PlaceReport>>> {
+fn spawn_reporter(addr: SocketAddr, stop: Arc<AtomicBool>) -> Result<Sender<Vec<PlaceReport>>, NetworkError> {
     let (to_reporter, reports) = channel::<Vec<PlaceReport>>();
-    std::thread::Builder::new().name("reports".to_owned()).spawn(move || {
+    spawn_thread("reports", move || {
         while let Ok(report) = reports.recv() {
             let body = write_reports(&report);
             while post(addr, "/v1/places", &body).is_none() && !stop.load(Ordering::Relaxed) {
@@ -121,13 +127,12 @@
 
 impl Remote {
     /// A link to the controller at an address; all places run the first build, machines 1, 2 and so on.
-    pub fn start(addr: SocketAddr, plan: Rollout, places: usize) -> std::io::Result<Remote> {
+    pub fn start(addr: SocketAddr, plan: Rollout, places: usize) -> Result<Remote, NetworkError> {
         let (tell, heard) = channel();
         let stop = Arc::new(AtomicBool::new(false));
-        let named = |name: &str| std::thread::Builder::new().name(name.to_owned());
         for path in ["/v1/stage/watch?proxy=platform", "/v1/places/watch"] {
             let (tell, stop) = (tell.clone(), stop.clone());
-            named("watch").spawn(move || {
+            spawn_thread("watch", move || {
                 while !stop.load(Ordering::Relaxed) {
                     let _ = watch(addr, path, &|line| {
                         let news = ReleaseUpdate::read(line).map(Heard::ReleaseUpdate).ok();
@@ -142,7 +147,7 @@
         let votes = Arc::new(Mutex::new(votes));
         for _ in 0..CARRIERS {
             let (tell, votes) = (tell.clone(), votes.clone());
-            named("votes").spawn(move || {
+            spawn_thread("votes", move || {
                 loop {
                     let next = votes.lock().unwrap_or_else(PoisonError::into_inner).recv();
                     let Ok((token, body)) = next else { return };
@@ -172,7 +177,7 @@
             next_machine: places as u64 + 1,
             machines,
             replies: VecDeque::new(),
-            fates: Vec::new(),
+            outcomes: Vec::new(),
         })
     }
 
@@ -182,7 +187,7 @@
     }
 
     /// Takes what was heard, and lets the platform do what is wanted.
-    pub fn advance(&mut self, now: u64, out: &mut Vec<Command>) {
+    pub fn advance(&mut self, now: u64, out: &mut Vec<ServerCommand>) {
         while let Ok(heard) = self.heard.try_recv() {
             match heard {
                 Heard::ReleaseUpdate(news) if news.fence >= self.news.fence => self.heard_news(now, news),
@@ -206,24 +211,35 @@
     fn heard_news(&mut self, now: u64, news: ReleaseUpdate) {
         let before = std::mem::replace(&mut self.news, news);
         if news.build != before.build {
-            self.fates.push(Fate { build: news.build, offered: now, released: None, back: None });
+            self.outcomes.push(BuildOutcome {
+                build: news.build,
+                offered_at: now,
+                released_at: None,
+                rolled_back_at: None,
+            });
         }
-        let Some(fate) = self.fates.last_mut().filter(|f| f.build == news.build) else { return };
+        let Some(fate) = self.outcomes.last_mut().filter(|f| f.build == news.build) else { return };
         match news.phase {
-            PhaseName::Released => fate.released = fate.released.or(Some(now)),
-            PhaseName::RollingBack | PhaseName::Withdrawn => fate.back = fate.back.or(Some(now)),
+            PhaseName::Released => fate.released_at = fate.released_at.or(Some(now)),
+            PhaseName::RollingBack | PhaseName::Withdrawn => {
+                fate.rolled_back_at = fate.rolled_back_at.or(Some(now))
+            }
             PhaseName::Trial => {}
         }
     }
 
     /// Boots end, drains end.
-    fn tend(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<PlaceReport>) {
+    fn tend(&mut self, now: u64, out: &mut Vec<ServerCommand>, reports: &mut Vec<PlaceReport>) {
         let mut gone = Vec::new();
         for (&machine, m) in &mut self.machines {
             match m.life {
                 Life::Booting(at) if at <= now => {
                     m.life = Life::Running;
-                    out.push(Command::Start { machine, place: m.place as usize, build: m.build });
+                    out.push(ServerCommand::Start {
+                        server: machine,
+                        place: m.place as usize,
+                        build: m.build,
+                    });
                     reports.push(PlaceReport {
                         place: m.place,
                         build: m.build,
@@ -236,14 +252,14 @@
         }
         for machine in gone {
             if let Some(m) = self.machines.remove(&machine) {
-                out.push(Command::Stop { machine });
+                out.push(ServerCommand::Stop { server: machine });
                 reports.push(PlaceReport { place: m.place, build: m.build, state: PlaceStateName::Gone });
             }
         }
     }
 
     /// Starts what is wanted and missing, drains what is not wanted.
-    fn reconcile(&mut self, now: u64, out: &mut Vec<Command>, reports: &mut Vec<PlaceReport>) {
+    fn reconcile(&mut self, now: u64, out: &mut Vec<ServerCommand>, reports: &mut Vec<PlaceReport>) {
         if self.wanted.is_empty() {
             return;
         }
@@ -251,7 +267,7 @@
         let there: BTreeSet<(u32, u16)> =
             self.machines.values().filter(stays).map(|m| (m.place, m.build)).collect();
         for &(place, build) in self.wanted.difference(&there) {
-            let life = Life::Booting(now + self.plan.boot);
+            let life = Life::Booting(now + self.plan.startup_time);
             self.machines.insert(self.next_machine, Machine { place, build, life });
             self.next_machine += 1;
             reports.push(PlaceReport { place, build, state: PlaceStateName::Starting });
@@ -265,8 +281,8 @@
                 // It was never there for anybody.
                 Life::Booting(_) => dropped.push(machine),
                 Life::Running => {
-                    m.life = Life::Draining(now + self.plan.drain);
-                    out.push(Command::Drain { machine });
+                    m.life = Life::Draining(now + self.plan.drain_time);
+                    out.push(ServerCommand::Drain { server: machine });
                     reports.push(PlaceReport {
                         place: m.place,
                         build: m.build,
--- a/crates/simulated-site/src/drive/site_http.rs
+++ b/crates/simulated-site/src/network/site_http.rs
@@ -4,8 +4,9 @@
 use super::connection::{Conn, Later, Role};
 use super::headers::{BUILD, CLASS, KEY, NOT_RUN, REQUEST, WORK, WRONG, key_of, number, proxy_of};
 use super::state::Site;
-use crate::day::{Effect, Kind};
-use crate::model::server::{Job, Reply};
+use super::{NetworkError, listen};
+use crate::model::server::{Reply, ServerRequest};
+use crate::scenario::FaultKind;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use http::StatusCode;
@@ -17,8 +18,8 @@
 use violetseam_invariants::{Arrival, End, Record};
 
 impl Site {
-    pub(super) fn listen_http(&mut self, addr: SocketAddr, role: Role) -> std::io::Result<()> {
-        let source = Generic::new(violetseam_event_io::listen(addr, 1024)?, Interest::READ, Mode::Level);
+    pub(super) fn listen_http(&mut self, address: SocketAddr, role: Role) -> Result<(), NetworkError> {
+        let source = Generic::new(listen(address)?, Interest::READ, Mode::Level);
         self.handle
             .insert_source(source, move |_, listener, site: &mut Site| {
                 while let Ok((stream, _)) = listener.accept() {
@@ -26,7 +27,7 @@
                 }
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
+            .map_err(|e| NetworkError::Register { address, source: e.error })?;
         Ok(())
     }
 
@@ -54,8 +55,8 @@
         }
         self.kept.generation += 1;
         let generation = self.kept.generation;
-        let slow = self.active(Kind::HandshakeSlow).filter(|_| matches!(role, Role::Server(_)));
-        let wait = slow.map(|t| (t.size * 1e3) as u64);
+        let slow = self.active(FaultKind::SlowHandshake).filter(|_| matches!(role, Role::Server(_)));
+        let wait = slow.map(|t| (t.magnitude * 1e3) as u64);
         let entry = self.conns.vacant_entry();
         let key = entry.key();
         let interest = if wait.is_some() { Interest::EMPTY } else { Interest::READ };
@@ -118,8 +119,8 @@
                 Some(ServerEvent::Body(bytes)) => conn.body.extend_from_slice(&bytes),
                 Some(ServerEvent::End) => match conn.role {
                     Role::Server(machine) => self.serve(key, machine),
-                    Role::Roster => self.serve_roster(key),
-                    Role::Desk => self.serve_desk(key),
+                    Role::Discovery => self.serve_discovery(key),
+                    Role::ReleaseService => self.serve_release_service(key),
                 },
                 Some(ServerEvent::Fault(_)) => return self.close(key),
             }
@@ -140,7 +141,7 @@
         self.kept.jobs.insert(job, key);
         let Some(m) = self.machines.get(&machine) else { return };
         let (build, spec) = (m.server.build.number, &m.server.spec);
-        let newest = build > self.day.rollout.first_build && build == self.desk.news().build;
+        let newest = build > self.scenario.rollout.first_build && build == self.desk.news().build;
         self.lately = (self.lately.0 + f64::from(u8::from(newest)), self.lately.1 + 1.0);
         let arrival = Arrival {
             number: job,
@@ -158,10 +159,10 @@
 
     fn serve(&mut self, key: usize, machine: u64) {
         let now = self.clock.now();
-        let contract = (self.day.contract.fall_multiple, self.day.contract.fall_span);
+        let contract = self.scenario.service_rules.overload_limit();
         let Some(conn) = self.conns.get_mut(key) else { return };
         let (Some(job), Some(head)) = (conn.job, conn.head.take()) else { return };
-        let class = (number(&head, CLASS).unwrap_or(0) as usize).min(self.day.classes.len() - 1);
+        let class = (number(&head, CLASS).unwrap_or(0) as usize).min(self.scenario.classes.len() - 1);
         let key_text = head.headers.get(KEY).and_then(|v| v.to_str().ok());
         let request_key = key_text.map_or(0, key_of);
         let work = number(&head, WORK).unwrap_or(1_000) as f64;
@@ -169,17 +170,10 @@
         if m.draining {
             return self.reply(job, Reply::NotRun);
         }
-        let spec = &self.day.classes[class];
-        let group = match spec.effect {
-            Effect::KeyedAll => Some(0),
-            Effect::KeyedZone => Some(1 + u32::from(m.server.spec.zone)),
-            Effect::KeyedCell => Some(100_000 + u32::from(m.server.spec.cell)),
-            Effect::Safe | Effect::Unsafe => None,
-        };
-        let memory = group.filter(|_| request_key != 0).map(|g| self.memories.entry(g).or_default());
-        let repeat = memory.is_some_and(|m| m.is_repeat(now, class, request_key, spec.window));
-        let job_is = Job { id: job, class, key: request_key, work };
-        if let Some(reply) = m.server.arrive(now, job_is, repeat, contract, &mut self.rng) {
+        let spec = &self.scenario.classes[class];
+        let repeat = self.dedup_caches.is_duplicate(now, spec, class, request_key, &m.server.spec);
+        let job_is = ServerRequest { id: job, class, key: request_key, work };
+        if let Some(reply) = m.server.accept(now, job_is, repeat, contract, &mut self.rng) {
             self.reply(job, reply);
         }
     }
@@ -193,20 +187,20 @@
         let build = self.machines.get(&machine).map_or(0, |m| m.server.build.number).to_string();
         let mut fields = vec![(HeaderName::from_static(BUILD), build.as_bytes())];
         let (status, end) = match reply {
-            Reply::Ok { wrong } => {
-                if wrong {
+            Reply::Ok { is_wrong } => {
+                if is_wrong {
                     fields.push((HeaderName::from_static(WRONG), b"1"));
                 }
-                self.report.replies[0] += 1;
+                self.report.replies.ok += 1;
                 (StatusCode::OK, End::Ok)
             }
             Reply::Error => {
-                self.report.replies[1] += 1;
+                self.report.replies.error += 1;
                 (StatusCode::INTERNAL_SERVER_ERROR, End::Error)
             }
             Reply::NotRun => {
                 fields.push((HeaderName::from_static(NOT_RUN), b"1"));
-                self.report.replies[2] += 1;
+                self.report.replies.not_run += 1;
                 (StatusCode::SERVICE_UNAVAILABLE, End::NotRun)
             }
         };
--- a/crates/simulated-site/src/drive/streams.rs
+++ b/crates/simulated-site/src/network/streams.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Conn, Later, Role};
 use super::state::Site;
-use crate::day::{Kind, Trouble};
+use crate::scenario::{Fault, FaultKind};
 use http::StatusCode;
 use http::header::HeaderMap;
 use violetseam_http1::Framing;
@@ -38,7 +38,7 @@
                 let _ = self.handle.enable(token);
             }
         }
-        if let (Role::Roster, Some((proxy, ..))) = (conn.role, conn.stream)
+        if let (Role::Discovery, Some((proxy, ..))) = (conn.role, conn.stream)
             && self.kept.watches.get(&proxy) == Some(&key)
         {
             self.kept.watches.remove(&proxy);
@@ -67,9 +67,14 @@
     }
 
     /// Proxies are cut off from the roster or the desk: their endless answers end.
-    pub(super) fn cut_streams(&mut self, trouble: &Trouble) {
-        let role = if trouble.kind == Kind::RosterCut { Role::Roster } else { Role::Desk };
-        let cut = |c: &Conn| c.role == role && c.stream.is_some_and(|s| trouble.on.contains(&(s.0 as usize)));
+    pub(super) fn cut_streams(&mut self, trouble: &Fault) {
+        let role = if trouble.kind == FaultKind::DiscoveryPartition {
+            Role::Discovery
+        } else {
+            Role::ReleaseService
+        };
+        let cut =
+            |c: &Conn| c.role == role && c.stream.is_some_and(|s| trouble.targets.contains(&(s.0 as usize)));
         let cut: Vec<usize> = self.conns.iter().filter(|(_, c)| cut(c)).map(|(k, _)| k).collect();
         cut.into_iter().for_each(|key| self.close(key));
     }
