--- /dev/null
+++ b/crates/emulator/src/simulation/clients.rs
@@ -0,0 +1,148 @@
+//! Clients: they draw requests, pick a proxy for each try, and retry what is harmless to repeat.
+
+use super::{Simulation, WARM_UP};
+use crate::client_try::ClientTry;
+use crate::event_queue::SimulationEvent;
+use rand::RngExt;
+use std::collections::HashMap;
+use violetseam::interface as decisions;
+use violetseam_invariants::{FinalResponse, ObservedEvent};
+use violetseam_simulated_site::model::traffic::{ClientRequest, TrafficGenerator};
+use violetseam_simulated_site::scenario::{Idempotency, Scenario};
+
+/// A client's request without a final result.
+pub(super) struct PendingRequest {
+    pub request: ClientRequest,
+    retries_left: u32,
+    /// When its last try was sent.
+    sent_at: u64,
+}
+
+/// The clients' requests.
+pub(super) struct ClientRequests {
+    traffic: TrafficGenerator,
+    /// By number.
+    pub pending: HashMap<u64, PendingRequest>,
+    next_number: u64,
+}
+
+impl ClientRequests {
+    pub fn new(scenario: &Scenario) -> Self {
+        ClientRequests { traffic: TrafficGenerator::new(scenario), pending: HashMap::new(), next_number: 1 }
+    }
+
+    fn draw(&mut self, retries: u32) -> Option<(u64, ClientRequest)> {
+        let request = self.traffic.next()?;
+        let number = self.next_number;
+        self.next_number += 1;
+        self.pending.insert(number, PendingRequest { request, retries_left: retries, sent_at: 0 });
+        Some((number, request))
+    }
+}
+
+impl Simulation {
+    /// Draws the next request.
+    pub(super) fn on_request_arrival(&mut self) {
+        let scenario = &self.cluster.scenario;
+        let Some((number, request)) = self.clients.draw(scenario.clients.retries) else { return };
+        self.collector.add_request(scenario.classes[request.class].priority_weight);
+        let at = WARM_UP + request.at;
+        self.cluster.queue.schedule(at, SimulationEvent::ClientTry(ClientTry::first(number)));
+        self.cluster.queue.schedule(at, SimulationEvent::RequestArrival);
+    }
+
+    /// A client sends a try to a proxy.
+    pub(super) fn on_client_try(&mut self, client_try: ClientTry) {
+        let now = self.cluster.now;
+        let proxy = self.pick_proxy();
+        let Some(pending) = self.clients.pending.get_mut(&client_try.request) else { return };
+        pending.sent_at = now;
+        let request = pending.request;
+        let deadline = now + self.cluster.scenario.classes[request.class].deadline;
+        self.cluster.observe(ObservedEvent::RequestSent {
+            request: client_try.observed_request(),
+            proxy: proxy as u32,
+            class: request.class,
+            deadline,
+        });
+        let engine_request = decisions::Request {
+            id: 0,
+            deadline,
+            class: request.class,
+            cost_hint: request.cost_hint,
+            key: Some(request.key).filter(|key| *key != 0),
+            tenant: request.tenant,
+            is_retry: client_try.number > 0,
+        };
+        let id = self.proxies[proxy].engine.on_request(now, engine_request, true);
+        self.proxies[proxy].client_tries.insert(id, client_try);
+        self.run_engine_actions(proxy);
+    }
+
+    /// Draws a proxy by the proxies' weights.
+    fn pick_proxy(&mut self) -> usize {
+        let weights: Vec<f64> = self.cluster.scenario.proxies.iter().map(|proxy| proxy.weight).collect();
+        let mut point = self.cluster.random.random::<f64>() * weights.iter().sum::<f64>();
+        for (proxy, weight) in weights.iter().enumerate() {
+            point -= weight;
+            if point < 0.0 {
+                return proxy;
+            }
+        }
+        weights.len() - 1
+    }
+
+    /// A server's response reaches the client.
+    pub(super) fn on_served(&mut self, client_try: ClientTry) {
+        let request = client_try.observed_request();
+        let response = FinalResponse::Served;
+        self.cluster.observe(ObservedEvent::ResponseReceived { request, response });
+        self.collector.outcome.tries.served += 1;
+        let Some(pending) = self.clients.pending.remove(&client_try.request) else { return };
+        let now = self.cluster.now;
+        let class = &self.cluster.scenario.classes[pending.request.class];
+        self.collector.add_response_time(now - pending.sent_at);
+        if now <= WARM_UP + pending.request.at + class.latency_objective {
+            self.collector.outcome.served_in_time += 1;
+            self.collector.add_served_weight(class.priority_weight);
+        } else {
+            self.collector.add_served_weight(class.late_weight);
+        }
+    }
+
+    /// A proxy rejects a try: it did not run, or repeating it is harmless.
+    pub(super) fn on_rejected(&mut self, client_try: ClientTry, retry_after: u64) {
+        let request = client_try.observed_request();
+        let response = FinalResponse::Rejected;
+        self.cluster.observe(ObservedEvent::ResponseReceived { request, response });
+        self.collector.outcome.tries.rejected += 1;
+        self.retry_or_give_up(client_try, true, retry_after);
+    }
+
+    /// A try fails.
+    pub(super) fn on_failed(&mut self, client_try: ClientTry) {
+        let request = client_try.observed_request();
+        let response = FinalResponse::Failed;
+        self.cluster.observe(ObservedEvent::ResponseReceived { request, response });
+        self.collector.outcome.tries.failed += 1;
+        let Some(pending) = self.clients.pending.get(&client_try.request) else { return };
+        // It may have run: only an idempotent request is tried again.
+        let class = &self.cluster.scenario.classes[pending.request.class];
+        let harmless = class.idempotency == Idempotency::Idempotent;
+        self.retry_or_give_up(client_try, harmless, 0);
+    }
+
+    fn retry_or_give_up(&mut self, client_try: ClientTry, harmless: bool, retry_after: u64) {
+        let Some(pending) = self.clients.pending.get_mut(&client_try.request) else { return };
+        if pending.retries_left == 0 || !harmless {
+            self.clients.pending.remove(&client_try.request);
+            return;
+        }
+        pending.retries_left -= 1;
+        let clients = &self.cluster.scenario.clients;
+        let complies = self.cluster.random.random::<f64>() < clients.retry_after_compliance;
+        let backoff = clients.backoff.max(if complies { retry_after } else { 0 });
+        let at = self.cluster.now + backoff.max(1);
+        self.cluster.queue.schedule(at, SimulationEvent::ClientTry(client_try.next()));
+    }
+}
