--- a/crates/controller/src/serve/connections.rs
+++ b/crates/controller/src/serve/connections.rs
@@ -95,8 +95,8 @@
                 connection.http.feed(&bytes[..len]);
                 self.process_input(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.close(key),
         }
     }
 
@@ -125,9 +125,9 @@
     pub(super) fn respond(&mut self, key: usize, status: StatusCode, body: &[u8]) {
         let Some(Connection { socket, http, .. }) = self.connections.get_mut(key) else { return };
         let framing = Framing::Length(body.len() as u64);
-        http.start_answer(socket.out(), status, &HeaderMap::new(), &[], framing, false);
-        http.write_body(socket.out(), body);
-        let keep_alive = http.finish_answer(socket.out());
+        http.start_answer(socket.write_buffer(), status, &HeaderMap::new(), &[], framing, false);
+        http.write_body(socket.write_buffer(), body);
+        let keep_alive = http.finish_answer(socket.write_buffer());
         self.flush(key);
         if !keep_alive && let Some(connection) = self.connections.get(key) {
             connection.socket.close_write();
@@ -137,10 +137,10 @@
     pub(super) fn flush(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         // A watcher that does not read is disconnected; it connects again.
-        if connection.socket.flush().is_err() || connection.socket.unwritten() > MAX_UNSENT_BYTES {
+        if connection.socket.flush().is_err() || connection.socket.unwritten_bytes() > MAX_UNSENT_BYTES {
             return self.close(key);
         }
-        connection.socket.want(&self.handle, true);
+        connection.socket.set_read_interest(&self.handle, true);
     }
 }
 
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -59,8 +59,15 @@
         connection.watch = watch;
         connection.last_active = Instant::now();
         let Connection { socket, http, .. } = connection;
-        http.start_answer(socket.out(), StatusCode::OK, &HeaderMap::new(), &[], Framing::Chunked, false);
-        http.write_body(socket.out(), line);
+        http.start_answer(
+            socket.write_buffer(),
+            StatusCode::OK,
+            &HeaderMap::new(),
+            &[],
+            Framing::Chunked,
+            false,
+        );
+        http.write_body(socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -93,7 +100,7 @@
                 Watch::Release(_) | Watch::DesiredBuilds(_) => continue,
             };
             connection.last_active = now;
-            connection.http.write_body(connection.socket.out(), &line);
+            connection.http.write_body(connection.socket.write_buffer(), &line);
             written.push(key);
         }
         for key in written {
--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -3,7 +3,7 @@
 use calloop::LoopHandle;
 use std::collections::VecDeque;
 use violetseam::interface::{Micros, RequestId};
-use violetseam_event_io::{HIGH_WATER, Socket};
+use violetseam_event_io::{Socket, WRITE_BUFFER_HIGH_WATERMARK};
 
 /// Commands of one connection that wait for their responses at once, and that one read may bring: clients open
 /// more connections where all are busy, so a longer burst does not come from one of them.
@@ -86,7 +86,7 @@
 
     /// No response is pending on it: in the last phase of a shutdown it may be closed, also over a partial command.
     pub fn is_answered(&self) -> bool {
-        self.pending_responses.is_empty() && !self.socket.waits() && !self.is_parsing
+        self.pending_responses.is_empty() && !self.socket.has_unwritten_bytes() && !self.is_parsing
     }
 
     /// Bytes, or the end of the connection, lie unread in the kernel.
@@ -96,14 +96,15 @@
 
     /// No further command is taken before a response has been written.
     pub fn is_full(&self) -> bool {
-        self.pending_responses.len() >= MAX_PIPELINED_COMMANDS || self.socket.unwritten() > HIGH_WATER
+        self.pending_responses.len() >= MAX_PIPELINED_COMMANDS
+            || self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
     /// Moves the responses whose turn has come to the socket; whether there were any.
     pub fn queue_ready_responses(&mut self) -> bool {
         let mut any_queued = false;
         while let Some(PendingResponse::Ready(bytes)) = self.pending_responses.front() {
-            self.socket.out().extend_from_slice(bytes);
+            self.socket.write_buffer().extend_from_slice(bytes);
             self.pending_responses.pop_front();
             any_queued = true;
         }
@@ -119,7 +120,7 @@
             ClientState::Closing | ClientState::Ended => false,
             ClientState::Lingering(_) => true,
         };
-        self.socket.want(handle, wants_read);
+        self.socket.set_read_interest(handle, wants_read);
     }
 
     /// Whether a time-out has expired: of a silent connection, a partial command, or responses that are not read.
@@ -127,7 +128,7 @@
         let idle = now.saturating_sub(self.idle_since);
         match self.state {
             ClientState::Lingering(_) | ClientState::Ended => idle >= LINGER_TIMEOUT,
-            _ if self.socket.waits() => idle >= WRITE_STALL_TIMEOUT,
+            _ if self.socket.has_unwritten_bytes() => idle >= WRITE_STALL_TIMEOUT,
             _ if !self.pending_responses.is_empty() => false,
             _ if !self.has_sent_call => idle >= FIRST_COMMAND_TIMEOUT,
             _ => !self.input.is_empty() && idle >= PARTIAL_COMMAND_TIMEOUT,
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -88,7 +88,7 @@
     /// Reads once; whether there was anything to read.
     fn read_client(&mut self, key: usize) -> bool {
         let mut scratch = std::mem::take(&mut self.scratch);
-        let mut outcome = ReadOutcome::Nothing;
+        let mut outcome = ReadOutcome::WouldBlock;
         if let Some(client) = self.clients.get_mut(key) {
             outcome = client.socket.read(&mut scratch);
             match (outcome, client.state) {
@@ -102,13 +102,13 @@
                     client.state = ClientState::Lingering(dropped + n);
                 }
                 (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(key),
-                (ReadOutcome::Bytes(_) | ReadOutcome::Nothing, _) => {}
-                (ReadOutcome::Closed | ReadOutcome::Broken, _) => self.disconnect_client(key),
+                (ReadOutcome::Bytes(_) | ReadOutcome::WouldBlock, _) => {}
+                (ReadOutcome::Closed | ReadOutcome::Failed, _) => self.disconnect_client(key),
             }
         }
         self.scratch = scratch;
         self.update_client_interest(key);
-        outcome != ReadOutcome::Nothing
+        outcome != ReadOutcome::WouldBlock
     }
 
     /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request must be
@@ -184,7 +184,7 @@
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
         let any_queued = client.queue_ready_responses();
-        if any_queued || client.socket.waits() {
+        if any_queued || client.socket.has_unwritten_bytes() {
             client.idle_since = now;
         }
         if client.socket.flush().is_err() {
@@ -192,7 +192,7 @@
         }
         if client.state == ClientState::Closing
             && client.pending_responses.is_empty()
-            && !client.socket.waits()
+            && !client.socket.has_unwritten_bytes()
         {
             client.socket.close_write();
             client.state = ClientState::Lingering(0);
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -20,7 +20,7 @@
             if let Err(failure) = exchange.flush_query() {
                 return self.fail_query(generation, failure);
             }
-            exchange.socket.want(&self.handle, true);
+            exchange.socket.set_read_interest(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_discovery(generation);
@@ -36,12 +36,12 @@
                     exchange.http.feed(&scratch[..length]);
                     self.handle_discovery_events(generation);
                 }
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => match exchange.http.close() {
                     Some(ClientEvent::End { .. }) => self.finish_exchange(generation, false),
                     _ => self.fail_query(generation, QueryFailure::Closed),
                 },
-                ReadOutcome::Broken => self.fail_query(generation, QueryFailure::Reset),
+                ReadOutcome::Failed => self.fail_query(generation, QueryFailure::Reset),
             }
         }
         self.scratch = scratch;
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -208,10 +208,10 @@
             None => self.open_exchange(generation, address, query)?,
         };
         let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
-        exchange.socket.out().extend_from_slice(head.as_bytes());
+        exchange.socket.write_buffer().extend_from_slice(head.as_bytes());
         exchange.http.expect_answer(false);
         exchange.status = None;
-        exchange.socket.want_connected(&self.handle);
+        exchange.socket.set_connect_interest(&self.handle);
         exchange.began_at = self.now();
         exchange.query = query;
         exchange.is_renewal = is_reused && query != Query::FullList;
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -57,7 +57,7 @@
         if !self.clients_to_revisit.is_empty() {
             return Duration::ZERO;
         }
-        self.timers.wait(self.now(), self.engine.next_deadline())
+        self.timers.poll_timeout(self.now(), self.engine.next_deadline())
     }
 
     /// Runs what was due when the sockets were last polled: an answer that had arrived by then has been read.
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 use violetseam::interface::{ListKind, Micros, RequestId, ServerId};
 use violetseam::lease::ListLease;
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
 use violetseam_event_io::timers::Timers;
 use violetseam_platform_protocol::config::Config;
 use violetseam_platform_protocol::discovery::ServerList;
@@ -76,7 +76,7 @@
     pub clients_to_revisit: Vec<ConnectionId>,
     /// The event loop ends after this turn.
     pub stopping: bool,
-    log_rate_limit: RateLimit,
+    log_rate_limit: LogRateLimit,
     /// The latest reload: a retry of an earlier one is stale.
     pub reload_generation: u64,
     /// Client connections that this side closed over a request without a response; a fault if ever over 0.
@@ -126,7 +126,7 @@
             shutdown_phase: ShutdownPhase::Running,
             clients_to_revisit: Vec::new(),
             stopping: false,
-            log_rate_limit: RateLimit::default(),
+            log_rate_limit: LogRateLimit::default(),
             reload_generation: 0,
             closed_while_pending: 0,
             config,
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -70,7 +70,7 @@
             .and_then(|stream| Socket::register(&self.handle, stream, Interest::BOTH, on_ready));
         match opened {
             Ok(mut socket) => {
-                socket.out().extend(pipeline::watch_call(WATCH_CALL_ID));
+                socket.write_buffer().extend(pipeline::watch_call(WATCH_CALL_ID));
                 let lines = LineReader::new(MAX_LINE_BYTES);
                 self.pipeline.watch = Some(Watch { generation, socket, lines, last_received_at: now });
                 self.timers.set(now + SILENCE_TIMEOUT, TimerKind::ReleaseWatchSilence(generation));
@@ -121,7 +121,7 @@
             if watch.socket.connect_error().is_some() || watch.socket.flush().is_err() {
                 return self.on_release_watch_lost("no connection");
             }
-            watch.socket.want(&self.handle, true);
+            watch.socket.set_read_interest(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_release_watch();
@@ -139,8 +139,8 @@
                     watch.lines.feed(&scratch[..length]);
                     self.handle_release_lines();
                 }
-                ReadOutcome::Nothing => {}
-                ReadOutcome::Closed | ReadOutcome::Broken => self.on_release_watch_lost("connection lost"),
+                ReadOutcome::WouldBlock => {}
+                ReadOutcome::Closed | ReadOutcome::Failed => self.on_release_watch_lost("connection lost"),
             }
         }
         self.scratch = scratch;
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -31,7 +31,7 @@
         }
         let now = self.now();
         // The client's wait began when it sent the call, which may have lain unread for as long as this loop is late.
-        let unread = self.timers.behind(now, self.engine.next_deadline());
+        let unread = self.timers.lateness(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
         let request = self.engine.on_request(now, engine_request(&call, now, unread), true);
         tracing::debug!(
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -189,14 +189,14 @@
             );
             return;
         }
-        in_flight.call.write(server.socket.out(), cut_at.saturating_sub(now));
+        in_flight.call.write(server.socket.write_buffer(), cut_at.saturating_sub(now));
         self.flush_server(slot);
     }
 
     fn flush_server(&mut self, slot: usize) {
         let Some(server) = self.servers.get_mut(slot) else { return };
         match server.socket.flush() {
-            Ok(_) => server.socket.want(&self.handle, true),
+            Ok(_) => server.socket.set_read_interest(&self.handle, true),
             Err(_) => self.on_server_lost(slot),
         }
     }
@@ -208,7 +208,7 @@
             self.on_server_connecting(slot, attempt, readiness);
             return self.run_engine_actions();
         }
-        if readiness.writable && server.socket.waits() {
+        if readiness.writable && server.socket.has_unwritten_bytes() {
             // The rest of a request counts from its last byte: until that is written the server has none of it.
             let attempt = server.attempt();
             if attempt.is_none_or(|attempt| self.may_send(attempt)) {
@@ -243,15 +243,15 @@
         if self.servers.get(slot).is_some_and(|server| server.is_busy() && !server.input.is_empty()) {
             self.handle_answer(slot);
             if matches!(outcome, ReadOutcome::Bytes(_)) {
-                outcome = ReadOutcome::Nothing;
+                outcome = ReadOutcome::WouldBlock;
             }
         }
         if let Some(server) = self.servers.get(slot) {
             match outcome {
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent next.
                 ReadOutcome::Bytes(_) => self.close_server(slot),
-                ReadOutcome::Closed | ReadOutcome::Broken => {
+                ReadOutcome::Closed | ReadOutcome::Failed => {
                     if server.is_idle() {
                         let rested_us = self.now().saturating_sub(server.idle_since);
                         tracing::debug!(server = server.id, rested_us, "closed while idle");
@@ -265,7 +265,7 @@
 
     /// Reads into the connection's input while an attempt is on it; how the last read went.
     fn read_server_input(&mut self, slot: usize, scratch: &mut [u8]) -> ReadOutcome {
-        let mut outcome = ReadOutcome::Nothing;
+        let mut outcome = ReadOutcome::WouldBlock;
         for _ in 0..MAX_READS_PER_EVENT {
             let Some(server) = self.servers.get_mut(slot) else { return outcome };
             outcome = server.socket.read(scratch);
@@ -288,7 +288,7 @@
         let Some(attempt) = server.attempt() else { return };
         let input = std::mem::take(&mut server.input);
         let id = server.id;
-        let is_fully_written = !server.socket.waits();
+        let is_fully_written = !server.socket.has_unwritten_bytes();
         match parse_answer(&input, &self.bounds) {
             Answer::Incomplete => server.input = input,
             Answer::Served { value, reusable } => {
@@ -352,7 +352,7 @@
     /// anything else is written, as the next attempt of the same request would otherwise overlap with this one.
     pub(super) fn close_server(&mut self, slot: usize) {
         let Some(server) = self.servers.try_remove(slot) else { return };
-        server.socket.end(&self.handle);
+        server.socket.close_now(&self.handle);
         if let Some(idle) = self.idle_servers.get_mut(&server.id) {
             idle.retain(|idle_slot| *idle_slot != slot);
             if idle.is_empty() {
@@ -377,7 +377,7 @@
         let Some(server) = self.servers.get(slot) else { return };
         let attempt = server.attempt();
         let id = server.id;
-        let is_fully_written = server.is_busy() && !server.socket.waits();
+        let is_fully_written = server.is_busy() && !server.socket.has_unwritten_bytes();
         self.close_server(slot);
         if let Some(attempt) = attempt {
             let outcome = if is_fully_written { Outcome::Reset } else { Outcome::ConnectFailed };
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -54,7 +54,7 @@
         let slot = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote(slot, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        socket.out().extend(call);
+        socket.write_buffer().extend(call);
         entry.insert(Vote { generation, id, socket, lines: LineReader::new(MAX_LINE_BYTES) });
         let timeout = self.config.instance.decisions.rollout.vote_timeout.min(MAX_VOTE_TIMEOUT);
         let timeout_at = self.now() + timeout;
@@ -70,7 +70,7 @@
                 self.on_vote_connection_lost(slot);
                 return self.run_engine_actions();
             }
-            vote.socket.want(&self.handle, true);
+            vote.socket.set_read_interest(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_vote(slot);
@@ -86,8 +86,8 @@
                     vote.lines.feed(&scratch[..length]);
                     self.handle_vote_lines(slot);
                 }
-                ReadOutcome::Nothing => {}
-                ReadOutcome::Closed | ReadOutcome::Broken => self.on_vote_connection_lost(slot),
+                ReadOutcome::WouldBlock => {}
+                ReadOutcome::Closed | ReadOutcome::Failed => self.on_vote_connection_lost(slot),
             }
         }
         self.scratch = scratch;
@@ -118,7 +118,7 @@
     /// No reply will come: the vote cannot count unless all of it was written.
     fn on_vote_connection_lost(&mut self, slot: usize) {
         let Some(vote) = self.pipeline.votes.get(slot) else { return };
-        let outcome = if vote.socket.waits() { Outcome::Error } else { Outcome::Timeout };
+        let outcome = if vote.socket.has_unwritten_bytes() { Outcome::Error } else { Outcome::Timeout };
         self.close_vote(slot);
         self.end_vote(VoteReply { outcome, status: None });
     }
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use std::net::TcpStream;
 use violetseam::interface::Micros;
-use violetseam_event_io::{HIGH_WATER, ReadOutcome};
+use violetseam_event_io::{ReadOutcome, WRITE_BUFFER_HIGH_WATERMARK};
 use violetseam_http1::server::ServerEvent;
 use violetseam_settings::HalfClose;
 
@@ -90,9 +90,9 @@
                     client.http.feed(&scratch[..n]);
                     self.client_events(key);
                 }
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => self.on_client_half_closed(key),
-                ReadOutcome::Broken => self.on_client_lost(key),
+                ReadOutcome::Failed => self.on_client_lost(key),
             }
         }
         self.scratch = scratch;
@@ -153,7 +153,7 @@
         let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
         // While a process takes over, what comes next on a connection is for whoever has it then.
         let reads = !client.half_closed && !is_body_stuck && !is_full && !is_handing_over;
-        client.socket.want(&self.handle, reads);
+        client.socket.set_read_interest(&self.handle, reads);
     }
 
     /// Sets when the present state has lasted too long.
@@ -185,7 +185,7 @@
         let Some(request) = request.filter(|request| !request.is_complete) else { return false };
         let latest_server = request.connections.iter().rev().flatten().next();
         let server = latest_server.and_then(|&key| self.servers.get(key));
-        let is_server_slow = server.is_none_or(|server| server.unwritten() > HIGH_WATER);
+        let is_server_slow = server.is_none_or(|server| server.unwritten() > WRITE_BUFFER_HIGH_WATERMARK);
         is_server_slow && request.body.len() > self.settings.connections.keep_body
     }
 
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -9,7 +9,7 @@
 use super::timers::StateTimeout;
 use http::StatusCode;
 use violetseam::interface::{Micros, RequestId};
-use violetseam_event_io::{HIGH_WATER, Socket};
+use violetseam_event_io::{Socket, WRITE_BUFFER_HIGH_WATERMARK};
 use violetseam_http1::RequestHead;
 use violetseam_http1::server::ServerConn;
 
@@ -89,7 +89,7 @@
 
     /// It reads its answer slower than it comes.
     pub(super) fn is_slow(&self) -> bool {
-        self.socket.unwritten() > HIGH_WATER
+        self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
     /// The request whose answer it waits for.
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -19,12 +19,12 @@
         let purpose = self.request_purpose(&head);
         // The client's wait began when it sent; for as long as this event loop is late, the head may have been unread.
         let now = self.now();
-        let arrived_at = now - self.timers.behind(now, self.engine.next_deadline());
+        let arrived_at = now - self.timers.lateness(now, self.engine.next_deadline());
         let Some(client) = self.clients.get_mut(key) else { return };
         client.used = true;
         let expects_continue = head.expects_continue;
         if expects_continue {
-            client.http.write_continue(client.socket.out());
+            client.http.write_continue(client.socket.write_buffer());
         }
         let pending = PendingRequest { head, arrived_at, purpose, body: Vec::new() };
         client.state = State::Collecting(Box::new(pending));
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
 use violetseam::interface::RequestId;
-use violetseam_event_io::HIGH_WATER;
+use violetseam_event_io::WRITE_BUFFER_HIGH_WATERMARK;
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_site_protocol::answer_report;
 
@@ -37,8 +37,15 @@
         }
         fields.extend_from_slice(extra_fields);
         let framing = Framing::Length(body.len() as u64);
-        client.http.start_answer(client.socket.out(), status, &HeaderMap::new(), &fields, framing, close);
-        client.http.write_body(client.socket.out(), body.as_bytes());
+        client.http.start_answer(
+            client.socket.write_buffer(),
+            status,
+            &HeaderMap::new(),
+            &fields,
+            framing,
+            close,
+        );
+        client.http.write_body(client.socket.write_buffer(), body.as_bytes());
         self.finish_answer(key);
     }
 
@@ -87,7 +94,7 @@
             (self.settings.headers.answer.clone(), answer.as_bytes()),
             (OUTCOME_HEADER, &b"served"[..]),
         ];
-        let out = client.socket.out();
+        let out = client.socket.write_buffer();
         client.http.start_answer(out, head.status, &head.headers, &fields, framing, leaving);
         Some(key)
     }
@@ -95,13 +102,13 @@
     /// Writes bytes of an answer's body.
     pub(in super::super) fn write_answer_body(&mut self, key: usize, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.http.write_body(client.socket.out(), bytes);
+        client.http.write_body(client.socket.write_buffer(), bytes);
     }
 
     /// The present answer is complete: the connection carries on or closes once all is written.
     pub(in super::super) fn finish_answer(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let carries_on = client.http.finish_answer(client.socket.out()) && !client.half_closed;
+        let carries_on = client.http.finish_answer(client.socket.write_buffer()) && !client.half_closed;
         client.state = if carries_on { State::Idle } else { State::Closing };
         self.flush_client(key);
     }
@@ -112,7 +119,7 @@
         if client.socket.flush().is_err() {
             return self.on_client_lost(key);
         }
-        let drained = !client.socket.waits();
+        let drained = !client.socket.has_unwritten_bytes();
         match client.state {
             State::Closing if drained && client.half_closed => return self.close_client(key),
             State::Closing if drained => {
@@ -120,7 +127,7 @@
                 client.timeout.set(None);
                 client.socket.close_write();
             }
-            State::Waiting(id) if client.socket.unwritten() <= HIGH_WATER => {
+            State::Waiting(id) if client.socket.unwritten_bytes() <= WRITE_BUFFER_HIGH_WATERMARK => {
                 let server = self.in_flight.get(&id).and_then(|request| request.streaming_from);
                 if let Some(server) = server {
                     self.rearm_server(server);
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -80,7 +80,7 @@
         if exchange.socket.connect_error().is_some() || exchange.socket.flush().is_err() {
             return false;
         }
-        exchange.socket.want(&self.handle, true);
+        exchange.socket.set_read_interest(&self.handle, true);
         true
     }
 
@@ -94,8 +94,8 @@
                     exchange.http.feed(&scratch[..count]);
                     self.publisher_events(purpose, generation);
                 }
-                ReadOutcome::Nothing => break,
-                ReadOutcome::Closed | ReadOutcome::Broken => self.exchange_ended(purpose),
+                ReadOutcome::WouldBlock => break,
+                ReadOutcome::Closed | ReadOutcome::Failed => self.exchange_ended(purpose),
             }
         }
         self.scratch = scratch;
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -138,7 +138,7 @@
         options: &Options,
         stop_at: Option<Instant>,
     ) -> std::io::Result<()> {
-        let mut timeout = self.timers.wait(self.now(), self.engine.next_deadline());
+        let mut timeout = self.timers.poll_timeout(self.now(), self.engine.next_deadline());
         if let Some(at) = stop_at {
             timeout = timeout.min(at.saturating_duration_since(Instant::now()));
             if at <= Instant::now() {
--- a/crates/proxy/src/driver/http_request.rs
+++ b/crates/proxy/src/driver/http_request.rs
@@ -17,8 +17,8 @@
         "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    socket.out().extend_from_slice(head.as_bytes());
-    socket.out().extend_from_slice(body);
+    socket.write_buffer().extend_from_slice(head.as_bytes());
+    socket.write_buffer().extend_from_slice(body);
     let mut http = ClientConn::new(Limits::default());
     http.expect_answer(false);
     http
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -55,7 +55,7 @@
 use std::time::{Duration, Instant};
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
 use violetseam_http1::Limits as HeadLimits;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
@@ -180,7 +180,7 @@
     /// Ends once nothing is left in flight.
     ending: bool,
     stopping: bool,
-    log_limit: RateLimit,
+    log_limit: LogRateLimit,
     /// Clients whose input waits for its turn.
     resumed_clients: Vec<ConnectionId>,
     pumping: bool,
@@ -243,7 +243,7 @@
             listen_until: 0,
             ending: false,
             stopping: false,
-            log_limit: RateLimit::default(),
+            log_limit: LogRateLimit::default(),
             resumed_clients: Vec::new(),
             pumping: false,
             had_socket_events: false,
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -146,11 +146,11 @@
                 self.on_successor_message(&bytes);
                 ControlFlow::Break(())
             }
-            ReadOutcome::Bytes(_) | ReadOutcome::Nothing => {
+            ReadOutcome::Bytes(_) | ReadOutcome::WouldBlock => {
                 connection.last_read_at = now;
                 ControlFlow::Continue(())
             }
-            ReadOutcome::Closed | ReadOutcome::Broken => {
+            ReadOutcome::Closed | ReadOutcome::Failed => {
                 self.close_operator(key);
                 if is_successor {
                     self.abort_hand_over(&HandOverError::SuccessorGone);
@@ -170,7 +170,7 @@
                     self.send_answer(key, &Response::Malformed { reason: "line too long".into() });
                     return self.close_operator(key);
                 }
-                return connection.stream.want(&self.handle, true);
+                return connection.stream.set_read_interest(&self.handle, true);
             };
             if self.answer_line(key, line.trim_ascii_end()).is_break() {
                 return;
@@ -228,6 +228,6 @@
         if sent.is_err() || connection.stream.unwritten() > MAX_UNWRITTEN_BYTES {
             return self.close_operator(key);
         }
-        connection.stream.want(&self.handle, true);
+        connection.stream.set_read_interest(&self.handle, true);
     }
 }
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -92,7 +92,7 @@
         while !sealed.is_empty() {
             // Nothing is flushed on a fault: a peer without a trusted certificate gets no reason.
             if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
-                return ReadOutcome::Broken;
+                return ReadOutcome::Failed;
             }
             let mut plain = [0; READ_BYTES];
             loop {
@@ -103,18 +103,18 @@
                     }
                     Ok(n) => input.extend_from_slice(&plain[..n]),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(_) => return ReadOutcome::Broken,
+                    Err(_) => return ReadOutcome::Failed,
                 }
             }
         }
-        if self.flush().is_err() { ReadOutcome::Broken } else { ReadOutcome::Bytes(input.len() - before) }
+        if self.flush().is_err() { ReadOutcome::Failed } else { ReadOutcome::Bytes(input.len() - before) }
     }
 
     /// Takes bytes to be sent.
     pub(super) fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         match &mut self.tls {
             Some(tls) => tls.writer().write_all(bytes)?,
-            None => self.socket.out().extend_from_slice(bytes),
+            None => self.socket.write_buffer().extend_from_slice(bytes),
         }
         self.flush()
     }
@@ -123,7 +123,7 @@
     pub(super) fn flush(&mut self) -> std::io::Result<()> {
         if let Some(tls) = &mut self.tls {
             while tls.wants_write() {
-                tls.write_tls(self.socket.out())?;
+                tls.write_tls(self.socket.write_buffer())?;
             }
         }
         self.socket.flush().map(|_| ())
@@ -131,12 +131,12 @@
 
     /// Bytes that wait to be written.
     pub(super) fn unwritten(&self) -> usize {
-        self.socket.unwritten()
+        self.socket.unwritten_bytes()
     }
 
     /// Sets whether the connection is to be read.
-    pub(super) fn want(&self, handle: &LoopHandle<'static, Proxy>, read: bool) {
-        self.socket.want(handle, read);
+    pub(super) fn set_read_interest(&self, handle: &LoopHandle<'static, Proxy>, readable: bool) {
+        self.socket.set_read_interest(handle, readable);
     }
 
     /// Takes the connection off the event loop and closes it.
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -17,12 +17,12 @@
                     server.http.feed(&scratch[..n]);
                     self.server_events(key);
                 }
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => match server.http.close() {
                     Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
                     _ => self.on_server_lost(key),
                 },
-                ReadOutcome::Broken => self.on_server_lost(key),
+                ReadOutcome::Failed => self.on_server_lost(key),
             }
         }
         self.scratch = scratch;
@@ -143,7 +143,7 @@
     fn on_answer_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
         // A request that is not completely written cannot be distinguished from a next one by the server.
-        let reusable = reusable && !server.socket.waits();
+        let reusable = reusable && !server.socket.has_unwritten_bytes();
         let state = std::mem::replace(&mut server.state, State::Idle);
         let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
         let request = active.request;
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -77,12 +77,12 @@
 
     /// Bytes that wait to be written.
     pub fn unwritten(&self) -> usize {
-        self.socket.unwritten()
+        self.socket.unwritten_bytes()
     }
 
     /// Bytes to be written.
     pub fn out(&mut self) -> &mut Vec<u8> {
-        self.socket.out()
+        self.socket.write_buffer()
     }
 
     fn active(&self) -> Option<&ActiveAttempt> {
@@ -165,7 +165,7 @@
         let request = active.request;
         let buffered = in_flight.body.len();
         server.http.expect_answer(in_flight.is_head_request);
-        let out = server.socket.out();
+        let out = server.socket.write_buffer();
         out.extend_from_slice(&in_flight.head);
         if in_flight.is_chunked {
             write_chunk(out, &in_flight.body);
@@ -202,7 +202,7 @@
         let Some(server) = self.servers.get_mut(key) else { return };
         let mut reads = true;
         let timeout = match &server.state {
-            State::Connecting(_) => return server.socket.want_connected(&self.handle),
+            State::Connecting(_) => return server.socket.set_connect_interest(&self.handle),
             State::Busy(active) if active.answer.is_streaming() => {
                 let client = self.in_flight.get(&active.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
@@ -215,7 +215,7 @@
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
         server.timeout.arm(&mut self.timers, TimerKind::Server(id));
-        server.socket.want(&self.handle, reads);
+        server.socket.set_read_interest(&self.handle, reads);
     }
 
     /// The time that was set for a server connection's state may be over.
@@ -239,7 +239,7 @@
             return;
         }
         let server = self.servers.remove(key);
-        server.socket.end(&self.handle);
+        server.socket.close_now(&self.handle);
         if let Some(idle) = self.idle_servers.get_mut(&server.id) {
             idle.retain(|k| *k != key);
             if idle.is_empty() {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -216,7 +216,7 @@
                 Ok(n) => call.written |= n > 0,
                 Err(_) => return self.call_ended(key, &CallError::ConnectionLost),
             }
-            call.socket.want(&self.handle, true);
+            call.socket.set_read_interest(&self.handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_call(key);
@@ -232,7 +232,7 @@
                     call.http.feed(&scratch[..n]);
                     self.call_events(key);
                 }
-                ReadOutcome::Nothing => break,
+                ReadOutcome::WouldBlock => break,
                 ReadOutcome::Closed => {
                     if let Some(ClientEvent::End { .. }) = call.http.close() {
                         self.call_complete(key);
@@ -240,7 +240,7 @@
                     self.call_ended(key, &CallError::Closed);
                     break;
                 }
-                ReadOutcome::Broken => {
+                ReadOutcome::Failed => {
                     self.call_ended(key, &CallError::ConnectionLost);
                     break;
                 }
--- a/crates/publisher/src/connection.rs
+++ b/crates/publisher/src/connection.rs
@@ -7,7 +7,7 @@
 use http::header::{HeaderMap, HeaderName};
 use violetseam_distribution::Micros;
 use violetseam_distribution::message::{Line, MAX_REPORT_BYTES};
-use violetseam_event_io::{HIGH_WATER, ReadOutcome, Socket};
+use violetseam_event_io::{ReadOutcome, Socket, WRITE_BUFFER_HIGH_WATERMARK};
 use violetseam_http1::server::{ServerConn, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
@@ -69,7 +69,7 @@
 
     /// Whether its client sends requests without reading the responses.
     pub(crate) fn is_congested(&self) -> bool {
-        self.socket.unwritten() > HIGH_WATER
+        self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
     pub(crate) fn read(&mut self) -> ConnectionInput {
@@ -81,8 +81,8 @@
                 self.http.feed(&bytes[..count]);
                 ConnectionInput::Input
             }
-            ReadOutcome::Nothing => ConnectionInput::Nothing,
-            ReadOutcome::Closed | ReadOutcome::Broken => ConnectionInput::Closed,
+            ReadOutcome::WouldBlock => ConnectionInput::Nothing,
+            ReadOutcome::Closed | ReadOutcome::Failed => ConnectionInput::Closed,
         }
     }
 
@@ -93,7 +93,7 @@
     /// Begins a request.
     pub(crate) fn begin_request(&mut self, head: Box<RequestHead>) {
         if head.expects_continue {
-            self.http.write_continue(self.socket.out());
+            self.http.write_continue(self.socket.write_buffer());
         }
         self.head = Some(head);
     }
@@ -129,7 +129,7 @@
         let headers: Vec<(HeaderName, &[u8])> =
             response.headers.iter().map(|(name, value)| (name.clone(), value.as_bytes())).collect();
         let framing = Framing::Length(response.body.len() as u64);
-        let out = self.socket.out();
+        let out = self.socket.write_buffer();
         self.http.start_answer(out, response.status, &HeaderMap::new(), &headers, framing, close);
         self.http.write_body(out, &response.body);
         self.closing |= !self.http.finish_answer(out);
@@ -137,7 +137,7 @@
 
     /// Begins the endless response of a watch with these lines.
     pub(crate) fn begin_watch(&mut self, now: Micros, subscriber: String, lines: Vec<Line>) {
-        let out = self.socket.out();
+        let out = self.socket.write_buffer();
         self.http.start_answer(out, StatusCode::OK, &HeaderMap::new(), &[], Framing::Chunked, false);
         self.watch = Some(Watch::new(now, subscriber, lines));
     }
@@ -150,7 +150,7 @@
                 self.socket.flush()?;
             }
         }
-        if self.closing && !self.socket.waits() {
+        if self.closing && !self.socket.has_unwritten_bytes() {
             self.socket.close_write();
         }
         Ok(())
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -18,7 +18,7 @@
 use violetseam_distribution::message::Line;
 use violetseam_distribution::subscriber::HEARTBEAT_INTERVAL;
 use violetseam_event_io::Socket;
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
 use violetseam_event_io::timers::Timers;
 use violetseam_http1::server::ServerEvent;
 
@@ -45,7 +45,7 @@
     watches: HashMap<String, usize>,
     body_budget: BodyBudget,
     timers: Timers<ConnectionCheck>,
-    log_rate: RateLimit,
+    log_rate: LogRateLimit,
     started: Instant,
     stopping: bool,
     listener: Option<RegistrationToken>,
@@ -62,7 +62,7 @@
             watches: HashMap::new(),
             body_budget: BodyBudget::new(bounds.body_bytes),
             timers: Timers::default(),
-            log_rate: RateLimit::default(),
+            log_rate: LogRateLimit::default(),
             started: Instant::now(),
             stopping: false,
             listener: None,
@@ -96,7 +96,7 @@
 
     /// How long the loop may wait for events.
     pub(crate) fn wait(&self) -> Duration {
-        self.timers.wait(self.now(), None)
+        self.timers.poll_timeout(self.now(), None)
     }
 
     /// Checks connections that are due: heartbeats, slow readers, idle ones.
@@ -281,7 +281,7 @@
         if connection.write(now).is_err() {
             return self.close(key);
         }
-        connection.socket.want(&self.handle, true);
+        connection.socket.set_read_interest(&self.handle, true);
     }
 
     /// Begins the endless response to a subscriber's call; an earlier watch of the same name is closed.
--- a/crates/publisher/src/service.rs
+++ b/crates/publisher/src/service.rs
@@ -15,7 +15,7 @@
 use violetseam_distribution::publisher::{Publisher, SubscribeResponse, SubscriberStatus};
 use violetseam_distribution::resource::{MAX_ROUTES, MAX_TENANTS};
 use violetseam_distribution::{ApplyError, Change, Micros, Report, Resource, Subscribe};
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
 
 /// Missing deltas of more bytes than this pass admission as a snapshot does.
 const MAX_UNADMITTED_DELTA_BYTES: usize = 256 * 1024;
@@ -61,7 +61,7 @@
     pub(crate) now: Micros,
     /// The keys of the open watches by subscriber.
     pub(crate) watches: &'a HashMap<String, usize>,
-    pub(crate) log_rate: &'a mut RateLimit,
+    pub(crate) log_rate: &'a mut LogRateLimit,
 }
 
 /// The lines of a response to a subscriber, or the wait until it may retry.
--- a/crates/publisher/src/watch.rs
+++ b/crates/publisher/src/watch.rs
@@ -94,23 +94,23 @@
                 break;
             }
             written += socket.flush()?;
-            if socket.waits() || self.backlog.is_empty() {
+            if socket.has_unwritten_bytes() || self.backlog.is_empty() {
                 break;
             }
         }
         if written > 0 {
             self.sent_at = now;
         }
-        self.behind_since = socket.waits().then(|| self.behind_since.unwrap_or(now));
+        self.behind_since = socket.has_unwritten_bytes().then(|| self.behind_since.unwrap_or(now));
         Ok(())
     }
 
     /// Copies pieces of lines, so that a long line takes no more room in each watch than a short one.
     fn write_ahead(&mut self, http: &mut ServerConn, socket: &mut Socket) {
-        while socket.unwritten() < WRITE_AHEAD_BYTES {
+        while socket.unwritten_bytes() < WRITE_AHEAD_BYTES {
             let Some(line) = self.backlog.front() else { return };
             let end = line.len().min(self.written_of_first + WRITE_AHEAD_BYTES);
-            http.write_body(socket.out(), &line[self.written_of_first..end]);
+            http.write_body(socket.write_buffer(), &line[self.written_of_first..end]);
             self.written_of_first = end;
             if end == line.len() {
                 self.pop();
--- a/crates/scale-bench/src/hollow_registry.rs
+++ b/crates/scale-bench/src/hollow_registry.rs
@@ -242,7 +242,7 @@
 
     /// What stands now, for those who look from outside.
     fn look(&mut self) {
-        let unsent: usize = self.conns.iter().map(|(_, conn)| conn.socket.unwritten()).sum();
+        let unsent: usize = self.conns.iter().map(|(_, conn)| conn.socket.unwritten_bytes()).sum();
         let watches = self.conns.iter().filter(|(_, conn)| conn.watch.is_some()).count();
         self.counters.unsent.store(unsent as u64, Ordering::Relaxed);
         self.counters.watches.store(watches as u64, Ordering::Relaxed);
@@ -263,8 +263,8 @@
                 conn.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.close(key),
         }
     }
 
@@ -297,7 +297,7 @@
         match conn.socket.flush() {
             Ok(sent) => {
                 add(&self.counters.sent, if conn.counted { sent as u64 } else { 0 });
-                conn.socket.want(&self.handle, true);
+                conn.socket.set_read_interest(&self.handle, true);
             }
             Err(_) => self.close(key),
         }
@@ -346,7 +346,7 @@
 
     fn begin_answer(&mut self, key: usize, line: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let (out, none) = (conn.socket.write_buffer(), HeaderMap::new());
         let framing = if whole { Framing::Length(line.len() as u64) } else { Framing::Chunked };
         conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
         conn.http.write_body(out, line);
@@ -373,7 +373,7 @@
             add(&self.counters.deltas, 1);
             if let Some(conn) = self.conns.get_mut(key) {
                 conn.watch = Some(self.list.version());
-                conn.http.write_body(conn.socket.out(), &line);
+                conn.http.write_body(conn.socket.write_buffer(), &line);
             }
             self.flush(key);
         }
--- a/crates/scale-bench/src/hollow_release.rs
+++ b/crates/scale-bench/src/hollow_release.rs
@@ -364,10 +364,10 @@
             self.controller,
             body.len()
         );
-        socket.out().extend_from_slice(head.as_bytes());
-        socket.out().extend_from_slice(body);
+        socket.write_buffer().extend_from_slice(head.as_bytes());
+        socket.write_buffer().extend_from_slice(body);
         if purpose == Purpose::Vote {
-            self.counts.voted += socket.unwritten() as u64;
+            self.counts.voted += socket.unwritten_bytes() as u64;
         }
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
@@ -382,7 +382,7 @@
             if call.socket.connect_error().is_some() || call.socket.flush().is_err() {
                 return self.call_lost(key);
             }
-            call.socket.want(&self.handle, true);
+            call.socket.set_read_interest(&self.handle, true);
         }
         if !(ready.readable || ready.error) {
             return;
@@ -398,8 +398,8 @@
                 call.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.call_lost(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.call_lost(key),
         }
     }
 
--- a/crates/scenarios/src/measure.rs
+++ b/crates/scenarios/src/measure.rs
@@ -65,15 +65,15 @@
                 while let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
                     held.drain(..end + 4);
                     if !self.silent.load(Ordering::Relaxed) {
-                        socket.out().extend_from_slice(ANSWER);
+                        socket.write_buffer().extend_from_slice(ANSWER);
                     }
                 }
                 if socket.flush().is_ok() {
-                    return socket.want(&self.handle, true);
+                    return socket.set_read_interest(&self.handle, true);
                 }
             }
-            ReadOutcome::Nothing => return,
-            ReadOutcome::Closed | ReadOutcome::Broken => {}
+            ReadOutcome::WouldBlock => return,
+            ReadOutcome::Closed | ReadOutcome::Failed => {}
         }
         let (socket, _) = self.conns.remove(key);
         socket.remove(&self.handle);
@@ -123,7 +123,7 @@
     fn fire(&mut self, n: usize, began: Instant) {
         let (socket, _, at, out) = &mut self.conns[n];
         (*at, *out) = (began, true);
-        socket.out().extend_from_slice(REQUEST);
+        socket.write_buffer().extend_from_slice(REQUEST);
         if socket.flush().is_err() {
             self.broken += 1;
         }
@@ -137,8 +137,8 @@
         let (socket, held, at, out) = &mut self.conns[n];
         match socket.read(&mut bytes) {
             ReadOutcome::Bytes(count) => held.extend_from_slice(&bytes[..count]),
-            ReadOutcome::Nothing => return,
-            ReadOutcome::Closed | ReadOutcome::Broken => {
+            ReadOutcome::WouldBlock => return,
+            ReadOutcome::Closed | ReadOutcome::Failed => {
                 self.broken += u64::from(*out);
                 socket.remove(&self.handle);
                 return;
--- a/crates/simulated-site/src/drive/clients.rs
+++ b/crates/simulated-site/src/drive/clients.rs
@@ -322,7 +322,7 @@
             text += "x-retry: 1\r\n";
         }
         text += if method == "POST" { "content-length: 4\r\n\r\nwork" } else { "\r\n" };
-        conn.socket.out().extend_from_slice(text.as_bytes());
+        conn.socket.write_buffer().extend_from_slice(text.as_bytes());
         conn.http.expect_answer(false);
         // The deadline as told: what the milliseconds cut off is not the proxy's to lose.
         let (proxy, class_index) = (conn.proxy as u32, wish.class);
@@ -340,7 +340,7 @@
         if conn.socket.flush().is_err() {
             return self.lost(key);
         }
-        conn.socket.want(&self.handle, true);
+        conn.socket.set_read_interest(&self.handle, true);
     }
 
     fn on_ready(&mut self, key: usize, readiness: Readiness) {
@@ -383,8 +383,8 @@
                 conn.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.lost(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.lost(key),
         }
     }
 
@@ -577,7 +577,7 @@
             "POST /.well-known/wrong-answer HTTP/1.1\r\nhost: lab\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        socket.out().extend_from_slice(text.as_bytes());
+        socket.write_buffer().extend_from_slice(text.as_bytes());
         let mut http = ClientConn::new(Limits::default());
         http.expect_answer(false);
         entry.insert(Conn { generation, proxy, socket, http, work: Work::Flag, connected: false });
--- a/crates/simulated-site/src/drive/site_http.rs
+++ b/crates/simulated-site/src/drive/site_http.rs
@@ -94,8 +94,8 @@
                 conn.http.feed(&bytes[..n]);
                 self.events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.close(key),
         }
     }
 
@@ -216,7 +216,7 @@
             return self.sever(key);
         }
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let (out, none) = (conn.socket.write_buffer(), HeaderMap::new());
         conn.http.start_answer(out, status, &none, &fields, Framing::Length(3), false);
         conn.http.write_body(out, b"ok\n");
         conn.http.finish_answer(out);
--- a/crates/simulated-site/src/drive/streams.rs
+++ b/crates/simulated-site/src/drive/streams.rs
@@ -15,7 +15,7 @@
         if conn.socket.flush().is_err() {
             return self.close(key);
         }
-        conn.socket.want(&self.handle, true);
+        conn.socket.set_read_interest(&self.handle, true);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -94,7 +94,7 @@
         }
         let mut jobs = Vec::new();
         for (_, conn) in self.conns.iter_mut().filter(|(_, c)| c.role == Role::Server(machine)) {
-            conn.socket.want(&self.handle, false);
+            conn.socket.set_read_interest(&self.handle, false);
             jobs.extend(conn.job.take());
         }
         for job in jobs {
@@ -113,7 +113,7 @@
     /// Starts an answer of lines; `whole`: it ends with them.
     pub(super) fn stream(&mut self, key: usize, lines: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let (out, none) = (conn.socket.write_buffer(), HeaderMap::new());
         let framing = if whole { Framing::Length(lines.len() as u64) } else { Framing::Chunked };
         conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
         conn.http.write_body(out, lines);
@@ -125,7 +125,7 @@
 
     pub(super) fn stream_more(&mut self, key: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        conn.http.write_body(conn.socket.out(), line);
+        conn.http.write_body(conn.socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -139,7 +139,7 @@
                     self.stream(key, &body, true);
                 }
                 Later::Read(key, generation) if fresh(key, generation) => {
-                    self.conns[key].socket.want(&self.handle, true);
+                    self.conns[key].socket.set_read_interest(&self.handle, true);
                 }
                 Later::Reply(..) | Later::Read(..) => {}
             }
