--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -2,7 +2,7 @@
 
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
-use super::{Client, FIRST_REQUEST_TIMEOUT, State};
+use super::{Client, ClientState, FIRST_REQUEST_TIMEOUT};
 use calloop::Readiness;
 use http::StatusCode;
 use std::net::TcpStream;
@@ -32,7 +32,7 @@
     pub(in super::super) fn close_idle_clients(&mut self) {
         for key in self.idle_clients() {
             self.read_client(key);
-            if self.clients.get(key).is_some_and(|c| c.used && c.is_between_requests()) {
+            if self.clients.get(key).is_some_and(|c| c.has_received_request && c.is_between_requests()) {
                 self.close_client(key);
             }
         }
@@ -78,7 +78,7 @@
         if readiness.readable || readiness.error {
             self.read_client(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Reads once.
@@ -104,13 +104,13 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         let serve = self.settings.connections.half_close == HalfClose::Serve;
         match client.state {
-            State::Waiting(id)
+            ClientState::AwaitingResponse(id)
                 if serve && self.in_flight.get(&id).is_some_and(|request| request.is_complete) =>
             {
                 client.half_closed = true;
             }
-            State::Closing => client.half_closed = true,
-            State::Lingering => self.close_client(key),
+            ClientState::Closing => client.half_closed = true,
+            ClientState::Lingering => self.close_client(key),
             _ => self.on_client_lost(key),
         }
     }
@@ -125,12 +125,12 @@
                 ServerEvent::End => self.on_end(key),
                 ServerEvent::Fault(fault) => {
                     tracing::debug!("request refused: {fault}");
-                    if let State::Waiting(id) = client.state {
-                        client.state = State::Idle;
+                    if let ClientState::AwaitingResponse(id) = client.state {
+                        client.state = ClientState::Idle;
                         let now = self.now();
                         self.engine.on_client_disconnected(now, id);
                     }
-                    self.decline(key, fault.status, fault.reason);
+                    self.respond_with_error(key, fault.status, fault.reason);
                 }
             }
         }
@@ -163,13 +163,13 @@
         let settings = &self.settings.connections;
         let Some(client) = self.clients.get_mut(key) else { return };
         let timeout = match &client.state {
-            State::Waiting(_) => None,
-            State::Collecting(_) => Some(settings.body_timeout),
-            State::Idle if client.http.is_receiving() => Some(settings.head_timeout),
-            State::Idle if client.used => Some(settings.client_idle),
-            State::Idle => Some(first_request_timeout),
-            State::Closing => Some(settings.head_timeout),
-            State::Lingering => Some(LINGER_TIMEOUT),
+            ClientState::AwaitingResponse(_) => None,
+            ClientState::ReceivingBody(_) => Some(settings.body_timeout),
+            ClientState::Idle if client.http.is_receiving() => Some(settings.head_timeout),
+            ClientState::Idle if client.has_received_request => Some(settings.client_idle),
+            ClientState::Idle => Some(first_request_timeout),
+            ClientState::Closing => Some(settings.head_timeout),
+            ClientState::Lingering => Some(LINGER_TIMEOUT),
         };
         // A client that trickles its head must not push its own limit on with each byte.
         let timeout_at = timeout.map(|timeout| now + timeout);
@@ -197,9 +197,10 @@
         if !client.timeout.on_timer(now, &mut self.timers, TimerKind::Client(id)) {
             return;
         }
-        let is_receiving = client.http.is_receiving() || matches!(client.state, State::Collecting(_));
-        if is_receiving && !matches!(client.state, State::Closing | State::Lingering) {
-            self.decline(id.key, StatusCode::REQUEST_TIMEOUT, "the request did not come in time");
+        let is_receiving =
+            client.http.is_receiving() || matches!(client.state, ClientState::ReceivingBody(_));
+        if is_receiving && !matches!(client.state, ClientState::Closing | ClientState::Lingering) {
+            self.respond_with_error(id.key, StatusCode::REQUEST_TIMEOUT, "the request did not come in time");
         } else {
             self.close_client(id.key);
         }
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -2,7 +2,7 @@
 
 use super::super::timers::{ACCEPT_PAUSE, StateTimeout, TimerKind};
 use super::super::{ClientListener, ConnectionId, Proxy};
-use super::{Client, FIRST_REQUEST_TIMEOUT, State};
+use super::{Client, ClientState, FIRST_REQUEST_TIMEOUT};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{TcpListener, TcpStream};
@@ -154,8 +154,8 @@
             generation,
             socket,
             http,
-            state: State::Idle,
-            used: false,
+            state: ClientState::Idle,
+            has_received_request: false,
             half_closed: false,
             timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -21,22 +21,22 @@
     generation: u64,
     socket: Socket,
     http: ServerConn,
-    state: State,
+    state: ClientState,
     /// A request's head has come on it.
-    used: bool,
+    has_received_request: bool,
     /// The client closed its side; it may still read.
     half_closed: bool,
     timeout: StateTimeout,
 }
 
 /// What a client connection is doing.
-enum State {
+enum ClientState {
     /// Between requests, or within a head.
     Idle,
     /// A head has come; its body is on the way.
-    Collecting(Box<PendingRequest>),
+    ReceivingBody(Box<PendingRequest>),
     /// The engine has the request.
-    Waiting(RequestId),
+    AwaitingResponse(RequestId),
     /// The last answer is being written.
     Closing,
     /// It is written and this side closed. What the client still sends is read and dropped for a while: to
@@ -59,7 +59,7 @@
     /// It reports an answer wrong.
     AnswerReport,
     /// It gets this answer, once it is complete.
-    Decline { status: StatusCode, reason: &'static str },
+    RespondWithError { status: StatusCode, reason: &'static str },
 }
 
 /// A request that the engine has: what it takes to send it, and where its answer goes.
@@ -84,7 +84,7 @@
 impl Client {
     /// No answer is pending and nothing of a next request has come.
     fn is_between_requests(&self) -> bool {
-        matches!(self.state, State::Idle) && self.http.is_idle()
+        matches!(self.state, ClientState::Idle) && self.http.is_idle()
     }
 
     /// It reads its answer slower than it comes.
@@ -95,7 +95,7 @@
     /// The request whose answer it waits for.
     fn waiting_request(&self) -> Option<RequestId> {
         match self.state {
-            State::Waiting(id) => Some(id),
+            ClientState::AwaitingResponse(id) => Some(id),
             _ => None,
         }
     }
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of clients: what becomes of them, and what the engine and the servers get of them.
 
 use super::super::{ConnectionId, Proxy};
-use super::{InFlightRequest, PendingRequest, RequestPurpose, State};
+use super::{ClientState, InFlightRequest, PendingRequest, RequestPurpose};
 use http::header::HeaderName;
 use http::{Method, StatusCode};
 use violetseam::interface::{Idempotency, Micros, Request, RequestId};
@@ -21,13 +21,13 @@
         let now = self.now();
         let arrived_at = now - self.timers.lateness(now, self.engine.next_deadline());
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.used = true;
+        client.has_received_request = true;
         let expects_continue = head.expects_continue;
         if expects_continue {
             client.http.write_continue(client.socket.write_buffer());
         }
         let pending = PendingRequest { head, arrived_at, purpose, body: Vec::new() };
-        client.state = State::Collecting(Box::new(pending));
+        client.state = ClientState::ReceivingBody(Box::new(pending));
         if expects_continue {
             self.flush_client(key);
         }
@@ -40,7 +40,7 @@
         if path == s.connections.flag_path {
             return match head.method {
                 Method::POST => RequestPurpose::AnswerReport,
-                _ => RequestPurpose::Decline {
+                _ => RequestPurpose::RespondWithError {
                     status: StatusCode::METHOD_NOT_ALLOWED,
                     reason: "reports are posted",
                 },
@@ -49,12 +49,12 @@
         let distributed = self.subscription.as_ref().and_then(|subscription| subscription.table());
         let routes = distributed.unwrap_or(&s.route_table);
         let Some(route) = routes.find(&head.method, path) else {
-            return RequestPurpose::Decline { status: StatusCode::NOT_FOUND, reason: "no route" };
+            return RequestPurpose::RespondWithError { status: StatusCode::NOT_FOUND, reason: "no route" };
         };
         // Without its key no server could drop a repeat.
         let keyed = s.decisions.classes[route.class].idempotency == Idempotency::Keyed;
         if keyed && !head.headers.contains_key(&s.headers.key) {
-            return RequestPurpose::Decline {
+            return RequestPurpose::RespondWithError {
                 status: StatusCode::BAD_REQUEST,
                 reason: "a request of this class needs its key",
             };
@@ -67,9 +67,9 @@
         let keep = self.settings.connections.keep_body;
         let Some(client) = self.clients.get_mut(key) else { return };
         match &mut client.state {
-            State::Collecting(pending) => {
+            ClientState::ReceivingBody(pending) => {
                 match pending.purpose {
-                    RequestPurpose::Decline { .. } => return,
+                    RequestPurpose::RespondWithError { .. } => return,
                     RequestPurpose::AnswerReport if pending.body.len() > answer_report::MAX_BODY_BYTES => {
                         return;
                     }
@@ -79,11 +79,11 @@
                     self.begin_request(key, false);
                 }
             }
-            State::Waiting(id) => {
+            ClientState::AwaitingResponse(id) => {
                 let id = *id;
                 self.append_body(id, &bytes);
             }
-            State::Idle | State::Closing | State::Lingering => {}
+            ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
         }
     }
 
@@ -91,16 +91,18 @@
     pub(super) fn on_end(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         match &client.state {
-            State::Collecting(pending) => match pending.purpose {
+            ClientState::ReceivingBody(pending) => match pending.purpose {
                 RequestPurpose::Route { .. } => self.begin_request(key, true),
                 RequestPurpose::AnswerReport => self.on_answer_report(key),
-                RequestPurpose::Decline { status, reason } => self.decline(key, status, reason),
+                RequestPurpose::RespondWithError { status, reason } => {
+                    self.respond_with_error(key, status, reason);
+                }
             },
-            State::Waiting(id) => {
+            ClientState::AwaitingResponse(id) => {
                 let id = *id;
                 self.complete_body(id);
             }
-            State::Idle | State::Closing | State::Lingering => {}
+            ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
         }
     }
 
@@ -108,7 +110,10 @@
     fn begin_request(&mut self, key: usize, is_complete: bool) {
         let settings = self.settings.clone();
         let Some(client) = self.clients.get_mut(key) else { return };
-        let State::Collecting(pending) = std::mem::replace(&mut client.state, State::Idle) else { return };
+        let ClientState::ReceivingBody(pending) = std::mem::replace(&mut client.state, ClientState::Idle)
+        else {
+            return;
+        };
         let PendingRequest { head, arrived_at, purpose, body } = *pending;
         let RequestPurpose::Route { class } = purpose else { return };
         let framing = if is_complete { Framing::Length(body.len() as u64) } else { head.framing };
@@ -126,7 +131,7 @@
         let now = self.now();
         let id = self.engine.on_request(now, routed_request(&settings, &head, class, arrived_at), true);
         if let Some(client) = self.clients.get_mut(key) {
-            client.state = State::Waiting(id);
+            client.state = ClientState::AwaitingResponse(id);
         }
         self.in_flight.insert(id, request);
     }
@@ -136,7 +141,7 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         let Some(key) = request.latest_connection() else { return request.body.extend_from_slice(bytes) };
         match self.servers.get_mut(key) {
-            Some(server) if server.took_request() => {
+            Some(server) if server.has_request() => {
                 if request.is_chunked {
                     write_chunk(server.out(), bytes);
                 } else {
@@ -154,7 +159,7 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         request.is_complete = true;
         let Some(key) = request.latest_connection() else { return };
-        let Some(server) = self.servers.get_mut(key).filter(|server| server.took_request()) else { return };
+        let Some(server) = self.servers.get_mut(key).filter(|server| server.has_request()) else { return };
         if request.is_chunked {
             write_last_chunk(server.out());
         }
@@ -164,7 +169,10 @@
     fn on_answer_report(&mut self, key: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
-        let State::Collecting(pending) = std::mem::replace(&mut client.state, State::Idle) else { return };
+        let ClientState::ReceivingBody(pending) = std::mem::replace(&mut client.state, ClientState::Idle)
+        else {
+            return;
+        };
         match answer_report::parse(&pending.body) {
             Ok(answer) if self.engine.on_answer_reported(now, answer) => {
                 self.write_local_response(key, StatusCode::ACCEPTED, "", &[]);
@@ -177,7 +185,7 @@
     }
 
     /// The request is no longer in flight.
-    pub(in super::super) fn forget(&mut self, id: RequestId) {
+    pub(in super::super) fn forget_request(&mut self, id: RequestId) {
         self.in_flight.remove(&id);
     }
 }
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -1,7 +1,7 @@
 //! Answers to clients: the proxy's own, and those of servers as they are passed on.
 
 use super::super::{ConnectionId, Proxy};
-use super::State;
+use super::ClientState;
 use crate::engine::LocalResponse;
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
@@ -15,9 +15,9 @@
 
 impl Proxy {
     /// Answers what never reaches the engine. Faults close the connection, refused routes do not.
-    pub(super) fn decline(&mut self, key: usize, status: StatusCode, reason: &str) {
+    pub(super) fn respond_with_error(&mut self, key: usize, status: StatusCode, reason: &str) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.state = State::Idle;
+        client.state = ClientState::Idle;
         self.write_local_response(key, status, &format!("{reason}\n"), &[]);
     }
 
@@ -46,11 +46,11 @@
             close,
         );
         client.http.write_body(client.socket.write_buffer(), body.as_bytes());
-        self.finish_answer(key);
+        self.finish_response(key);
     }
 
     /// A final answer that no server gave: refused 503, failed 502 or 504.
-    pub(in super::super) fn respond_now(&mut self, request: RequestId, response: LocalResponse) {
+    pub(in super::super) fn send_local_response(&mut self, request: RequestId, response: LocalResponse) {
         let Some(key) = self.waiting_client(request) else { return };
         tracing::debug!(request, answer = ?response, "final answer");
         match response {
@@ -78,7 +78,7 @@
     }
 
     /// Starts the client's answer, as a server gave it; none if no client waits for it any more.
-    pub(in super::super) fn start_answer(
+    pub(in super::super) fn start_response(
         &mut self,
         id: RequestId,
         head: &ResponseHead,
@@ -100,16 +100,16 @@
     }
 
     /// Writes bytes of an answer's body.
-    pub(in super::super) fn write_answer_body(&mut self, key: usize, bytes: &[u8]) {
+    pub(in super::super) fn write_response_body(&mut self, key: usize, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.http.write_body(client.socket.write_buffer(), bytes);
     }
 
     /// The present answer is complete: the connection carries on or closes once all is written.
-    pub(in super::super) fn finish_answer(&mut self, key: usize) {
+    pub(in super::super) fn finish_response(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let carries_on = client.http.finish_answer(client.socket.write_buffer()) && !client.half_closed;
-        client.state = if carries_on { State::Idle } else { State::Closing };
+        client.state = if carries_on { ClientState::Idle } else { ClientState::Closing };
         self.flush_client(key);
     }
 
@@ -121,25 +121,27 @@
         }
         let drained = !client.socket.has_unwritten_bytes();
         match client.state {
-            State::Closing if drained && client.half_closed => return self.close_client(key),
-            State::Closing if drained => {
-                client.state = State::Lingering;
+            ClientState::Closing if drained && client.half_closed => return self.close_client(key),
+            ClientState::Closing if drained => {
+                client.state = ClientState::Lingering;
                 client.timeout.set(None);
                 client.socket.close_write();
             }
-            State::Waiting(id) if client.socket.unwritten_bytes() <= WRITE_BUFFER_HIGH_WATERMARK => {
+            ClientState::AwaitingResponse(id)
+                if client.socket.unwritten_bytes() <= WRITE_BUFFER_HIGH_WATERMARK =>
+            {
                 let server = self.in_flight.get(&id).and_then(|request| request.streaming_from);
                 if let Some(server) = server {
                     self.rearm_server(server);
                 }
             }
-            State::Idle if self.draining && client.http.is_idle() && drained => {
+            ClientState::Idle if self.draining && client.http.is_idle() && drained => {
                 return self.close_client(key);
             }
-            // A pipelined request may be waiting in the input: it gets its turn from `pump`, as to handle it
+            // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as to handle it
             // from here would go a level deeper with each one that is answered at once.
-            State::Idle if client.http.held() > 0 => {
-                self.resumed_clients.push(ConnectionId { key, generation: client.generation });
+            ClientState::Idle if client.http.held() > 0 => {
+                self.clients_to_resume.push(ConnectionId { key, generation: client.generation });
             }
             _ => {}
         }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -8,7 +8,7 @@
 //! - `saved_list.rs`: the server list on disk
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
 //! - `configuration_store.rs`: the last good configuration on disk
-//! - `operators/`: the control sockets, commands and the reading of the state
+//! - `operators/`: the control sockets, commands and the state that they read
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
 //! - `takeover.rs`: a new process takes the sockets and what the module learned
@@ -41,7 +41,7 @@
 use clients::{Client, InFlightRequest};
 use configuration::Subscription;
 use operators::ControlServer;
-use operators::reading::AttemptsByBuild;
+use operators::daemon_state::AttemptsByBuild;
 use rand::{Rng, RngExt, SeedableRng};
 use servers::Server;
 use site_calls::Call;
@@ -182,8 +182,8 @@
     stopping: bool,
     log_limit: LogRateLimit,
     /// Clients whose input waits for its turn.
-    resumed_clients: Vec<ConnectionId>,
-    pumping: bool,
+    clients_to_resume: Vec<ConnectionId>,
+    is_running_actions: bool,
     /// Sockets were ready in this turn.
     had_socket_events: bool,
     last_vote: Option<String>,
@@ -244,8 +244,8 @@
             ending: false,
             stopping: false,
             log_limit: LogRateLimit::default(),
-            resumed_clients: Vec::new(),
-            pumping: false,
+            clients_to_resume: Vec::new(),
+            is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -59,18 +59,18 @@
     pub(super) fn queue_command(&mut self, queued: QueuedCommand) {
         let Some(control) = &mut self.control else { return };
         if control.queue.len() >= MAX_QUEUED_COMMANDS {
-            return self.refuse_command(queued.connection.key, "too many commands wait");
+            return self.reject_command(queued.connection.key, "too many commands wait");
         }
         control.queue.push_back(queued);
         self.start_next_command();
     }
 
-    fn refuse_command(&mut self, key: usize, reason: &str) {
+    fn reject_command(&mut self, key: usize, reason: &str) {
         let reason = reason.to_owned();
-        self.send_answer(key, &Response::Command(Reply::Rejected { reason }));
+        self.send_response(key, &Response::Command(Reply::Rejected { reason }));
     }
 
-    fn present(&self) -> DaemonContext {
+    fn daemon_context(&self) -> DaemonContext {
         let boot = self.control.as_ref().map_or(0, |control| control.boot);
         DaemonContext {
             boot,
@@ -83,14 +83,14 @@
 
     /// Decides on the next command and has it stored, unless one is being stored: commands have one order.
     fn start_next_command(&mut self) {
-        let present = self.present();
+        let context = self.daemon_context();
         let Some(control) = self.control.as_mut().filter(|control| control.in_progress.is_none()) else {
             return;
         };
         let Some(queued) = control.queue.pop_front() else { return };
         let now = wall_clock();
         let mut log_after = control.command_log.clone();
-        let Decision { reply, change } = log_after.submit(now, present, &queued.command);
+        let Decision { reply, change } = log_after.submit(now, context, &queued.command);
         let audit_line = audit_line(now, &queued.command, &reply);
         let request = PersistRequest { state: log_after.persisted().clone(), audit_line };
         let is_sent = control
@@ -99,7 +99,7 @@
             .is_some_and(|to_state_writer| to_state_writer.send(request).is_ok());
         if !is_sent {
             let reason = "the state is with another process, or its keeper has failed";
-            return self.refuse_command(queued.connection.key, reason);
+            return self.reject_command(queued.connection.key, reason);
         }
         control.in_progress = Some(CommandInProgress { queued, log_after, reply, change });
     }
@@ -112,14 +112,14 @@
         let reply = match persisted.result {
             Ok(()) => {
                 control.command_log = log_after;
-                self.apply_change(change).map_or_else(refused, |()| reply)
+                self.apply_change(change).map_or_else(rejected_reply, |()| reply)
             }
             Err(error) => Reply::Rejected { reason: format!("the daemon's state cannot be kept: {error}") },
         };
         let Command { id, issuer, action, .. } = &queued.command;
         tracing::info!(target: "operator", id, issuer, act = action.name(), ?reply, "command");
         if self.control.as_ref().is_some_and(|control| control.is_open(queued.connection)) {
-            self.send_answer(queued.connection.key, &Response::Command(reply));
+            self.send_response(queued.connection.key, &Response::Command(reply));
         }
         self.start_next_command();
     }
@@ -146,7 +146,7 @@
     /// Ends a pause that has expired, publishes a control socket that could not be published before, and logs the
     /// connections that were rejected.
     pub(in super::super) fn control_upkeep(&mut self) {
-        let present = self.present();
+        let context = self.daemon_context();
         let Some(control) = self.control.as_mut().filter(|control| control.in_progress.is_none()) else {
             return;
         };
@@ -160,7 +160,7 @@
             tracing::error!("the control socket cannot be moved to its path: {error}");
         }
         let Some(control) = self.control.as_mut() else { return };
-        if control.command_log.expire(wall_clock(), present).is_some() {
+        if control.command_log.expire(wall_clock(), context).is_some() {
             // Stored with the next command; until then a restart finds the pause expired, too.
             tracing::info!(target: "operator", "the pause has ended");
             let now = self.now();
@@ -169,7 +169,7 @@
     }
 }
 
-fn refused(error: ApplyError) -> Reply {
+fn rejected_reply(error: ApplyError) -> Reply {
     Reply::Rejected { reason: error.to_string() }
 }
 
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -129,8 +129,8 @@
         if is_readable && self.read_operator(key).is_break() {
             return;
         }
-        self.answer_lines(key);
-        self.pump();
+        self.handle_requests(key);
+        self.run_engine_actions();
     }
 
     /// Reads once; breaks off where nothing read is a question.
@@ -155,37 +155,37 @@
                 if is_successor {
                     self.abort_hand_over(&HandOverError::SuccessorGone);
                 }
-                self.pump();
+                self.run_engine_actions();
                 ControlFlow::Break(())
             }
         }
     }
 
-    fn answer_lines(&mut self, key: usize) {
+    fn handle_requests(&mut self, key: usize) {
         loop {
             let Some(control) = &mut self.control else { return };
             let Some(connection) = control.connections.get_mut(key) else { return };
             let Some(line) = connection.next_line() else {
                 if connection.input.len() > wire::MAX_LINE_BYTES {
-                    self.send_answer(key, &Response::Malformed { reason: "line too long".into() });
+                    self.send_response(key, &Response::Malformed { reason: "line too long".into() });
                     return self.close_operator(key);
                 }
                 return connection.stream.set_read_interest(&self.handle, true);
             };
-            if self.answer_line(key, line.trim_ascii_end()).is_break() {
+            if self.handle_request(key, line.trim_ascii_end()).is_break() {
                 return;
             }
         }
     }
 
     /// Answers one line; breaks off where the connection is a successor's from here on.
-    fn answer_line(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
+    fn handle_request(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
         let Some(control) = &self.control else { return ControlFlow::Break(()) };
         let Some(connection) = control.connections.get(key) else { return ControlFlow::Break(()) };
         let ask = match wire::parse_request(line) {
             Ok(ask) => ask,
             Err(error) => {
-                self.send_answer(key, &Response::Malformed { reason: error.to_string() });
+                self.send_response(key, &Response::Malformed { reason: error.to_string() });
                 return ControlFlow::Continue(());
             }
         };
@@ -193,11 +193,11 @@
             Request::Whoami => {
                 let version = env!("CARGO_PKG_VERSION").to_owned();
                 let answer = Response::Whoami { name: self.own_name(), boot: control.boot, version };
-                self.send_answer(key, &answer);
+                self.send_response(key, &answer);
             }
             Request::State => {
-                let reading = self.reading();
-                self.send_answer(key, &Response::State(Box::new(reading)));
+                let reading = self.daemon_state();
+                self.send_response(key, &Response::State(Box::new(reading)));
             }
             Request::Takeover if connection.is_local() => {
                 self.start_hand_over(key);
@@ -205,7 +205,7 @@
             }
             Request::Takeover => {
                 let reason = "sockets are handed over on the local control socket alone".into();
-                self.send_answer(key, &Response::Malformed { reason });
+                self.send_response(key, &Response::Malformed { reason });
             }
             Request::Command(mut command) => {
                 // Over TCP the certificate names the issuer; the name in the command is added to it.
@@ -221,7 +221,7 @@
     }
 
     /// Sends an answer; closes the connection of an operator that does not read.
-    pub(super) fn send_answer(&mut self, key: usize, answer: &Response) {
+    pub(super) fn send_response(&mut self, key: usize, answer: &Response) {
         let Some(control) = &mut self.control else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
         let sent = connection.stream.send(&wire::encode_line(answer));
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -63,7 +63,7 @@
     }
 
     /// The state at this moment: all of it from one turn of the event loop.
-    pub(super) fn reading(&self) -> DaemonState {
+    pub(super) fn daemon_state(&self) -> DaemonState {
         let now = self.now();
         let control = self.control.as_ref();
         let pause = control.and_then(|control| control.command_log.pause());
@@ -73,12 +73,12 @@
             boot: control.map_or(0, |control| control.boot),
             uptime_us: self.started.elapsed().as_micros() as u64,
             draining: self.draining,
-            release: self.engine.release().map(release_reading),
+            release: self.engine.release().map(release_state),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
             finding: self.last_finding.clone(),
             pause: pause.map(|pause| PauseState { until_us: pause.until_us, issuer: pause.issuer.clone() }),
-            counts: self.counts_reading(),
+            counts: self.request_counts(),
             connections: ConnectionCounts {
                 clients: self.clients.len() as u64,
                 servers: self.servers.len() as u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    fn counts_reading(&self) -> RequestCounts {
+    fn request_counts(&self) -> RequestCounts {
         let counts = self.engine.counts();
         RequestCounts {
             accepted: counts.received,
@@ -119,7 +119,7 @@
     }
 }
 
-fn release_reading(release: ReleaseStatus) -> ReleaseState {
+fn release_state(release: ReleaseStatus) -> ReleaseState {
     let phase = match release.phase {
         Phase::Trial => "trial",
         Phase::RollingBack => "rolling_back",
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -6,9 +6,9 @@
 
 pub(super) mod commands;
 mod connections;
+pub(super) mod daemon_state;
 mod listeners;
 mod persistence;
-pub(super) mod reading;
 mod reload;
 mod stream;
 
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -4,7 +4,7 @@
 //! of the request was written, `Rejected` only for the answer that the servers' protocol states was never
 //! run, `Reset` for a connection that was lost after that, whoever closed it and why.
 
-mod answers;
+mod responses;
 
 use super::clients::{Client, InFlightRequest};
 use super::timers::{StateTimeout, TimerKind};
@@ -21,12 +21,12 @@
     id: ServerId,
     socket: Socket,
     http: ClientConn,
-    state: State,
+    state: ConnectionState,
     timeout: StateTimeout,
 }
 
 /// What a connection to a server is doing.
-enum State {
+enum ConnectionState {
     /// Not up yet; nothing was written.
     Connecting(ActiveAttempt),
     /// The request is being written, or its answer read.
@@ -43,11 +43,11 @@
     attempt: usize,
     /// At least one byte of the request was written.
     written: bool,
-    answer: AnswerState,
+    response: ResponseState,
 }
 
 /// How far an attempt's answer has come.
-enum AnswerState {
+enum ResponseState {
     Awaited,
     /// Its head is there, its body is buffered until it is complete.
     Buffered {
@@ -58,21 +58,21 @@
     Streaming,
 }
 
-impl AnswerState {
+impl ResponseState {
     fn is_streaming(&self) -> bool {
-        matches!(self, AnswerState::Streaming)
+        matches!(self, ResponseState::Streaming)
     }
 }
 
 impl Server {
     /// No attempt is on it.
     pub fn is_idle(&self) -> bool {
-        matches!(self.state, State::Idle | State::Discarding { .. })
+        matches!(self.state, ConnectionState::Idle | ConnectionState::Discarding { .. })
     }
 
     /// The request's beginning has been handed over, so that what grows of it may follow.
-    pub fn took_request(&self) -> bool {
-        matches!(self.state, State::Busy(_))
+    pub fn has_request(&self) -> bool {
+        matches!(self.state, ConnectionState::Busy(_))
     }
 
     /// Bytes that wait to be written.
@@ -87,15 +87,15 @@
 
     fn active(&self) -> Option<&ActiveAttempt> {
         match &self.state {
-            State::Connecting(active) | State::Busy(active) => Some(active),
-            State::Discarding { .. } | State::Idle => None,
+            ConnectionState::Connecting(active) | ConnectionState::Busy(active) => Some(active),
+            ConnectionState::Discarding { .. } | ConnectionState::Idle => None,
         }
     }
 
     fn active_mut(&mut self) -> Option<&mut ActiveAttempt> {
         match &mut self.state {
-            State::Connecting(active) | State::Busy(active) => Some(active),
-            State::Discarding { .. } | State::Idle => None,
+            ConnectionState::Connecting(active) | ConnectionState::Busy(active) => Some(active),
+            ConnectionState::Discarding { .. } | ConnectionState::Idle => None,
         }
     }
 }
@@ -110,7 +110,7 @@
         self.count_attempt(id);
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
         in_flight.connections.resize(attempt + 1, None);
-        let active = ActiveAttempt { request, attempt, written: false, answer: AnswerState::Awaited };
+        let active = ActiveAttempt { request, attempt, written: false, response: ResponseState::Awaited };
         while let Some(key) = self.idle_servers.get_mut(&id).and_then(Vec::pop) {
             let Some(server) = self.servers.get_mut(key) else { continue };
             // Closed by the server while idle: seen now, the request need not be lost on it.
@@ -118,7 +118,7 @@
                 self.close_server(key);
                 continue;
             }
-            server.state = State::Busy(active);
+            server.state = ConnectionState::Busy(active);
             if let Some(in_flight) = self.in_flight.get_mut(&request) {
                 in_flight.connections[attempt] = Some(key);
             }
@@ -148,7 +148,7 @@
             id,
             socket,
             http: ClientConn::new(self.head_limits),
-            state: State::Connecting(active),
+            state: ConnectionState::Connecting(active),
             timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
@@ -202,15 +202,15 @@
         let Some(server) = self.servers.get_mut(key) else { return };
         let mut reads = true;
         let timeout = match &server.state {
-            State::Connecting(_) => return server.socket.set_connect_interest(&self.handle),
-            State::Busy(active) if active.answer.is_streaming() => {
+            ConnectionState::Connecting(_) => return server.socket.set_connect_interest(&self.handle),
+            ConnectionState::Busy(active) if active.response.is_streaming() => {
                 let client = self.in_flight.get(&active.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
                 reads = !client.is_some_and(Client::is_slow);
                 Some(settings.stream_idle)
             }
-            State::Busy(_) => None,
-            State::Discarding { .. } | State::Idle => Some(settings.server_idle),
+            ConnectionState::Busy(_) => None,
+            ConnectionState::Discarding { .. } | ConnectionState::Idle => Some(settings.server_idle),
         };
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
@@ -227,8 +227,8 @@
             return;
         }
         match server.state {
-            State::Idle | State::Discarding { .. } => self.close_server(id.key),
-            State::Connecting(_) | State::Busy(_) => self.on_server_lost(id.key),
+            ConnectionState::Idle | ConnectionState::Discarding { .. } => self.close_server(id.key),
+            ConnectionState::Connecting(_) | ConnectionState::Busy(_) => self.on_server_lost(id.key),
         }
     }
 
@@ -261,13 +261,13 @@
     fn on_server_lost(&mut self, key: usize) {
         let Some(server) = self.servers.get(key) else { return };
         let active = match &server.state {
-            State::Connecting(active) | State::Busy(active) => active,
-            State::Discarding { .. } | State::Idle => return self.close_server(key),
+            ConnectionState::Connecting(active) | ConnectionState::Busy(active) => active,
+            ConnectionState::Discarding { .. } | ConnectionState::Idle => return self.close_server(key),
         };
         let request = active.request;
         let attempt = active.attempt;
         let outcome = if active.written { Outcome::Reset } else { Outcome::ConnectFailed };
-        let was_streaming = active.answer.is_streaming();
+        let was_streaming = active.response.is_streaming();
         self.close_server(key);
         self.detach_attempt(request, attempt);
         // The client has had the answer's beginning: closing is all that can tell it.
@@ -287,13 +287,13 @@
 
     fn on_server(&mut self, key: usize, readiness: Readiness) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        if matches!(server.state, State::Connecting(_)) {
+        if matches!(server.state, ConnectionState::Connecting(_)) {
             if server.socket.connect_error().is_some() {
                 self.on_server_lost(key);
             } else if readiness.writable {
                 self.on_server_connected(key);
             }
-            return self.pump();
+            return self.run_engine_actions();
         }
         if readiness.writable {
             self.flush_server(key);
@@ -302,7 +302,7 @@
         if readiness.readable || readiness.error {
             self.read_server(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     fn on_server_connected(&mut self, key: usize) {
@@ -313,8 +313,10 @@
             return;
         }
         let Some(server) = self.servers.get_mut(key) else { return };
-        if let State::Connecting(active) = std::mem::replace(&mut server.state, State::Idle) {
-            server.state = State::Busy(active);
+        if let ConnectionState::Connecting(active) =
+            std::mem::replace(&mut server.state, ConnectionState::Idle)
+        {
+            server.state = ConnectionState::Busy(active);
             self.send_request(key);
             self.resume_growing(key);
         }
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -1,7 +1,7 @@
 //! Servers' answers: what their status says of an attempt, and how they get to the client.
 
 use super::super::Proxy;
-use super::{AnswerState, Server, State};
+use super::{ConnectionState, ResponseState, Server};
 use http::StatusCode;
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_event_io::ReadOutcome;
@@ -19,7 +19,7 @@
                 }
                 ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => match server.http.close() {
-                    Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
+                    Some(ClientEvent::End { .. }) => self.on_response_complete(key, false),
                     _ => self.on_server_lost(key),
                 },
                 ReadOutcome::Failed => self.on_server_lost(key),
@@ -32,10 +32,10 @@
         while let Some(server) = self.servers.get_mut(key) {
             let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
             match event {
-                ClientEvent::Head(head) => self.on_answer_head(key, head),
-                ClientEvent::Body(bytes) => self.on_answer_body(key, &bytes),
+                ClientEvent::Head(head) => self.on_response_head(key, head),
+                ClientEvent::Body(bytes) => self.on_response_body(key, &bytes),
                 ClientEvent::End { reusable } => {
-                    self.on_answer_complete(key, reusable);
+                    self.on_response_complete(key, reusable);
                     if self.servers.get(key).is_none_or(Server::is_idle) {
                         return;
                     }
@@ -59,10 +59,10 @@
         }
     }
 
-    fn on_answer_head(&mut self, key: usize, head: Box<ResponseHead>) {
+    fn on_response_head(&mut self, key: usize, head: Box<ResponseHead>) {
         let outcome = self.outcome_of(&head);
         let Some(server) = self.servers.get_mut(key) else { return };
-        let State::Busy(active) = &mut server.state else { return };
+        let ConnectionState::Busy(active) = &mut server.state else { return };
         let request = active.request;
         let attempt = active.attempt;
         let is_stream_class = self
@@ -71,28 +71,28 @@
             .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
         if outcome != Outcome::Ok {
             // Reported at once: what follows of such an answer is read only to use the connection again.
-            server.state = State::Discarding { body_bytes: 0 };
+            server.state = ConnectionState::Discarding { body_bytes: 0 };
             self.detach_attempt(request, attempt);
             self.end_attempt(request, attempt, outcome);
         } else if is_stream_class {
             self.start_streaming(key, &head, &[]);
         } else {
-            active.answer = AnswerState::Buffered { head, body: Vec::new() };
+            active.response = ResponseState::Buffered { head, body: Vec::new() };
         }
     }
 
-    fn on_answer_body(&mut self, key: usize, bytes: &[u8]) {
+    fn on_response_body(&mut self, key: usize, bytes: &[u8]) {
         let max_buffered = self.settings.connections.keep_answer;
         let Some(server) = self.servers.get_mut(key) else { return };
         match &mut server.state {
-            State::Discarding { body_bytes } => {
+            ConnectionState::Discarding { body_bytes } => {
                 *body_bytes += bytes.len();
                 if *body_bytes > max_buffered {
                     self.close_server(key);
                 }
             }
-            State::Busy(active) => match &mut active.answer {
-                AnswerState::Buffered { head, body } => {
+            ConnectionState::Busy(active) => match &mut active.response {
+                ResponseState::Buffered { head, body } => {
                     body.extend_from_slice(bytes);
                     if body.len() > max_buffered {
                         let head = head.clone();
@@ -100,23 +100,23 @@
                         self.start_streaming(key, &head, &body);
                     }
                 }
-                AnswerState::Streaming => {
+                ResponseState::Streaming => {
                     let request = active.request;
                     if let Some(client) = self.waiting_client(request) {
-                        self.write_answer_body(client, bytes);
+                        self.write_response_body(client, bytes);
                         self.flush_client(client);
                     }
                 }
-                AnswerState::Awaited => {}
+                ResponseState::Awaited => {}
             },
-            State::Connecting(_) | State::Idle => {}
+            ConnectionState::Connecting(_) | ConnectionState::Idle => {}
         }
     }
 
     /// From here on the answer is the client's: no time-out of the request applies any more.
     fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
         let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
-        active.answer = AnswerState::Streaming;
+        active.response = ResponseState::Streaming;
         let request = active.request;
         let attempt = active.attempt;
         let now = self.now();
@@ -133,45 +133,51 @@
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
             in_flight.streaming_from = Some(key);
         }
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
+        if let Some(client) = self.start_response(request, head, framing, answer) {
+            self.write_response_body(client, body);
             self.flush_client(client);
         }
     }
 
     /// The answer is complete.
-    fn on_answer_complete(&mut self, key: usize, reusable: bool) {
+    fn on_response_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
         // A request that is not completely written cannot be distinguished from a next one by the server.
         let reusable = reusable && !server.socket.has_unwritten_bytes();
-        let state = std::mem::replace(&mut server.state, State::Idle);
-        let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
+        let state = std::mem::replace(&mut server.state, ConnectionState::Idle);
+        let ConnectionState::Busy(active) = state else { return self.pool_or_close(key, reusable) };
         let request = active.request;
         let attempt = active.attempt;
         let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
         self.detach_attempt(request, attempt);
         self.pool_or_close(key, reusable && is_request_written);
-        match active.answer {
-            AnswerState::Buffered { head, body } => {
+        match active.response {
+            ResponseState::Buffered { head, body } => {
                 let answer = self.draw();
                 self.engine.record_delivered_answer(request, attempt, answer);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
-                    self.deliver_buffered(request, &head, &body, answer);
+                    self.deliver_buffered_response(request, &head, &body, answer);
                 }
             }
-            AnswerState::Streaming => {
+            ResponseState::Streaming => {
                 let client = self.waiting_client(request);
                 self.end_attempt(request, attempt, Outcome::Ok);
                 if let Some(client) = client {
-                    self.finish_answer(client);
+                    self.finish_response(client);
                 }
             }
-            AnswerState::Awaited => {}
+            ResponseState::Awaited => {}
         }
     }
 
     /// Gives the client an answer that is complete.
-    fn deliver_buffered(&mut self, request: RequestId, head: &ResponseHead, body: &[u8], answer: u64) {
+    fn deliver_buffered_response(
+        &mut self,
+        request: RequestId,
+        head: &ResponseHead,
+        body: &[u8],
+        answer: u64,
+    ) {
         tracing::debug!(request, status = head.status.as_u16(), "final answer");
         // An answer without a body may still state the length that one would have (HEAD, 304).
         let stated =
@@ -182,9 +188,9 @@
             None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
             _ => Framing::Length(body.len() as u64),
         };
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
-            self.finish_answer(client);
+        if let Some(client) = self.start_response(request, head, framing, answer) {
+            self.write_response_body(client, body);
+            self.finish_response(client);
         }
     }
 }
