--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -82,8 +82,7 @@
         }
         let idle_longest = self
             .idle_servers
-            .values()
-            .filter_map(|slots| slots.front().copied())
+            .oldest_of_each()
             .min_by_key(|slot| self.servers.get(*slot).map_or(0, Server::idle_since));
         let Some(key) = idle_longest else { return false };
         self.close_server(key);
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::discovery::{self, Discovery};
 use crate::event_loop::{ConnectionId, MAINTENANCE_INTERVAL, TimerKind};
-use crate::listener::Listener;
+use crate::listener::ClientListener;
 use crate::release_watch::Pipeline;
 use crate::requests::InFlightRequest;
 use crate::servers::Server;
@@ -12,13 +12,14 @@
 use calloop::LoopHandle;
 use rand::{RngExt, SeedableRng};
 use slab::Slab;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::HashMap;
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Instant;
 use violetseam::interface::{ListKind, Micros, RequestId, ServerId};
 use violetseam::lease::ListLease;
+use violetseam_event_io::IdleConnections;
 use violetseam_event_io::log_rate_limit::LogRateLimit;
 use violetseam_event_io::timers::Timers;
 use violetseam_platform_protocol::config::Config;
@@ -43,7 +44,7 @@
     /// Unix time at the start: the loop's clock counts on from there, so that the platform's times are times
     /// of this clock, whatever becomes of the machine's wall clock later.
     origin: Micros,
-    pub listener: Option<Listener>,
+    pub listener: Option<ClientListener>,
     pub clients: Slab<Client>,
     pub in_flight: HashMap<RequestId, InFlightRequest>,
     /// Requests in flight by the ids that their clients gave them.
@@ -51,8 +52,8 @@
     /// Bytes that requests in flight hold.
     pub in_flight_bytes: usize,
     pub servers: Slab<Server>,
-    /// Slots of idle connections by server, the one that has been idle longest first.
-    pub idle_servers: BTreeMap<ServerId, VecDeque<usize>>,
+    /// Slots of idle connections by server.
+    pub idle_servers: IdleConnections<ServerId>,
     pub server_list: ServerList,
     pub discovery: Discovery,
     pub pipeline: Pipeline,
@@ -110,7 +111,7 @@
             open_ids: HashMap::new(),
             in_flight_bytes: 0,
             servers: Slab::new(),
-            idle_servers: BTreeMap::new(),
+            idle_servers: IdleConnections::default(),
             server_list: ServerList::new(config.instance.zones.clone()),
             discovery: Discovery::new(config.discovery, pushed, poll_interval_max),
             pipeline: Pipeline::new(config.pipeline),
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -9,7 +9,6 @@
 use crate::event_loop::{ConnectionId, TimerKind};
 use crate::proxy::Proxy;
 use calloop::{Interest, Readiness};
-use std::collections::VecDeque;
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_platform_protocol::answer::{self, Answer, parse_answer};
@@ -113,12 +112,12 @@
     fn take_idle_server(&mut self, id: ServerId) -> Option<usize> {
         let now = self.now();
         let max_idle_time = self.max_idle_time();
-        while let Some(slot) = self.idle_servers.get(&id).and_then(|slots| slots.front().copied()) {
+        while let Some(slot) = self.idle_servers.oldest(&id) {
             let server = self.servers.get(slot)?;
             if now < server.idle_since + MIN_IDLE_BEFORE_REUSE {
                 return None;
             }
-            self.idle_servers.get_mut(&id).map(VecDeque::pop_front);
+            self.idle_servers.remove(&id, slot);
             // The idle time is checked here as well, as maintenance is too rare for short times.
             if now < server.idle_since + max_idle_time && !server.socket.is_stale() {
                 return Some(slot);
@@ -345,7 +344,7 @@
         server.idle_since = now;
         server.input = Vec::new();
         let id = server.id;
-        self.idle_servers.entry(id).or_default().push_back(slot);
+        self.idle_servers.insert(id, slot);
     }
 
     /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut down before
@@ -353,12 +352,7 @@
     pub(super) fn close_server(&mut self, slot: usize) {
         let Some(server) = self.servers.try_remove(slot) else { return };
         server.socket.close_now(&self.handle);
-        if let Some(idle) = self.idle_servers.get_mut(&server.id) {
-            idle.retain(|idle_slot| *idle_slot != slot);
-            if idle.is_empty() {
-                self.idle_servers.remove(&server.id);
-            }
-        }
+        self.idle_servers.remove(&server.id, slot);
     }
 
     /// The engine cancelled an attempt: its connection closes, as its answer could arrive at any time.
@@ -405,7 +399,7 @@
     /// Closes the idle connections to servers whose address, build or start has changed.
     pub(super) fn servers_changed(&mut self, changed: &[ServerId]) {
         for id in changed {
-            let slots: Vec<usize> = self.idle_servers.get(id).into_iter().flatten().copied().collect();
+            let slots: Vec<usize> = self.idle_servers.of_server(id).collect();
             for slot in slots {
                 self.close_server(slot);
             }
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -1,14 +1,13 @@
 //! Listeners for clients, and the connections that they accept.
 
 use super::super::timers::{ACCEPT_PAUSE, StateTimeout, TimerKind};
-use super::super::{ClientListener, ConnectionId, Proxy};
+use super::super::{ConnectionId, Proxy};
 use super::{Client, ClientState, FIRST_REQUEST_TIMEOUT};
-use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
+use calloop::{Interest, Readiness};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use violetseam::interface::Micros;
-use violetseam_event_io::{Socket, listen};
+use violetseam_event_io::{AcceptOutcome, Listener, Socket, accept, listen};
 use violetseam_http1::server::ServerConn;
 
 /// Connections that may wait in a listener's queue.
@@ -16,12 +15,13 @@
 /// Connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 128;
 
-/// What accepting has left in a listener's queue.
-enum AcceptResult {
-    QueueEmpty,
-    /// More may wait that could be accepted now.
+/// The state of a listener's queue after one turn of accepting.
+enum QueueState {
+    /// No connection waits.
+    Empty,
+    /// More connections may wait that could be accepted now.
     MoreQueued,
-    /// No room or descriptor for what waits: accepting pauses.
+    /// Connections may wait for which there is no room or descriptor: accepting pauses.
     Paused,
 }
 
@@ -37,51 +37,42 @@
 
     /// Puts a listening socket on the event loop.
     pub(in super::super) fn add_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
-        let listener: Rc<TcpListener> = Rc::new(listener);
-        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-        let token = self
-            .handle
-            .insert_source(source, |_, listener, proxy: &mut Proxy| {
-                proxy.accept(listener);
-                Ok(PostAction::Continue)
-            })
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
-        self.listeners.push(ClientListener { listener, token });
+        let on_ready = |listener: &TcpListener, proxy: &mut Proxy| {
+            proxy.accept_clients(listener);
+        };
+        self.listeners.push(Listener::register(&self.handle, listener, on_ready)?);
         Ok(())
     }
 
-    /// Accepts one turn's share.
-    fn accept(&mut self, listener: &TcpListener) -> AcceptResult {
+    /// Accepts one turn's share of the connections that wait.
+    fn accept_clients(&mut self, listener: &TcpListener) -> QueueState {
         self.had_socket_events = true;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if self.clients.len() >= self.settings.connections.max_clients {
                 self.pause_accepting("as many clients as the settings allow");
-                return AcceptResult::Paused;
+                return QueueState::Paused;
             }
-            match listener.accept() {
-                Ok((stream, _)) => {
+            match accept(listener) {
+                AcceptOutcome::Accepted(stream) => {
                     if let Err(e) = self.add_client(stream) {
                         tracing::warn!("client not taken: {e}");
                     }
                 }
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return AcceptResult::QueueEmpty,
-                // The client left before it was accepted.
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
-                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                // Out of descriptors or memory: connections wait in the kernel's queue, none is lost.
-                Err(e) => {
+                AcceptOutcome::QueueEmpty => return QueueState::Empty,
+                AcceptOutcome::Retry => {}
+                AcceptOutcome::OutOfResources(e) => {
                     self.pause_accepting(&e.to_string());
-                    return AcceptResult::Paused;
+                    return QueueState::Paused;
                 }
             }
         }
-        AcceptResult::MoreQueued
+        QueueState::MoreQueued
     }
 
     /// Stops or goes on accepting.
-    pub(in super::super) fn set_accepting(&mut self, accepting: bool) {
-        for ClientListener { token, .. } in &self.listeners {
-            let _ = if accepting { self.handle.enable(token) } else { self.handle.disable(token) };
+    pub(in super::super) fn set_accepting(&mut self, is_accepting: bool) {
+        for listener in &self.listeners {
+            listener.set_accepting(&self.handle, is_accepting);
         }
     }
 
@@ -107,9 +98,9 @@
     /// there is no room for all, the rest is taken as clients leave, for as long as it may have an answer in time.
     pub(in super::super) fn accept_queued(&mut self) {
         let listeners: Vec<Rc<TcpListener>> =
-            self.listeners.iter().map(|open| open.listener.clone()).collect();
-        if listeners.iter().all(|listener| self.accept_queued_on(listener)) || self.now() >= self.listen_until
-        {
+            self.listeners.iter().map(|open| open.socket().clone()).collect();
+        let are_queues_empty = listeners.iter().all(|listener| self.accept_queued_on(listener));
+        if are_queues_empty || self.now() >= self.listen_until {
             self.stop_listening();
         }
     }
@@ -117,10 +108,10 @@
     /// Whether nothing is left in a listener's queue.
     fn accept_queued_on(&mut self, listener: &TcpListener) -> bool {
         loop {
-            match self.accept(listener) {
-                AcceptResult::QueueEmpty => return true,
-                AcceptResult::MoreQueued => {}
-                AcceptResult::Paused => return false,
+            match self.accept_clients(listener) {
+                QueueState::Empty => return true,
+                QueueState::MoreQueued => {}
+                QueueState::Paused => return false,
             }
         }
     }
@@ -133,8 +124,8 @@
 
     /// Closes the listeners.
     pub(in super::super) fn stop_listening(&mut self) {
-        for ClientListener { token, .. } in self.listeners.drain(..) {
-            self.handle.remove(token);
+        for listener in self.listeners.drain(..) {
+            listener.remove(&self.handle);
         }
     }
 
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -84,7 +84,7 @@
 impl Proxy {
     /// The addresses that clients can connect to.
     fn client_addresses(&self) -> Vec<SocketAddr> {
-        self.listeners.iter().filter_map(|open| open.listener.local_addr().ok()).collect()
+        self.listeners.iter().filter_map(|open| open.socket().local_addr().ok()).collect()
     }
 
     fn receive_signals(&mut self, signals: Signals) -> std::io::Result<()> {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -47,7 +47,7 @@
 use site_calls::Call;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
-use std::net::{TcpListener, UdpSocket};
+use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -56,6 +56,7 @@
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
 use violetseam_event_io::log_rate_limit::LogRateLimit;
+use violetseam_event_io::{IdleConnections, Listener};
 use violetseam_http1::Limits as HeadLimits;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
@@ -117,12 +118,6 @@
     generation: u64,
 }
 
-/// A listener for clients.
-struct ClientListener {
-    listener: Rc<TcpListener>,
-    token: RegistrationToken,
-}
-
 /// An entry of the server list, and when it was received.
 struct ListedServer {
     received_at: Micros,
@@ -143,13 +138,13 @@
     handed_over: bool,
     /// Idle connections that were offered to it.
     offered_clients: Vec<usize>,
-    listeners: Vec<ClientListener>,
+    listeners: Vec<Listener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
     calls: Slab<Call>,
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
-    idle_servers: BTreeMap<ServerId, Vec<usize>>,
+    idle_servers: IdleConnections<ServerId>,
     timers: Timers,
     server_list: EndpointList,
     /// The entries of the server list as discovery stated them.
@@ -222,7 +217,7 @@
             servers: Slab::new(),
             calls: Slab::new(),
             in_flight: HashMap::new(),
-            idle_servers: BTreeMap::new(),
+            idle_servers: IdleConnections::default(),
             timers: Timers::default(),
             server_list: EndpointList::default(),
             listed_servers: BTreeMap::new(),
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -4,7 +4,7 @@
 use super::connections::{HANDSHAKE_TIMEOUT, IDLE_TIMEOUT};
 use super::persistence::{PersistResult, spawn_state_writer};
 use super::stream::Transport;
-use super::{ControlServer, Operators, TlsListener};
+use super::{ControlServer, Operators};
 use calloop::channel::{Channel, Event, channel};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
@@ -18,6 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
+use violetseam_event_io::Listener;
 use violetseam_operator_commands::CommandLog;
 
 /// Operators' connections at once, of each kind, so that a flood from the network leaves the local socket
@@ -84,7 +85,7 @@
     }
 
     /// Listens on the old process's socket, if it is for this address; else on one of its own.
-    fn listen_on_tcp(&mut self, addr: SocketAddr, inherited: Option<TcpListener>) -> Result<TlsListener> {
+    fn listen_on_tcp(&mut self, addr: SocketAddr, inherited: Option<TcpListener>) -> Result<Listener> {
         let is_for_addr =
             |listener: &TcpListener| listener.local_addr().is_ok_and(|at| at == addr || addr.port() == 0);
         let listener = match inherited.filter(is_for_addr) {
@@ -93,16 +94,9 @@
                 .map_err(|error| Error::other(format!("control_tls: {addr}: {error}")))?,
         };
         listener.set_nonblocking(true)?;
-        let listener = Rc::new(listener);
-        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-        let token = self
-            .handle
-            .insert_source(source, |_, listener, proxy: &mut Proxy| {
-                proxy.accept_remote_operators(listener);
-                Ok(PostAction::Continue)
-            })
-            .map_err(|error| Error::other(error.to_string()))?;
-        Ok(TlsListener { listener, token })
+        Listener::register(&self.handle, listener, |listener, proxy: &mut Proxy| {
+            proxy.accept_remote_operators(listener);
+        })
     }
 
     fn receive_persist_results(&mut self, results: Channel<PersistResult>) -> Result<()> {
@@ -132,7 +126,7 @@
     /// The listener for control over TCP.
     pub(in super::super) fn control_listener(&self) -> Option<&TcpListener> {
         let tls_listener = self.control.as_ref()?.tls_listener.as_ref()?;
-        Some(&tls_listener.listener)
+        Some(tls_listener.socket())
     }
 
     /// The control socket's path is the successor's now.
@@ -140,7 +134,7 @@
         let Some(control) = &mut self.control else { return };
         control.path_handed_over = true;
         if let Some(tls_listener) = control.tls_listener.take() {
-            self.handle.remove(tls_listener.token);
+            tls_listener.remove(&self.handle);
         }
     }
 
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -12,7 +12,6 @@
 mod reload;
 mod stream;
 
-use calloop::RegistrationToken;
 use calloop::channel::Sender;
 use commands::{CommandInProgress, QueuedCommand};
 use connections::Connection;
@@ -20,10 +19,9 @@
 use rustls::ServerConfig;
 use slab::Slab;
 use std::collections::VecDeque;
-use std::net::TcpListener;
 use std::path::PathBuf;
-use std::rc::Rc;
 use std::sync::Arc;
+use violetseam_event_io::Listener;
 use violetseam_operator_commands::{CommandLog, PersistedState};
 use violetseam_settings::ProxySettings;
 
@@ -89,18 +87,13 @@
     pub reopen: Reopen,
 }
 
-/// The listener for control over TCP.
-struct TlsListener {
-    listener: Rc<TcpListener>,
-    token: RegistrationToken,
-}
-
 /// Control of one proxy by its operators.
 pub(super) struct ControlServer {
     path: PathBuf,
     /// Where the socket is until it is moved to its path.
     unpublished_path: Option<PathBuf>,
-    tls_listener: Option<TlsListener>,
+    /// For control over TCP.
+    tls_listener: Option<Listener>,
     tls_config: Option<Arc<ServerConfig>>,
     boot: u64,
     command_log: CommandLog,
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -111,7 +111,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
         in_flight.connections.resize(attempt + 1, None);
         let active = ActiveAttempt { request, attempt, written: false, response: ResponseState::Awaited };
-        while let Some(key) = self.idle_servers.get_mut(&id).and_then(Vec::pop) {
+        while let Some(key) = self.idle_servers.pop_newest(&id) {
             let Some(server) = self.servers.get_mut(key) else { continue };
             // Closed by the server while idle: seen now, the request need not be lost on it.
             if server.socket.is_stale() {
@@ -240,12 +240,7 @@
         }
         let server = self.servers.remove(key);
         server.socket.close_now(&self.handle);
-        if let Some(idle) = self.idle_servers.get_mut(&server.id) {
-            idle.retain(|k| *k != key);
-            if idle.is_empty() {
-                self.idle_servers.remove(&server.id);
-            }
-        }
+        self.idle_servers.remove(&server.id, key);
     }
 
     /// The engine has ended an attempt: its connection closes, as its answer could come at any time.
@@ -335,9 +330,9 @@
     fn pool_or_close(&mut self, key: usize, reusable: bool) {
         let max_idle = self.settings.connections.idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
-        let idle = self.idle_servers.entry(server.id).or_default();
-        if reusable && idle.len() < max_idle {
-            idle.push(key);
+        let has_room = self.idle_servers.count(&server.id) < max_idle;
+        if reusable && has_room {
+            self.idle_servers.insert(server.id, key);
             self.rearm_server(key);
         } else {
             self.close_server(key);
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -302,7 +302,7 @@
         stream.write_all(&line)?;
         stream.write_all(&module)?;
         let mut descriptors: Vec<BorrowedFd<'_>> =
-            self.listeners.iter().map(|open| open.listener.as_fd()).collect();
+            self.listeners.iter().map(|open| open.socket().as_fd()).collect();
         descriptors.extend(self.udp.as_ref().map(|socket| socket.as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
