--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -27,8 +27,8 @@
         keys.iter().filter_map(|key| Some(self.clients.get(*key)?.socket.stream())).collect()
     }
 
-    /// Before a drain: what has come on idle connections is read. The others close, but those whose first request
-    /// may be on its way.
+    /// Before a drain: what has come on idle connections is read. The others close, but those whose first
+    /// request may be on its way.
     pub(in super::super) fn close_idle_clients(&mut self) {
         for key in self.idle_clients() {
             self.read_client(key);
@@ -185,7 +185,8 @@
         let Some(request) = request.filter(|request| !request.is_complete) else { return false };
         let latest_server = request.connections.iter().rev().flatten().next();
         let server = latest_server.and_then(|&key| self.servers.get(key));
-        let is_server_slow = server.is_none_or(|server| server.unwritten() > WRITE_BUFFER_HIGH_WATERMARK);
+        let is_server_slow =
+            server.is_none_or(|server| server.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK);
         is_server_slow && request.body.len() > self.settings.connections.keep_body
     }
 
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -94,8 +94,9 @@
         }
     }
 
-    /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are empty. Where
-    /// there is no room for all, the rest is taken as clients leave, for as long as it may have an answer in time.
+    /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are
+    /// empty. Where there is no room for all, the rest is taken as clients leave, for as long as it may have
+    /// an answer in time.
     pub(in super::super) fn accept_queued(&mut self) {
         let listeners: Vec<Rc<TcpListener>> =
             self.listeners.iter().map(|open| open.socket().clone()).collect();
@@ -116,8 +117,8 @@
         }
     }
 
-    /// When a drain abandons what still waits for room: first requests have had their time to come, and those that
-    /// keep the room their deadline.
+    /// When a drain abandons what still waits for room: first requests have had their time to come, and those
+    /// that keep the room their deadline.
     pub(in super::super) fn listen_deadline(&self) -> Micros {
         self.now() + FIRST_REQUEST_TIMEOUT + self.settings.decisions.longest_deadline()
     }
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -1,5 +1,12 @@
-//! Client connections: from bytes to a complete request for the engine, and from an answer to bytes.
+//! Client connections: from bytes to a complete request for the engine, and from a response to bytes.
+//!
+//! - `listeners`: listening and accepting
+//! - `connections`: readiness, time-outs and the end of a connection
+//! - `requests`: heads, routes, and the passing of requests to the engine
+//! - `bodies`: bodies of requests
+//! - `responses`: the proxy's own responses and those of servers
 
+mod bodies;
 mod connections;
 mod listeners;
 mod requests;
@@ -22,25 +29,26 @@
     socket: Socket,
     http: ServerConn,
     state: ClientState,
-    /// A request's head has come on it.
+    /// A request's head has arrived on it.
     has_received_request: bool,
-    /// The client closed its side; it may still read.
+    /// The client has closed its write side; it may still read.
     half_closed: bool,
     timeout: StateTimeout,
 }
 
-/// What a client connection is doing.
+/// The state of a client connection.
 enum ClientState {
     /// Between requests, or within a head.
     Idle,
-    /// A head has come; its body is on the way.
+    /// A head has arrived; its body is still arriving.
     ReceivingBody(Box<PendingRequest>),
-    /// The engine has the request.
+    /// The engine has the request, and the response is not complete.
     AwaitingResponse(RequestId),
-    /// The last answer is being written.
+    /// The last response is being written.
     Closing,
-    /// It is written and this side closed. What the client still sends is read and dropped for a while: to
-    /// close at once would reset the connection, and the answer could be lost before it is read.
+    /// The last response is written and the write side closed. What the client still sends is read and
+    /// dropped for a while: closing at once would reset the connection, and the response could be lost before
+    /// it is read.
     Lingering,
 }
 
@@ -52,17 +60,17 @@
     body: Vec<u8>,
 }
 
-/// What becomes of a request.
+/// What a request is for.
 enum RequestPurpose {
-    /// It is routed as one of this class.
+    /// It is routed to a server, as a request of this class.
     Route { class: usize },
-    /// It reports an answer wrong.
+    /// It reports an earlier response wrong.
     AnswerReport,
-    /// It gets this answer, once it is complete.
+    /// It gets this response of the proxy's own, once it is complete.
     RespondWithError { status: StatusCode, reason: &'static str },
 }
 
-/// A request that the engine has: what it takes to send it, and where its answer goes.
+/// A request that the engine has: what it takes to send it, and where its response goes.
 pub(super) struct InFlightRequest {
     client: ConnectionId,
     pub(super) class: usize,
@@ -70,29 +78,38 @@
     pub(super) head: Vec<u8>,
     /// The method is HEAD.
     pub(super) is_head_request: bool,
-    /// What is buffered of the body; all of it, unless the request grows.
+    /// The buffered part of the body; all of it once `is_complete`, unless a part went to a server
+    /// unbuffered.
     pub(super) body: Vec<u8>,
     pub(super) is_chunked: bool,
     /// The body is complete.
     pub(super) is_complete: bool,
-    /// Connections of the attempts, by number.
+    /// Connections of the attempts, by the attempts' numbers.
     pub(super) connections: Vec<Option<usize>>,
-    /// The connection whose answer is being streamed to the client.
+    /// The connection whose response is being streamed to the client.
     pub(super) streaming_from: Option<usize>,
 }
 
 impl Client {
-    /// No answer is pending and nothing of a next request has come.
+    /// Whether no response is pending and nothing of a next request has arrived.
     fn is_between_requests(&self) -> bool {
         matches!(self.state, ClientState::Idle) && self.http.is_idle()
     }
 
-    /// It reads its answer slower than it comes.
+    /// Whether it reads its response more slowly than the response arrives.
     pub(super) fn is_slow(&self) -> bool {
         self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
-    /// The request whose answer it waits for.
+    /// Takes the request whose body has been arriving; the connection is idle from then on.
+    fn take_pending_request(&mut self) -> Option<PendingRequest> {
+        match std::mem::replace(&mut self.state, ClientState::Idle) {
+            ClientState::ReceivingBody(pending) => Some(*pending),
+            _ => None,
+        }
+    }
+
+    /// The request whose response is pending.
     fn waiting_request(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse(id) => Some(id),
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: what becomes of them, and what the engine and the servers get of them.
+//! Requests of clients: their routes, and the forms that the engine and the servers get.
 
 use super::super::{ConnectionId, Proxy};
 use super::{ClientState, InFlightRequest, PendingRequest, RequestPurpose};
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 use violetseam::interface::{Idempotency, Micros, Request, RequestId};
 use violetseam_http1::client::write_request_head;
-use violetseam_http1::{Framing, RequestHead, write_chunk, write_last_chunk};
+use violetseam_http1::{Framing, RequestHead};
 use violetseam_settings::ProxySettings;
 use violetseam_site_protocol::{answer_report, key_number};
 
@@ -14,10 +14,11 @@
 const MAX_COST_HINT: Micros = 3_600_000_000;
 
 impl Proxy {
-    /// A head has come.
+    /// A request's head has arrived.
     pub(super) fn on_head(&mut self, key: usize, head: RequestHead) {
         let purpose = self.request_purpose(&head);
-        // The client's wait began when it sent; for as long as this event loop is late, the head may have been unread.
+        // The client's wait began when it sent; for as long as this event loop is late, the head may have
+        // been unread.
         let now = self.now();
         let arrived_at = now - self.timers.lateness(now, self.engine.next_deadline());
         let Some(client) = self.clients.get_mut(key) else { return };
@@ -33,11 +34,11 @@
         }
     }
 
-    /// What becomes of a request with this head.
-    pub(super) fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
-        let s = &self.settings;
+    /// What a request with this head is for, by its path and the routes in force.
+    fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
+        let settings = &self.settings;
         let path = head.target.split(['?', '#']).next().unwrap_or("");
-        if path == s.connections.flag_path {
+        if path == settings.connections.flag_path {
             return match head.method {
                 Method::POST => RequestPurpose::AnswerReport,
                 _ => RequestPurpose::RespondWithError {
@@ -47,13 +48,13 @@
             };
         }
         let distributed = self.subscription.as_ref().and_then(|subscription| subscription.table());
-        let routes = distributed.unwrap_or(&s.route_table);
+        let routes = distributed.unwrap_or(&settings.route_table);
         let Some(route) = routes.find(&head.method, path) else {
             return RequestPurpose::RespondWithError { status: StatusCode::NOT_FOUND, reason: "no route" };
         };
         // Without its key no server could drop a repeat.
-        let keyed = s.decisions.classes[route.class].idempotency == Idempotency::Keyed;
-        if keyed && !head.headers.contains_key(&s.headers.key) {
+        let needs_key = settings.decisions.classes[route.class].idempotency == Idempotency::Keyed;
+        if needs_key && !head.headers.contains_key(&settings.headers.key) {
             return RequestPurpose::RespondWithError {
                 status: StatusCode::BAD_REQUEST,
                 reason: "a request of this class needs its key",
@@ -62,59 +63,12 @@
         RequestPurpose::Route { class: route.class }
     }
 
-    /// Bytes of a body have come.
-    pub(super) fn on_body(&mut self, key: usize, bytes: Vec<u8>) {
-        let keep = self.settings.connections.keep_body;
-        let Some(client) = self.clients.get_mut(key) else { return };
-        match &mut client.state {
-            ClientState::ReceivingBody(pending) => {
-                match pending.purpose {
-                    RequestPurpose::RespondWithError { .. } => return,
-                    RequestPurpose::AnswerReport if pending.body.len() > answer_report::MAX_BODY_BYTES => {
-                        return;
-                    }
-                    _ => pending.body.extend_from_slice(&bytes),
-                }
-                if pending.body.len() > keep && matches!(pending.purpose, RequestPurpose::Route { .. }) {
-                    self.begin_request(key, false);
-                }
-            }
-            ClientState::AwaitingResponse(id) => {
-                let id = *id;
-                self.append_body(id, &bytes);
-            }
-            ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
-        }
-    }
-
-    /// A body is complete.
-    pub(super) fn on_end(&mut self, key: usize) {
-        let Some(client) = self.clients.get_mut(key) else { return };
-        match &client.state {
-            ClientState::ReceivingBody(pending) => match pending.purpose {
-                RequestPurpose::Route { .. } => self.begin_request(key, true),
-                RequestPurpose::AnswerReport => self.on_answer_report(key),
-                RequestPurpose::RespondWithError { status, reason } => {
-                    self.respond_with_error(key, status, reason);
-                }
-            },
-            ClientState::AwaitingResponse(id) => {
-                let id = *id;
-                self.complete_body(id);
-            }
-            ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
-        }
-    }
-
-    /// Hands a request to the engine: complete, or past what is buffered of it (`is_complete` false).
-    fn begin_request(&mut self, key: usize, is_complete: bool) {
+    /// Passes a request to the engine: complete, or once more of its body has arrived than is buffered.
+    pub(super) fn begin_request(&mut self, key: usize, is_complete: bool) {
         let settings = self.settings.clone();
         let Some(client) = self.clients.get_mut(key) else { return };
-        let ClientState::ReceivingBody(pending) = std::mem::replace(&mut client.state, ClientState::Idle)
-        else {
-            return;
-        };
-        let PendingRequest { head, arrived_at, purpose, body } = *pending;
+        let Some(pending) = client.take_pending_request() else { return };
+        let PendingRequest { head, arrived_at, purpose, body } = pending;
         let RequestPurpose::Route { class } = purpose else { return };
         let framing = if is_complete { Framing::Length(body.len() as u64) } else { head.framing };
         let request = InFlightRequest {
@@ -136,43 +90,11 @@
         self.in_flight.insert(id, request);
     }
 
-    /// More of a growing body: to the server that has the rest, or buffered until there is one.
-    fn append_body(&mut self, id: RequestId, bytes: &[u8]) {
-        let Some(request) = self.in_flight.get_mut(&id) else { return };
-        let Some(key) = request.latest_connection() else { return request.body.extend_from_slice(bytes) };
-        match self.servers.get_mut(key) {
-            Some(server) if server.has_request() => {
-                if request.is_chunked {
-                    write_chunk(server.out(), bytes);
-                } else {
-                    server.out().extend_from_slice(bytes);
-                }
-                self.engine.mark_not_repeatable(id);
-                self.flush_server(key);
-            }
-            _ => request.body.extend_from_slice(bytes),
-        }
-    }
-
-    /// A growing body is complete.
-    fn complete_body(&mut self, id: RequestId) {
-        let Some(request) = self.in_flight.get_mut(&id) else { return };
-        request.is_complete = true;
-        let Some(key) = request.latest_connection() else { return };
-        let Some(server) = self.servers.get_mut(key).filter(|server| server.has_request()) else { return };
-        if request.is_chunked {
-            write_last_chunk(server.out());
-        }
-        self.flush_server(key);
-    }
-
-    fn on_answer_report(&mut self, key: usize) {
+    /// A client reports a response wrong.
+    pub(super) fn on_answer_report(&mut self, key: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
-        let ClientState::ReceivingBody(pending) = std::mem::replace(&mut client.state, ClientState::Idle)
-        else {
-            return;
-        };
+        let Some(pending) = client.take_pending_request() else { return };
         match answer_report::parse(&pending.body) {
             Ok(answer) if self.engine.on_answer_reported(now, answer) => {
                 self.write_local_response(key, StatusCode::ACCEPTED, "", &[]);
@@ -184,7 +106,7 @@
         }
     }
 
-    /// The request is no longer in flight.
+    /// Drops a request that is finished.
     pub(in super::super) fn forget_request(&mut self, id: RequestId) {
         self.in_flight.remove(&id);
     }
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -138,8 +138,8 @@
             ClientState::Idle if self.draining && client.http.is_idle() && drained => {
                 return self.close_client(key);
             }
-            // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as to handle it
-            // from here would go a level deeper with each one that is answered at once.
+            // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as
+            // to handle it from here would go a level deeper with each one that is answered at once.
             ClientState::Idle if client.http.held() > 0 => {
                 self.clients_to_resume.push(ConnectionId { key, generation: client.generation });
             }
--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    /// Ends a pause that has expired, publishes a control socket that could not be published before, and logs the
-    /// connections that were rejected.
+    /// Ends a pause that has expired, publishes a control socket that could not be published before, and logs
+    /// the connections that were rejected.
     pub(in super::super) fn control_upkeep(&mut self) {
         let context = self.daemon_context();
         let Some(control) = self.control.as_mut().filter(|control| control.in_progress.is_none()) else {
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -1,8 +1,9 @@
 //! The control sockets, local and TCP: operators' questions and commands, and the one reading of the state.
 //!
-//! What a command leads to is decided in `violetseam-operator-commands`. A command is stored durably before it is applied
-//! and answered: the state writer works on a thread of its own, as a slow disk must not hold up traffic, and commands
-//! wait for each other meanwhile. A command that cannot be stored is refused and changes nothing.
+//! What a command leads to is decided in `violetseam-operator-commands`. A command is stored durably before
+//! it is applied and answered: the state writer works on a thread of its own, as a slow disk must not hold up
+//! traffic, and commands wait for each other meanwhile. A command that cannot be stored is refused and
+//! changes nothing.
 
 pub(super) mod commands;
 mod connections;
--- a/crates/proxy/src/driver/servers/responses.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -1,7 +1,7 @@
-//! Servers' answers: what their status says of an attempt, and how they get to the client.
+//! Servers' responses: the outcome that their status gives an attempt, and their way to the client.
 
 use super::super::Proxy;
-use super::{ConnectionState, ResponseState, Server};
+use super::{AttemptId, ConnectionState, ResponseState, Server};
 use http::StatusCode;
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_event_io::ReadOutcome;
@@ -9,6 +9,7 @@
 use violetseam_http1::{Framing, ResponseHead};
 
 impl Proxy {
+    /// Reads once.
     pub(super) fn read_server(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(server) = self.servers.get_mut(key) {
@@ -28,6 +29,7 @@
         self.scratch = scratch;
     }
 
+    /// Handles what a server's input gives, until it gives nothing more for now.
     fn server_events(&mut self, key: usize) {
         while let Some(server) = self.servers.get_mut(key) {
             let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
@@ -49,7 +51,7 @@
         }
     }
 
-    /// What an answer's status says of the attempt.
+    /// The outcome that a response's status gives its attempt.
     fn outcome_of(&self, head: &ResponseHead) -> Outcome {
         let not_run = head.headers.contains_key(&self.settings.headers.not_run);
         match head.status {
@@ -63,17 +65,16 @@
         let outcome = self.outcome_of(&head);
         let Some(server) = self.servers.get_mut(key) else { return };
         let ConnectionState::Busy(active) = &mut server.state else { return };
-        let request = active.request;
-        let attempt = active.attempt;
+        let id = active.id;
         let is_stream_class = self
             .in_flight
-            .get(&request)
+            .get(&id.request)
             .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
         if outcome != Outcome::Ok {
-            // Reported at once: what follows of such an answer is read only to use the connection again.
+            // Reported at once: the rest of such a response is read only to use the connection again.
             server.state = ConnectionState::Discarding { body_bytes: 0 };
-            self.detach_attempt(request, attempt);
-            self.end_attempt(request, attempt, outcome);
+            self.set_attempt_connection(id, None);
+            self.end_attempt(id.request, id.attempt, outcome);
         } else if is_stream_class {
             self.start_streaming(key, &head, &[]);
         } else {
@@ -101,7 +102,7 @@
                     }
                 }
                 ResponseState::Streaming => {
-                    let request = active.request;
+                    let request = active.id.request;
                     if let Some(client) = self.waiting_client(request) {
                         self.write_response_body(client, bytes);
                         self.flush_client(client);
@@ -113,16 +114,16 @@
         }
     }
 
-    /// From here on the answer is the client's: no time-out of the request applies any more.
+    /// Begins to pass a response on as it arrives: no time-out of the request applies from here on.
     fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
         let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
         active.response = ResponseState::Streaming;
-        let request = active.request;
-        let attempt = active.attempt;
+        let id = active.id;
+        let AttemptId { request, attempt } = id;
         let now = self.now();
         if !self.engine.on_stream_started(now, request, attempt) {
-            // Another attempt's answer is the client's already.
-            self.detach_attempt(request, attempt);
+            // The client already gets another attempt's response.
+            self.set_attempt_connection(id, None);
             self.close_server(key);
             self.end_attempt(request, attempt, Outcome::Cancelled);
             return;
@@ -139,17 +140,16 @@
         }
     }
 
-    /// The answer is complete.
+    /// The response is complete.
     fn on_response_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
         // A request that is not completely written cannot be distinguished from a next one by the server.
         let reusable = reusable && !server.socket.has_unwritten_bytes();
         let state = std::mem::replace(&mut server.state, ConnectionState::Idle);
         let ConnectionState::Busy(active) = state else { return self.pool_or_close(key, reusable) };
-        let request = active.request;
-        let attempt = active.attempt;
+        let AttemptId { request, attempt } = active.id;
         let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
-        self.detach_attempt(request, attempt);
+        self.set_attempt_connection(active.id, None);
         self.pool_or_close(key, reusable && is_request_written);
         match active.response {
             ResponseState::Buffered { head, body } => {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Gives the client an answer that is complete.
+    /// Gives the client a response that is complete.
     fn deliver_buffered_response(
         &mut self,
         request: RequestId,
@@ -179,7 +179,7 @@
         answer: u64,
     ) {
         tracing::debug!(request, status = head.status.as_u16(), "final answer");
-        // An answer without a body may still state the length that one would have (HEAD, 304).
+        // A response without a body may still state the length that one would have (HEAD, 304).
         let stated =
             head.headers.get(http::header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
         let bodiless = body.is_empty() && head.framing == Framing::Length(0);
