--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -2,12 +2,12 @@
 
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
-use super::{Client, FIRST_REQUEST_TIMEOUT, State};
+use super::{Client, ClientState, FIRST_REQUEST_TIMEOUT};
 use calloop::Readiness;
 use http::StatusCode;
 use std::net::TcpStream;
 use violetseam::interface::Micros;
-use violetseam_event_io::{HIGH_WATER, ReadOutcome};
+use violetseam_event_io::{ReadOutcome, WRITE_BUFFER_HIGH_WATERMARK};
 use violetseam_http1::server::ServerEvent;
 use violetseam_settings::HalfClose;
 
@@ -27,12 +27,12 @@
         keys.iter().filter_map(|key| Some(self.clients.get(*key)?.socket.stream())).collect()
     }
 
-    /// Before a drain: what has come on idle connections is read. The others close, but those whose first request
-    /// may be on its way.
+    /// Before a drain: what has come on idle connections is read. The others close, but those whose first
+    /// request may be on its way.
     pub(in super::super) fn close_idle_clients(&mut self) {
         for key in self.idle_clients() {
             self.read_client(key);
-            if self.clients.get(key).is_some_and(|c| c.used && c.is_between_requests()) {
+            if self.clients.get(key).is_some_and(|c| c.has_received_request && c.is_between_requests()) {
                 self.close_client(key);
             }
         }
@@ -78,7 +78,7 @@
         if readiness.readable || readiness.error {
             self.read_client(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Reads once.
@@ -90,9 +90,9 @@
                     client.http.feed(&scratch[..n]);
                     self.client_events(key);
                 }
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => self.on_client_half_closed(key),
-                ReadOutcome::Broken => self.on_client_lost(key),
+                ReadOutcome::Failed => self.on_client_lost(key),
             }
         }
         self.scratch = scratch;
@@ -104,13 +104,13 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         let serve = self.settings.connections.half_close == HalfClose::Serve;
         match client.state {
-            State::Waiting(id)
+            ClientState::AwaitingResponse(id)
                 if serve && self.in_flight.get(&id).is_some_and(|request| request.is_complete) =>
             {
                 client.half_closed = true;
             }
-            State::Closing => client.half_closed = true,
-            State::Lingering => self.close_client(key),
+            ClientState::Closing => client.half_closed = true,
+            ClientState::Lingering => self.close_client(key),
             _ => self.on_client_lost(key),
         }
     }
@@ -125,12 +125,12 @@
                 ServerEvent::End => self.on_end(key),
                 ServerEvent::Fault(fault) => {
                     tracing::debug!("request refused: {fault}");
-                    if let State::Waiting(id) = client.state {
-                        client.state = State::Idle;
+                    if let ClientState::AwaitingResponse(id) = client.state {
+                        client.state = ClientState::Idle;
                         let now = self.now();
                         self.engine.on_client_disconnected(now, id);
                     }
-                    self.decline(key, fault.status, fault.reason);
+                    self.respond_with_error(key, fault.status, fault.reason);
                 }
             }
         }
@@ -153,7 +153,7 @@
         let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
         // While a process takes over, what comes next on a connection is for whoever has it then.
         let reads = !client.half_closed && !is_body_stuck && !is_full && !is_handing_over;
-        client.socket.want(&self.handle, reads);
+        client.socket.set_read_interest(&self.handle, reads);
     }
 
     /// Sets when the present state has lasted too long.
@@ -163,13 +163,13 @@
         let settings = &self.settings.connections;
         let Some(client) = self.clients.get_mut(key) else { return };
         let timeout = match &client.state {
-            State::Waiting(_) => None,
-            State::Collecting(_) => Some(settings.body_timeout),
-            State::Idle if client.http.is_receiving() => Some(settings.head_timeout),
-            State::Idle if client.used => Some(settings.client_idle),
-            State::Idle => Some(first_request_timeout),
-            State::Closing => Some(settings.head_timeout),
-            State::Lingering => Some(LINGER_TIMEOUT),
+            ClientState::AwaitingResponse(_) => None,
+            ClientState::ReceivingBody(_) => Some(settings.body_timeout),
+            ClientState::Idle if client.http.is_receiving() => Some(settings.head_timeout),
+            ClientState::Idle if client.has_received_request => Some(settings.client_idle),
+            ClientState::Idle => Some(first_request_timeout),
+            ClientState::Closing => Some(settings.head_timeout),
+            ClientState::Lingering => Some(LINGER_TIMEOUT),
         };
         // A client that trickles its head must not push its own limit on with each byte.
         let timeout_at = timeout.map(|timeout| now + timeout);
@@ -185,7 +185,8 @@
         let Some(request) = request.filter(|request| !request.is_complete) else { return false };
         let latest_server = request.connections.iter().rev().flatten().next();
         let server = latest_server.and_then(|&key| self.servers.get(key));
-        let is_server_slow = server.is_none_or(|server| server.unwritten() > HIGH_WATER);
+        let is_server_slow =
+            server.is_none_or(|server| server.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK);
         is_server_slow && request.body.len() > self.settings.connections.keep_body
     }
 
@@ -197,9 +198,10 @@
         if !client.timeout.on_timer(now, &mut self.timers, TimerKind::Client(id)) {
             return;
         }
-        let is_receiving = client.http.is_receiving() || matches!(client.state, State::Collecting(_));
-        if is_receiving && !matches!(client.state, State::Closing | State::Lingering) {
-            self.decline(id.key, StatusCode::REQUEST_TIMEOUT, "the request did not come in time");
+        let is_receiving =
+            client.http.is_receiving() || matches!(client.state, ClientState::ReceivingBody(_));
+        if is_receiving && !matches!(client.state, ClientState::Closing | ClientState::Lingering) {
+            self.respond_with_error(id.key, StatusCode::REQUEST_TIMEOUT, "the request did not come in time");
         } else {
             self.close_client(id.key);
         }
