--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -255,7 +255,7 @@
         self.restore_pause();
         self.open_release_stream();
         self.next_upkeep(now);
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Whether a new process is taking over, and is not serving yet.
@@ -302,7 +302,7 @@
         stream.write_all(&line)?;
         stream.write_all(&module)?;
         let mut descriptors: Vec<BorrowedFd<'_>> =
-            self.listeners.iter().map(|open| open.listener.as_fd()).collect();
+            self.listeners.iter().map(|open| open.socket().as_fd()).collect();
         descriptors.extend(self.udp.as_ref().map(|socket| socket.as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
@@ -364,7 +364,7 @@
         self.draining = true;
         self.ending = true;
         self.rearm_all_clients();
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// The new process has had its time, unless the takeover it was for is over.
