--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -14,6 +14,16 @@
 use violetseam_operator_commands::{Action, Request, Response};
 use violetseam_settings::Identity;
 
+/// The longest pause, in seconds: a day.
+const MAX_PAUSE_S: f64 = 86_400.0;
+/// The bounds of `watch --every`, in seconds.
+const MIN_WATCH_INTERVAL_S: f64 = 0.1;
+const MAX_WATCH_INTERVAL_S: f64 = 3_600.0;
+/// The bounds of `--valid`, in seconds.
+const MIN_VALIDITY_S: f64 = 0.1;
+const MAX_VALIDITY_S: f64 = 3_600.0;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
 #[derive(ClapArgs)]
 pub struct Args {
     /// The fleet file: a Starlark script of member(name, control, groups)
@@ -92,15 +102,17 @@
     Reload,
 }
 
+/// The action that a command asks for; `None` if it only asks for something.
 fn action(command: &Command) -> Option<Action> {
-    Some(match command {
+    let action = match command {
         Command::State
         | Command::Watch { .. }
         | Command::Rights
         | Command::Configuration
         | Command::Whoami => return None,
         Command::Pause { span } => {
-            Action::Pause { until_us: wall_clock() + (span.clamp(0.0, 86_400.0) * 1e6) as u64 }
+            let span_us = (span.clamp(0.0, MAX_PAUSE_S) * MICROS_PER_SECOND as f64) as u64;
+            Action::Pause { until_us: wall_clock() + span_us }
         }
         Command::Resume => Action::Resume,
         Command::Back => Action::RollBack,
@@ -108,7 +120,8 @@
         Command::Undrain => Action::Undrain,
         Command::LogLevel { filter } => Action::LogLevel { filter: filter.clone() },
         Command::Reload => Action::Reload,
-    })
+    };
+    Some(action)
 }
 
 /// Runs a fleet command.
@@ -116,13 +129,12 @@
     let file = violetseam_settings::read_fleet(&args.fleet, &args.set)?;
     let members = select_members(file.members, &args.only)?;
     let identity = file.identity.as_ref().map(client_tls).transpose()?;
-    let names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
     let fleet = Fleet { members, timeout: timeout(args.timeout), parallel: args.parallel, identity };
-    let terminal = std::io::stderr().is_terminal();
-    let all = names.len();
+    let shows_progress = std::io::stderr().is_terminal();
+    let total = fleet.members.len();
     let mut progress = |done: usize| {
-        if terminal {
-            eprint!("\r{done} of {all} ");
+        if shows_progress {
+            eprint!("\r{done} of {total} ");
             let _ = std::io::stderr().flush();
         }
     };
@@ -131,14 +143,14 @@
         Command::State => show(args, report::state_table, &fleet, &mut progress),
         Command::Rights => show(args, report::quota_table, &fleet, &mut progress),
         Command::Configuration => show(args, report::configuration_table, &fleet, &mut progress),
-        Command::Whoami => whoami(args, &fleet, &names, &mut progress),
+        Command::Whoami => whoami(args, &fleet, &mut progress),
         command => send(args, command, &fleet, &mut progress),
     }
 }
 
 /// The TLS settings of an operator's identity; warns where its certificate ends soon.
 fn client_tls(identity: &Identity) -> anyhow::Result<Arc<rustls::ClientConfig>> {
-    let now_s = (wall_clock() / 1_000_000) as i64;
+    let now_s = (wall_clock() / MICROS_PER_SECOND) as i64;
     let files = key_files(identity);
     let loaded = violetseam_tls_config::client_tls(&files, now_s).context("identity")?;
     if loaded.expires_at_s - now_s < violetseam_tls_config::EXPIRY_WARNING_S {
@@ -149,7 +161,7 @@
 
 /// Shows the state again and again, `count` times or for ever.
 fn watch(args: &Args, fleet: &Fleet, every: f64, count: Option<u64>) -> anyhow::Result<ExitCode> {
-    let interval = Duration::from_secs_f64(every.clamp(0.1, 3_600.0));
+    let interval = Duration::from_secs_f64(every.clamp(MIN_WATCH_INTERVAL_S, MAX_WATCH_INTERVAL_S));
     let mut remaining = count.unwrap_or(u64::MAX);
     while remaining > 0 {
         show(args, report::state_table, fleet, &mut |_| {})?;
@@ -173,7 +185,7 @@
         bail!("not confirmed, nothing was sent");
     }
     let issuer = operator_name(args.issuer.as_deref());
-    let validity = Duration::from_secs_f64(args.valid.clamp(0.1, 3_600.0));
+    let validity = Duration::from_secs_f64(args.valid.clamp(MIN_VALIDITY_S, MAX_VALIDITY_S));
     let delivery = if args.all_or_none { Delivery::AllOrNone } else { Delivery::Independent };
     let options = CommandOptions { issuer, validity, delivery };
     let command_report = fleet.send_command(&action, &options, progress);
@@ -185,6 +197,7 @@
     Ok(ExitCode::from(report::exit_status(&command_report).code()))
 }
 
+/// Shows the state of each daemon as a table or as JSON.
 fn show(
     args: &Args,
     table: impl Fn(&[DaemonReading]) -> String,
@@ -201,30 +214,23 @@
     Ok(query_exit_code(any_unanswered))
 }
 
-fn whoami(
-    args: &Args,
-    fleet: &Fleet,
-    names: &[String],
-    progress: &mut dyn FnMut(usize),
-) -> anyhow::Result<ExitCode> {
-    let answers = fleet.query(&|_| Some(Request::Whoami), progress);
-    let mut any_unanswered = false;
-    for (member, answer) in names.iter().zip(answers) {
-        match answer {
+/// Prints name, boot number and version of each daemon.
+fn whoami(args: &Args, fleet: &Fleet, progress: &mut dyn FnMut(usize)) -> anyhow::Result<ExitCode> {
+    let responses = fleet.query(&|_| Some(Request::Whoami), progress);
+    let any_unanswered = responses.iter().any(Result::is_err);
+    for (member, response) in fleet.members.iter().zip(responses) {
+        let daemon = &member.name;
+        match response {
             Ok(Response::Whoami { name, boot, version }) if args.json => {
-                println!(
-                    "{}",
-                    serde_json::json!({"daemon": member, "name": name, "boot": boot, "version": version})
-                );
+                let identity =
+                    serde_json::json!({"daemon": daemon, "name": name, "boot": boot, "version": version});
+                println!("{identity}");
             }
             Ok(Response::Whoami { name, boot, version }) => {
-                println!("{member}: {name}, boot {boot}, version {version}");
-            }
-            Ok(other) => println!("{member}: answered something else: {other:?}"),
-            Err(error) => {
-                any_unanswered = true;
-                println!("{member}: SILENT: {error}");
+                println!("{daemon}: {name}, boot {boot}, version {version}");
             }
+            Ok(other) => println!("{daemon}: answered something else: {other:?}"),
+            Err(error) => println!("{daemon}: SILENT: {error}"),
         }
     }
     Ok(query_exit_code(any_unanswered))
@@ -236,11 +242,12 @@
     ExitCode::from(status.code())
 }
 
-fn confirmed(what: &str, count: usize) -> anyhow::Result<bool> {
+/// Asks the operator whether to go on.
+fn confirmed(action: &str, daemons: usize) -> anyhow::Result<bool> {
     if !std::io::stdin().is_terminal() {
         bail!("give --yes to change something without being asked");
     }
-    eprint!("{what} on {count} daemons? [y/N] ");
+    eprint!("{action} on {daemons} daemons? [y/N] ");
     let _ = std::io::stderr().flush();
     let mut line = String::new();
     std::io::stdin().read_line(&mut line)?;
