--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use violetseam_scale_bench as scale;
-use violetseam_scenarios::{Lab, days, disturbed, drawn, fleet, measure, report};
+use violetseam_scenarios::{ReleaseDecider, ScenarioRunner, days, disturbed, drawn, fleet, measure, report};
 use violetseam_simulated_site::day::Day;
 
 #[derive(Args)]
@@ -72,8 +72,9 @@
         std::env::temp_dir().join(format!("violetseam-{}-{}", day.name, std::process::id()))
     });
     println!("logs and records: {}", out.display());
-    let lab = Lab { program, out, extra: extra.to_vec(), number: 0, stand_in_desk };
-    let outcome = lab.play(day, &mut |line| println!("{line}"))?;
+    let release_decider = if stand_in_desk { ReleaseDecider::Simulated } else { ReleaseDecider::Controller };
+    let runner = ScenarioRunner { program, out, extra_args: extra.to_vec(), number: 0, release_decider };
+    let outcome = runner.play(day, &mut |line| println!("{line}")).map_err(|e| e.to_string())?;
     print!("{}", report::text(day, &outcome));
     Ok(if outcome.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
 use violetseam_recorder::{Interest, replay};
-use violetseam_scenarios::{Lab, Outcome, days, report};
+use violetseam_scenarios::{ReleaseDecider, ScenarioOutcome, ScenarioRunner, days, report};
 use violetseam_simulated_site::day::Day;
 
 fn folder(number: u8, day: &Day) -> PathBuf {
@@ -15,18 +15,23 @@
 /// rules allow for its slowness would not be the same every time.
 static ONE: Mutex<()> = Mutex::new(());
 
-fn play(number: u8, day: &Day, extra: &[&str]) -> Outcome {
-    play_under(number, day, extra, false)
+fn play(number: u8, day: &Day, extra: &[&str]) -> ScenarioOutcome {
+    play_under(number, day, extra, ReleaseDecider::Controller)
 }
 
-fn play_under(number: u8, day: &Day, extra: &[&str], stand_in_desk: bool) -> Outcome {
+fn play_under(
+    number: u8,
+    day: &Day,
+    extra_args: &[&str],
+    release_decider: ReleaseDecider,
+) -> ScenarioOutcome {
     let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let out = folder(number, day);
     let _ = std::fs::remove_dir_all(&out);
-    let extra = extra.iter().map(|s| (*s).to_owned()).collect();
+    let extra_args = extra_args.iter().map(|s| (*s).to_owned()).collect();
     let program = env!("CARGO_BIN_EXE_violetseam").into();
-    let lab = Lab { program, out, extra, number, stand_in_desk };
-    let outcome = lab.play(day, &mut |_| {}).unwrap();
+    let runner = ScenarioRunner { program, out, extra_args, number, release_decider };
+    let outcome = runner.play(day, &mut |_| {}).unwrap();
     println!("{}", report::text(day, &outcome));
     outcome
 }
@@ -79,7 +84,7 @@
     day.traffic.rate = 200.0;
     day.releases =
         vec![violetseam_simulated_site::day::Release { at: 500_000, fault: None, strength: 0.0, speed: 1.0 }];
-    let outcome = play_under(7, &day, &[], true);
+    let outcome = play_under(7, &day, &[], ReleaseDecider::Simulated);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
     assert_eq!(outcome.site.fates.len(), 1);
     assert!(!folder(7, &day).join("controller.log").exists());
@@ -110,7 +115,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn a_proxy_that_sends_twice_is_caught() {
-    let outcome = play_under(1, &rough(), &["--sabotage", "double-send"], true);
+    let outcome = play_under(1, &rough(), &["--sabotage", "double-send"], ReleaseDecider::Simulated);
     assert!(outcome.verdict.broken[1] > 0, "{:?}", outcome.verdict.broken);
     assert!(outcome.verdict.violations.iter().any(|v| v.what.contains("unsafe request")));
 }
@@ -118,7 +123,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn a_proxy_that_holds_its_answers_back_is_caught() {
-    let outcome = play_under(2, &rough(), &["--sabotage", "late-answer"], true);
+    let outcome = play_under(2, &rough(), &["--sabotage", "late-answer"], ReleaseDecider::Simulated);
     assert!(outcome.verdict.broken[0] > 0, "{:?}", outcome.verdict.broken);
 }
 
@@ -130,13 +135,13 @@
     day.contract.drain_grace = 100_000;
     day.rollout.drain = 4_000_000;
     day.rollout.bake = 500_000;
-    let outcome = play_under(3, &day, &["--sabotage", "ignore-drains"], true);
+    let outcome = play_under(3, &day, &["--sabotage", "ignore-drains"], ReleaseDecider::Simulated);
     assert!(outcome.verdict.broken[2] > 0, "{:?}", outcome.verdict.broken);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
 fn the_saboteurs_day_is_kept_by_an_honest_proxy() {
-    let outcome = play_under(4, &rough(), &[], true);
+    let outcome = play_under(4, &rough(), &[], ReleaseDecider::Simulated);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
 }
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
-use violetseam_scenarios::{Lab, Outcome, fleet_days, report, script};
+use violetseam_scenarios::{
+    ReleaseDecider, ScenarioOutcome, ScenarioRunner, fleet_days, proxy_settings, report,
+};
 use violetseam_simulated_site::day::Day;
 use violetseam_simulated_site::drive::Net;
 
@@ -14,19 +16,20 @@
 static ONE: Mutex<()> = Mutex::new(());
 
 /// Plays a day; with `look`, the fleet tool shows the rights when this is said, and its report comes back.
-fn play(number: u8, day: &Day, extra: &[&str], look: Option<&str>) -> (Outcome, String) {
+fn play(number: u8, day: &Day, extra: &[&str], look: Option<&str>) -> (ScenarioOutcome, String) {
     let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", day.name));
     let _ = std::fs::remove_dir_all(&out);
     std::fs::create_dir_all(&out).unwrap();
-    let control = script::control_path(Net::of_process(number)).display().to_string();
+    let control = proxy_settings::control_path_prefix(Net::of_process(number)).display().to_string();
     let member = |n| format!("member(name = \"p{n}\", control = \"{control}-{n}\")\n");
     let fleet = out.join("fleet.star");
     std::fs::write(&fleet, (0..day.proxies.len()).map(member).collect::<String>()).unwrap();
-    let extra = extra.iter().map(|s| (*s).to_owned()).collect();
-    let lab = Lab { program: PROGRAM.into(), out, extra, number, stand_in_desk: false };
+    let extra_args = extra.iter().map(|s| (*s).to_owned()).collect();
+    let release_decider = ReleaseDecider::Controller;
+    let runner = ScenarioRunner { program: PROGRAM.into(), out, extra_args, number, release_decider };
     let mut shown = String::new();
-    let outcome = lab.play(day, &mut |line| {
+    let outcome = runner.play(day, &mut |line| {
         if look.is_some_and(|look| line.contains(look)) {
             let tool = Command::new(PROGRAM).args(["fleet", "--fleet"]).arg(&fleet).arg("rights").output();
             shown = String::from_utf8_lossy(&tool.unwrap().stdout).into_owned();
@@ -39,7 +42,7 @@
 
 /// The rules and the fleet's bounds were kept, and the bounds had something to keep: further attempts were made, of each
 /// class at least half of what the static parts of the proxies that are always there come to.
-fn kept(day: &Day, outcome: &Outcome) {
+fn kept(day: &Day, outcome: &ScenarioOutcome) {
     let verdict = &outcome.verdict;
     assert!(outcome.is_good(), "{:?} {:?} {:?}", verdict.violations, verdict.fleet, outcome.faults);
     assert_eq!(verdict.fleet.len(), 2, "both bounded classes are looked at");
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -132,7 +132,7 @@
     let mut day = day.clone();
     day.troubles.iter_mut().for_each(|t| t.at += PRELUDE);
     day.releases.iter_mut().for_each(|r| r.at += PRELUDE);
-    let text = violetseam_scenarios::script::settings(
+    let text = violetseam_scenarios::proxy_settings::script(
         &day,
         Net::of_process(0),
         std::path::Path::new("/nonexistent"),
@@ -609,7 +609,7 @@
     }
 
     fn offer(&mut self, n: usize) -> Result<(), String> {
-        let text = violetseam_scenarios::plan(&self.world.day, n);
+        let text = violetseam_scenarios::release_plan::script(&self.world.day, n);
         let plan = violetseam_plan::read_text("day", &text, &[], self.wall + self.world.now);
         let plan =
             plan.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
--- a/crates/scenarios/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -1,55 +1,74 @@
-//! The release controller of a run, as a process: started, killed, started again, told of builds.
+//! The release controller of a run, as a process: started, killed, started again, offered builds.
 
-use std::fmt::Write as _;
+use crate::error::ScenarioError;
+use crate::release_plan;
 use std::fs::OpenOptions;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::{Order, Reply};
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::day::{Day, Gate};
+use violetseam_simulated_site::day::Day;
 use violetseam_simulated_site::drive::Net;
 
-/// One controller.
-pub struct Controller {
+/// How long a controller may take until it leads.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Between two questions whether it leads.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// For the answer to one question whether it leads.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Between two attempts to offer a build.
+const OFFER_INTERVAL: Duration = Duration::from_millis(20);
+/// For the answer to an offer or an order.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The controller's process, if it runs, and what it is started with.
+pub(crate) struct ControllerProcess {
     program: PathBuf,
     settings: PathBuf,
     out: PathBuf,
-    /// Its control socket.
-    pub control: PathBuf,
+    control: PathBuf,
     child: Option<Child>,
 }
 
-impl Controller {
-    /// Writes its settings and starts it.
+impl ControllerProcess {
+    /// Writes the controller's settings, starts it with an empty state and waits until it leads.
+    ///
+    /// # Errors
+    /// Errors of the settings file and the process; [`ScenarioError::ControllerNotReady`] if it does not
+    /// lead in time.
     pub fn start(
         program: PathBuf,
         out: PathBuf,
         net: Net,
         control: PathBuf,
         build: u16,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, ScenarioError> {
         let settings = out.join("controller.star");
-        let text = format!(
+        let script = format!(
             "controller(name = \"lab\", listen = \"{}\", build = {build}, control = \"{}\", lease = \"500ms\", beat = \"250ms\")\n",
             net.controller(),
             control.display()
         );
-        std::fs::write(&settings, text).map_err(|e| e.to_string())?;
-        // A run begins with nothing decided.
+        std::fs::write(&settings, script).map_err(ScenarioError::io(settings.display().to_string()))?;
+        // The state of an earlier run in the same folder, if there is one.
         let _ = std::fs::remove_dir_all(out.join("controller"));
-        let mut controller = Controller { program, settings, out, control, child: None };
-        controller.spawn().map_err(|e| e.to_string())?;
-        controller.wait_to_speak(Duration::from_secs(10))?;
+        let mut controller = ControllerProcess { program, settings, out, control, child: None };
+        controller.spawn().map_err(ScenarioError::io("controller"))?;
+        controller.wait_until_leading()?;
         Ok(controller)
     }
 
-    /// Starts it, or starts it again.
+    /// Its control socket.
+    pub fn control(&self) -> &Path {
+        &self.control
+    }
+
+    /// Starts the process, or starts it again with the state that it had.
     pub fn spawn(&mut self) -> std::io::Result<()> {
-        let log = OpenOptions::new().create(true).append(true).open(self.out.join("controller.log"))?;
+        let log = OpenOptions::new().create(true).append(true).open(self.log_path())?;
         let child = Command::new(&self.program)
             .arg("controller")
             .arg("--settings")
@@ -64,21 +83,27 @@
         Ok(())
     }
 
-    fn wait_to_speak(&self, within: Duration) -> Result<(), String> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
-            if let Ok(Response::Status(status)) =
-                send_request(&self.control, &Request::Status, Duration::from_secs(1))
-                && status.term > 0
-            {
+    fn log_path(&self) -> PathBuf {
+        self.out.join("controller.log")
+    }
+
+    fn wait_until_leading(&self) -> Result<(), ScenarioError> {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Instant::now() < deadline {
+            if self.is_leading() {
                 return Ok(());
             }
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(START_POLL_INTERVAL);
         }
-        Err(format!("the controller does not speak, see {}", self.out.join("controller.log").display()))
+        Err(ScenarioError::ControllerNotReady { log: self.log_path() })
+    }
+
+    fn is_leading(&self) -> bool {
+        let response = send_request(&self.control, &Request::Status, STATUS_TIMEOUT);
+        matches!(response, Ok(Response::Status(status)) if status.term > 0)
     }
 
-    /// Ends it at once.
+    /// Ends the process at once.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -87,81 +112,50 @@
     }
 }
 
-impl Drop for Controller {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         self.kill();
         let _ = std::fs::remove_file(&self.control);
     }
 }
 
-/// The plan of a day's `n`th build, as a script.
-pub fn plan(day: &Day, n: usize) -> String {
-    let r = &day.rollout;
-    let us = |span: u64| format!("\"{span}us\"");
-    let build = usize::from(r.first_build) + n + 1;
-    let mut s = String::new();
-    let _ = writeln!(
-        s,
-        "plan(name = \"{}-{build}\", build = {build}, longest = \"1h\", downtime = \"stops\")",
-        day.name
-    );
-    let _ = writeln!(
-        s,
-        "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
-        day.proxies.len(),
-        day.servers.len(),
-        us(r.vote_life),
-        r.calls_per_s,
-        r.caps,
-        r.votes_back.max(0.001),
-        if r.beside { "True" } else { "False" }
-    );
-    for (stage, (share, cap)) in r.stages.iter().zip(&r.caps).enumerate() {
-        let (gate, votes, soak) = match r.gate {
-            Gate::Any => ("any", 0.5, r.bake),
-            Gate::Share => ("share", r.votes_on.max(0.001), r.bake),
-            // Nobody's 'hold' stops a clock that no share of them stops.
-            Gate::Timer => ("timer", if r.votes_hold > 0.0 { r.votes_hold } else { 1.0 }, r.step),
-        };
-        let _ = writeln!(
-            s,
-            "wave(name = \"stage-{stage}\", share = {share:?}, cap = {cap:?}, soak = {}, gate = \"{gate}\", votes = {votes:?})",
-            us(soak)
-        );
-    }
-    s.push_str("allow(who = \"lab\", may = [\"back\"])\n");
-    s
-}
-
-/// Offers the day's builds at their moments: one that is still on trial is called back for the next.
-pub fn offer_builds(
+/// Offers the scenario's builds at their moments, until `stop` is set. A build that is still on trial is
+/// rolled back for the next one.
+///
+/// # Errors
+/// [`ScenarioError::PlanRejected`] if the controller finds faults in a plan.
+pub(crate) fn offer_builds(
     day: &Day,
-    control: &std::path::Path,
+    control: &Path,
     clock: Clock,
-    stop: &Arc<AtomicBool>,
-) -> Result<(), String> {
-    for (n, release) in day.releases.iter().enumerate() {
-        let text = plan(day, n);
+    stop: &AtomicBool,
+) -> Result<(), ScenarioError> {
+    for (index, release) in day.releases.iter().enumerate() {
+        let text = release_plan::script(day, index);
+        let offer = Request::SubmitPlan { name: format!("build {index}"), text };
         loop {
             if stop.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            std::thread::sleep(Duration::from_millis(20));
-            if clock.now() < release.at {
-                continue;
-            }
-            let offer = Request::SubmitPlan { name: format!("build {n}"), text: text.clone() };
-            match send_request(control, &offer, Duration::from_secs(2)) {
-                Ok(Response::Reply(Reply::Accepted | Reply::Obsolete(_))) => break,
-                Ok(Response::InvalidPlan(faults)) => return Err(faults.join("; ")),
-                Ok(Response::Reply(Reply::Rejected(why))) if why.contains("on trial") => {
-                    let order = Request::Order { operator: "lab".into(), order: Order::Back };
-                    let _ = send_request(control, &order, Duration::from_secs(2));
-                }
-                // Gone for a while, or something else waits: again.
-                _ => {}
+            std::thread::sleep(OFFER_INTERVAL);
+            if clock.now() >= release.at && try_offer(control, &offer)? {
+                break;
             }
         }
     }
     Ok(())
 }
+
+/// Offers a build once; whether the controller took it. It may be down, or busy with another build.
+fn try_offer(control: &Path, offer: &Request) -> Result<bool, ScenarioError> {
+    match send_request(control, offer, COMMAND_TIMEOUT) {
+        Ok(Response::Reply(Reply::Accepted | Reply::Obsolete(_))) => Ok(true),
+        Ok(Response::InvalidPlan(faults)) => Err(ScenarioError::PlanRejected { faults }),
+        Ok(Response::Reply(Reply::Rejected(reason))) if reason.contains("on trial") => {
+            let roll_back = Request::Order { operator: "lab".into(), order: Order::Back };
+            let _ = send_request(control, &roll_back, COMMAND_TIMEOUT);
+            Ok(false)
+        }
+        _ => Ok(false),
+    }
+}
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,17 +1,26 @@
-//! Plays scripted days: proxies as processes of their own, stand-ins round them, troubles by the clock, and
-//! at the end the rules checked from what crossed the sockets.
+//! Plays scripted scenarios: proxies as processes of their own, a simulated site round them, faults injected by
+//! the clock, and at the end the rules checked from what crossed the sockets. It also measures what the proxy
+//! and the operators' tools cost.
 
 mod controller;
 pub mod days;
 pub mod disturbed;
 pub mod drawn;
+mod error;
+mod fault_timeline;
 pub mod fleet;
 pub mod fleet_days;
 pub mod measure;
+mod outcome;
+mod playback;
+mod process;
 mod proxies;
+pub mod proxy_settings;
+pub mod release_plan;
 pub mod report;
-mod run;
-pub mod script;
+mod runner;
+mod session;
 
-pub use controller::plan;
-pub use run::{Lab, Outcome};
+pub use error::ScenarioError;
+pub use outcome::ScenarioOutcome;
+pub use runner::{ReleaseDecider, ScenarioRunner};
--- a/crates/scenarios/src/proxies.rs
+++ b/crates/scenarios/src/proxies.rs
@@ -1,86 +1,120 @@
 //! The proxies of a run, as processes: started, killed, started again, drained.
 
+use crate::error::ScenarioError;
+use crate::process;
 use rustix::process::{Pid, Signal, kill_process};
-use std::fs::{File, OpenOptions};
+use std::fs::OpenOptions;
 use std::net::TcpStream;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use violetseam_simulated_site::drive::Net;
 
+/// For one connection that probes whether a proxy listens.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Between two such probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(10);
+/// Between two looks whether a process has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
 /// How the processes are started.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub(crate) struct ProxyCommand {
+    /// The program that has `serve`.
     pub program: PathBuf,
+    /// The settings script of all proxies.
     pub settings: PathBuf,
+    /// Where the logs go.
     pub out: PathBuf,
-    pub extra: Vec<String>,
+    /// Further arguments; `{position}` in them stands for the proxy's.
+    pub extra_args: Vec<String>,
+}
+
+/// A process and the position that it serves at.
+struct PositionedChild {
+    position: usize,
+    child: Child,
 }
 
-/// One fleet of proxies.
-pub struct Proxies {
-    launch: Launch,
+/// One fleet of proxies, by position.
+pub(crate) struct ProxyFleet {
+    command: ProxyCommand,
     net: Net,
-    children: Vec<Option<Child>>,
+    /// The process that serves at each position, if there is one.
+    running: Vec<Option<Child>>,
     /// Processes whose sockets were taken over: each ends by itself.
-    leaving: Vec<(usize, Child)>,
-    /// Second processes under an identity that is in use: each must end by itself, and not well.
-    twins: Vec<(usize, Child)>,
+    replaced: Vec<PositionedChild>,
+    /// Second processes under an identity that is in use: each must end by itself, with an error.
+    duplicates: Vec<PositionedChild>,
 }
 
-impl Proxies {
-    pub fn new(launch: Launch, net: Net, count: usize) -> Self {
-        Proxies {
-            launch,
-            net,
-            children: (0..count).map(|_| None).collect(),
-            leaving: Vec::new(),
-            twins: Vec::new(),
-        }
+impl ProxyFleet {
+    /// A fleet of this size, of which nothing runs yet.
+    pub fn new(command: ProxyCommand, net: Net, count: usize) -> Self {
+        let running = (0..count).map(|_| None).collect();
+        ProxyFleet { command, net, running, replaced: Vec::new(), duplicates: Vec::new() }
     }
 
-    fn log(&self, n: usize) -> std::io::Result<File> {
-        OpenOptions::new().create(true).append(true).open(self.launch.out.join(format!("proxy-{n}.log")))
+    fn log_path(&self, position: usize) -> PathBuf {
+        self.command.out.join(format!("proxy-{position}.log"))
     }
 
-    pub fn start(&mut self, n: usize) -> std::io::Result<()> {
-        let child = self.spawn(n, &[])?;
-        self.children[n] = Some(child);
+    /// Starts all proxies and waits until each takes connections, up to `timeout` for each.
+    pub fn start_all(&mut self, timeout: Duration) -> Result<(), ScenarioError> {
+        for position in 0..self.running.len() {
+            self.start(position)?;
+        }
+        for position in 0..self.running.len() {
+            self.wait_until_ready(position, timeout)?;
+        }
+        Ok(())
+    }
+
+    /// Starts a proxy.
+    pub fn start(&mut self, position: usize) -> Result<(), ScenarioError> {
+        let child = self.spawn(position, &[])?;
+        self.running[position] = Some(child);
         Ok(())
     }
 
     /// Starts a process that takes over from a running one.
-    pub fn take_over(&mut self, n: usize) -> std::io::Result<()> {
-        let child = self.spawn(n, &["--takeover"])?;
-        let before = self.children[n].replace(child);
-        self.leaving.extend(before.map(|child| (n, child)));
+    pub fn take_over(&mut self, position: usize) -> Result<(), ScenarioError> {
+        let child = self.spawn(position, &["--takeover"])?;
+        if let Some(child) = self.running[position].replace(child) {
+            self.replaced.push(PositionedChild { position, child });
+        }
         Ok(())
     }
 
     /// Starts a second process under a proxy's identity.
-    pub fn start_twin(&mut self, n: usize) -> std::io::Result<()> {
-        let child = self.spawn(n, &[])?;
-        self.twins.push((n, child));
+    pub fn start_duplicate(&mut self, position: usize) -> Result<(), ScenarioError> {
+        let child = self.spawn(position, &[])?;
+        self.duplicates.push(PositionedChild { position, child });
         Ok(())
     }
 
-    /// Sends a proxy a signal, if it is there.
-    pub fn signal(&self, n: usize, signal: Signal) {
-        let pid = self.children[n].as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+    /// Sends a proxy a signal, if it runs.
+    pub fn signal(&self, position: usize, signal: Signal) {
+        let pid = self.running[position].as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
     }
 
-    fn spawn(&self, n: usize, more: &[&str]) -> std::io::Result<Child> {
-        let log = self.log(n)?;
-        Command::new(&self.launch.program)
+    fn spawn(&self, position: usize, takeover_args: &[&str]) -> Result<Child, ScenarioError> {
+        self.try_spawn(position, takeover_args).map_err(ScenarioError::io(format!("proxy {position}")))
+    }
+
+    fn try_spawn(&self, position: usize, takeover_args: &[&str]) -> std::io::Result<Child> {
+        let log = OpenOptions::new().create(true).append(true).open(self.log_path(position))?;
+        let extra_args = self.command.extra_args.iter();
+        Command::new(&self.command.program)
             .arg("serve")
             .arg("--settings")
-            .arg(&self.launch.settings)
-            .args(["--set", &format!("position={n}")])
-            .args(self.launch.extra.iter().map(|arg| arg.replace("{position}", &n.to_string())))
-            .args(more)
+            .arg(&self.command.settings)
+            .args(["--set", &format!("position={position}")])
+            .args(extra_args.map(|arg| arg.replace("{position}", &position.to_string())))
+            .args(takeover_args)
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -88,88 +122,95 @@
     }
 
     /// Waits until a proxy takes connections.
-    pub fn wait_ready(&mut self, n: usize, within: Duration) -> Result<(), String> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
-            if TcpStream::connect_timeout(&self.net.proxy(n), Duration::from_millis(200)).is_ok() {
+    fn wait_until_ready(&mut self, position: usize, timeout: Duration) -> Result<(), ScenarioError> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
+            if TcpStream::connect_timeout(&self.net.proxy(position), PROBE_TIMEOUT).is_ok() {
                 return Ok(());
             }
-            if let Some(Ok(Some(status))) = self.children[n].as_mut().map(Child::try_wait) {
-                let log = self.launch.out.join(format!("proxy-{n}.log"));
-                return Err(format!("proxy {n} ended at once ({status}), see {}", log.display()));
+            if let Some(Ok(Some(status))) = self.running[position].as_mut().map(Child::try_wait) {
+                let log = self.log_path(position);
+                return Err(ScenarioError::ProxyExited { proxy: position, status, log });
             }
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(PROBE_INTERVAL);
         }
-        Err(format!("proxy {n} takes no connections"))
+        Err(ScenarioError::ProxyNotReady { proxy: position })
     }
 
     /// Ends a proxy at once, with all it holds.
-    pub fn kill(&mut self, n: usize) {
-        if let Some(mut child) = self.children[n].take() {
+    pub fn kill(&mut self, position: usize) {
+        if let Some(mut child) = self.running[position].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Asks all to drain and waits; the ones that did not end well.
-    pub fn drain(&mut self, within: Duration) -> Vec<String> {
-        (0..self.children.len()).for_each(|n| self.signal(n, Signal::TERM));
-        let until = Instant::now() + within;
-        let mut wrong = Vec::new();
-        for (n, mut twin) in self.twins.drain(..) {
-            match twin.try_wait() {
+    /// Asks all to drain and waits; a line for each process that did not end as it should.
+    pub fn drain(&mut self, timeout: Duration) -> Vec<String> {
+        for position in 0..self.running.len() {
+            self.signal(position, Signal::TERM);
+        }
+        let deadline = Instant::now() + timeout;
+        let mut failures = self.collect_duplicates();
+        let mut draining = Vec::new();
+        for (position, slot) in self.running.iter_mut().enumerate() {
+            draining.extend(slot.take().map(|child| PositionedChild { position, child }));
+        }
+        draining.append(&mut self.replaced);
+        failures.extend(draining.into_iter().filter_map(|process| process.wait_for_clean_exit(deadline)));
+        failures
+    }
+
+    /// A line for each duplicate that did not end by itself with an error.
+    fn collect_duplicates(&mut self) -> Vec<String> {
+        let mut failures = Vec::new();
+        for PositionedChild { position, mut child } in self.duplicates.drain(..) {
+            match child.try_wait() {
                 Ok(Some(status)) if !status.success() => {}
                 other => {
-                    wrong.push(format!("a second process as proxy {n} was not refused: {other:?}"));
-                    let _ = twin.kill();
-                    let _ = twin.wait();
+                    failures.push(format!("a second process as proxy {position} was not refused: {other:?}"));
+                    let _ = child.kill();
+                    let _ = child.wait();
                 }
             }
         }
-        let all = self.children.iter_mut().enumerate().filter_map(|(n, c)| Some((n, c.take()?)));
-        let all: Vec<(usize, Child)> = all.chain(self.leaving.drain(..)).collect();
-        for (n, mut child) in all {
-            loop {
-                match child.try_wait() {
-                    Ok(Some(status)) if status.success() => break,
-                    Ok(Some(status)) => {
-                        wrong.push(format!("proxy {n} ended with {status}"));
-                        break;
-                    }
-                    Ok(None) if Instant::now() < until => std::thread::sleep(Duration::from_millis(5)),
-                    _ => {
-                        wrong.push(format!("proxy {n} did not end after it was asked to drain"));
-                        let _ = child.kill();
-                        let _ = child.wait();
-                        break;
-                    }
-                }
-            }
-        }
-        wrong
+        failures
     }
 
-    /// Seconds of processor time that a running proxy has used.
-    pub fn cpu_seconds(&self, n: usize) -> Option<f64> {
-        let pid = self.children[n].as_ref()?.id();
-        cpu_seconds(Path::new(&format!("/proc/{pid}/stat")))
+    /// Seconds of processor time that the running proxies have used.
+    pub fn cpu_seconds(&self) -> f64 {
+        let children = self.running.iter().flatten();
+        children.filter_map(|child| process::cpu_seconds(child.id())).sum()
     }
 }
 
-impl Drop for Proxies {
+impl Drop for ProxyFleet {
     fn drop(&mut self) {
-        (0..self.children.len()).for_each(|n| self.kill(n));
-        for (_, child) in self.leaving.iter_mut().chain(&mut self.twins) {
-            let _ = child.kill();
-            let _ = child.wait();
+        for position in 0..self.running.len() {
+            self.kill(position);
+        }
+        for process in self.replaced.iter_mut().chain(&mut self.duplicates) {
+            let _ = process.child.kill();
+            let _ = process.child.wait();
         }
     }
 }
 
-/// User and system time of a process, in seconds; the kernel counts hundredths.
-fn cpu_seconds(stat: &Path) -> Option<f64> {
-    let text = std::fs::read_to_string(stat).ok()?;
-    let fields: Vec<&str> = text.rsplit(") ").next()?.split(' ').collect();
-    let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
-    Some(ticks / 100.0)
+impl PositionedChild {
+    /// Waits until the process ends, and kills it at the deadline; what went wrong, if anything did.
+    fn wait_for_clean_exit(mut self, deadline: Instant) -> Option<String> {
+        let position = self.position;
+        loop {
+            match self.child.try_wait() {
+                Ok(Some(status)) if status.success() => return None,
+                Ok(Some(status)) => return Some(format!("proxy {position} ended with {status}")),
+                Ok(None) if Instant::now() < deadline => std::thread::sleep(EXIT_POLL_INTERVAL),
+                _ => {
+                    let _ = self.child.kill();
+                    let _ = self.child.wait();
+                    return Some(format!("proxy {position} did not end after it was asked to drain"));
+                }
+            }
+        }
+    }
 }
--- /dev/null
+++ b/crates/scenarios/src/release_plan.rs
@@ -0,0 +1,76 @@
+//! The release plan of a scenario's build, as the script that is submitted to the release controller.
+
+use crate::proxy_settings::{boolean, span};
+use std::fmt::Write;
+use violetseam_simulated_site::day::{Day, Gate, Rollout};
+
+/// The lowest share of votes that a plan may name.
+const MIN_VOTE_SHARE: f64 = 0.001;
+
+/// The plan of the scenario's build with this index among its releases.
+pub fn script(day: &Day, release_index: usize) -> String {
+    let mut script = String::new();
+    write_plan_and_fleet(&mut script, day, release_index);
+    write_waves(&mut script, &day.rollout);
+    script.push_str("allow(who = \"lab\", may = [\"back\"])\n");
+    script
+}
+
+fn write_plan_and_fleet(script: &mut String, day: &Day, release_index: usize) {
+    let rollout = &day.rollout;
+    let build = usize::from(rollout.first_build) + release_index + 1;
+    let _ = writeln!(
+        script,
+        "plan(name = \"{}-{build}\", build = {build}, longest = \"1h\", downtime = \"stops\")",
+        day.name
+    );
+    let _ = writeln!(
+        script,
+        "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
+        day.proxies.len(),
+        day.servers.len(),
+        span(rollout.vote_life),
+        rollout.calls_per_s,
+        rollout.caps,
+        rollout.votes_back.max(MIN_VOTE_SHARE),
+        boolean(rollout.beside)
+    );
+}
+
+fn write_waves(script: &mut String, rollout: &Rollout) {
+    let gate = WaveGate::of(rollout);
+    for (stage, (share, cap)) in rollout.stages.iter().zip(&rollout.caps).enumerate() {
+        let _ = writeln!(
+            script,
+            "wave(name = \"stage-{stage}\", share = {share:?}, cap = {cap:?}, soak = {}, gate = \"{}\", votes = {:?})",
+            span(gate.soak),
+            gate.name,
+            gate.votes
+        );
+    }
+}
+
+/// What promotes each wave of a plan.
+struct WaveGate {
+    name: &'static str,
+    /// Share of the proxies whose votes promote, or hold where the clock promotes.
+    votes: f64,
+    /// In microseconds.
+    soak: u64,
+}
+
+impl WaveGate {
+    fn of(rollout: &Rollout) -> WaveGate {
+        match rollout.gate {
+            Gate::Any => WaveGate { name: "any", votes: 0.5, soak: rollout.bake },
+            Gate::Share => {
+                WaveGate { name: "share", votes: rollout.votes_on.max(MIN_VOTE_SHARE), soak: rollout.bake }
+            }
+            Gate::Timer => {
+                // If no share of the proxies holds the clock, only all of them together do.
+                let votes = if rollout.votes_hold > 0.0 { rollout.votes_hold } else { 1.0 };
+                WaveGate { name: "timer", votes, soak: rollout.step }
+            }
+        }
+    }
+}
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -1,6 +1,6 @@
 //! What a day came to, for people and as data.
 
-use crate::run::Outcome;
+use crate::outcome::ScenarioOutcome;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -8,7 +8,7 @@
 use violetseam_simulated_site::day::Day;
 
 /// Worth served in time over worth asked for.
-pub fn served_worth(outcome: &Outcome) -> f64 {
+pub fn served_worth(outcome: &ScenarioOutcome) -> f64 {
     let asked: f64 = outcome.clients.classes.iter().map(|c| c.worth.0).sum();
     let served: f64 = outcome.clients.classes.iter().map(|c| c.worth.1).sum();
     served / asked.max(1e-9)
@@ -21,7 +21,7 @@
 }
 
 /// The day as data.
-pub fn summary(day: &Day, outcome: &Outcome) -> Value {
+pub fn summary(day: &Day, outcome: &ScenarioOutcome) -> Value {
     let classes = day.classes.iter().zip(&outcome.clients.classes).map(|(c, t)| {
         json!({"class": c.name, "asked": t.asked, "in_time": t.in_time, "late": t.late, "wrong": t.wrong, "unserved": t.unserved})
     });
@@ -68,7 +68,7 @@
 
 /// The day in words.
 #[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
-pub fn text(day: &Day, outcome: &Outcome) -> String {
+pub fn text(day: &Day, outcome: &ScenarioOutcome) -> String {
     let mut s = String::new();
     let _ = writeln!(
         s,
--- /dev/null
+++ b/crates/scenarios/src/session.rs
@@ -0,0 +1,190 @@
+//! The processes and threads of one run: started together, ended in order.
+
+use crate::controller::{ControllerProcess, offer_builds};
+use crate::error::ScenarioError;
+use crate::outcome::Observations;
+use crate::proxies::{ProxyCommand, ProxyFleet};
+use crate::proxy_settings;
+use crate::runner::ReleaseDecider;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Receiver, channel};
+use std::thread::JoinHandle;
+use std::time::Duration;
+use violetseam_simulated_site::Clock;
+use violetseam_simulated_site::day::Day;
+use violetseam_simulated_site::drive::clients::{ClientReport, Progress};
+use violetseam_simulated_site::drive::site::SiteReport;
+use violetseam_simulated_site::drive::{Net, clients, site};
+
+/// From the start of the simulated site to the first request, in microseconds.
+pub(crate) const STARTUP_SPAN: u64 = 2_000_000;
+/// How long the simulated site may take to listen.
+const SITE_START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long each proxy may take until it takes connections.
+const PROXY_START_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long the proxies may take to drain.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
+/// The site sees the proxies' connections close before it ends.
+const CLOSE_GRACE: Duration = Duration::from_millis(150);
+
+/// What the threads of a run share.
+#[derive(Clone)]
+struct RunContext {
+    /// The scenario, its times counted from the start of the clock.
+    day: Arc<Day>,
+    net: Net,
+    clock: Clock,
+    stop: Arc<AtomicBool>,
+}
+
+/// The processes and threads of a run.
+pub(crate) struct Session {
+    context: RunContext,
+    controller: Option<ControllerProcess>,
+    offers: Option<JoinHandle<Result<(), ScenarioError>>>,
+    site: SiteThread,
+    proxies: ProxyFleet,
+    clients: JoinHandle<std::io::Result<ClientReport>>,
+    progress: Arc<Progress>,
+}
+
+/// What a running scenario's faults act on, and what its progress is read from.
+pub(crate) struct SessionParts<'a> {
+    /// The run's clock.
+    pub clock: Clock,
+    /// The proxies.
+    pub proxies: &'a mut ProxyFleet,
+    /// The release controller, if one decides on releases.
+    pub controller: Option<&'a mut ControllerProcess>,
+    /// Lines of what happens at the site.
+    pub site_messages: &'a Receiver<String>,
+    /// Counts of the clients' requests.
+    pub progress: &'a Progress,
+    /// Ends with the scenario.
+    pub clients: &'a JoinHandle<std::io::Result<ClientReport>>,
+}
+
+impl Session {
+    /// Starts the controller, the simulated site, the proxies and the clients.
+    pub fn start(
+        command: ProxyCommand,
+        day: Day,
+        net: Net,
+        release_decider: ReleaseDecider,
+    ) -> Result<Session, ScenarioError> {
+        let proxy_count = day.proxies.len();
+        let context = RunContext {
+            day: Arc::new(day),
+            net,
+            clock: Clock::start(),
+            stop: Arc::new(AtomicBool::new(false)),
+        };
+        let controller = match release_decider {
+            ReleaseDecider::Controller => Some(context.start_controller(&command)?),
+            ReleaseDecider::Simulated => None,
+        };
+        let site = SiteThread::spawn(&context, controller.is_some());
+        let offers = controller.as_ref().map(|controller| context.spawn_offers(controller));
+        let site = site.wait_until_ready(&context)?;
+        let mut proxies = ProxyFleet::new(command, net, proxy_count);
+        if let Err(error) = proxies.start_all(PROXY_START_TIMEOUT) {
+            let _ = site.stop(&context);
+            return Err(error);
+        }
+        let progress = Arc::new(Progress::default());
+        let clients = context.spawn_clients(progress.clone());
+        Ok(Session { context, controller, offers, site, proxies, clients, progress })
+    }
+
+    /// The parts that the faults act on.
+    pub fn parts(&mut self) -> SessionParts<'_> {
+        SessionParts {
+            clock: self.context.clock,
+            proxies: &mut self.proxies,
+            controller: self.controller.as_mut(),
+            site_messages: &self.site.messages,
+            progress: &self.progress,
+            clients: &self.clients,
+        }
+    }
+
+    /// Waits for the clients, drains the proxies and ends the site; what they saw.
+    pub fn finish(mut self) -> Result<Observations, ScenarioError> {
+        let clients = join(self.clients, "clients'")?.map_err(ScenarioError::io("clients"))?;
+        let cpu = self.proxies.cpu_seconds();
+        let mut faults = self.proxies.drain(DRAIN_TIMEOUT);
+        std::thread::sleep(CLOSE_GRACE);
+        let site = self.site.stop(&self.context)?;
+        if let Some(offers) = self.offers {
+            join(offers, "offers'")??;
+        }
+        if site.left_open > 0 {
+            faults.push(format!("{} attempts still open after all proxies had drained", site.left_open));
+        }
+        Ok(Observations { process_entries: Vec::new(), clients, site, faults, cpu })
+    }
+}
+
+impl RunContext {
+    fn start_controller(&self, command: &ProxyCommand) -> Result<ControllerProcess, ScenarioError> {
+        let control = proxy_settings::control_path_prefix(self.net).with_extension("controller");
+        let build = self.day.rollout.first_build;
+        ControllerProcess::start(command.program.clone(), command.out.clone(), self.net, control, build)
+    }
+
+    fn spawn_offers(&self, controller: &ControllerProcess) -> JoinHandle<Result<(), ScenarioError>> {
+        let context = self.clone();
+        let control = controller.control().to_owned();
+        std::thread::spawn(move || offer_builds(&context.day, &control, context.clock, &context.stop))
+    }
+
+    fn spawn_clients(&self, progress: Arc<Progress>) -> JoinHandle<std::io::Result<ClientReport>> {
+        let context = self.clone();
+        std::thread::spawn(move || {
+            clients::run(&context.day, context.net, context.clock, STARTUP_SPAN, &context.stop, progress)
+        })
+    }
+}
+
+/// The simulated site, on a thread of its own.
+struct SiteThread {
+    handle: JoinHandle<std::io::Result<SiteReport>>,
+    ready: Receiver<()>,
+    messages: Receiver<String>,
+}
+
+impl SiteThread {
+    /// Starts it; `remote_releases` if a controller decides on releases.
+    fn spawn(context: &RunContext, remote_releases: bool) -> SiteThread {
+        let context = context.clone();
+        let (ready_sender, ready) = channel();
+        let (message_sender, messages) = channel();
+        let handle = std::thread::spawn(move || {
+            let RunContext { day, net, clock, stop } = context;
+            site::run(&day, net, remote_releases, clock, &stop, &ready_sender, message_sender)
+        });
+        SiteThread { handle, ready, messages }
+    }
+
+    fn wait_until_ready(self, context: &RunContext) -> Result<SiteThread, ScenarioError> {
+        if self.ready.recv_timeout(SITE_START_TIMEOUT).is_ok() {
+            return Ok(self);
+        }
+        let reason = match self.stop(context) {
+            Err(ScenarioError::Io { source, .. }) => source.to_string(),
+            _ => String::new(),
+        };
+        Err(ScenarioError::SiteNotStarted { reason })
+    }
+
+    /// Ends all threads of the run; what the site saw.
+    fn stop(self, context: &RunContext) -> Result<SiteReport, ScenarioError> {
+        context.stop.store(true, Ordering::Relaxed);
+        join(self.handle, "site's")?.map_err(ScenarioError::io("site"))
+    }
+}
+
+fn join<T>(handle: JoinHandle<T>, thread: &'static str) -> Result<T, ScenarioError> {
+    handle.join().map_err(|_| ScenarioError::ThreadPanicked { thread })
+}
