--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -5,7 +5,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use violetseam_scale_bench as scale;
-use violetseam_scenarios::{ReleaseDecider, ScenarioRunner, days, disturbed, drawn, fleet, measure, report};
+use violetseam_scenarios::measurement::{self, MeasurementSettings};
+use violetseam_scenarios::{ReleaseDecider, ScenarioRunner, days, drawn, report};
 use violetseam_simulated_site::day::Day;
 
 #[derive(Args)]
@@ -110,26 +111,26 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Measure { rounds, seconds, pace, recording, daemons, disturbed: disturbances } => {
-            let plan = measure::Plan {
+            let settings = MeasurementSettings {
                 program: std::env::current_exe().map_err(|e| e.to_string())?,
                 rounds: (*rounds).max(1),
                 span: Duration::from_secs_f64(seconds.clamp(0.2, 60.0)),
                 pace: pace.clamp(1.0, 1e6),
                 out: std::env::temp_dir().join(format!("violetseam-measure-{}", std::process::id())),
-                extra: Vec::new(),
+                extra_args: Vec::new(),
             };
-            let mut say = |line: &str| eprintln!("{line}");
-            if let Some(daemons) = daemons {
-                print!("{}", fleet::fleet(&plan, (*daemons).clamp(1, 1_000), &mut say)?);
+            let mut on_progress = |line: &str| eprintln!("{line}");
+            let measured = if let Some(daemons) = daemons {
+                measurement::fleet_tool::measure(&settings, (*daemons).clamp(1, 1_000), &mut on_progress)
             } else if *disturbances {
-                print!("{}", disturbed::disturbed(&plan, &mut say)?);
+                measurement::disturbance::measure(&settings, &mut on_progress)
             } else if *recording {
-                let [plain, recorded, ratio] = measure::recording(&plan, &mut say)?;
-                println!("plain {plain:.0}, recorded {recorded:.0} requests/s, median ratio {ratio:.3}");
+                measurement::recording::measure(&settings, &mut on_progress).map(|cost| cost.to_string())
             } else {
-                print!("{}", measure::measure(&plan, &mut say)?);
-            }
-            let _ = std::fs::remove_dir_all(&plan.out);
+                measurement::overhead::measure(&settings, &mut on_progress)
+            };
+            print!("{}", measured.map_err(|e| e.to_string())?);
+            let _ = std::fs::remove_dir_all(&settings.out);
             Ok(ExitCode::SUCCESS)
         }
         Command::Scale(args) => {
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -4,13 +4,11 @@
 
 mod controller;
 pub mod days;
-pub mod disturbed;
 pub mod drawn;
 mod error;
 mod fault_timeline;
-pub mod fleet;
 pub mod fleet_days;
-pub mod measure;
+pub mod measurement;
 mod outcome;
 mod playback;
 mod process;
