--- a/crates/scenarios/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -1,6 +1,6 @@
 //! The release controller of a run, as a process: started, killed, started again, offered builds.
 
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::release_plan;
 use std::fs::OpenOptions;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 use violetseam_controller::control::{Request, Response, send_request};
 use violetseam_release::{Order, Reply};
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::day::Day;
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
+use violetseam_simulated_site::scenario::Scenario;
 
 /// How long a controller may take until it leads.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
@@ -37,26 +37,26 @@
     /// Writes the controller's settings, starts it with an empty state and waits until it leads.
     ///
     /// # Errors
-    /// Errors of the settings file and the process; [`ScenarioError::ControllerNotReady`] if it does not
+    /// Errors of the settings file and the process; [`ScenarioRunError::ControllerNotReady`] if it does not
     /// lead in time.
     pub fn start(
         program: PathBuf,
         out: PathBuf,
-        net: Net,
+        addresses: AddressPlan,
         control: PathBuf,
         build: u16,
-    ) -> Result<Self, ScenarioError> {
+    ) -> Result<Self, ScenarioRunError> {
         let settings = out.join("controller.star");
         let script = format!(
             "controller(name = \"lab\", listen = \"{}\", build = {build}, control = \"{}\", lease = \"500ms\", beat = \"250ms\")\n",
-            net.controller(),
+            addresses.controller(),
             control.display()
         );
-        std::fs::write(&settings, script).map_err(ScenarioError::io(settings.display().to_string()))?;
+        std::fs::write(&settings, script).map_err(ScenarioRunError::io(settings.display().to_string()))?;
         // The state of an earlier run in the same folder, if there is one.
         let _ = std::fs::remove_dir_all(out.join("controller"));
         let mut controller = ControllerProcess { program, settings, out, control, child: None };
-        controller.spawn().map_err(ScenarioError::io("controller"))?;
+        controller.spawn().map_err(ScenarioRunError::io("controller"))?;
         controller.wait_until_leading()?;
         Ok(controller)
     }
@@ -87,7 +87,7 @@
         self.out.join("controller.log")
     }
 
-    fn wait_until_leading(&self) -> Result<(), ScenarioError> {
+    fn wait_until_leading(&self) -> Result<(), ScenarioRunError> {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             if self.is_leading() {
@@ -95,7 +95,7 @@
             }
             std::thread::sleep(START_POLL_INTERVAL);
         }
-        Err(ScenarioError::ControllerNotReady { log: self.log_path() })
+        Err(ScenarioRunError::ControllerNotReady { log: self.log_path() })
     }
 
     fn is_leading(&self) -> bool {
@@ -123,15 +123,15 @@
 /// rolled back for the next one.
 ///
 /// # Errors
-/// [`ScenarioError::PlanRejected`] if the controller finds faults in a plan.
+/// [`ScenarioRunError::PlanRejected`] if the controller finds faults in a plan.
 pub(crate) fn offer_builds(
-    day: &Day,
+    scenario: &Scenario,
     control: &Path,
     clock: Clock,
     stop: &AtomicBool,
-) -> Result<(), ScenarioError> {
-    for (index, release) in day.releases.iter().enumerate() {
-        let text = release_plan::script(day, index);
+) -> Result<(), ScenarioRunError> {
+    for (index, release) in scenario.releases.iter().enumerate() {
+        let text = release_plan::script(scenario, index);
         let offer = Request::SubmitPlan { name: format!("build {index}"), text };
         loop {
             if stop.load(Ordering::Relaxed) {
@@ -147,10 +147,10 @@
 }
 
 /// Offers a build once; whether the controller took it. It may be down, or busy with another build.
-fn try_offer(control: &Path, offer: &Request) -> Result<bool, ScenarioError> {
+fn try_offer(control: &Path, offer: &Request) -> Result<bool, ScenarioRunError> {
     match send_request(control, offer, COMMAND_TIMEOUT) {
         Ok(Response::Reply(Reply::Accepted | Reply::Obsolete(_))) => Ok(true),
-        Ok(Response::InvalidPlan(faults)) => Err(ScenarioError::PlanRejected { faults }),
+        Ok(Response::InvalidPlan(faults)) => Err(ScenarioRunError::PlanRejected { faults }),
         Ok(Response::Reply(Reply::Rejected(reason))) if reason.contains("on trial") => {
             let roll_back = Request::Order { operator: "lab".into(), order: Order::Back };
             let _ = send_request(control, &roll_back, COMMAND_TIMEOUT);
--- a/crates/scenarios/src/error.rs
+++ b/crates/scenarios/src/error.rs
@@ -4,16 +4,15 @@
 use std::path::PathBuf;
 use std::process::ExitStatus;
 use thiserror::Error;
+use violetseam_simulated_site::network::NetworkError;
+use violetseam_simulated_site::scenario::ScenarioError;
 
 /// Why a scenario could not be played to its end.
 #[derive(Debug, Error)]
-pub enum ScenarioError {
+pub enum ScenarioRunError {
     /// The scenario contradicts itself.
-    #[error("{reason}")]
-    InvalidScenario {
-        /// What is wrong with it.
-        reason: String,
-    },
+    #[error(transparent)]
+    InvalidScenario(#[from] ScenarioError),
     /// A file, process or socket failed.
     #[error("{operation}: {source}")]
     Io {
@@ -39,10 +38,23 @@
         log: PathBuf,
     },
     /// The simulated site ended, or said nothing, while it was being started.
-    #[error("the stand-ins did not start: {reason}")]
+    #[error("the stand-ins did not start: {source}")]
     SiteNotStarted {
-        /// What it reported, empty if it reported nothing.
-        reason: String,
+        /// What failed.
+        #[source]
+        source: NetworkError,
+    },
+    /// The simulated site did not start in time, and reported no error.
+    #[error("the stand-ins did not start in time")]
+    SiteNotReady,
+    /// The event loop, a socket or a thread of the simulated clients or site failed.
+    #[error("{part}: {source}")]
+    Simulation {
+        /// Which part.
+        part: &'static str,
+        /// What failed.
+        #[source]
+        source: NetworkError,
     },
     /// A proxy ended before it took a connection.
     #[error("proxy {proxy} ended at once ({status}), see {}", .log.display())]
@@ -74,10 +86,10 @@
     },
 }
 
-impl ScenarioError {
+impl ScenarioRunError {
     /// Adds to an I/O error what was tried, and on what.
-    pub(crate) fn io(operation: impl Into<String>) -> impl FnOnce(io::Error) -> ScenarioError {
+    pub(crate) fn io(operation: impl Into<String>) -> impl FnOnce(io::Error) -> ScenarioRunError {
         let operation = operation.into();
-        move |source| ScenarioError::Io { operation, source }
+        move |source| ScenarioRunError::Io { operation, source }
     }
 }
--- a/crates/scenarios/src/fault_timeline.rs
+++ b/crates/scenarios/src/fault_timeline.rs
@@ -1,13 +1,13 @@
 //! When a scenario's faults hit the processes of a run: proxies and the release controller.
 
-use violetseam_simulated_site::day::{Day, Kind, Trouble};
+use violetseam_simulated_site::scenario::{Fault, FaultKind, Scenario};
 
 /// The shortest time for which a crashed controller is down, in seconds.
 const MIN_CONTROLLER_DOWNTIME: f64 = 0.05;
 /// The shortest time for which each batch of a rolling restart is down, in seconds.
 const MIN_RESTART_DOWNTIME: f64 = 0.2;
-/// A zone fault of a larger size hits the zone's proxies too, not only its servers.
-const ZONE_FAULT_SPARING_PROXIES: f64 = 0.5;
+/// A zone outage of a larger magnitude hits the zone's proxies too, not only its servers.
+const MAX_MAGNITUDE_SPARING_PROXIES: f64 = 0.5;
 
 /// What is done to a process; proxies are named by position. Of faults due at once, those of an earlier
 /// variant are injected first.
@@ -49,18 +49,18 @@
 }
 
 /// The faults of a scenario's processes in the order in which they are due.
-pub(crate) fn fault_timeline(day: &Day) -> Vec<TimedFault> {
+pub(crate) fn fault_timeline(scenario: &Scenario) -> Vec<TimedFault> {
     let mut timeline = Vec::new();
-    for downtime in merge_downtimes(downtimes(day)) {
+    for downtime in merge_downtimes(downtimes(scenario)) {
         timeline.push(TimedFault { at: downtime.from, fault: ProcessFault::KillProxy(downtime.proxy) });
         timeline.push(TimedFault { at: downtime.to, fault: ProcessFault::StartProxy(downtime.proxy) });
     }
-    for trouble in &day.troubles {
-        match trouble.kind {
-            Kind::ProxyTakeover => add_takeovers(&mut timeline, day, trouble),
-            Kind::ProxyStall => add_suspensions(&mut timeline, day, trouble),
-            Kind::ProxyTwin => add_duplicates(&mut timeline, day, trouble),
-            Kind::ControllerCrash => add_controller_crashes(&mut timeline, trouble),
+    for fault in &scenario.faults {
+        match fault.kind {
+            FaultKind::ProxyTakeover => add_takeovers(&mut timeline, scenario, fault),
+            FaultKind::ProxyPause => add_suspensions(&mut timeline, scenario, fault),
+            FaultKind::DuplicateProxy => add_duplicates(&mut timeline, scenario, fault),
+            FaultKind::ControllerCrash => add_controller_crashes(&mut timeline, fault),
             _ => {}
         }
     }
@@ -69,30 +69,30 @@
 }
 
 /// The proxies that a fault names and that the scenario has.
-fn affected_proxies<'a>(day: &'a Day, trouble: &'a Trouble) -> impl Iterator<Item = usize> + 'a {
-    trouble.on.iter().copied().filter(|&proxy| proxy < day.proxies.len())
+fn affected_proxies<'a>(scenario: &'a Scenario, fault: &'a Fault) -> impl Iterator<Item = usize> + 'a {
+    fault.targets.iter().copied().filter(|&proxy| proxy < scenario.proxies.len())
 }
 
-fn downtimes(day: &Day) -> Vec<Downtime> {
+fn downtimes(scenario: &Scenario) -> Vec<Downtime> {
     let mut downtimes = Vec::new();
-    for trouble in &day.troubles {
-        let from = trouble.at;
-        let to = trouble.at + trouble.len;
-        match trouble.kind {
-            Kind::ProxyCrash => {
-                let proxies = affected_proxies(day, trouble);
+    for fault in &scenario.faults {
+        let from = fault.at;
+        let to = fault.at + fault.duration;
+        match fault.kind {
+            FaultKind::ProxyCrash => {
+                let proxies = affected_proxies(scenario, fault);
                 downtimes.extend(proxies.map(|proxy| Downtime { proxy, from, to }));
             }
-            Kind::ProxyRoll => downtimes.extend(rolling_restart(trouble)),
-            Kind::ZoneLoss if trouble.size > ZONE_FAULT_SPARING_PROXIES => {
-                let proxies = day.proxies.iter().enumerate();
-                let in_zone = proxies.filter(|(_, proxy)| usize::from(proxy.zone) == trouble.which);
+            FaultKind::ProxyRollingRestart => downtimes.extend(rolling_restart(fault)),
+            FaultKind::ZoneOutage if fault.magnitude > MAX_MAGNITUDE_SPARING_PROXIES => {
+                let proxies = scenario.proxies.iter().enumerate();
+                let in_zone = proxies.filter(|(_, proxy)| usize::from(proxy.zone) == fault.selector);
                 downtimes.extend(in_zone.map(|(proxy, _)| Downtime { proxy, from, to }));
             }
             _ => {}
         }
     }
-    downtimes.retain(|downtime| downtime.proxy < day.proxies.len());
+    downtimes.retain(|downtime| downtime.proxy < scenario.proxies.len());
     downtimes
 }
 
@@ -111,56 +111,58 @@
     merged
 }
 
-/// One batch after another, each down for `extra` seconds.
-fn rolling_restart(trouble: &Trouble) -> Vec<Downtime> {
-    let batch_size = trouble.size.max(1.0) as usize;
-    let batches = trouble.on.len().div_ceil(batch_size).max(1) as u64;
-    let down = seconds_to_micros(trouble.extra.max(MIN_RESTART_DOWNTIME));
-    let interval = trouble.len / batches;
+/// One batch after another, each down for `parameter` seconds.
+fn rolling_restart(fault: &Fault) -> Vec<Downtime> {
+    let batch_size = fault.magnitude.max(1.0) as usize;
+    let batches = fault.targets.len().div_ceil(batch_size).max(1) as u64;
+    let down = seconds_to_micros(fault.parameter.max(MIN_RESTART_DOWNTIME));
+    let interval = fault.duration / batches;
     let mut downtimes = Vec::new();
-    for (index, batch) in trouble.on.chunks(batch_size).enumerate() {
-        let from = trouble.at + index as u64 * interval;
+    for (index, batch) in fault.targets.chunks(batch_size).enumerate() {
+        let from = fault.at + index as u64 * interval;
         downtimes.extend(batch.iter().map(|&proxy| Downtime { proxy, from, to: from + down }));
     }
     downtimes
 }
 
-/// `size` moments, evenly over the fault's span.
-fn repetitions(trouble: &Trouble) -> impl Iterator<Item = u64> {
-    let count = trouble.size.max(1.0) as u64;
-    let (start, length) = (trouble.at, trouble.len);
+/// `magnitude` moments, evenly over the fault's span.
+fn repetitions(fault: &Fault) -> impl Iterator<Item = u64> {
+    let count = fault.magnitude.max(1.0) as u64;
+    let (start, length) = (fault.at, fault.duration);
     (0..count).map(move |index| start + index * length / count)
 }
 
-fn add_takeovers(timeline: &mut Vec<TimedFault>, day: &Day, trouble: &Trouble) {
-    for at in repetitions(trouble) {
-        let faults = affected_proxies(day, trouble).map(ProcessFault::TakeOverProxy);
-        timeline.extend(faults.map(|fault| TimedFault { at, fault }));
+fn add_takeovers(timeline: &mut Vec<TimedFault>, scenario: &Scenario, fault: &Fault) {
+    for at in repetitions(fault) {
+        for proxy in affected_proxies(scenario, fault) {
+            timeline.push(TimedFault { at, fault: ProcessFault::TakeOverProxy(proxy) });
+        }
     }
 }
 
-/// Suspensions of `size` milliseconds, one every `extra` seconds or a single one.
-fn add_suspensions(timeline: &mut Vec<TimedFault>, day: &Day, trouble: &Trouble) {
-    let span = (trouble.size * 1e3) as u64;
-    let interval = if trouble.extra > 0.0 { seconds_to_micros(trouble.extra) } else { trouble.len };
+/// Suspensions of `magnitude` milliseconds, one every `parameter` seconds or a single one.
+fn add_suspensions(timeline: &mut Vec<TimedFault>, scenario: &Scenario, fault: &Fault) {
+    let span = (fault.magnitude * 1e3) as u64;
+    let interval = if fault.parameter > 0.0 { seconds_to_micros(fault.parameter) } else { fault.duration };
     let interval = interval.max(span + 1) as usize;
-    for at in (trouble.at..trouble.at + trouble.len).step_by(interval) {
-        for proxy in affected_proxies(day, trouble) {
+    for at in (fault.at..fault.at + fault.duration).step_by(interval) {
+        for proxy in affected_proxies(scenario, fault) {
             timeline.push(TimedFault { at, fault: ProcessFault::SuspendProxy(proxy) });
             timeline.push(TimedFault { at: at + span, fault: ProcessFault::ResumeProxy(proxy) });
         }
     }
 }
 
-fn add_duplicates(timeline: &mut Vec<TimedFault>, day: &Day, trouble: &Trouble) {
-    let faults = affected_proxies(day, trouble).map(ProcessFault::DuplicateProxy);
-    timeline.extend(faults.map(|fault| TimedFault { at: trouble.at, fault }));
+fn add_duplicates(timeline: &mut Vec<TimedFault>, scenario: &Scenario, fault: &Fault) {
+    for proxy in affected_proxies(scenario, fault) {
+        timeline.push(TimedFault { at: fault.at, fault: ProcessFault::DuplicateProxy(proxy) });
+    }
 }
 
-/// Crashes of `extra` seconds each.
-fn add_controller_crashes(timeline: &mut Vec<TimedFault>, trouble: &Trouble) {
-    let down = seconds_to_micros(trouble.extra.max(MIN_CONTROLLER_DOWNTIME));
-    for at in repetitions(trouble) {
+/// Crashes of `parameter` seconds each.
+fn add_controller_crashes(timeline: &mut Vec<TimedFault>, fault: &Fault) {
+    let down = seconds_to_micros(fault.parameter.max(MIN_CONTROLLER_DOWNTIME));
+    for at in repetitions(fault) {
         timeline.push(TimedFault { at, fault: ProcessFault::KillController });
         timeline.push(TimedFault { at: at + down, fault: ProcessFault::StartController });
     }
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -19,6 +19,7 @@
 mod runner;
 mod session;
 
-pub use error::ScenarioError;
+pub use error::ScenarioRunError;
 pub use outcome::ScenarioOutcome;
-pub use runner::{ReleaseDecider, ScenarioRunner};
+pub use runner::ScenarioRunner;
+pub use violetseam_simulated_site::network::site::ReleaseDecider;
--- a/crates/scenarios/src/outcome.rs
+++ b/crates/scenarios/src/outcome.rs
@@ -1,14 +1,14 @@
 //! What came of a scenario, and the files that keep it.
 
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::report;
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::Path;
 use violetseam_invariants::{Entry, Verdict};
-use violetseam_simulated_site::day::Day;
-use violetseam_simulated_site::drive::clients::ClientReport;
-use violetseam_simulated_site::drive::site::SiteReport;
+use violetseam_simulated_site::network::clients::ClientReport;
+use violetseam_simulated_site::network::site::SiteReport;
+use violetseam_simulated_site::scenario::Scenario;
 
 /// What views from outside may be off by, in the proxy's favour, in microseconds: events of different
 /// sockets are seen in any order within a turn of a loop, and all processes share the machine's cores.
@@ -54,12 +54,12 @@
 
 impl Observations {
     /// Checks the rules on the records, and writes the records and a summary into the folder.
-    pub fn evaluate(mut self, day: &Day, out: &Path) -> Result<ScenarioOutcome, ScenarioError> {
+    pub fn evaluate(mut self, scenario: &Scenario, out: &Path) -> Result<ScenarioOutcome, ScenarioRunError> {
         let entries = self.merge_entries();
-        let rules = day.rules(OBSERVATION_SLACK);
-        let file = File::create(out.join("records.vsau")).map_err(ScenarioError::io("records"))?;
+        let rules = scenario.rules(OBSERVATION_SLACK);
+        let file = File::create(out.join("records.vsau")).map_err(ScenarioRunError::io("records"))?;
         violetseam_invariants::record::write(&mut BufWriter::new(file), &rules, &entries)
-            .map_err(ScenarioError::io("records"))?;
+            .map_err(ScenarioRunError::io("records"))?;
         let outcome = ScenarioOutcome {
             verdict: violetseam_invariants::check(&rules, &entries),
             clients: self.clients,
@@ -68,7 +68,7 @@
             cpu: self.cpu,
             records: entries.len(),
         };
-        write_json(&out.join("summary.json"), "summary", &report::summary(day, &outcome))?;
+        write_json(&out.join("summary.json"), "summary", &report::summary(scenario, &outcome))?;
         Ok(outcome)
     }
 
@@ -87,8 +87,8 @@
     path: &Path,
     document: &'static str,
     value: &impl serde::Serialize,
-) -> Result<(), ScenarioError> {
+) -> Result<(), ScenarioRunError> {
     let text =
-        serde_json::to_vec_pretty(value).map_err(|source| ScenarioError::Encode { document, source })?;
-    std::fs::write(path, text).map_err(ScenarioError::io(document))
+        serde_json::to_vec_pretty(value).map_err(|source| ScenarioRunError::Encode { document, source })?;
+    std::fs::write(path, text).map_err(ScenarioRunError::io(document))
 }
--- a/crates/scenarios/src/playback.rs
+++ b/crates/scenarios/src/playback.rs
@@ -1,7 +1,7 @@
 //! While a scenario runs: injects the faults of its processes when they are due, and reports its progress.
 
 use crate::controller::ControllerProcess;
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::fault_timeline::{ProcessFault, TimedFault};
 use crate::proxies::ProxyFleet;
 use crate::session::{STARTUP_SPAN, Session, SessionParts};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use violetseam_invariants::{Entry, Record};
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::drive::clients::Progress;
+use violetseam_simulated_site::network::clients::Progress;
 
 /// Between two looks at what is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -21,12 +21,12 @@
     /// Injects the faults of the processes until the clients are through; the records of them.
     ///
     /// # Errors
-    /// [`ScenarioError::Io`] if a process cannot be started.
+    /// [`ScenarioRunError::Io`] if a process cannot be started.
     pub fn play(
         &mut self,
         timeline: &[TimedFault],
         on_progress: &mut dyn FnMut(&str),
-    ) -> Result<Vec<Entry>, ScenarioError> {
+    ) -> Result<Vec<Entry>, ScenarioRunError> {
         let SessionParts { clock, proxies, controller, site_messages, progress, clients } = self.parts();
         let mut injector = FaultInjector { clock, proxies, controller, entries: Vec::new() };
         let mut timeline = timeline.iter().copied().peekable();
@@ -61,7 +61,7 @@
 }
 
 impl FaultInjector<'_> {
-    fn inject(&mut self, fault: ProcessFault) -> Result<(), ScenarioError> {
+    fn inject(&mut self, fault: ProcessFault) -> Result<(), ScenarioRunError> {
         match fault {
             ProcessFault::KillProxy(position) => self.kill_proxy(position),
             ProcessFault::StartProxy(position) => self.proxies.start(position)?,
@@ -105,9 +105,9 @@
         }
     }
 
-    fn start_controller(&mut self) -> Result<(), ScenarioError> {
+    fn start_controller(&mut self) -> Result<(), ScenarioRunError> {
         match &mut self.controller {
-            Some(controller) => controller.spawn().map_err(ScenarioError::io("controller")),
+            Some(controller) => controller.spawn().map_err(ScenarioRunError::io("controller")),
             None => Ok(()),
         }
     }
@@ -127,13 +127,12 @@
 }
 
 fn describe_counts(progress: &Progress) -> String {
-    let [requests, in_time, rejected, failed] = &progress.0;
     format!(
         "{} requests, {} served in time, tries refused {}, failed {}",
-        requests.load(Ordering::Relaxed),
-        in_time.load(Ordering::Relaxed),
-        rejected.load(Ordering::Relaxed),
-        failed.load(Ordering::Relaxed)
+        progress.requests.load(Ordering::Relaxed),
+        progress.in_time.load(Ordering::Relaxed),
+        progress.rejected.load(Ordering::Relaxed),
+        progress.failed.load(Ordering::Relaxed)
     )
 }
 
--- a/crates/scenarios/src/proxies.rs
+++ b/crates/scenarios/src/proxies.rs
@@ -1,6 +1,6 @@
 //! The proxies of a run, as processes: started, killed, started again, drained.
 
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::process;
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::OpenOptions;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
 
 /// For one connection that probes whether a proxy listens.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -39,7 +39,7 @@
 /// One fleet of proxies, by position.
 pub(crate) struct ProxyFleet {
     command: ProxyCommand,
-    net: Net,
+    addresses: AddressPlan,
     /// The process that serves at each position, if there is one.
     running: Vec<Option<Child>>,
     /// Processes whose sockets were taken over: each ends by itself.
@@ -50,9 +50,9 @@
 
 impl ProxyFleet {
     /// A fleet of this size, of which nothing runs yet.
-    pub fn new(command: ProxyCommand, net: Net, count: usize) -> Self {
+    pub fn new(command: ProxyCommand, addresses: AddressPlan, count: usize) -> Self {
         let running = (0..count).map(|_| None).collect();
-        ProxyFleet { command, net, running, replaced: Vec::new(), duplicates: Vec::new() }
+        ProxyFleet { command, addresses, running, replaced: Vec::new(), duplicates: Vec::new() }
     }
 
     fn log_path(&self, position: usize) -> PathBuf {
@@ -60,7 +60,7 @@
     }
 
     /// Starts all proxies and waits until each takes connections, up to `timeout` for each.
-    pub fn start_all(&mut self, timeout: Duration) -> Result<(), ScenarioError> {
+    pub fn start_all(&mut self, timeout: Duration) -> Result<(), ScenarioRunError> {
         for position in 0..self.running.len() {
             self.start(position)?;
         }
@@ -71,14 +71,14 @@
     }
 
     /// Starts a proxy.
-    pub fn start(&mut self, position: usize) -> Result<(), ScenarioError> {
+    pub fn start(&mut self, position: usize) -> Result<(), ScenarioRunError> {
         let child = self.spawn(position, &[])?;
         self.running[position] = Some(child);
         Ok(())
     }
 
     /// Starts a process that takes over from a running one.
-    pub fn take_over(&mut self, position: usize) -> Result<(), ScenarioError> {
+    pub fn take_over(&mut self, position: usize) -> Result<(), ScenarioRunError> {
         let child = self.spawn(position, &["--takeover"])?;
         if let Some(child) = self.running[position].replace(child) {
             self.replaced.push(PositionedChild { position, child });
@@ -87,7 +87,7 @@
     }
 
     /// Starts a second process under a proxy's identity.
-    pub fn start_duplicate(&mut self, position: usize) -> Result<(), ScenarioError> {
+    pub fn start_duplicate(&mut self, position: usize) -> Result<(), ScenarioRunError> {
         let child = self.spawn(position, &[])?;
         self.duplicates.push(PositionedChild { position, child });
         Ok(())
@@ -101,8 +101,8 @@
         }
     }
 
-    fn spawn(&self, position: usize, takeover_args: &[&str]) -> Result<Child, ScenarioError> {
-        self.try_spawn(position, takeover_args).map_err(ScenarioError::io(format!("proxy {position}")))
+    fn spawn(&self, position: usize, takeover_args: &[&str]) -> Result<Child, ScenarioRunError> {
+        self.try_spawn(position, takeover_args).map_err(ScenarioRunError::io(format!("proxy {position}")))
     }
 
     fn try_spawn(&self, position: usize, takeover_args: &[&str]) -> std::io::Result<Child> {
@@ -122,19 +122,19 @@
     }
 
     /// Waits until a proxy takes connections.
-    fn wait_until_ready(&mut self, position: usize, timeout: Duration) -> Result<(), ScenarioError> {
+    fn wait_until_ready(&mut self, position: usize, timeout: Duration) -> Result<(), ScenarioRunError> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if TcpStream::connect_timeout(&self.net.proxy(position), PROBE_TIMEOUT).is_ok() {
+            if TcpStream::connect_timeout(&self.addresses.proxy(position), PROBE_TIMEOUT).is_ok() {
                 return Ok(());
             }
             if let Some(Ok(Some(status))) = self.running[position].as_mut().map(Child::try_wait) {
                 let log = self.log_path(position);
-                return Err(ScenarioError::ProxyExited { proxy: position, status, log });
+                return Err(ScenarioRunError::ProxyExited { proxy: position, status, log });
             }
             std::thread::sleep(PROBE_INTERVAL);
         }
-        Err(ScenarioError::ProxyNotReady { proxy: position })
+        Err(ScenarioRunError::ProxyNotReady { proxy: position })
     }
 
     /// Ends a proxy at once, with all it holds.
--- a/crates/scenarios/src/proxy_settings.rs
+++ b/crates/scenarios/src/proxy_settings.rs
@@ -2,40 +2,41 @@
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
-use violetseam_simulated_site::day::{ClassSpec, Day, Effect, Gate, Rollout};
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
+use violetseam_simulated_site::scenario::{ClassSpec, GateMode, Idempotency, Rollout, Scenario};
 
 /// Servers whose cores differ by less count as of one size.
 const EQUAL_CORES_TOLERANCE: f64 = 1e-9;
 
 /// Where the proxies of a run have their control sockets, less `-N` for the position.
-pub fn control_path_prefix(net: Net) -> PathBuf {
-    std::env::temp_dir().join(format!("vs-lab-{}", net.roster().ip()))
+pub fn control_path_prefix(addresses: AddressPlan) -> PathBuf {
+    std::env::temp_dir().join(format!("vs-lab-{}", addresses.discovery().ip()))
 }
 
 /// The settings of all proxies of a scenario.
-pub fn script(day: &Day, net: Net, state_dir: &Path) -> String {
+pub fn script(scenario: &Scenario, addresses: AddressPlan, state_dir: &Path) -> String {
     let mut script = String::from("N = option(\"position\", 0)\n");
-    write_fleet(&mut script, day, net, state_dir);
-    write_addresses(&mut script, day.proxies.len(), net);
-    write_peers(&mut script, day.proxies.len(), net);
-    write_classes(&mut script, day);
-    for (name, _) in &day.tenants {
+    write_fleet(&mut script, scenario, addresses, state_dir);
+    write_addresses(&mut script, scenario.proxies.len(), addresses);
+    write_peers(&mut script, scenario.proxies.len(), addresses);
+    write_classes(&mut script, scenario);
+    for (name, _) in &scenario.tenants {
         let _ = writeln!(script, "tenant(name = {name:?})");
     }
-    write_budgets(&mut script, day);
-    write_rollout(&mut script, day);
-    write_service_rules(&mut script, day);
+    write_budgets(&mut script, scenario);
+    write_rollout(&mut script, scenario);
+    write_service_rules(&mut script, scenario);
     script
 }
 
-fn write_fleet(script: &mut String, day: &Day, net: Net, state_dir: &Path) {
-    let size = day.proxies.len();
-    let zones: Vec<u16> = day.proxies.iter().map(|proxy| proxy.zone).collect();
-    let cores = day.servers.iter().map(|server| server.cores);
-    let sizes_differ = cores.into_iter().any(|c| (c - day.servers[0].cores).abs() > EQUAL_CORES_TOLERANCE);
+fn write_fleet(script: &mut String, scenario: &Scenario, addresses: AddressPlan, state_dir: &Path) {
+    let size = scenario.proxies.len();
+    let zones: Vec<u16> = scenario.proxies.iter().map(|proxy| proxy.zone).collect();
+    let cores = scenario.servers.iter().map(|server| server.cores);
+    let sizes_differ =
+        cores.into_iter().any(|c| (c - scenario.servers[0].cores).abs() > EQUAL_CORES_TOLERANCE);
     // Paths of sockets are limited to about 100 bytes, so they are not in the state folder.
-    let control = control_path_prefix(net);
+    let control = control_path_prefix(addresses);
     let _ = writeln!(
         script,
         "fleet(name = \"lab\", size = {size}, position = N, site = 7, zone = {zones:?}[N], sizes_known = {}, state_dir = \"{}\", control = \"{}-%d\" % N)",
@@ -45,85 +46,86 @@
     );
 }
 
-fn write_addresses(script: &mut String, proxies: usize, net: Net) {
-    let listen = quoted((0..proxies).map(|position| net.proxy(position).to_string()));
+fn write_addresses(script: &mut String, proxies: usize, addresses: AddressPlan) {
+    let listen = quoted((0..proxies).map(|position| addresses.proxy(position).to_string()));
     let _ = writeln!(script, "listen(addr = [{listen}][N])");
-    let _ = writeln!(script, "roster(addr = \"{}\", timeout = \"1s\")", net.roster());
-    let _ = writeln!(script, "desk(addr = \"{}\")", net.desk());
+    let _ = writeln!(script, "roster(addr = \"{}\", timeout = \"1s\")", addresses.discovery());
+    let _ = writeln!(script, "desk(addr = \"{}\")", addresses.release_service());
 }
 
 /// Each proxy sends to its peers by way of the relay, which can hold datagrams back.
-fn write_peers(script: &mut String, proxies: usize, net: Net) {
+fn write_peers(script: &mut String, proxies: usize, addresses: AddressPlan) {
     if proxies <= 1 {
         return;
     }
-    let address = |from, to| if from == to { net.peer(to) } else { net.relay(from, to) };
+    let address = |from, to| if from == to { addresses.peer(to) } else { addresses.relay(from, to) };
     let row = |from| format!("[{}]", quoted((0..proxies).map(|to| address(from, to).to_string())));
     let rows: Vec<String> = (0..proxies).map(row).collect();
-    let listen = quoted((0..proxies).map(|position| net.peer(position).to_string()));
+    let listen = quoted((0..proxies).map(|position| addresses.peer(position).to_string()));
     let _ = writeln!(script, "peers(listen = [{listen}][N], addrs = [{}][N])", rows.join(", "));
 }
 
-fn write_classes(script: &mut String, day: &Day) {
-    for (index, class) in day.classes.iter().enumerate() {
-        let retry_quota = day.budgets.as_ref().map_or(0.0, |budgets| budgets.further[index]);
+fn write_classes(script: &mut String, scenario: &Scenario) {
+    for (index, class) in scenario.classes.iter().enumerate() {
+        let retry_quota =
+            scenario.retry_quotas.as_ref().map_or(0.0, |quotas| quotas.retries_per_second[index]);
         write_class(script, class, retry_quota);
         let _ = writeln!(script, "route(prefix = \"/c{index}/\", to = {:?})", class.name);
     }
 }
 
 fn write_class(script: &mut String, class: &ClassSpec, retry_quota: f64) {
-    let (effect, group) = match class.effect {
-        Effect::Safe => ("retryable", None),
-        Effect::KeyedAll => ("keyed", Some("all")),
-        Effect::KeyedZone => ("keyed", Some("zone")),
-        Effect::KeyedCell => ("keyed", Some("cell")),
-        Effect::Unsafe => ("fragile", None),
+    let (effect, group) = match class.idempotency {
+        Idempotency::Idempotent => ("retryable", None),
+        Idempotency::KeyedAll => ("keyed", Some("all")),
+        Idempotency::KeyedZone => ("keyed", Some("zone")),
+        Idempotency::KeyedCell => ("keyed", Some("cell")),
+        Idempotency::NonIdempotent => ("fragile", None),
     };
     let keyed = match group {
-        Some(group) => format!(", group = \"{group}\", window = {}", span(class.window)),
+        Some(group) => format!(", group = \"{group}\", window = {}", span(class.dedup_window)),
         None => String::new(),
     };
     let _ = writeln!(
         script,
         "request_class(name = {:?}, aim = {}, deadline = {}, effect = \"{effect}\", worth = {:?}, late_worth = {:?}, further = {retry_quota:?}{keyed})",
         class.name,
-        span(class.aim),
+        span(class.latency_objective),
         span(class.deadline),
-        class.worth,
-        class.late_worth,
+        class.priority_weight,
+        class.late_weight,
     );
 }
 
-fn write_budgets(script: &mut String, day: &Day) {
-    let Some(budgets) = &day.budgets else { return };
-    if budgets.further.iter().all(|quota| *quota <= 0.0) {
+fn write_budgets(script: &mut String, scenario: &Scenario) {
+    let Some(quotas) = &scenario.retry_quotas else { return };
+    if quotas.retries_per_second.iter().all(|quota| *quota <= 0.0) {
         return;
     }
     let _ = writeln!(
         script,
         "budgets(floor_percent = {}, lease = {}, burst = {})",
-        budgets.floor_percent,
-        span(budgets.lease),
-        span(budgets.burst)
+        quotas.guaranteed_percent,
+        span(quotas.lease),
+        span(quotas.burst)
     );
 }
 
 /// The proxies take votes as numbers of proxies; the scenario has them as shares.
 fn votes(rollout: &Rollout, proxies: usize, share: f64) -> f64 {
     match rollout.gate {
-        Gate::Any => 1.0,
-        Gate::Share | Gate::Timer => (share * proxies as f64).ceil().max(1.0),
+        GateMode::Any => 1.0,
+        GateMode::Share | GateMode::Timer => (share * proxies as f64).ceil().max(1.0),
     }
 }
 
-fn write_rollout(script: &mut String, day: &Day) {
-    let rollout = &day.rollout;
-    let proxies = day.proxies.len();
+fn write_rollout(script: &mut String, scenario: &Scenario) {
+    let rollout = &scenario.rollout;
+    let proxies = scenario.proxies.len();
     let (gate, votes_to_promote) = match rollout.gate {
-        Gate::Any => ("any", votes(rollout, proxies, rollout.votes_on)),
-        Gate::Share => ("share", votes(rollout, proxies, rollout.votes_on)),
-        Gate::Timer => ("timer", 0.0),
+        GateMode::Any => ("any", votes(rollout, proxies, rollout.votes_to_promote)),
+        GateMode::Share => ("share", votes(rollout, proxies, rollout.votes_to_promote)),
+        GateMode::Timer => ("timer", 0.0),
     };
     let _ = writeln!(
         script,
@@ -131,39 +133,39 @@
          uncounted = {:?}, per_class = {}, one_way = {}, vote_ttl = {}, call_timeout = {}, flag_share = {:?}, \
          votes_on = {votes_to_promote:?}, votes_back = {:?}, vote_allowance = {:?})",
         rollout.caps,
-        span(rollout.window),
-        boolean(!rollout.beside),
-        rollout.guarded,
-        rollout.free,
-        boolean(rollout.by_class),
-        boolean(rollout.one_way),
-        span(rollout.vote_life),
-        span(rollout.call_timeout),
-        rollout.flag_share,
-        votes(rollout, proxies, rollout.votes_back),
-        rollout.calls_per_s
+        span(rollout.exposure_window),
+        boolean(!rollout.keep_previous_build),
+        rollout.idempotent_only_stages,
+        rollout.exposure_slack,
+        boolean(rollout.exposure_per_class),
+        boolean(rollout.sticky_to_new_build),
+        span(rollout.vote_lifetime),
+        span(rollout.vote_timeout),
+        rollout.report_share,
+        votes(rollout, proxies, rollout.votes_to_roll_back),
+        rollout.vote_rate_limit
     );
 }
 
-fn write_service_rules(script: &mut String, day: &Day) {
-    let rules = &day.contract;
+fn write_service_rules(script: &mut String, scenario: &Scenario) {
+    let rules = &scenario.service_rules;
     let _ = writeln!(
         script,
         "contract(answer_grace = {}, ask_within = {}, cold_from = {:?}, cold_span = {}, drain_grace = {}, \
          fall_multiple = {:?}, fall_span = {})",
-        span(rules.answer_grace),
-        span(rules.ask_within),
-        rules.cold_from,
-        span(rules.cold_span),
+        span(rules.deadline_grace),
+        span(rules.poll_interval_max),
+        rules.slow_start_floor,
+        span(rules.slow_start_span),
         span(rules.drain_grace),
-        rules.fall_multiple,
-        span(rules.fall_span)
+        rules.overload_multiple,
+        span(rules.overload_span)
     );
     let _ = writeln!(
         script,
         "limits(max_attempts = {}, second_copies = {})",
         rules.max_attempts,
-        boolean(rules.second_copies)
+        boolean(rules.hedging)
     );
 }
 
--- a/crates/scenarios/src/release_plan.rs
+++ b/crates/scenarios/src/release_plan.rs
@@ -2,38 +2,38 @@
 
 use crate::proxy_settings::{boolean, span};
 use std::fmt::Write;
-use violetseam_simulated_site::day::{Day, Gate, Rollout};
+use violetseam_simulated_site::scenario::{GateMode, Rollout, Scenario};
 
 /// The lowest share of votes that a plan may name.
 const MIN_VOTE_SHARE: f64 = 0.001;
 
 /// The plan of the scenario's build with this index among its releases.
-pub fn script(day: &Day, release_index: usize) -> String {
+pub fn script(scenario: &Scenario, release_index: usize) -> String {
     let mut script = String::new();
-    write_plan_and_fleet(&mut script, day, release_index);
-    write_waves(&mut script, &day.rollout);
+    write_plan_and_fleet(&mut script, scenario, release_index);
+    write_waves(&mut script, &scenario.rollout);
     script.push_str("allow(who = \"lab\", may = [\"back\"])\n");
     script
 }
 
-fn write_plan_and_fleet(script: &mut String, day: &Day, release_index: usize) {
-    let rollout = &day.rollout;
+fn write_plan_and_fleet(script: &mut String, scenario: &Scenario, release_index: usize) {
+    let rollout = &scenario.rollout;
     let build = usize::from(rollout.first_build) + release_index + 1;
     let _ = writeln!(
         script,
         "plan(name = \"{}-{build}\", build = {build}, longest = \"1h\", downtime = \"stops\")",
-        day.name
+        scenario.name
     );
     let _ = writeln!(
         script,
         "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
-        day.proxies.len(),
-        day.servers.len(),
-        span(rollout.vote_life),
-        rollout.calls_per_s,
+        scenario.proxies.len(),
+        scenario.servers.len(),
+        span(rollout.vote_lifetime),
+        rollout.vote_rate_limit,
         rollout.caps,
-        rollout.votes_back.max(MIN_VOTE_SHARE),
-        boolean(rollout.beside)
+        rollout.votes_to_roll_back.max(MIN_VOTE_SHARE),
+        boolean(rollout.keep_previous_build)
     );
 }
 
@@ -62,14 +62,16 @@
 impl WaveGate {
     fn of(rollout: &Rollout) -> WaveGate {
         match rollout.gate {
-            Gate::Any => WaveGate { name: "any", votes: 0.5, soak: rollout.bake },
-            Gate::Share => {
-                WaveGate { name: "share", votes: rollout.votes_on.max(MIN_VOTE_SHARE), soak: rollout.bake }
-            }
-            Gate::Timer => {
+            GateMode::Any => WaveGate { name: "any", votes: 0.5, soak: rollout.bake },
+            GateMode::Share => WaveGate {
+                name: "share",
+                votes: rollout.votes_to_promote.max(MIN_VOTE_SHARE),
+                soak: rollout.bake,
+            },
+            GateMode::Timer => {
                 // If no share of the proxies holds the clock, only all of them together do.
-                let votes = if rollout.votes_hold > 0.0 { rollout.votes_hold } else { 1.0 };
-                WaveGate { name: "timer", votes, soak: rollout.step }
+                let votes = if rollout.votes_to_hold > 0.0 { rollout.votes_to_hold } else { 1.0 };
+                WaveGate { name: "timer", votes, soak: rollout.stage_duration }
             }
         }
     }
--- a/crates/scenarios/src/runner.rs
+++ b/crates/scenarios/src/runner.rs
@@ -1,14 +1,15 @@
 //! One run of a scenario, from its files to its outcome.
 
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::fault_timeline::fault_timeline;
 use crate::outcome::{ScenarioOutcome, write_json};
 use crate::proxies::ProxyCommand;
 use crate::proxy_settings;
 use crate::session::{STARTUP_SPAN, Session};
 use std::path::PathBuf;
-use violetseam_simulated_site::day::Day;
-use violetseam_simulated_site::drive::Net;
+use violetseam_simulated_site::network::AddressPlan;
+use violetseam_simulated_site::network::site::ReleaseDecider;
+use violetseam_simulated_site::scenario::Scenario;
 
 /// How a scenario is played.
 #[derive(Clone, Debug)]
@@ -21,62 +22,58 @@
     pub extra_args: Vec<String>,
     /// Distinguishes runs of one process: their addresses differ.
     pub number: u8,
-    /// Who decides on releases.
+    /// Who decides on releases: a controller as a process of its own, or the simulated release service for
+    /// scenarios in which the service itself fails.
     pub release_decider: ReleaseDecider,
 }
 
-/// Who decides on a scenario's releases.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReleaseDecider {
-    /// A release controller, as a process of its own.
-    Controller,
-    /// The simulated release service: for scenarios in which the service itself fails.
-    Simulated,
-}
-
 impl ScenarioRunner {
     /// Plays a scenario; `on_progress` gets a line for all that happens, as it happens.
     ///
     /// # Errors
-    /// [`ScenarioError`] if the scenario contradicts itself, or a process, thread or file of the run fails.
+    /// [`ScenarioRunError`] if the scenario contradicts itself, or a process, thread or file of the run fails.
     pub fn play(
         &self,
-        day: &Day,
+        scenario: &Scenario,
         on_progress: &mut dyn FnMut(&str),
-    ) -> Result<ScenarioOutcome, ScenarioError> {
-        day.check().map_err(|reason| ScenarioError::InvalidScenario { reason })?;
-        let net = Net::of_process(self.number);
-        let command = self.write_files(day, net)?;
+    ) -> Result<ScenarioOutcome, ScenarioRunError> {
+        scenario.validate()?;
+        let addresses = AddressPlan::of_process(self.number);
+        let command = self.write_files(scenario, addresses)?;
         let out = command.out.clone();
-        let shifted = delay_by_startup(day);
-        let timeline = fault_timeline(&shifted);
-        let mut session = Session::start(command, shifted, net, self.release_decider)?;
+        let delayed = delay_by_startup(scenario);
+        let timeline = fault_timeline(&delayed);
+        let mut session = Session::start(command, delayed, addresses, self.release_decider)?;
         let played = session.play(&timeline, on_progress);
         let mut observations = session.finish()?;
         observations.process_entries = played?;
-        observations.evaluate(day, &out)
+        observations.evaluate(scenario, &out)
     }
 
     /// Writes the scenario and the proxies' settings into the folder of the run.
-    fn write_files(&self, day: &Day, net: Net) -> Result<ProxyCommand, ScenarioError> {
-        std::fs::create_dir_all(&self.out).map_err(ScenarioError::io("output folder"))?;
-        let out = self.out.canonicalize().map_err(ScenarioError::io("output folder"))?;
+    fn write_files(
+        &self,
+        scenario: &Scenario,
+        addresses: AddressPlan,
+    ) -> Result<ProxyCommand, ScenarioRunError> {
+        std::fs::create_dir_all(&self.out).map_err(ScenarioRunError::io("output folder"))?;
+        let out = self.out.canonicalize().map_err(ScenarioRunError::io("output folder"))?;
         let settings = out.join("proxies.star");
-        std::fs::write(&settings, proxy_settings::script(day, net, &out))
-            .map_err(ScenarioError::io("settings"))?;
-        write_json(&out.join("day.json"), "day", day)?;
+        std::fs::write(&settings, proxy_settings::script(scenario, addresses, &out))
+            .map_err(ScenarioRunError::io("settings"))?;
+        write_json(&out.join("day.json"), "day", scenario)?;
         Ok(ProxyCommand { program: self.program.clone(), settings, out, extra_args: self.extra_args.clone() })
     }
 }
 
 /// The scenario, with its faults and releases later by the time that the processes need to start.
-fn delay_by_startup(day: &Day) -> Day {
-    let mut day = day.clone();
-    for trouble in &mut day.troubles {
-        trouble.at += STARTUP_SPAN;
+fn delay_by_startup(scenario: &Scenario) -> Scenario {
+    let mut delayed = scenario.clone();
+    for fault in &mut delayed.faults {
+        fault.at += STARTUP_SPAN;
     }
-    for release in &mut day.releases {
+    for release in &mut delayed.releases {
         release.at += STARTUP_SPAN;
     }
-    day
+    delayed
 }
--- a/crates/scenarios/src/session.rs
+++ b/crates/scenarios/src/session.rs
@@ -1,21 +1,20 @@
 //! The processes and threads of one run: started together, ended in order.
 
 use crate::controller::{ControllerProcess, offer_builds};
-use crate::error::ScenarioError;
+use crate::error::ScenarioRunError;
 use crate::outcome::Observations;
 use crate::proxies::{ProxyCommand, ProxyFleet};
 use crate::proxy_settings;
-use crate::runner::ReleaseDecider;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread::JoinHandle;
 use std::time::Duration;
 use violetseam_simulated_site::Clock;
-use violetseam_simulated_site::day::Day;
-use violetseam_simulated_site::drive::clients::{ClientReport, Progress};
-use violetseam_simulated_site::drive::site::SiteReport;
-use violetseam_simulated_site::drive::{Net, clients, site};
+use violetseam_simulated_site::network::clients::{ClientReport, Progress};
+use violetseam_simulated_site::network::site::{ReleaseDecider, SiteOptions, SiteReport};
+use violetseam_simulated_site::network::{AddressPlan, NetworkError, clients, site};
+use violetseam_simulated_site::scenario::Scenario;
 
 /// From the start of the simulated site to the first request, in microseconds.
 pub(crate) const STARTUP_SPAN: u64 = 2_000_000;
@@ -32,8 +31,8 @@
 #[derive(Clone)]
 struct RunContext {
     /// The scenario, its times counted from the start of the clock.
-    day: Arc<Day>,
-    net: Net,
+    scenario: Arc<Scenario>,
+    addresses: AddressPlan,
     clock: Clock,
     stop: Arc<AtomicBool>,
 }
@@ -42,10 +41,10 @@
 pub(crate) struct Session {
     context: RunContext,
     controller: Option<ControllerProcess>,
-    offers: Option<JoinHandle<Result<(), ScenarioError>>>,
+    offers: Option<JoinHandle<Result<(), ScenarioRunError>>>,
     site: SiteThread,
     proxies: ProxyFleet,
-    clients: JoinHandle<std::io::Result<ClientReport>>,
+    clients: JoinHandle<Result<ClientReport, NetworkError>>,
     progress: Arc<Progress>,
 }
 
@@ -62,21 +61,21 @@
     /// Counts of the clients' requests.
     pub progress: &'a Progress,
     /// Ends with the scenario.
-    pub clients: &'a JoinHandle<std::io::Result<ClientReport>>,
+    pub clients: &'a JoinHandle<Result<ClientReport, NetworkError>>,
 }
 
 impl Session {
     /// Starts the controller, the simulated site, the proxies and the clients.
     pub fn start(
         command: ProxyCommand,
-        day: Day,
-        net: Net,
+        scenario: Scenario,
+        addresses: AddressPlan,
         release_decider: ReleaseDecider,
-    ) -> Result<Session, ScenarioError> {
-        let proxy_count = day.proxies.len();
+    ) -> Result<Session, ScenarioRunError> {
+        let proxy_count = scenario.proxies.len();
         let context = RunContext {
-            day: Arc::new(day),
-            net,
+            scenario: Arc::new(scenario),
+            addresses,
             clock: Clock::start(),
             stop: Arc::new(AtomicBool::new(false)),
         };
@@ -84,10 +83,10 @@
             ReleaseDecider::Controller => Some(context.start_controller(&command)?),
             ReleaseDecider::Simulated => None,
         };
-        let site = SiteThread::spawn(&context, controller.is_some());
+        let site = SiteThread::spawn(&context, release_decider);
         let offers = controller.as_ref().map(|controller| context.spawn_offers(controller));
         let site = site.wait_until_ready(&context)?;
-        let mut proxies = ProxyFleet::new(command, net, proxy_count);
+        let mut proxies = ProxyFleet::new(command, addresses, proxy_count);
         if let Err(error) = proxies.start_all(PROXY_START_TIMEOUT) {
             let _ = site.stop(&context);
             return Err(error);
@@ -110,8 +109,9 @@
     }
 
     /// Waits for the clients, drains the proxies and ends the site; what they saw.
-    pub fn finish(mut self) -> Result<Observations, ScenarioError> {
-        let clients = join(self.clients, "clients'")?.map_err(ScenarioError::io("clients"))?;
+    pub fn finish(mut self) -> Result<Observations, ScenarioRunError> {
+        let clients = join(self.clients, "clients'")?
+            .map_err(|source| ScenarioRunError::Simulation { part: "clients", source })?;
         let cpu = self.proxies.cpu_seconds();
         let mut faults = self.proxies.drain(DRAIN_TIMEOUT);
         std::thread::sleep(CLOSE_GRACE);
@@ -119,72 +119,85 @@
         if let Some(offers) = self.offers {
             join(offers, "offers'")??;
         }
-        if site.left_open > 0 {
-            faults.push(format!("{} attempts still open after all proxies had drained", site.left_open));
+        if site.open_attempts > 0 {
+            faults.push(format!("{} attempts still open after all proxies had drained", site.open_attempts));
         }
         Ok(Observations { process_entries: Vec::new(), clients, site, faults, cpu })
     }
 }
 
 impl RunContext {
-    fn start_controller(&self, command: &ProxyCommand) -> Result<ControllerProcess, ScenarioError> {
-        let control = proxy_settings::control_path_prefix(self.net).with_extension("controller");
-        let build = self.day.rollout.first_build;
-        ControllerProcess::start(command.program.clone(), command.out.clone(), self.net, control, build)
+    fn start_controller(&self, command: &ProxyCommand) -> Result<ControllerProcess, ScenarioRunError> {
+        let control = proxy_settings::control_path_prefix(self.addresses).with_extension("controller");
+        let build = self.scenario.rollout.first_build;
+        ControllerProcess::start(command.program.clone(), command.out.clone(), self.addresses, control, build)
     }
 
-    fn spawn_offers(&self, controller: &ControllerProcess) -> JoinHandle<Result<(), ScenarioError>> {
+    fn spawn_offers(&self, controller: &ControllerProcess) -> JoinHandle<Result<(), ScenarioRunError>> {
         let context = self.clone();
         let control = controller.control().to_owned();
-        std::thread::spawn(move || offer_builds(&context.day, &control, context.clock, &context.stop))
+        std::thread::spawn(move || offer_builds(&context.scenario, &control, context.clock, &context.stop))
     }
 
-    fn spawn_clients(&self, progress: Arc<Progress>) -> JoinHandle<std::io::Result<ClientReport>> {
+    fn spawn_clients(&self, progress: Arc<Progress>) -> JoinHandle<Result<ClientReport, NetworkError>> {
         let context = self.clone();
         std::thread::spawn(move || {
-            clients::run(&context.day, context.net, context.clock, STARTUP_SPAN, &context.stop, progress)
+            clients::run(
+                &context.scenario,
+                context.addresses,
+                context.clock,
+                STARTUP_SPAN,
+                &context.stop,
+                progress,
+            )
         })
     }
 }
 
 /// The simulated site, on a thread of its own.
 struct SiteThread {
-    handle: JoinHandle<std::io::Result<SiteReport>>,
+    handle: JoinHandle<Result<SiteReport, NetworkError>>,
     ready: Receiver<()>,
     messages: Receiver<String>,
 }
 
 impl SiteThread {
-    /// Starts it; `remote_releases` if a controller decides on releases.
-    fn spawn(context: &RunContext, remote_releases: bool) -> SiteThread {
+    /// Starts it.
+    fn spawn(context: &RunContext, release_decider: ReleaseDecider) -> SiteThread {
         let context = context.clone();
         let (ready_sender, ready) = channel();
-        let (message_sender, messages) = channel();
-        let handle = std::thread::spawn(move || {
-            let RunContext { day, net, clock, stop } = context;
-            site::run(&day, net, remote_releases, clock, &stop, &ready_sender, message_sender)
-        });
+        let (log, messages) = channel();
+        let options = SiteOptions {
+            addresses: context.addresses,
+            release_decider,
+            clock: context.clock,
+            ready: ready_sender,
+            log,
+        };
+        let handle = std::thread::spawn(move || site::run(&context.scenario, options, &context.stop));
         SiteThread { handle, ready, messages }
     }
 
-    fn wait_until_ready(self, context: &RunContext) -> Result<SiteThread, ScenarioError> {
+    fn wait_until_ready(self, context: &RunContext) -> Result<SiteThread, ScenarioRunError> {
         if self.ready.recv_timeout(SITE_START_TIMEOUT).is_ok() {
             return Ok(self);
         }
-        let reason = match self.stop(context) {
-            Err(ScenarioError::Io { source, .. }) => source.to_string(),
-            _ => String::new(),
-        };
-        Err(ScenarioError::SiteNotStarted { reason })
+        match self.stop(context) {
+            Err(ScenarioRunError::Simulation { source, .. }) => {
+                Err(ScenarioRunError::SiteNotStarted { source })
+            }
+            Err(error) => Err(error),
+            Ok(_) => Err(ScenarioRunError::SiteNotReady),
+        }
     }
 
     /// Ends all threads of the run; what the site saw.
-    fn stop(self, context: &RunContext) -> Result<SiteReport, ScenarioError> {
+    fn stop(self, context: &RunContext) -> Result<SiteReport, ScenarioRunError> {
         context.stop.store(true, Ordering::Relaxed);
-        join(self.handle, "site's")?.map_err(ScenarioError::io("site"))
+        join(self.handle, "site's")?.map_err(|source| ScenarioRunError::Simulation { part: "site", source })
     }
 }
 
-fn join<T>(handle: JoinHandle<T>, thread: &'static str) -> Result<T, ScenarioError> {
-    handle.join().map_err(|_| ScenarioError::ThreadPanicked { thread })
+fn join<T>(handle: JoinHandle<T>, thread: &'static str) -> Result<T, ScenarioRunError> {
+    handle.join().map_err(|_| ScenarioRunError::ThreadPanicked { thread })
 }
