--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -73,7 +73,7 @@
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Command::Demo(args) => lab::demo(&args),
+        Command::Demo(args) => lab::demo(&args).map_err(|error| error.to_string()),
         Command::Serve(args) => serve::run(&args),
         Command::Fleet(args) => fleet::run(&args),
         Command::Plan(command) => plan::run(&command),
@@ -90,7 +90,7 @@
         }
         .map_err(|fault| fault.to_string()),
         Command::Replay { file, request, build } => replay(&file, Interest { request, build }),
-        Command::Lab(command) => lab::run(&command),
+        Command::Lab(command) => lab::run(&command).map_err(|error| error.to_string()),
     };
     result.unwrap_or_else(|why| {
         eprintln!("violetseam: {why}");
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
 use violetseam_recorder::{Interest, replay};
-use violetseam_scenarios::{ReleaseDecider, ScenarioOutcome, ScenarioRunner, days, report};
+use violetseam_scenarios::{ReleaseDecider, ScenarioOutcome, ScenarioRunner, builtin_scenarios, report};
 use violetseam_simulated_site::scenario::Scenario;
 
 fn folder(number: u8, day: &Scenario) -> PathBuf {
@@ -38,7 +38,7 @@
 
 #[test]
 fn the_short_bad_day_keeps_every_rule_and_sends_the_bad_build_back() {
-    let day = days::bad_day_short();
+    let day = builtin_scenarios::bad_day_short();
     let flight = folder(0, &day).join("flight-{position}").display().to_string();
     let outcome = play(0, &day, &["--record", &flight]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
@@ -46,7 +46,7 @@
     let build = &outcome.site.builds[0];
     let was_released = build.outcome.released_at.is_some();
     assert!(build.is_defective && !was_released, "a bad build was released: {build:?}");
-    assert!(report::served_worth(&outcome) > 0.6, "{}", report::served_worth(&outcome));
+    assert!(report::served_weight(&outcome) > 0.6, "{}", report::served_weight(&outcome));
     // What the proxies decided on the way can be decided again, action by action.
     for position in 0..day.proxies.len() {
         let path = folder(0, &day).join(format!("flight-{position}"));
@@ -58,7 +58,7 @@
 
 #[test]
 fn takeovers_under_load_lose_no_request_and_break_no_rule() {
-    let outcome = play(5, &days::takeover_short(), &[]);
+    let outcome = play(5, &builtin_scenarios::takeover_short(), &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
     let attempts = outcome.clients.attempts;
     assert_eq!((attempts.broken, attempts.unreachable), (0, 0), "requests were lost in a takeover");
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_controller_killed_in_the_middle_of_a_release_goes_on_with_it_and_no_rule_breaks() {
-    let day = days::controller_kills_short();
+    let day = builtin_scenarios::controller_kills_short();
     let outcome = play(6, &day, &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
     let build = &outcome.site.builds[0];
@@ -81,7 +81,7 @@
 
 #[test]
 fn the_stand_in_desk_still_decides_where_it_is_asked_to() {
-    let mut day = days::quiet();
+    let mut day = builtin_scenarios::quiet();
     day.length = 9_000_000;
     day.traffic.rate = 200.0;
     day.releases = vec![violetseam_simulated_site::scenario::Release {
@@ -100,7 +100,7 @@
 #[cfg(feature = "sabotage")]
 fn rough() -> Scenario {
     use violetseam_simulated_site::scenario::{Fault, FaultKind, Release};
-    let mut day = days::quiet();
+    let mut day = builtin_scenarios::quiet();
     day.name = "rough".into();
     day.length = 14_000_000;
     day.traffic.rate = 300.0;
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 use violetseam_scenarios::{
-    ReleaseDecider, ScenarioOutcome, ScenarioRunner, fleet_days, proxy_settings, report,
+    ReleaseDecider, ScenarioOutcome, ScenarioRunner, fleet_scenarios, proxy_settings, report,
 };
 use violetseam_simulated_site::network::AddressPlan;
 use violetseam_simulated_site::scenario::Scenario;
@@ -54,7 +54,7 @@
 
 #[test]
 fn links_that_are_cut_slow_and_lossy_leave_the_fleet_within_its_budgets() {
-    let day = fleet_days::links(3);
+    let day = fleet_scenarios::failing_links(3);
     let (outcome, shown) = play(20, &day, &[], Some("trouble ends: PeersDisordered"));
     kept(&day, &outcome);
     // What an operator sees: each proxy's rights, and what they come to. The daemons are read one after another, so that the
@@ -66,14 +66,14 @@
 
 #[test]
 fn proxies_killed_with_rights_stopped_past_their_leases_doubled_and_rolled_leave_them_so() {
-    let day = fleet_days::deaths(3);
+    let day = fleet_scenarios::failing_processes(3);
     let (outcome, _) = play(21, &day, &[], None);
     kept(&day, &outcome);
 }
 
 #[test]
 fn with_no_message_from_start_to_end_each_proxy_has_its_own_part() {
-    let day = fleet_days::deaf(3);
+    let day = fleet_scenarios::no_gossip(3);
     let (outcome, _) = play(22, &day, &[], None);
     kept(&day, &outcome);
 }
@@ -81,7 +81,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn proxies_that_keep_to_no_budget_are_caught() {
-    let mut day = fleet_days::lending(3, 0.0);
+    let mut day = fleet_scenarios::quota_lending(3, 0.0);
     day.length = 5_000_000;
     let (outcome, _) = play(23, &day, &["--sabotage", "spendthrift"], None);
     let over: Vec<bool> = outcome.verdict.fleet.iter().map(|bound| bound.over > 0).collect();
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,12 +1,12 @@
 //! Days in simulated time: the same every time, the rules kept, and close to the same days over sockets.
 
 use violetseam_emulator::{run, unplayed};
-use violetseam_scenarios::days;
+use violetseam_scenarios::builtin_scenarios;
 use violetseam_simulated_site::scenario::{FaultKind, Scenario};
 
 /// The demo's day, without what is not played here.
 fn demo() -> Scenario {
-    let day = days::demo();
+    let day = builtin_scenarios::demo();
     assert_eq!(unplayed(&day), Vec::<String>::new());
     day
 }
@@ -36,7 +36,7 @@
 
 #[test]
 fn troubles_that_are_not_played_are_named_and_refused() {
-    let day = days::bad_day();
+    let day = builtin_scenarios::bad_day();
     assert!(unplayed(&day).contains(&format!("{:?}", FaultKind::ZoneOutage)));
     assert!(run(&day).unwrap_err().contains("not played in simulated time yet"));
 }
--- /dev/null
+++ b/crates/scenarios/src/bench_scenario/scale.rs
@@ -0,0 +1,117 @@
+//! How much of a file's scenario is played: as many proxies, servers and requests as one machine carries.
+
+use super::BenchScenarioError;
+use super::format::{BenchFile, BenchServer};
+use violetseam_simulated_site::scenario::ServerSpec;
+
+/// The most proxies that are started, each a process.
+const MAX_PROXIES: usize = 8;
+/// The most first attempts a second.
+const MAX_REQUEST_RATE: f64 = 1_500.0;
+/// The most servers.
+const MAX_SERVERS: usize = 76;
+/// The fewest servers.
+const MIN_SERVERS: usize = 2;
+/// Connections that a server accepts for each core, where the file says nothing.
+const DEFAULT_CONNECTIONS_PER_CORE: f64 = 400.0;
+
+/// How much of a file's scenario is played.
+pub(super) struct Scale {
+    /// Played servers and traffic, as a share.
+    pub ratio: f64,
+    /// Played proxies: the first of the file's.
+    pub proxies: usize,
+    file_proxies: usize,
+    /// Played servers: the first of the file's that run at the start.
+    servers: usize,
+    file_servers: usize,
+}
+
+impl Scale {
+    pub fn of(file: &BenchFile) -> Scale {
+        let file_servers = file.servers.iter().filter(|server| server.up).count();
+        let rate = file.traffic.load * file.capacity() / file.mean_work().max(1.0);
+        let by_rate = MAX_REQUEST_RATE / rate;
+        let by_servers = MAX_SERVERS as f64 / file_servers.max(1) as f64;
+        let ratio = by_rate.min(by_servers).min(1.0);
+        Scale {
+            ratio,
+            proxies: file.proxies.len().min(MAX_PROXIES),
+            file_proxies: file.proxies.len(),
+            servers: ((file_servers as f64 * ratio).round() as usize).max(MIN_SERVERS),
+            file_servers,
+        }
+    }
+
+    /// Names what is left out.
+    pub fn note(&self, notes: &mut Vec<String>) {
+        if self.proxies < self.file_proxies {
+            let Scale { proxies, file_proxies, .. } = self;
+            notes.push(format!("{proxies} of {file_proxies} proxies, each with more of the traffic"));
+        }
+        if self.servers < self.file_servers {
+            let Scale { servers, file_servers, .. } = self;
+            notes.push(format!("{servers} of {file_servers} servers and as little traffic"));
+        }
+    }
+
+    /// The played servers that run at the start.
+    pub fn running_servers(&self, file: &BenchFile) -> Result<Vec<ServerSpec>, BenchScenarioError> {
+        let running: Vec<&BenchServer> = file.servers.iter().filter(|server| server.up).collect();
+        running[..self.servers].iter().map(|server| file.server_spec(server)).collect()
+    }
+
+    /// The spares of the played places.
+    pub fn spare_servers(&self, file: &BenchFile) -> Result<Vec<ServerSpec>, BenchScenarioError> {
+        let spares = file.servers.iter().filter(|server| !server.up).enumerate();
+        let played = spares.filter(|(index, _)| index % self.file_places() < self.servers);
+        played.map(|(_, server)| file.server_spec(server)).collect()
+    }
+
+    /// The played index of one of the file's servers, if it is played. The file numbers servers by place and
+    /// generation; played places keep their numbers.
+    pub fn server_index(&self, file_index: usize) -> Option<usize> {
+        let place = file_index % self.file_places();
+        let generation = file_index / self.file_places();
+        (place < self.servers).then_some(place + self.servers * generation)
+    }
+
+    fn file_places(&self) -> usize {
+        self.file_servers.max(1)
+    }
+}
+
+impl BenchFile {
+    /// Mean work of a request.
+    pub(super) fn mean_work(&self) -> f64 {
+        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        self.classes.iter().map(|class| class.share * class.work).sum::<f64>() / shares.max(1e-9)
+    }
+
+    /// Capacity of the servers that run at the start, in work per second.
+    fn capacity(&self) -> f64 {
+        let kinds = &self.tiers[0].kinds;
+        let cores = |server: &BenchServer| kinds.get(server.kind).map_or(1.0, |kind| kind.cores);
+        let running = self.servers.iter().filter(|server| server.up);
+        running.map(|server| cores(server) * server.speed * 1e6).sum()
+    }
+
+    fn server_spec(&self, server: &BenchServer) -> Result<ServerSpec, BenchScenarioError> {
+        let kinds = &self.tiers[0].kinds;
+        let kind =
+            kinds.get(server.kind).ok_or(BenchScenarioError::UnknownServerKind { kind: server.kind })?;
+        let connections_per_core = kind.conn_cap_per_core.unwrap_or(DEFAULT_CONNECTIONS_PER_CORE);
+        Ok(ServerSpec {
+            zone: server.zone,
+            cell: server.cell,
+            cores: kind.cores,
+            speed: server.speed,
+            slots: kind.slots,
+            queue: kind.queue,
+            connections: (connections_per_core * kind.cores) as usize,
+            slow_start_floor: kind.cold_from,
+            slow_start_span: kind.cold,
+            error_rate: kind.error_rate,
+        })
+    }
+}
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -2,12 +2,13 @@
 //! the clock, and at the end the rules checked from what crossed the sockets. It also measures what the proxy
 //! and the operators' tools cost.
 
+mod base_scenario;
+pub mod bench_scenario;
+pub mod builtin_scenarios;
 mod controller;
-pub mod days;
-pub mod drawn;
 mod error;
 mod fault_timeline;
-pub mod fleet_days;
+pub mod fleet_scenarios;
 pub mod measurement;
 mod outcome;
 mod playback;
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -1,142 +1,237 @@
-//! What a day came to, for people and as data.
+//! What a scenario came to, for people and as data.
 
 use crate::outcome::ScenarioOutcome;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
-use violetseam_invariants::Verdict;
-use violetseam_simulated_site::network::clients::AttemptCounts;
+use violetseam_invariants::{Bound, Verdict};
+use violetseam_simulated_site::network::clients::{AttemptCounts, ClassCounts};
 use violetseam_simulated_site::network::site::BuildReport;
-use violetseam_simulated_site::scenario::Scenario;
+use violetseam_simulated_site::scenario::{ClassSpec, Scenario};
 
-/// Worth served in time over worth asked for.
-pub fn served_worth(outcome: &ScenarioOutcome) -> f64 {
-    let asked: f64 = outcome.clients.classes.iter().map(|c| c.requested_weight).sum();
-    let served: f64 = outcome.clients.classes.iter().map(|c| c.served_weight).sum();
-    served / asked.max(1e-9)
+/// The longest latency that is told apart, in microseconds.
+const MAX_LATENCY: u64 = 120_000_000;
+/// Significant digits of latencies.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// Violations that the text lists.
+const MAX_LISTED_VIOLATIONS: usize = 20;
+/// What each rule demands, in the order of their numbers.
+const RULES: [&str; 5] = [
+    "one answer in time",
+    "no effect twice",
+    "drains kept",
+    "no cold server pushed over",
+    "exposure within the cap",
+];
+
+/// Priority weight of the requests served in time, as a share of the weight of all.
+pub fn served_weight(outcome: &ScenarioOutcome) -> f64 {
+    let classes = &outcome.clients.classes;
+    let requested: f64 = classes.iter().map(|class| class.requested_weight).sum();
+    let served: f64 = classes.iter().map(|class| class.served_weight).sum();
+    served / requested.max(1e-9)
+}
+
+/// Latencies of served attempts, in microseconds.
+#[derive(Clone, Copy, Default)]
+struct Latencies {
+    p50: u64,
+    p95: u64,
+    p99: u64,
 }
 
-fn quantiles(times: &[u64]) -> [u64; 3] {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 120_000_000, 3) else { return [0; 3] };
-    times.iter().for_each(|t| histogram.saturating_record((*t).max(1)));
-    [0.5, 0.95, 0.99].map(|q| histogram.value_at_quantile(q))
+impl Latencies {
+    fn of(outcome: &ScenarioOutcome) -> Latencies {
+        let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY, HISTOGRAM_DIGITS) else {
+            return Latencies::default();
+        };
+        for latency in &outcome.clients.latencies_us {
+            histogram.saturating_record((*latency).max(1));
+        }
+        Latencies {
+            p50: histogram.value_at_quantile(0.5),
+            p95: histogram.value_at_quantile(0.95),
+            p99: histogram.value_at_quantile(0.99),
+        }
+    }
 }
 
-/// The day as data.
+/// The outcome as data.
 pub fn summary(scenario: &Scenario, outcome: &ScenarioOutcome) -> Value {
-    let classes = scenario.classes.iter().zip(&outcome.clients.classes).map(|(c, t)| {
-        json!({"class": c.name, "asked": t.requests, "in_time": t.in_time, "late": t.late, "wrong": t.wrong, "unserved": t.unserved})
-    });
-    let builds = outcome.site.builds.iter().map(|b| {
-        json!({"build": b.outcome.build, "bad": b.is_defective, "offered_us": b.outcome.offered_at, "released_us": b.outcome.released_at, "back_us": b.outcome.rolled_back_at})
-    });
-    let [p50, p95, p99] = quantiles(&outcome.clients.latencies_us);
-    let v = &outcome.verdict;
+    let classes = scenario.classes.iter().zip(&outcome.clients.classes);
+    let latencies = Latencies::of(outcome);
+    let replies = &outcome.site.replies;
+    let verdict = &outcome.verdict;
     json!({
-        "day": scenario.name, "seed": scenario.seed, "proxies": scenario.proxies.len(), "servers": scenario.servers.len(),
-        "served_worth": served_worth(outcome),
-        "classes": classes.collect::<Vec<_>>(),
-        "tries": {"served": outcome.clients.attempts.served, "refused": outcome.clients.attempts.rejected, "failed": outcome.clients.attempts.failed,
-            "broken": outcome.clients.attempts.broken, "no_connection": outcome.clients.attempts.unreachable, "left": outcome.clients.attempts.disconnected},
-        "answer_us": {"p50": p50, "p95": p95, "p99": p99},
-        "attempts": {"ok": outcome.site.replies.ok, "error": outcome.site.replies.error, "not_run": outcome.site.replies.not_run},
-        "builds": builds.collect::<Vec<_>>(),
+        "day": scenario.name,
+        "seed": scenario.seed,
+        "proxies": scenario.proxies.len(),
+        "servers": scenario.servers.len(),
+        "served_worth": served_weight(outcome),
+        "classes": classes.map(|(class, counts)| class_summary(class, counts)).collect::<Vec<_>>(),
+        "tries": attempts_summary(&outcome.clients.attempts),
+        "answer_us": {"p50": latencies.p50, "p95": latencies.p95, "p99": latencies.p99},
+        "attempts": {"ok": replies.ok, "error": replies.error, "not_run": replies.not_run},
+        "builds": outcome.site.builds.iter().map(build_summary).collect::<Vec<_>>(),
         "collapsed": outcome.site.collapsed,
         "flags_taken": outcome.clients.accepted_reports,
         "proxy_cpu_s": outcome.cpu,
         "records": outcome.records,
-        "rules": {"broken": v.broken, "looked_at": v.looked_at},
-        "fleet_bounds": v.fleet.iter().map(|b| json!({"what": b.what, "budget": b.budget, "spent": b.spent, "nearest": b.nearest, "over": b.over})).collect::<Vec<_>>(),
+        "rules": {"broken": verdict.broken, "looked_at": verdict.looked_at},
+        "fleet_bounds": verdict.fleet.iter().map(bound_summary).collect::<Vec<_>>(),
         "faults": outcome.faults,
     })
 }
 
+fn class_summary(class: &ClassSpec, counts: &ClassCounts) -> Value {
+    json!({
+        "class": class.name,
+        "asked": counts.requests,
+        "in_time": counts.in_time,
+        "late": counts.late,
+        "wrong": counts.wrong,
+        "unserved": counts.unserved,
+    })
+}
+
+fn attempts_summary(attempts: &AttemptCounts) -> Value {
+    json!({
+        "served": attempts.served,
+        "refused": attempts.rejected,
+        "failed": attempts.failed,
+        "broken": attempts.broken,
+        "no_connection": attempts.unreachable,
+        "left": attempts.disconnected,
+    })
+}
+
+fn build_summary(report: &BuildReport) -> Value {
+    json!({
+        "build": report.outcome.build,
+        "bad": report.is_defective,
+        "offered_us": report.outcome.offered_at,
+        "released_us": report.outcome.released_at,
+        "back_us": report.outcome.rolled_back_at,
+    })
+}
+
+fn bound_summary(bound: &Bound) -> Value {
+    json!({
+        "what": bound.what,
+        "budget": bound.budget,
+        "spent": bound.spent,
+        "nearest": bound.nearest,
+        "over": bound.over,
+    })
+}
+
 /// How the bounds of the whole fleet were kept, a line each.
 pub fn fleet_bounds(verdict: &Verdict) -> String {
-    let mut s = String::new();
-    for b in &verdict.fleet {
-        let word = match b.first_over {
+    let mut text = String::new();
+    for bound in &verdict.fleet {
+        let result = match bound.first_over {
             None => "kept".to_owned(),
-            Some(at) => format!("BROKEN {} times, first at {:.3} s", b.over, at as f64 / 1e6),
+            Some(at) => format!("BROKEN {} times, first at {:.3} s", bound.over, seconds(at)),
         };
         let _ = writeln!(
-            s,
-            "  fleet: {} {word}: {} of {} a second, the fullest span {:.2} of its bound",
-            b.what, b.spent, b.budget, b.nearest
+            text,
+            "  fleet: {} {result}: {} of {} a second, the fullest span {:.2} of its bound",
+            bound.what, bound.spent, bound.budget, bound.nearest
         );
     }
-    s
+    text
 }
 
-/// The day in words.
-#[expect(clippy::too_many_lines, reason = "this package has not been parted by concern yet")]
+/// The outcome as text.
 pub fn text(scenario: &Scenario, outcome: &ScenarioOutcome) -> String {
-    let mut s = String::new();
-    let _ = writeln!(
-        s,
-        "day {} (seed {}): {} proxies, {} servers",
+    let mut text = format!(
+        "day {} (seed {}): {} proxies, {} servers\n",
         scenario.name,
         scenario.seed,
         scenario.proxies.len(),
         scenario.servers.len()
     );
-    for (class, t) in scenario.classes.iter().zip(&outcome.clients.classes) {
-        let share = t.in_time as f64 / t.requests.max(1) as f64;
-        let _ = writeln!(
-            s,
-            "  {:<14} asked {:>6}  in time {:>6} ({:>5.1}%)  late {:>4}  wrong {:>4}  unserved {:>5}",
-            class.name,
-            t.requests,
-            t.in_time,
-            share * 100.0,
-            t.late,
-            t.wrong,
-            t.unserved
-        );
+    for (class, counts) in scenario.classes.iter().zip(&outcome.clients.classes) {
+        write_class(&mut text, class, counts);
+    }
+    write_clients(&mut text, outcome);
+    for build in &outcome.site.builds {
+        write_build(&mut text, build);
     }
+    write_rules(&mut text, &outcome.verdict);
+    text.push_str(&fleet_bounds(&outcome.verdict));
+    for fault in &outcome.faults {
+        let _ = writeln!(text, "  fault: {fault}");
+    }
+    text
+}
+
+fn write_class(text: &mut String, class: &ClassSpec, counts: &ClassCounts) {
+    let share_in_time = counts.in_time as f64 / counts.requests.max(1) as f64;
+    let _ = writeln!(
+        text,
+        "  {:<14} asked {:>6}  in time {:>6} ({:>5.1}%)  late {:>4}  wrong {:>4}  unserved {:>5}",
+        class.name,
+        counts.requests,
+        counts.in_time,
+        share_in_time * 100.0,
+        counts.late,
+        counts.wrong,
+        counts.unserved
+    );
+}
+
+fn write_clients(text: &mut String, outcome: &ScenarioOutcome) {
     let AttemptCounts { served, rejected, failed, broken, unreachable, disconnected } =
         outcome.clients.attempts;
     let _ = writeln!(
-        s,
-        "  tries: served {served}, refused {rejected}, failed {failed}, broken {broken}, no connection {unreachable}, left {disconnected}"
+        text,
+        "  tries: served {served}, refused {rejected}, failed {failed}, broken {broken}, \
+         no connection {unreachable}, left {disconnected}"
     );
-    let [p50, p95, p99] = quantiles(&outcome.clients.latencies_us);
-    let ms = |us: u64| us as f64 / 1e3;
+    let latencies = Latencies::of(outcome);
     let _ = writeln!(
-        s,
+        text,
         "  answers: p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms (simulated servers)",
-        ms(p50),
-        ms(p95),
-        ms(p99)
+        milliseconds(latencies.p50),
+        milliseconds(latencies.p95),
+        milliseconds(latencies.p99)
     );
-    let _ = writeln!(s, "  worth served in time: {:.3} of what was asked for", served_worth(outcome));
-    for BuildReport { outcome: fate, is_defective } in &outcome.site.builds {
-        let kind = if *is_defective { "bad" } else { "good" };
-        let end = match (fate.released_at, fate.rolled_back_at) {
-            (_, Some(at)) => format!("sent back after {:.1} s", (at - fate.offered_at) as f64 / 1e6),
-            (Some(at), None) => format!("released after {:.1} s", (at - fate.offered_at) as f64 / 1e6),
-            (None, None) => "still on trial at the end".into(),
+    let _ = writeln!(text, "  worth served in time: {:.3} of what was asked for", served_weight(outcome));
+}
+
+fn write_build(text: &mut String, report: &BuildReport) {
+    let outcome = &report.outcome;
+    let quality = if report.is_defective { "bad" } else { "good" };
+    let end = if let Some(at) = outcome.rolled_back_at {
+        format!("sent back after {:.1} s", seconds(at - outcome.offered_at))
+    } else if let Some(at) = outcome.released_at {
+        format!("released after {:.1} s", seconds(at - outcome.offered_at))
+    } else {
+        "still on trial at the end".to_owned()
+    };
+    let _ = writeln!(text, "  build {} ({quality}): {end}", outcome.build);
+}
+
+fn write_rules(text: &mut String, verdict: &Verdict) {
+    let counts = verdict.broken.iter().zip(verdict.looked_at);
+    for (index, (name, (broken, looked_at))) in RULES.iter().zip(counts).enumerate() {
+        let result = match broken {
+            0 => "kept".to_owned(),
+            times => format!("BROKEN {times} times"),
         };
-        let _ = writeln!(s, "  build {} ({kind}): {end}", fate.build);
-    }
-    let names = [
-        "one answer in time",
-        "no effect twice",
-        "drains kept",
-        "no cold server pushed over",
-        "exposure within the cap",
-    ];
-    for (rule, name) in names.iter().enumerate() {
-        let (broken, looked) = (outcome.verdict.broken[rule], outcome.verdict.looked_at[rule]);
-        let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-        let _ = writeln!(s, "  rule {} {name}: {word} ({looked} looked at)", rule + 1);
+        let _ = writeln!(text, "  rule {} {name}: {result} ({looked_at} looked at)", index + 1);
     }
-    for v in outcome.verdict.violations.iter().take(20) {
-        let _ = writeln!(s, "    {:.3} s rule {}: {}", v.at as f64 / 1e6, v.rule, v.what);
+    for violation in verdict.violations.iter().take(MAX_LISTED_VIOLATIONS) {
+        let at = seconds(violation.at);
+        let _ = writeln!(text, "    {at:.3} s rule {}: {}", violation.rule, violation.what);
     }
-    s.push_str(&fleet_bounds(&outcome.verdict));
-    for fault in &outcome.faults {
-        let _ = writeln!(s, "  fault: {fault}");
-    }
-    s
+}
+
+fn seconds(micros: u64) -> f64 {
+    micros as f64 / 1e6
+}
+
+fn milliseconds(micros: u64) -> f64 {
+    micros as f64 / 1e3
 }
