--- a/crates/scenarios/src/base_scenario.rs
+++ b/crates/scenarios/src/base_scenario.rs
@@ -1,4 +1,5 @@
-//! What the scenarios that come with the program have in common: one site, and how to write releases and faults.
+//! What the scenarios that come with the program have in common: one site, and how to write releases and
+//! faults.
 
 use violetseam_simulated_site::scenario::{
     BuildDefect, ClassSpec, Clients, DiscoveryDelays, Fault, FaultKind, GateMode, Idempotency, ProxySpec,
@@ -17,8 +18,8 @@
 /// Different speeds of servers.
 const SPEEDS: usize = 5;
 
-/// A fleet of three zones and one class of each kind, without releases and faults. `length` is in microseconds,
-/// `rate` in requests a second.
+/// A fleet of three zones and one class of each kind, without releases and faults. `length` is in
+/// microseconds, `rate` in requests a second.
 pub(crate) fn base_scenario(name: &str, length: u64, proxies: usize, servers: usize, rate: f64) -> Scenario {
     Scenario {
         name: name.into(),
--- a/crates/scenarios/src/bench_scenario/format.rs
+++ b/crates/scenarios/src/bench_scenario/format.rs
@@ -1,6 +1,6 @@
-//! The format of scenario files that the operators' bench generates. Fields have the bench's names and, unless
-//! stated otherwise, its units: times in microseconds, work in microseconds of a standard core. Fields that have no
-//! part in playing a file here are left out.
+//! The format of scenario files that the operators' bench generates. Fields have the bench's names and,
+//! unless stated otherwise, its units: times in microseconds, work in microseconds of a standard core.
+//! Fields that have no part in playing a file here are left out.
 
 use serde::Deserialize;
 
--- a/crates/scenarios/src/bench_scenario/mod.rs
+++ b/crates/scenarios/src/bench_scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenario files as the operators' bench generates them, played over sockets at the scale that one machine carries.
-//! What cannot be played is named, never skipped silently.
+//! Scenario files as the operators' bench generates them, played over sockets at the scale that one machine
+//! carries. What cannot be played is named, never skipped silently.
 
 mod convert;
 mod error;
--- a/crates/scenarios/src/builtin_scenarios.rs
+++ b/crates/scenarios/src/builtin_scenarios.rs
@@ -31,8 +31,9 @@
 /// Numbers of proxies that may be asked for.
 const FLEET_SIZES: RangeInclusive<usize> = 3..=60;
 
-/// A scenario by its name; a fleet scenario may be followed by its number of proxies, as in `fleet-links:12`, and
-/// `fleet-lending` by the share of datagrams that is lost as well, in percent, as in `fleet-lending:12:20`.
+/// A scenario by its name; a fleet scenario may be followed by its number of proxies, as in
+/// `fleet-links:12`, and `fleet-lending` by the share of datagrams that is lost as well, in percent, as in
+/// `fleet-lending:12:20`.
 pub fn named(name: &str) -> Option<Scenario> {
     let mut parts = name.split(':');
     let name = parts.next()?;
--- a/crates/scenarios/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -48,7 +48,8 @@
     ) -> Result<Self, ScenarioRunError> {
         let settings = out.join("controller.star");
         let script = format!(
-            "controller(name = \"lab\", listen = \"{}\", build = {build}, control = \"{}\", lease = \"500ms\", beat = \"250ms\")\n",
+            "controller(name = \"lab\", listen = \"{}\", build = {build}, control = \"{}\", \
+             lease = \"500ms\", beat = \"250ms\")\n",
             addresses.controller(),
             control.display()
         );
--- a/crates/scenarios/src/fleet_scenarios.rs
+++ b/crates/scenarios/src/fleet_scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios that test what the whole fleet shares: most servers fail a part of their requests, so that all proxies
-//! want more retries than the fleet's quota has, while links, processes and zones fail.
+//! Scenarios that test what the whole fleet shares: most servers fail a part of their requests, so that all
+//! proxies want more retries than the fleet's quota has, while links, processes and zones fail.
 
 use crate::base_scenario::{MS, S, base_scenario, fault};
 use violetseam_simulated_site::scenario::{Fault, FaultKind, RetryQuotas, Scenario};
@@ -17,8 +17,8 @@
 /// ... so many times as many as another.
 const BUSY_PROXY_WEIGHT: f64 = 6.0;
 
-/// A scenario in which retry quota is scarce, with further faults: one in three proxies has most of the clients; all
-/// servers fail two of five requests from the first second on.
+/// A scenario in which retry quota is scarce, with further faults: one in three proxies has most of the
+/// clients; all servers fail two of five requests from the first second on.
 fn scarce_quota(name: &str, length: u64, proxies: usize, faults: Vec<Fault>) -> Scenario {
     let fleet_size = proxies as f64;
     let mut scenario = base_scenario(name, length, proxies, (2 * proxies).max(12), REQUEST_RATE * fleet_size);
@@ -50,9 +50,9 @@
     (0..proxies.div_ceil(3)).collect()
 }
 
-/// Links fail: a third of the proxies is partitioned from all others and each other, then nothing that it sends
-/// arrives, then nothing that is sent to it; datagrams are delayed by up to 3 s and reordered; half of them are lost;
-/// at last nothing fails.
+/// Links fail: a third of the proxies is partitioned from all others and each other, then nothing that it
+/// sends arrives, then nothing that is sent to it; datagrams are delayed by up to 3 s and reordered; half
+/// of them are lost; at last nothing fails.
 pub fn failing_links(proxies: usize) -> Scenario {
     let third = third(proxies);
     let faults = vec![
@@ -70,9 +70,10 @@
     scarce_quota("fleet-links", 14 * S, proxies, faults)
 }
 
-/// Processes fail: a third of the proxies is killed with quota leases and starts again at once; another proxy is
-/// suspended until its leases have expired, and continues as if they had not; another is killed and comes back after
-/// its leases; second processes start under identities in use; at last all are restarted one batch after another.
+/// Processes fail: a third of the proxies is killed with quota leases and starts again at once; another
+/// proxy is suspended until its leases have expired, and continues as if they had not; another is killed
+/// and comes back after its leases; second processes start under identities in use; at last all are
+/// restarted one batch after another.
 pub fn failing_processes(proxies: usize) -> Scenario {
     let third = third(proxies);
     let middle = proxies / 2;
@@ -94,8 +95,8 @@
     scarce_quota("fleet-deaths", 15 * S, proxies, faults)
 }
 
-/// No datagram ever arrives; meanwhile one proxy is partitioned from discovery, one from the release service, a third
-/// of them from the servers of a zone.
+/// No datagram ever arrives; meanwhile one proxy is partitioned from discovery, one from the release
+/// service, a third of them from the servers of a zone.
 pub fn no_gossip(proxies: usize) -> Scenario {
     let third = third(proxies);
     let faults = vec![
@@ -107,7 +108,8 @@
     scarce_quota("fleet-deaf", 9 * S, proxies, faults)
 }
 
-/// Nothing fails but the servers' answers and a share of the datagrams, from 0 to 1: what quota leases are worth.
+/// Nothing fails but the servers' answers and a share of the datagrams, from 0 to 1: what quota leases are
+/// worth.
 pub fn quota_lending(proxies: usize, loss: f64) -> Scenario {
     let length = 10 * S;
     let mut faults = Vec::new();
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,6 +1,6 @@
-//! Plays scripted scenarios: proxies as processes of their own, a simulated site round them, faults injected by
-//! the clock, and at the end the rules checked from what crossed the sockets. It also measures what the proxy
-//! and the operators' tools cost.
+//! Plays scripted scenarios: proxies as processes of their own, a simulated site round them, faults
+//! injected by the clock, and at the end the rules checked from what crossed the sockets. It also measures
+//! what the proxy and the operators' tools cost.
 
 mod base_scenario;
 pub mod bench_scenario;
--- a/crates/scenarios/src/measurement/disturbance.rs
+++ b/crates/scenarios/src/measurement/disturbance.rs
@@ -1,9 +1,9 @@
 //! What a flood of control connections and a takeover add to the times of requests, beside idle spans of the
 //! same run.
 //!
-//! Clients send at a fixed rate, each on a connection of its own, and a request counts from the moment it was
-//! due. A connection that the proxy closes between two requests is opened again, as any client does; a request
-//! is lost if a second connection does not answer it either.
+//! Clients send at a fixed rate, each on a connection of its own, and a request counts from the moment it
+//! was due. A connection that the proxy closes between two requests is opened again, as any client does; a
+//! request is lost if a second connection does not answer it either.
 
 use super::echo_servers::{EchoServers, HEAD_END};
 use super::load_generator::{quantile_ms, response_times};
@@ -190,7 +190,8 @@
     lost: u64,
 }
 
-/// Sends requests at a fixed interval until the round ends. A request belongs to the span in which it was due.
+/// Sends requests at a fixed interval until the round ends. A request belongs to the span in which it was
+/// due.
 fn run_client(
     address: SocketAddr,
     offset: Duration,
@@ -361,7 +362,8 @@
         }
         let _ = writeln!(
             text,
-            "\n{} requests, {} lost, {} refused between spans; {control_connections} control connections made",
+            "\n{} requests, {} lost, \
+             {} refused between spans; {control_connections} control connections made",
             self.requests,
             self.lost,
             self.rejected[Disturbance::Changing as usize]
--- a/crates/scenarios/src/measurement/overhead.rs
+++ b/crates/scenarios/src/measurement/overhead.rs
@@ -109,7 +109,8 @@
     }
 }
 
-/// Measures the proxy against direct connections; a table of medians. `on_progress` gets a line for each round.
+/// Measures the proxy against direct connections; a table of medians. `on_progress` gets a line for each
+/// round.
 ///
 /// # Errors
 /// [`MeasurementError`] says which process or measurement failed.
--- a/crates/scenarios/src/measurement/stub_site.rs
+++ b/crates/scenarios/src/measurement/stub_site.rs
@@ -51,7 +51,8 @@
         "fleet(name = \"measure\", size = 1, position = 0, {fleet_options})\n\
          listen(addr = \"127.0.0.1:0\")\n\
          roster(addr = \"{site}\")\ndesk(addr = \"{site}\")\n\
-         request_class(name = \"read\", aim = \"{deadline}\", deadline = \"{deadline}\", effect = \"retryable\")\n\
+         request_class(name = \"read\", aim = \"{deadline}\", deadline = \"{deadline}\", \
+         effect = \"retryable\")\n\
          route(prefix = \"/\", to = \"read\")\n\
          rollout(stage_caps = [1.0], counted_over = \"2s\", vote_ttl = \"4s\")\n\
          contract(ask_within = \"1h\", cold_from = 0.5, cold_span = \"1s\", drain_grace = \"1s\", \
--- a/crates/scenarios/src/proxy_settings.rs
+++ b/crates/scenarios/src/proxy_settings.rs
@@ -39,7 +39,8 @@
     let control = control_path_prefix(addresses);
     let _ = writeln!(
         script,
-        "fleet(name = \"lab\", size = {size}, position = N, site = 7, zone = {zones:?}[N], sizes_known = {}, state_dir = \"{}\", control = \"{}-%d\" % N)",
+        "fleet(name = \"lab\", size = {size}, position = N, site = 7, zone = {zones:?}[N], \
+         sizes_known = {}, state_dir = \"{}\", control = \"{}-%d\" % N)",
         boolean(sizes_differ),
         state_dir.display(),
         control.display()
@@ -88,7 +89,8 @@
     };
     let _ = writeln!(
         script,
-        "request_class(name = {:?}, aim = {}, deadline = {}, effect = \"{effect}\", worth = {:?}, late_worth = {:?}, further = {retry_quota:?}{keyed})",
+        "request_class(name = {:?}, aim = {}, deadline = {}, effect = \"{effect}\", worth = {:?}, \
+         late_worth = {:?}, further = {retry_quota:?}{keyed})",
         class.name,
         span(class.latency_objective),
         span(class.deadline),
@@ -129,8 +131,9 @@
     };
     let _ = writeln!(
         script,
-        "rollout(stage_caps = {:?}, counted_over = {}, gate = \"{gate}\", in_place = {}, guarded_stages = {}, \
-         uncounted = {:?}, per_class = {}, one_way = {}, vote_ttl = {}, call_timeout = {}, flag_share = {:?}, \
+        "rollout(stage_caps = {:?}, counted_over = {}, gate = \"{gate}\", in_place = {}, \
+         guarded_stages = {}, uncounted = {:?}, per_class = {}, one_way = {}, vote_ttl = {}, \
+         call_timeout = {}, flag_share = {:?}, \
          votes_on = {votes_to_promote:?}, votes_back = {:?}, vote_allowance = {:?})",
         rollout.caps,
         span(rollout.exposure_window),
--- a/crates/scenarios/src/release_plan.rs
+++ b/crates/scenarios/src/release_plan.rs
@@ -26,7 +26,8 @@
     );
     let _ = writeln!(
         script,
-        "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
+        "fleet(proxies = {}, places = {}, vote_ttl = {}, votes_per_s = {:?}, stage_caps = {:?}, \
+         votes_back = {:?}, beside = {}, launch = \"8s\", settle = \"1s\")",
         scenario.proxies.len(),
         scenario.servers.len(),
         span(rollout.vote_lifetime),
@@ -42,7 +43,8 @@
     for (stage, (share, cap)) in rollout.stages.iter().zip(&rollout.caps).enumerate() {
         let _ = writeln!(
             script,
-            "wave(name = \"stage-{stage}\", share = {share:?}, cap = {cap:?}, soak = {}, gate = \"{}\", votes = {:?})",
+            "wave(name = \"stage-{stage}\", share = {share:?}, cap = {cap:?}, soak = {}, gate = \"{}\", \
+             votes = {:?})",
             span(gate.soak),
             gate.name,
             gate.votes
--- a/crates/scenarios/src/runner.rs
+++ b/crates/scenarios/src/runner.rs
@@ -30,8 +30,8 @@
 impl ScenarioRunner {
     /// Plays a scenario; `on_progress` gets a line for all that happens, as it happens.
     ///
-    /// # Errors
-    /// [`ScenarioRunError`] if the scenario contradicts itself, or a process, thread or file of the run fails.
+    /// # Errors [`ScenarioRunError`] if the scenario contradicts itself, or a process, thread or file of
+    /// the run fails.
     pub fn play(
         &self,
         scenario: &Scenario,
