--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use thiserror::Error;
-use violetseam_invariants::record::FileFault;
+use violetseam_invariants::record_file::RecordFileError;
 use violetseam_scale_bench as scale;
 use violetseam_scale_bench::ScaleError;
 use violetseam_scenarios::bench_scenario::{self, BenchScenarioError};
@@ -128,7 +128,7 @@
         path: PathBuf,
         /// What is wrong with it.
         #[source]
-        source: FileFault,
+        source: RecordFileError,
     },
 }
 
@@ -252,14 +252,19 @@
 fn check(path: &Path) -> Result<ExitCode, LabError> {
     let mut input =
         File::open(path).map_err(|source| LabError::OpenRecords { path: path.to_owned(), source })?;
-    let (rules, entries) = violetseam_invariants::record::read(&mut input)
+    let (rules, entries) = violetseam_invariants::record_file::read(&mut input)
         .map_err(|source| LabError::ReadRecords { path: path.to_owned(), source })?;
-    let verdict = violetseam_invariants::check(&rules, &entries);
-    println!("{} records; looked at by rule: {:?}", entries.len(), verdict.looked_at);
-    for violation in &verdict.violations {
-        println!("{:.3} s rule {}: {}", violation.at as f64 / 1e6, violation.rule, violation.what);
+    let check_report = violetseam_invariants::check(&rules, &entries);
+    println!("{} records; looked at by rule: {:?}", entries.len(), check_report.examined);
+    for violation in &check_report.violations {
+        println!(
+            "{:.3} s rule {}: {}",
+            violation.at as f64 / 1e6,
+            violation.rule.number(),
+            violation.description
+        );
     }
-    println!("broken by rule: {:?}", verdict.broken);
-    print!("{}", report::fleet_bounds(&verdict));
-    Ok(exit_code(verdict.kept()))
+    println!("broken by rule: {:?}", check_report.violation_counts);
+    print!("{}", report::fleet_bounds(&check_report));
+    Ok(exit_code(check_report.all_hold()))
 }
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -41,8 +41,8 @@
     let day = builtin_scenarios::bad_day_short();
     let flight = folder(0, &day).join("flight-{position}").display().to_string();
     let outcome = play(0, &day, &["--record", &flight]);
-    assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
-    assert!(outcome.verdict.looked_at.iter().all(|n| *n > 0), "{:?}", outcome.verdict.looked_at);
+    assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
+    assert!(outcome.check_report.examined.iter().all(|n| *n > 0), "{:?}", outcome.check_report.examined);
     let build = &outcome.site.builds[0];
     let was_released = build.outcome.released_at.is_some();
     assert!(build.is_defective && !was_released, "a bad build was released: {build:?}");
@@ -59,7 +59,7 @@
 #[test]
 fn takeovers_under_load_lose_no_request_and_break_no_rule() {
     let outcome = play(5, &builtin_scenarios::takeover_short(), &[]);
-    assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
+    assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     let attempts = outcome.clients.attempts;
     assert_eq!((attempts.broken, attempts.unreachable), (0, 0), "requests were lost in a takeover");
 }
@@ -68,7 +68,7 @@
 fn a_controller_killed_in_the_middle_of_a_release_goes_on_with_it_and_no_rule_breaks() {
     let day = builtin_scenarios::controller_kills_short();
     let outcome = play(6, &day, &[]);
-    assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
+    assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     let build = &outcome.site.builds[0];
     let was_rolled_back = build.outcome.rolled_back_at.is_some();
     assert!(!build.is_defective && !was_rolled_back, "a good build was sent back: {build:?}");
@@ -91,7 +91,7 @@
         speed: 1.0,
     }];
     let outcome = play_under(7, &day, &[], ReleaseDecider::Simulated);
-    assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
+    assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     assert_eq!(outcome.site.builds.len(), 1);
     assert!(!folder(7, &day).join("controller.log").exists());
 }
@@ -122,15 +122,15 @@
 #[test]
 fn a_proxy_that_sends_twice_is_caught() {
     let outcome = play_under(1, &rough(), &["--sabotage", "double-send"], ReleaseDecider::Simulated);
-    assert!(outcome.verdict.broken[1] > 0, "{:?}", outcome.verdict.broken);
-    assert!(outcome.verdict.violations.iter().any(|v| v.what.contains("unsafe request")));
+    assert!(outcome.check_report.violation_counts[1] > 0, "{:?}", outcome.check_report.violation_counts);
+    assert!(outcome.check_report.violations.iter().any(|v| v.description.contains("unsafe request")));
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
 fn a_proxy_that_holds_its_answers_back_is_caught() {
     let outcome = play_under(2, &rough(), &["--sabotage", "late-answer"], ReleaseDecider::Simulated);
-    assert!(outcome.verdict.broken[0] > 0, "{:?}", outcome.verdict.broken);
+    assert!(outcome.check_report.violation_counts[0] > 0, "{:?}", outcome.check_report.violation_counts);
 }
 
 #[cfg(feature = "sabotage")]
@@ -142,12 +142,12 @@
     day.rollout.drain_time = 4_000_000;
     day.rollout.bake = 500_000;
     let outcome = play_under(3, &day, &["--sabotage", "ignore-drains"], ReleaseDecider::Simulated);
-    assert!(outcome.verdict.broken[2] > 0, "{:?}", outcome.verdict.broken);
+    assert!(outcome.check_report.violation_counts[2] > 0, "{:?}", outcome.check_report.violation_counts);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
 fn the_saboteurs_day_is_kept_by_an_honest_proxy() {
     let outcome = play_under(4, &rough(), &[], ReleaseDecider::Simulated);
-    assert!(outcome.is_good(), "{:?} {:?}", outcome.verdict.violations, outcome.faults);
+    assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
 }
--- a/crates/scenarios/src/measurement/echo_servers.rs
+++ b/crates/scenarios/src/measurement/echo_servers.rs
@@ -98,12 +98,12 @@
                 connection.received.extend_from_slice(&bytes[..count]);
                 connection.respond(self.silent.load(Ordering::Relaxed));
                 if connection.socket.flush().is_ok() {
-                    connection.socket.want(&self.handle, true);
+                    connection.socket.set_read_interest(&self.handle, true);
                     return;
                 }
             }
-            ReadOutcome::Nothing => return,
-            ReadOutcome::Closed | ReadOutcome::Broken => {}
+            ReadOutcome::WouldBlock => return,
+            ReadOutcome::Closed | ReadOutcome::Failed => {}
         }
         let connection = self.connections.remove(key);
         connection.socket.remove(&self.handle);
@@ -116,7 +116,7 @@
         while let Some(start) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
             self.received.drain(..start + HEAD_END.len());
             if !silent {
-                self.socket.out().extend_from_slice(RESPONSE);
+                self.socket.write_buffer().extend_from_slice(RESPONSE);
             }
         }
     }
--- a/crates/scenarios/src/measurement/load_generator.rs
+++ b/crates/scenarios/src/measurement/load_generator.rs
@@ -154,7 +154,7 @@
         let connection = &mut self.connections[index];
         connection.due = due;
         connection.in_flight = true;
-        connection.socket.out().extend_from_slice(REQUEST);
+        connection.socket.write_buffer().extend_from_slice(REQUEST);
         if connection.socket.flush().is_err() {
             self.broken += 1;
         }
@@ -168,8 +168,8 @@
         let connection = &mut self.connections[index];
         match connection.socket.read(&mut bytes) {
             ReadOutcome::Bytes(count) => connection.received.extend_from_slice(&bytes[..count]),
-            ReadOutcome::Nothing => return,
-            ReadOutcome::Closed | ReadOutcome::Broken => {
+            ReadOutcome::WouldBlock => return,
+            ReadOutcome::Closed | ReadOutcome::Failed => {
                 self.broken += u64::from(connection.in_flight);
                 connection.socket.remove(&self.handle);
                 return;
--- a/crates/scenarios/src/outcome.rs
+++ b/crates/scenarios/src/outcome.rs
@@ -5,7 +5,7 @@
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::Path;
-use violetseam_invariants::{Entry, Verdict};
+use violetseam_invariants::{CheckReport, EventRecord};
 use violetseam_simulated_site::network::clients::ClientReport;
 use violetseam_simulated_site::network::site::SiteReport;
 use violetseam_simulated_site::scenario::Scenario;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct ScenarioOutcome {
     /// Whether the rules were kept.
-    pub verdict: Verdict,
+    pub check_report: CheckReport,
     /// What clients got.
     pub clients: ClientReport,
     /// What the site saw.
@@ -26,22 +26,22 @@
     /// What else went wrong: proxies that did not drain, requests left open.
     pub faults: Vec<String>,
     /// Processor seconds of the proxies that were there at the end.
-    pub cpu: f64,
-    /// How many records the verdict rests on.
+    pub cpu_seconds: f64,
+    /// How many records the check rests on.
     pub records: usize,
 }
 
 impl ScenarioOutcome {
     /// All rules were kept, nothing leaked, all proxies drained.
     pub fn is_good(&self) -> bool {
-        self.verdict.kept() && self.faults.is_empty()
+        self.check_report.all_hold() && self.faults.is_empty()
     }
 }
 
 /// What was observed while a scenario was played.
 pub(crate) struct Observations {
     /// Records of the faults that were injected into processes.
-    pub process_entries: Vec<Entry>,
+    pub process_entries: Vec<EventRecord>,
     /// What the clients saw.
     pub clients: ClientReport,
     /// What the site saw.
@@ -49,7 +49,7 @@
     /// What went wrong with the processes.
     pub faults: Vec<String>,
     /// Processor seconds of the proxies.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
 }
 
 impl Observations {
@@ -58,14 +58,14 @@
         let entries = self.merge_entries();
         let rules = scenario.rules(OBSERVATION_SLACK);
         let file = File::create(out.join("records.vsau")).map_err(ScenarioRunError::io("records"))?;
-        violetseam_invariants::record::write(&mut BufWriter::new(file), &rules, &entries)
+        violetseam_invariants::record_file::write(&mut BufWriter::new(file), &rules, &entries)
             .map_err(ScenarioRunError::io("records"))?;
         let outcome = ScenarioOutcome {
-            verdict: violetseam_invariants::check(&rules, &entries),
+            check_report: violetseam_invariants::check(&rules, &entries),
             clients: self.clients,
             site: self.site,
             faults: self.faults,
-            cpu: self.cpu,
+            cpu_seconds: self.cpu_seconds,
             records: entries.len(),
         };
         write_json(&out.join("summary.json"), "summary", &report::summary(scenario, &outcome))?;
@@ -73,7 +73,7 @@
     }
 
     /// All records in the order of their times.
-    fn merge_entries(&mut self) -> Vec<Entry> {
+    fn merge_entries(&mut self) -> Vec<EventRecord> {
         let mut entries = std::mem::take(&mut self.process_entries);
         entries.extend(self.site.entries.iter().cloned());
         entries.extend(self.clients.entries.iter().cloned());
--- a/crates/scenarios/src/playback.rs
+++ b/crates/scenarios/src/playback.rs
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use violetseam_invariants::{Entry, Record};
+use violetseam_invariants::{EventRecord, ObservedEvent};
 use violetseam_simulated_site::Clock;
 use violetseam_simulated_site::network::clients::Progress;
 
@@ -26,7 +26,7 @@
         &mut self,
         timeline: &[TimedFault],
         on_progress: &mut dyn FnMut(&str),
-    ) -> Result<Vec<Entry>, ScenarioRunError> {
+    ) -> Result<Vec<EventRecord>, ScenarioRunError> {
         let SessionParts { clock, proxies, controller, site_messages, progress, clients } = self.parts();
         let mut injector = FaultInjector { clock, proxies, controller, entries: Vec::new() };
         let mut timeline = timeline.iter().copied().peekable();
@@ -57,7 +57,7 @@
     clock: Clock,
     proxies: &'a mut ProxyFleet,
     controller: Option<&'a mut ControllerProcess>,
-    entries: Vec<Entry>,
+    entries: Vec<EventRecord>,
 }
 
 impl FaultInjector<'_> {
@@ -75,28 +75,28 @@
         Ok(())
     }
 
-    fn record(&mut self, record: Record) {
-        self.entries.push(Entry { at: self.clock.now(), record });
+    fn record(&mut self, event: ObservedEvent) {
+        self.entries.push(EventRecord { at: self.clock.now(), event });
     }
 
     fn kill_proxy(&mut self, position: usize) {
         let proxy = position as u32;
-        self.record(Record::Killed { proxy });
+        self.record(ObservedEvent::ProxyKilled { proxy });
         self.proxies.kill(position);
         // What it sent in its last moment is seen a little later: this incarnation ends here.
-        self.record(Record::Killed { proxy });
+        self.record(ObservedEvent::ProxyKilled { proxy });
     }
 
     /// Seen from outside, a suspension begins and ends in the process's favour: it is recorded as a little
     /// longer than it is.
     fn suspend_proxy(&mut self, position: usize) {
-        self.record(Record::Stopped { proxy: position as u32 });
+        self.record(ObservedEvent::ProxyPaused { proxy: position as u32 });
         self.proxies.signal(position, Signal::STOP);
     }
 
     fn resume_proxy(&mut self, position: usize) {
         self.proxies.signal(position, Signal::CONT);
-        self.record(Record::WentOn { proxy: position as u32 });
+        self.record(ObservedEvent::ProxyResumed { proxy: position as u32 });
     }
 
     fn kill_controller(&mut self) {
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
-use violetseam_invariants::{Bound, Verdict};
+use violetseam_invariants::{CheckReport, FleetLimit};
 use violetseam_simulated_site::network::clients::{AttemptCounts, ClassCounts};
 use violetseam_simulated_site::network::site::BuildReport;
 use violetseam_simulated_site::scenario::{ClassSpec, Scenario};
@@ -61,7 +61,7 @@
     let classes = scenario.classes.iter().zip(&outcome.clients.classes);
     let latencies = Latencies::of(outcome);
     let replies = &outcome.site.replies;
-    let verdict = &outcome.verdict;
+    let check_report = &outcome.check_report;
     json!({
         "day": scenario.name,
         "seed": scenario.seed,
@@ -75,10 +75,10 @@
         "builds": outcome.site.builds.iter().map(build_summary).collect::<Vec<_>>(),
         "collapsed": outcome.site.collapsed,
         "flags_taken": outcome.clients.accepted_reports,
-        "proxy_cpu_s": outcome.cpu,
+        "proxy_cpu_s": outcome.cpu_seconds,
         "records": outcome.records,
-        "rules": {"broken": verdict.broken, "looked_at": verdict.looked_at},
-        "fleet_bounds": verdict.fleet.iter().map(bound_summary).collect::<Vec<_>>(),
+        "rules": {"broken": check_report.violation_counts, "looked_at": check_report.examined},
+        "fleet_bounds": check_report.fleet_limits.iter().map(bound_summary).collect::<Vec<_>>(),
         "faults": outcome.faults,
     })
 }
@@ -115,28 +115,28 @@
     })
 }
 
-fn bound_summary(bound: &Bound) -> Value {
+fn bound_summary(bound: &FleetLimit) -> Value {
     json!({
-        "what": bound.what,
-        "budget": bound.budget,
-        "spent": bound.spent,
-        "nearest": bound.nearest,
-        "over": bound.over,
+        "what": bound.name,
+        "budget": bound.rate_per_second,
+        "spent": bound.attempts,
+        "nearest": bound.peak_utilization,
+        "over": bound.exceeded,
     })
 }
 
 /// How the bounds of the whole fleet were kept, a line each.
-pub fn fleet_bounds(verdict: &Verdict) -> String {
+pub fn fleet_bounds(check_report: &CheckReport) -> String {
     let mut text = String::new();
-    for bound in &verdict.fleet {
-        let result = match bound.first_over {
+    for bound in &check_report.fleet_limits {
+        let result = match bound.first_exceeded {
             None => "kept".to_owned(),
-            Some(at) => format!("BROKEN {} times, first at {:.3} s", bound.over, seconds(at)),
+            Some(at) => format!("BROKEN {} times, first at {:.3} s", bound.exceeded, seconds(at)),
         };
         let _ = writeln!(
             text,
             "  fleet: {} {result}: {} of {} a second, the fullest span {:.2} of its bound",
-            bound.what, bound.spent, bound.budget, bound.nearest
+            bound.name, bound.attempts, bound.rate_per_second, bound.peak_utilization
         );
     }
     text
@@ -158,8 +158,8 @@
     for build in &outcome.site.builds {
         write_build(&mut text, build);
     }
-    write_rules(&mut text, &outcome.verdict);
-    text.push_str(&fleet_bounds(&outcome.verdict));
+    write_rules(&mut text, &outcome.check_report);
+    text.push_str(&fleet_bounds(&outcome.check_report));
     for fault in &outcome.faults {
         let _ = writeln!(text, "  fault: {fault}");
     }
@@ -213,8 +213,8 @@
     let _ = writeln!(text, "  build {} ({quality}): {end}", outcome.build);
 }
 
-fn write_rules(text: &mut String, verdict: &Verdict) {
-    let counts = verdict.broken.iter().zip(verdict.looked_at);
+fn write_rules(text: &mut String, check_report: &CheckReport) {
+    let counts = check_report.violation_counts.iter().zip(check_report.examined);
     for (index, (name, (broken, looked_at))) in RULES.iter().zip(counts).enumerate() {
         let result = match broken {
             0 => "kept".to_owned(),
@@ -222,9 +222,9 @@
         };
         let _ = writeln!(text, "  rule {} {name}: {result} ({looked_at} looked at)", index + 1);
     }
-    for violation in verdict.violations.iter().take(MAX_LISTED_VIOLATIONS) {
+    for violation in check_report.violations.iter().take(MAX_LISTED_VIOLATIONS) {
         let at = seconds(violation.at);
-        let _ = writeln!(text, "    {at:.3} s rule {}: {}", violation.rule, violation.what);
+        let _ = writeln!(text, "    {at:.3} s rule {}: {}", violation.rule.number(), violation.description);
     }
 }
 
--- a/crates/scenarios/src/session.rs
+++ b/crates/scenarios/src/session.rs
@@ -112,7 +112,7 @@
     pub fn finish(mut self) -> Result<Observations, ScenarioRunError> {
         let clients = join(self.clients, "clients'")?
             .map_err(|source| ScenarioRunError::Simulation { part: "clients", source })?;
-        let cpu = self.proxies.cpu_seconds();
+        let cpu_seconds = self.proxies.cpu_seconds();
         let mut faults = self.proxies.drain(DRAIN_TIMEOUT);
         std::thread::sleep(CLOSE_GRACE);
         let site = self.site.stop(&self.context)?;
@@ -122,7 +122,7 @@
         if site.open_attempts > 0 {
             faults.push(format!("{} attempts still open after all proxies had drained", site.open_attempts));
         }
-        Ok(Observations { process_entries: Vec::new(), clients, site, faults, cpu })
+        Ok(Observations { process_entries: Vec::new(), clients, site, faults, cpu_seconds })
     }
 }
 
--- a/crates/simulated-site/src/network/streams.rs
+++ b/crates/simulated-site/src/network/streams.rs
@@ -6,8 +6,7 @@
 use http::StatusCode;
 use http::header::HeaderMap;
 use violetseam_http1::Framing;
-use violetseam_invariants::record::Call;
-use violetseam_invariants::{End, Record};
+use violetseam_invariants::{AttemptOutcome, EndpointListCall, ObservedEvent};
 
 impl Site {
     pub(super) fn flush(&mut self, key: usize) {
@@ -15,7 +14,7 @@
         if conn.socket.flush().is_err() {
             return self.close(key);
         }
-        conn.socket.want(&self.handle, true);
+        conn.socket.set_read_interest(&self.handle, true);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -26,7 +25,7 @@
         conn.socket.remove(&self.handle);
         if let Some(job) = conn.job {
             self.kept.jobs.remove(&job);
-            self.see_end(job, End::Lost);
+            self.see_end(job, AttemptOutcome::Lost);
         }
         if let Role::Server(machine) = conn.role
             && let Some(m) = self.machines.get_mut(&machine)
@@ -42,7 +41,7 @@
             && self.kept.watches.get(&proxy) == Some(&key)
         {
             self.kept.watches.remove(&proxy);
-            self.see(Record::Called { proxy, call: Call::WatchLost });
+            self.see(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::WatchEnded });
         }
     }
 
@@ -99,12 +98,12 @@
         }
         let mut jobs = Vec::new();
         for (_, conn) in self.conns.iter_mut().filter(|(_, c)| c.role == Role::Server(machine)) {
-            conn.socket.want(&self.handle, false);
+            conn.socket.set_read_interest(&self.handle, false);
             jobs.extend(conn.job.take());
         }
         for job in jobs {
             self.kept.jobs.remove(&job);
-            self.see_end(job, End::Lost);
+            self.see_end(job, AttemptOutcome::Lost);
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.server.cancel(now, job);
             }
@@ -118,7 +117,7 @@
     /// Starts an answer of lines; `whole`: it ends with them.
     pub(super) fn stream(&mut self, key: usize, lines: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let (out, none) = (conn.socket.write_buffer(), HeaderMap::new());
         let framing = if whole { Framing::Length(lines.len() as u64) } else { Framing::Chunked };
         conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
         conn.http.write_body(out, lines);
@@ -130,7 +129,7 @@
 
     pub(super) fn stream_more(&mut self, key: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        conn.http.write_body(conn.socket.out(), line);
+        conn.http.write_body(conn.socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -144,7 +143,7 @@
                     self.stream(key, &body, true);
                 }
                 Later::Read(key, generation) if fresh(key, generation) => {
-                    self.conns[key].socket.want(&self.handle, true);
+                    self.conns[key].socket.set_read_interest(&self.handle, true);
                 }
                 Later::Reply(..) | Later::Read(..) => {}
             }
