--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -2,12 +2,12 @@
 //! sockets.
 
 use violetseam_emulator::{simulate, unsupported_faults};
-use violetseam_scenarios::days;
+use violetseam_scenarios::builtin_scenarios;
 use violetseam_simulated_site::scenario::{FaultKind, Scenario};
 
 /// The demo, which has no faults that are not simulated here.
 fn demo() -> Scenario {
-    let scenario = days::demo();
+    let scenario = builtin_scenarios::demo();
     assert_eq!(unsupported_faults(&scenario), Vec::<String>::new());
     scenario
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn faults_that_are_not_simulated_are_named_and_refused() {
-    let scenario = days::bad_day();
+    let scenario = builtin_scenarios::bad_day();
     assert!(unsupported_faults(&scenario).contains(&format!("{:?}", FaultKind::ZoneOutage)));
     assert!(simulate(&scenario).unwrap_err().to_string().contains("not played in simulated time yet"));
 }
