--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -78,7 +78,7 @@
         if readiness.readable || readiness.error {
             self.read_client(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Reads once.
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -129,8 +129,8 @@
             State::Idle if self.draining && client.http.is_idle() && drained => {
                 return self.close_client(key);
             }
-            // A pipelined request may be waiting in the input: it gets its turn from `pump`, as to handle it
-            // from here would go a level deeper with each one that is answered at once.
+            // A pipelined request may be waiting in the input: `run_engine_actions` resumes the client. To handle
+            // it here would recurse once more with each request that is answered at once.
             State::Idle if client.http.held() > 0 => {
                 self.resumed_clients.push(ConnectionId { key, generation: client.generation });
             }
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -93,14 +93,14 @@
         self.acknowledgement.take().or_else(|| self.refusal.take())
     }
 
-    fn reading(&self, now: Micros) -> ConfigurationState {
+    fn state(&self, now: Micros) -> ConfigurationState {
         let status = self.subscriber.status(now);
         let rejected = status.rejected.map(|rejection| RejectedVersion {
-            version: version_reading(rejection.version),
+            version: version_state(rejection.version),
             reason: rejection.reason,
         });
         ConfigurationState {
-            version: status.version.map(version_reading),
+            version: status.version.map(version_state),
             routes: self.table().map_or(0, |table| table.len() as u64),
             age_us: status.age,
             watching: status.watching,
@@ -109,7 +109,7 @@
     }
 }
 
-fn version_reading(version: Version) -> ConfigurationVersion {
+fn version_state(version: Version) -> ConfigurationVersion {
     ConfigurationVersion { term: version.term.0, number: version.number }
 }
 
@@ -220,8 +220,8 @@
     }
 
     /// The state of the subscription; none where the settings name no publisher.
-    pub(super) fn configuration_reading(&self) -> Option<ConfigurationState> {
-        self.subscription.as_ref().map(|subscription| subscription.reading(self.now()))
+    pub(super) fn configuration_state(&self) -> Option<ConfigurationState> {
+        self.subscription.as_ref().map(|subscription| subscription.state(self.now()))
     }
 
     fn arm_subscription(&mut self) {
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -70,7 +70,7 @@
             self.read_publisher(purpose, generation);
         }
         self.run_subscription();
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Writes what waits; whether the connection is still open.
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -22,7 +22,7 @@
         self.listen_until = self.listen_deadline();
         self.close_idle_clients();
         self.accept_queued();
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Takes connections again after an operator's drain.
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -129,7 +129,7 @@
         self.restore_pause();
         self.open_release_stream();
         self.next_upkeep(now);
-        self.pump();
+        self.run_engine_actions();
     }
 
     fn run_turn(
@@ -164,9 +164,9 @@
     fn run_due(&mut self, polled_at: Micros) {
         let now = self.now();
         self.engine.run_deadlines_until(now, polled_at);
-        self.pump();
+        self.run_engine_actions();
         self.run_timers(polled_at);
-        self.pump();
+        self.run_engine_actions();
         if self.ending && self.has_ended() {
             self.stopping = true;
         }
@@ -174,9 +174,9 @@
 
     /// Performs the engine's actions, and what comes of them, until nothing is left. Called from within, it
     /// leaves that to the call it came from.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn run_engine_actions(&mut self) {
         self.had_socket_events = true;
-        if std::mem::replace(&mut self.pumping, true) {
+        if std::mem::replace(&mut self.is_running_actions, true) {
             return;
         }
         loop {
@@ -188,7 +188,7 @@
                 break;
             }
         }
-        self.pumping = false;
+        self.is_running_actions = false;
     }
 
     fn perform(&mut self, action: EngineAction) {
@@ -232,7 +232,7 @@
         let seed = fresh_seed();
         let incarnation = (seed ^ (seed >> 32)) as u32;
         self.engine.set_budgets(now, FleetQuotas::new(now, plan, incarnation));
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Gives a final response of the proxy's own, unless sabotage delays it.
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -183,7 +183,8 @@
     log_limit: RateLimit,
     /// Clients whose input waits for its turn.
     resumed_clients: Vec<ConnectionId>,
-    pumping: bool,
+    /// The engine's actions are being performed further up the stack.
+    is_running_actions: bool,
     /// Sockets were ready in this turn.
     had_socket_events: bool,
     last_vote: Option<String>,
@@ -245,7 +246,7 @@
             stopping: false,
             log_limit: RateLimit::default(),
             resumed_clients: Vec::new(),
-            pumping: false,
+            is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -130,7 +130,7 @@
             return;
         }
         self.answer_lines(key);
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Reads once; breaks off where nothing read is a question.
@@ -155,7 +155,7 @@
                 if is_successor {
                     self.abort_hand_over(&HandOverError::SuccessorGone);
                 }
-                self.pump();
+                self.run_engine_actions();
                 ControlFlow::Break(())
             }
         }
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -110,7 +110,7 @@
             .insert_source(results, |event, (), proxy: &mut Proxy| {
                 if let Event::Msg(persisted) = event {
                     proxy.on_persisted(persisted);
-                    proxy.pump();
+                    proxy.run_engine_actions();
                 }
             })
             .map_err(|error| Error::other(error.to_string()))?;
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -87,7 +87,7 @@
             peers: recent_peers.count() as u64,
             endpoint_list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
             servers: self.listed_servers.len() as u64,
-            configuration: self.configuration_reading(),
+            configuration: self.configuration_state(),
             quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
     }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -50,7 +50,7 @@
                         PayloadKind::Gossip => self.engine.on_peer_message(now, number, payload),
                         PayloadKind::QuotaLeases => self.engine.on_budget_message(now, number, payload),
                     }
-                    self.pump();
+                    self.run_engine_actions();
                 }
                 Ok((number, ..)) => {
                     if self.log_limit.allows(now) {
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -293,7 +293,7 @@
             } else if readiness.writable {
                 self.on_server_connected(key);
             }
-            return self.pump();
+            return self.run_engine_actions();
         }
         if readiness.writable {
             self.flush_server(key);
@@ -302,7 +302,7 @@
         if readiness.readable || readiness.error {
             self.read_server(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     fn on_server_connected(&mut self, key: usize) {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -221,7 +221,7 @@
         if readiness.readable || readiness.error {
             self.read_call(key);
         }
-        self.pump();
+        self.run_engine_actions();
     }
 
     fn read_call(&mut self, key: usize) {
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -255,7 +255,7 @@
         self.restore_pause();
         self.open_release_stream();
         self.next_upkeep(now);
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// Whether a new process is taking over, and is not serving yet.
@@ -364,7 +364,7 @@
         self.draining = true;
         self.ending = true;
         self.rearm_all_clients();
-        self.pump();
+        self.run_engine_actions();
     }
 
     /// The new process has had its time, unless the takeover it was for is over.
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -101,7 +101,7 @@
     pub(super) fn run_timers(&mut self, now: Micros) {
         while let Some(kind) = self.timers.pop(now) {
             self.run_timer(now, kind);
-            self.pump();
+            self.run_engine_actions();
         }
     }
 
@@ -158,7 +158,7 @@
         self.timers.set(at, kind);
     }
 
-    /// Reports an attempt's end to the engine; the caller's `pump` performs the actions that come of it.
+    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that come of it.
     pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
         let now = self.now();
         self.engine.on_attempt_ended(now, request, attempt, outcome)
