--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -50,7 +50,7 @@
 
     /// Stores what has to be stored and sums up.
     pub(super) fn finish(mut self) -> Summary {
-        if self.list_changed {
+        if self.server_list.is_unsaved() {
             self.save_list();
         }
         self.finish_configuration();
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -207,7 +207,7 @@
             EngineAction::FetchServerList => self.fetch_server_list(),
             EngineAction::Vote { build, stage, verdict } => {
                 self.record_vote(build, stage, verdict);
-                self.call_vote(build, stage, verdict);
+                self.send_vote(build, stage, verdict);
             }
             EngineAction::Gossip { to, payload } => self.send_to_peers(to, PayloadKind::Gossip, &payload),
             EngineAction::BudgetMessage { to, payload } => {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -4,7 +4,8 @@
 //! - `drain.rs`: the end of a proxy's work, and its summary
 //! - `clients/`: listeners and client connections, up to a complete request and from an answer on
 //! - `servers/`: connections to servers and the attempts on them
-//! - `site_calls.rs`: calls to discovery and to the release service
+//! - `site_calls/`: calls to discovery and to the release service
+//! - `server_list.rs`: the server list
 //! - `saved_list.rs`: the server list on disk
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
 //! - `configuration_store.rs`: the last good configuration on disk
@@ -25,6 +26,7 @@
 mod operators;
 mod peers;
 mod saved_list;
+mod server_list;
 mod servers;
 mod site_calls;
 mod takeover;
@@ -43,8 +45,9 @@
 use operators::ControlServer;
 use operators::reading::AttemptsByBuild;
 use rand::{Rng, RngExt, SeedableRng};
+use server_list::ServerList;
 use servers::Server;
-use site_calls::Call;
+use site_calls::SiteCalls;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{TcpListener, UdpSocket};
@@ -59,7 +62,6 @@
 use violetseam_http1::Limits as HeadLimits;
 use violetseam_recorder::{Bounds, Recorder};
 use violetseam_settings::ProxySettings;
-use violetseam_site_protocol::endpoint_list::{self, EndpointList};
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 64 * 1024;
@@ -123,12 +125,6 @@
     token: RegistrationToken,
 }
 
-/// An entry of the server list, and when it was received.
-struct ListedServer {
-    received_at: Micros,
-    entry: endpoint_list::Endpoint,
-}
-
 /// One proxy on its event loop.
 pub struct Proxy {
     control: Option<ControlServer>,
@@ -146,24 +142,12 @@
     listeners: Vec<ClientListener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
-    calls: Slab<Call>,
+    site_calls: SiteCalls,
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
     idle_servers: BTreeMap<ServerId, Vec<usize>>,
     timers: Timers,
-    server_list: EndpointList,
-    /// The entries of the server list as discovery stated them.
-    listed_servers: BTreeMap<ServerId, ListedServer>,
-    /// The list has changed since it was saved.
-    list_changed: bool,
-    /// The call that is subscribed to the server list.
-    watch: Option<usize>,
-    /// The call that streams the release's state.
-    release_stream: Option<usize>,
-    /// Which of the settings' controllers is called.
-    release_service_index: usize,
-    /// The highest fencing number received from a controller.
-    release_fence: u64,
+    server_list: ServerList,
     /// To a publisher's configuration, where the settings name one.
     subscription: Option<Box<Subscription>>,
     udp: Option<Rc<UdpSocket>>,
@@ -189,7 +173,6 @@
     had_socket_events: bool,
     last_vote: Option<String>,
     last_finding: Option<String>,
-    list_received_at: Option<Micros>,
     peers_heard_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
@@ -221,17 +204,11 @@
             listeners: Vec::new(),
             clients: Slab::new(),
             servers: Slab::new(),
-            calls: Slab::new(),
+            site_calls: SiteCalls::new(inherited.map_or(0, Inherited::release_fence)),
             in_flight: HashMap::new(),
             idle_servers: BTreeMap::new(),
             timers: Timers::default(),
-            server_list: EndpointList::default(),
-            listed_servers: BTreeMap::new(),
-            list_changed: false,
-            watch: None,
-            release_stream: None,
-            release_service_index: 0,
-            release_fence: inherited.map_or(0, Inherited::release_fence),
+            server_list: ServerList::default(),
             subscription: None,
             udp: None,
             udp_token: None,
@@ -250,7 +227,6 @@
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
-            list_received_at: None,
             peers_heard_at: BTreeMap::new(),
             attempts_by_build: AttemptsByBuild::default(),
             #[cfg(feature = "sabotage")]
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -57,8 +57,8 @@
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
-        if let Some(listed) = self.listed_servers.get(&server) {
-            self.attempts_by_build.count(listed.entry.build);
+        if let Some(build) = self.server_list.build(server) {
+            self.attempts_by_build.count(build);
         }
     }
 
@@ -85,8 +85,8 @@
             },
             pending_responses: self.engine.pending_responses() as u64,
             peers: recent_peers.count() as u64,
-            endpoint_list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
-            servers: self.listed_servers.len() as u64,
+            endpoint_list_age_us: self.server_list.received_at().map(|at| now.saturating_sub(at)),
+            servers: self.server_list.len() as u64,
             configuration: self.configuration_state(),
             quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
--- /dev/null
+++ b/crates/proxy/src/driver/site_calls/list_updates.rs
@@ -0,0 +1,78 @@
+//! The server list from discovery: the calls for it, and the lines that they are answered with.
+
+use super::super::Proxy;
+use super::call::CallRequest;
+use super::{CallError, CallPurpose};
+use violetseam::interface::ListKind;
+use violetseam_site_protocol::endpoint_list::ListUpdate;
+
+impl Proxy {
+    /// Subscribes to the server list. A new subscription replaces the one before.
+    pub(in super::super) fn watch_server_list(&mut self) {
+        if let Some(previous) = self.site_calls.list_watch.take() {
+            self.close_call(previous);
+        }
+        let position = self.settings.decisions.position;
+        let path = match self.server_list.version() {
+            Some(version) => format!("/v1/roster/watch?proxy={position}&since={version}"),
+            None => format!("/v1/roster/watch?proxy={position}"),
+        };
+        self.site_calls.list_watch = self.call_discovery(CallPurpose::WatchList, &path);
+    }
+
+    /// Fetches the complete server list once.
+    pub(in super::super) fn fetch_server_list(&mut self) {
+        let path = format!("/v1/roster?proxy={}", self.settings.decisions.position);
+        self.call_discovery(CallPurpose::FetchList, &path);
+    }
+
+    fn call_discovery(&mut self, purpose: CallPurpose, path: &str) -> Option<usize> {
+        let to = self.settings.roster;
+        let timeout = Some(self.settings.roster_timeout);
+        let call = self.start_call(&CallRequest { purpose, to, method: "GET", path, body: &[], timeout });
+        if call.is_none() {
+            self.on_list_failed(&CallError::NoDiscovery);
+        }
+        call
+    }
+
+    /// Applies one update of the list and passes it to the engine.
+    pub(super) fn on_list_line(&mut self, line: &[u8]) -> Result<(), CallError> {
+        let update = ListUpdate::parse(line).map_err(CallError::malformed)?;
+        let now = self.now();
+        let change = self.server_list.apply(now, update).map_err(CallError::malformed)?;
+        #[cfg(feature = "sabotage")]
+        let change = self.ignore_drains(change);
+        self.engine.on_server_list(now, change.kind, &change.entries);
+        Ok(())
+    }
+
+    /// Lists every server as ready, if this proxy is to break the rules so.
+    #[cfg(feature = "sabotage")]
+    fn ignore_drains(
+        &self,
+        mut change: super::super::server_list::ListChange,
+    ) -> super::super::server_list::ListChange {
+        if self.sabotage == Some(super::super::Sabotage::IgnoreDrains) {
+            for entry in &mut change.entries {
+                entry.status = violetseam::interface::ServerStatus::Ready;
+            }
+        }
+        change
+    }
+
+    /// The watch has ended, which matters unless a newer subscription has taken its place.
+    pub(super) fn on_list_watch_ended(&mut self, key: usize, error: &CallError) {
+        if self.site_calls.list_watch == Some(key) {
+            self.site_calls.list_watch = None;
+            self.on_list_failed(error);
+        }
+    }
+
+    /// Reports to the engine that the list could not be had.
+    pub(super) fn on_list_failed(&mut self, error: &CallError) {
+        tracing::warn!("roster: {error}");
+        let now = self.now();
+        self.engine.on_server_list(now, ListKind::Failed, &[]);
+    }
+}
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -321,7 +321,7 @@
             listeners: self.listeners.len(),
             peers: self.udp.is_some(),
             control: has_control_listener,
-            desk_fence: self.release_fence,
+            desk_fence: self.site_calls.highest_fence(),
             clients: idle_clients,
             module: module_bytes as u64,
         };
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -140,7 +140,7 @@
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
         }
-        if std::mem::take(&mut self.list_changed) {
+        if self.server_list.take_unsaved() {
             self.save_list();
         }
     }
