--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -49,7 +49,7 @@
     /// How long a connection may be idle that has carried no request yet.
     pub(super) fn first_request_timeout(&self) -> Micros {
         let idle = self.settings.connections.client_idle;
-        if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
+        if self.lifecycle.is_draining() { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
     /// Closes a connection, which the engine need not hear of.
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -96,7 +96,7 @@
 
     /// Goes on accepting after a pause.
     pub(in super::super) fn resume_accepting(&mut self) {
-        if self.draining {
+        if self.lifecycle.is_draining() {
             self.accept_queued();
         } else if !self.is_handing_over() {
             self.set_accepting(true);
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -126,7 +126,7 @@
                     self.rearm_server(server);
                 }
             }
-            State::Idle if self.draining && client.http.is_idle() && drained => {
+            State::Idle if self.lifecycle.is_draining() && client.http.is_idle() && drained => {
                 return self.close_client(key);
             }
             // A pipelined request may be waiting in the input: `run_engine_actions` resumes the client. To handle
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -155,7 +155,7 @@
 
     /// Does what is due of the subscription: calls, closes a silent watch, sends reports.
     pub(super) fn run_subscription(&mut self) {
-        if self.handed_over || self.ending {
+        if self.has_handed_over() || self.lifecycle.is_shutting_down() {
             return;
         }
         let now = self.now();
@@ -196,7 +196,7 @@
 
     /// Gives the store what it missed, and opens it again after a take-over that failed.
     pub(super) fn store_upkeep(&mut self) {
-        if self.is_handing_over() || self.handed_over {
+        if self.is_handing_over() || self.has_handed_over() {
             return;
         }
         let now = self.now();
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -4,20 +4,59 @@
 use super::{Proxy, Summary};
 use crate::engine::Counts;
 
+/// How far the end of this process's work has come.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Lifecycle {
+    /// Takes connections and requests.
+    #[default]
+    Serving,
+    /// Takes nothing new but what is on its way, until an operator calls the drain off.
+    Draining,
+    /// The same, and ends once nothing is left in flight.
+    ShuttingDown,
+    /// Nothing is left: the event loop ends.
+    Stopped,
+}
+
+impl Lifecycle {
+    /// Whether nothing new is taken but what is on its way.
+    pub(super) fn is_draining(self) -> bool {
+        self >= Lifecycle::Draining
+    }
+
+    /// Whether the process ends once nothing is left in flight.
+    pub(super) fn is_shutting_down(self) -> bool {
+        self >= Lifecycle::ShuttingDown
+    }
+
+    /// Whether the event loop is to end.
+    pub(super) fn has_stopped(self) -> bool {
+        self == Lifecycle::Stopped
+    }
+}
+
 impl Proxy {
     /// Starts a drain, after which the event loop ends.
     pub(super) fn shut_down(&mut self) {
-        self.ending = true;
-        self.start_drain();
+        let was_draining = self.lifecycle.is_draining();
+        self.lifecycle = self.lifecycle.max(Lifecycle::ShuttingDown);
+        if !was_draining {
+            self.drain_listeners_and_clients();
+        }
+    }
+
+    /// Starts a drain that an operator may call off.
+    pub(super) fn start_drain(&mut self) {
+        if !self.lifecycle.is_draining() {
+            self.lifecycle = Lifecycle::Draining;
+            self.drain_listeners_and_clients();
+        }
     }
 
     /// Stops taking connections and requests, but for those on their way: in the listeners' queues, and first requests
     /// on connections that were accepted. Listeners close once their queues are empty: what waits there would be
     /// neither accepted nor free to go elsewhere.
-    pub(super) fn start_drain(&mut self) {
-        if std::mem::replace(&mut self.draining, true) {
-            return;
-        }
+    fn drain_listeners_and_clients(&mut self) {
         tracing::info!(owed = self.engine.pending_responses(), "draining");
         self.listen_until = self.listen_deadline();
         self.close_idle_clients();
@@ -27,16 +66,16 @@
 
     /// Takes connections again after an operator's drain.
     pub(super) fn stop_drain(&mut self) -> Result<(), UndrainError> {
-        if self.ending {
+        if self.lifecycle.is_shutting_down() {
             return Err(UndrainError::Ending);
         }
-        if self.draining {
+        if self.lifecycle.is_draining() {
             if self.listeners.is_empty() {
                 self.bind_listeners()?;
             } else {
                 self.set_accepting(true);
             }
-            self.draining = false;
+            self.lifecycle = Lifecycle::Serving;
             self.reset_idle_timeouts();
         }
         Ok(())
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -2,6 +2,7 @@
 
 #[cfg(feature = "sabotage")]
 use super::Sabotage;
+use super::drain::Lifecycle;
 use super::operators::Operators;
 use super::takeover::Inherited;
 use super::{Options, Proxy, Summary, fresh_seed};
@@ -67,7 +68,7 @@
     } else {
         proxy.begin();
     }
-    while !proxy.stopping {
+    while !proxy.lifecycle.has_stopped() {
         proxy.run_turn(&mut event_loop, &options, stop_at)?;
     }
     Ok(proxy.finish())
@@ -167,8 +168,8 @@
         self.run_engine_actions();
         self.run_timers(polled_at);
         self.run_engine_actions();
-        if self.ending && self.has_ended() {
-            self.stopping = true;
+        if self.lifecycle.is_shutting_down() && self.has_ended() {
+            self.lifecycle = Lifecycle::Stopped;
         }
     }
 
@@ -193,7 +194,7 @@
 
     fn perform(&mut self, action: EngineAction) {
         // These are the successor's now: two processes must not vote or speak as one proxy.
-        if self.handed_over && speaks_as_proxy(&action) {
+        if self.has_handed_over() && speaks_as_proxy(&action) {
             return;
         }
         match action {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -12,14 +12,12 @@
 //! - `operators/`: the control sockets, commands and the reading of the state
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
-//! - `takeover.rs`: a new process takes the sockets and what the module learned
-//! - `descriptor_passing.rs`: file descriptors in messages
+//! - `takeover/`: a new process takes the sockets and what the module learned
 //! - `timers.rs`: the driver's own time-outs, all of them bounds of connections
 
 mod clients;
 mod configuration;
 mod configuration_store;
-mod descriptor_passing;
 mod drain;
 mod event_loop;
 mod http_request;
@@ -42,6 +40,7 @@
 use calloop::{LoopHandle, RegistrationToken};
 use clients::{Client, InFlightRequest};
 use configuration::Subscription;
+use drain::Lifecycle;
 use operators::ControlServer;
 use operators::reading::AttemptsByBuild;
 use rand::{Rng, RngExt, SeedableRng};
@@ -56,6 +55,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
+use takeover::HandOver;
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
 use violetseam_event_io::quiet::RateLimit;
@@ -134,11 +134,7 @@
     started: Instant,
     /// The event loop's clock at the start.
     origin: Micros,
-    /// A process that is taking over: its connection to the control socket.
-    successor: Option<ConnectionId>,
-    handed_over: bool,
-    /// Idle connections that were offered to it.
-    offered_clients: Vec<usize>,
+    hand_over: HandOver,
     listeners: Vec<ClientListener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
@@ -157,13 +153,9 @@
     scratch: Vec<u8>,
     rng: rand_pcg::Pcg64,
     generation: u64,
-    /// Takes nothing new but what is on its way.
-    draining: bool,
+    lifecycle: Lifecycle,
     /// When a drain closes the listeners whatever waits in their queues.
     listen_until: Micros,
-    /// Ends once nothing is left in flight.
-    ending: bool,
-    stopping: bool,
     log_limit: RateLimit,
     /// Clients whose input waits for its turn.
     resumed_clients: Vec<ConnectionId>,
@@ -198,9 +190,7 @@
             handle,
             started: Instant::now(),
             origin: inherited.map_or(FIRST_CLOCK, Inherited::clock),
-            successor: None,
-            handed_over: false,
-            offered_clients: Vec::new(),
+            hand_over: HandOver::default(),
             listeners: Vec::new(),
             clients: Slab::new(),
             servers: Slab::new(),
@@ -217,10 +207,8 @@
             scratch: vec![0; READ_BYTES],
             rng,
             generation: 0,
-            draining: false,
+            lifecycle: Lifecycle::default(),
             listen_until: 0,
-            ending: false,
-            stopping: false,
             log_limit: RateLimit::default(),
             resumed_clients: Vec::new(),
             is_running_actions: false,
@@ -242,7 +230,7 @@
 
     /// Answers close their connections: this process takes nothing new, or will not in a moment.
     fn is_leaving(&self) -> bool {
-        self.draining || self.is_handing_over()
+        self.lifecycle.is_draining() || self.is_handing_over()
     }
 
     fn next_generation(&mut self) -> u64 {
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -139,7 +139,7 @@
         let connection = self.control.as_mut().and_then(|control| control.connections.get_mut(key));
         let Some(connection) = connection else { return ControlFlow::Break(()) };
         let id = ConnectionId { key, generation: connection.generation };
-        let is_successor = self.successor == Some(id);
+        let is_successor = self.hand_over.is_to(id);
         match connection.stream.read(&mut connection.input) {
             ReadOutcome::Bytes(_) if is_successor => {
                 let bytes = std::mem::take(&mut connection.input);
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -72,7 +72,7 @@
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
             uptime_us: self.started.elapsed().as_micros() as u64,
-            draining: self.draining,
+            draining: self.lifecycle.is_draining(),
             release: self.engine.release().map(release_reading),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -11,7 +11,8 @@
 impl Proxy {
     /// Opens the stream of the release's status; lost, it is opened again after a while.
     pub(in super::super) fn open_release_stream(&mut self) {
-        if self.site_calls.release_stream.is_some() || self.handed_over || self.ending {
+        let is_leaving = self.has_handed_over() || self.lifecycle.is_shutting_down();
+        if self.site_calls.release_stream.is_some() || is_leaving {
             return;
         }
         let path = format!("/v1/stage/watch?proxy={}", self.settings.decisions.position);
