--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -3,6 +3,7 @@
 use super::super::Proxy;
 use super::super::http_request::queue_request;
 use calloop::{Interest, Readiness};
+use http::StatusCode;
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
@@ -10,147 +11,158 @@
 
 /// What an exchange with the publisher is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallPurpose {
+pub(super) enum ExchangePurpose {
     /// To receive changes as they are published.
     Watch,
-    /// To acknowledge or refuse a version.
+    /// To acknowledge or reject a version.
     Report,
 }
 
+/// An exchange, told from earlier ones of its purpose by its generation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ExchangeId {
+    pub(super) purpose: ExchangePurpose,
+    pub(super) generation: u64,
+}
+
 /// One HTTP exchange on a connection of its own.
 pub(super) struct Exchange {
-    pub(super) generation: u64,
+    pub(super) id: ExchangeId,
     socket: Socket,
     http: ClientConn,
     pub(super) lines: LineReader,
-    /// The answer's status has come and the body is worth reading.
-    accepted: bool,
+    /// The answer's status has come, and its body is to be read.
+    reads_body: bool,
 }
 
 impl Proxy {
-    /// Begins an exchange; whether it did.
-    pub(super) fn exchange_with_publisher(
+    /// Begins an exchange in place of an open one; none if no connection could be begun.
+    pub(super) fn start_exchange(
         &mut self,
-        purpose: CallPurpose,
+        purpose: ExchangePurpose,
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> bool {
+    ) -> Option<ExchangeId> {
         self.close_exchange(purpose);
-        let generation = self.next_generation();
-        let Some(subscription) = &mut self.subscription else { return false };
+        let id = ExchangeId { purpose, generation: self.next_generation() };
+        let subscription = self.subscription.as_mut()?;
         let to = subscription.publisher;
-        let Ok(stream) = connect(to) else { return false };
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| {
-            proxy.on_publisher(purpose, generation, readiness);
-        };
-        let Ok(mut socket) = Socket::register(&self.handle, stream, Interest::BOTH, on_ready) else {
-            return false;
-        };
+        let stream = connect(to).ok()?;
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_publisher_ready(id, readiness);
+        let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
         let http = queue_request(&mut socket, to, method, path, body);
-        let max_line_bytes = if purpose == CallPurpose::Watch { MAX_LINE_BYTES } else { MAX_REPORT_BYTES };
-        let exchange =
-            Exchange { generation, socket, http, lines: LineReader::new(max_line_bytes), accepted: false };
-        *subscription.exchange(purpose) = Some(exchange);
-        true
+        let lines = LineReader::new(max_line_bytes(purpose));
+        *subscription.exchange(purpose) = Some(Exchange { id, socket, http, lines, reads_body: false });
+        Some(id)
     }
 
-    pub(super) fn close_exchange(&mut self, purpose: CallPurpose) {
-        if let Some(exchange) = self.subscription.as_mut().and_then(|s| s.exchange(purpose).take()) {
+    /// Closes an exchange without a report to anybody.
+    pub(super) fn close_exchange(&mut self, purpose: ExchangePurpose) {
+        let subscription = self.subscription.as_mut();
+        if let Some(exchange) = subscription.and_then(|subscription| subscription.exchange(purpose).take()) {
             exchange.socket.remove(&self.handle);
         }
     }
 
-    fn on_publisher(&mut self, purpose: CallPurpose, generation: u64, readiness: Readiness) {
+    fn open_exchange(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
+        self.subscription.as_mut()?.open_exchange(id)
+    }
+
+    fn on_publisher_ready(&mut self, id: ExchangeId, readiness: Readiness) {
         self.had_socket_events = true;
-        if readiness.writable && !self.write_to_publisher(purpose, generation) {
-            self.exchange_ended(purpose);
+        if readiness.writable && self.write_to_publisher(id).is_err() {
+            self.exchange_ended(id.purpose);
         }
         if readiness.readable || readiness.error {
-            self.read_publisher(purpose, generation);
+            self.read_publisher(id);
         }
         self.run_subscription();
         self.run_engine_actions();
     }
 
-    /// Writes what waits; whether the connection is still open.
-    fn write_to_publisher(&mut self, purpose: CallPurpose, generation: u64) -> bool {
-        let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
-        let Some(exchange) = exchange else { return true };
-        if exchange.socket.connect_error().is_some() || exchange.socket.flush().is_err() {
-            return false;
+    /// Writes what waits.
+    fn write_to_publisher(&mut self, id: ExchangeId) -> std::io::Result<()> {
+        let subscription = self.subscription.as_mut();
+        let exchange = subscription.and_then(|subscription| subscription.open_exchange(id));
+        let Some(exchange) = exchange else { return Ok(()) };
+        if let Some(error) = exchange.socket.connect_error() {
+            return Err(error);
         }
+        exchange.socket.flush()?;
         exchange.socket.want(&self.handle, true);
-        true
+        Ok(())
     }
 
-    fn read_publisher(&mut self, purpose: CallPurpose, generation: u64) {
+    fn read_publisher(&mut self, id: ExchangeId) {
         let mut scratch = std::mem::take(&mut self.scratch);
-        while let Some(exchange) =
-            self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
-        {
+        while let Some(exchange) = self.open_exchange(id) {
             match exchange.socket.read(&mut scratch) {
                 ReadOutcome::Bytes(count) => {
                     exchange.http.feed(&scratch[..count]);
-                    self.publisher_events(purpose, generation);
+                    self.process_publisher_events(id);
                 }
                 ReadOutcome::Nothing => break,
-                ReadOutcome::Closed | ReadOutcome::Broken => self.exchange_ended(purpose),
+                ReadOutcome::Closed | ReadOutcome::Broken => self.exchange_ended(id.purpose),
             }
         }
         self.scratch = scratch;
     }
 
-    fn publisher_events(&mut self, purpose: CallPurpose, generation: u64) {
-        while let Some(exchange) =
-            self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation))
-        {
+    fn process_publisher_events(&mut self, id: ExchangeId) {
+        while let Some(exchange) = self.open_exchange(id) {
             match exchange.http.next_event() {
                 None => return,
-                Some(ClientEvent::Head(head)) => {
-                    self.on_publisher_status(purpose, generation, head.status.into());
-                }
-                Some(ClientEvent::Body(bytes)) if exchange.accepted => {
+                Some(ClientEvent::Head(head)) => match id.purpose {
+                    ExchangePurpose::Watch => self.on_watch_status(id, head.status),
+                    ExchangePurpose::Report => self.on_report_status(),
+                },
+                Some(ClientEvent::Body(bytes)) if exchange.reads_body => {
                     exchange.lines.feed(&bytes);
-                    self.publisher_lines(generation);
+                    self.process_publisher_lines(id);
                 }
                 Some(ClientEvent::Body(_)) => {}
-                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => self.exchange_ended(purpose),
+                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => self.exchange_ended(id.purpose),
             }
         }
     }
 
-    /// A watch is answered with lines, or with 503 and the one line that says when to come back.
-    fn on_publisher_status(&mut self, purpose: CallPurpose, generation: u64, status: u16) {
-        let now = self.now();
-        match purpose {
-            CallPurpose::Watch if status == 200 || status == 503 => {
-                let exchange = self.subscription.as_mut().and_then(|s| s.open_exchange(purpose, generation));
-                if let Some(exchange) = exchange {
-                    exchange.accepted = true;
-                }
-            }
-            CallPurpose::Watch => {
-                if self.log_limit.allows(now) {
-                    tracing::warn!(status, "the publisher does not open a watch");
-                }
-                self.exchange_ended(purpose);
-            }
-            // Received; what the publisher does not take (409) it would not take the next time either.
-            CallPurpose::Report => {
-                if let Some(subscription) = &mut self.subscription {
-                    subscription.report_in_flight = None;
-                }
-                self.exchange_ended(purpose);
+    /// A watch is answered with lines, or with 503 and the one line that says when to call again.
+    fn on_watch_status(&mut self, id: ExchangeId, status: StatusCode) {
+        if matches!(status, StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE) {
+            if let Some(exchange) = self.open_exchange(id) {
+                exchange.reads_body = true;
             }
+            return;
         }
+        let now = self.now();
+        if self.log_limit.allows(now) {
+            tracing::warn!(status = status.as_u16(), "the publisher does not open a watch");
+        }
+        self.exchange_ended(id.purpose);
     }
 
-    pub(super) fn exchange_ended(&mut self, purpose: CallPurpose) {
+    /// Any status says that a report was received; what the publisher rejects (409) it would reject again.
+    fn on_report_status(&mut self) {
+        if let Some(subscription) = &mut self.subscription {
+            subscription.reports.on_received();
+        }
+        self.exchange_ended(ExchangePurpose::Report);
+    }
+
+    /// Closes an exchange that is over, and reports that to whatever waits for it.
+    pub(super) fn exchange_ended(&mut self, purpose: ExchangePurpose) {
         self.close_exchange(purpose);
         match purpose {
-            CallPurpose::Watch => self.watch_closed(),
-            CallPurpose::Report => self.report_failed(),
+            ExchangePurpose::Watch => self.on_watch_closed(),
+            ExchangePurpose::Report => self.on_report_failed(),
         }
     }
 }
+
+fn max_line_bytes(purpose: ExchangePurpose) -> usize {
+    match purpose {
+        ExchangePurpose::Watch => MAX_LINE_BYTES,
+        ExchangePurpose::Report => MAX_REPORT_BYTES,
+    }
+}
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -7,8 +7,7 @@
 //! - `site_calls/`: calls to discovery and to the release service
 //! - `server_list.rs`: the server list
 //! - `saved_list.rs`: the server list on disk
-//! - `configuration.rs`: the subscription to a publisher, and reports to it
-//! - `configuration_store.rs`: the last good configuration on disk
+//! - `configuration/`: the subscription to a publisher, reports to it, and the last good configuration on disk
 //! - `operators/`: the control sockets, commands and the reading of the state
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
@@ -17,7 +16,6 @@
 
 mod clients;
 mod configuration;
-mod configuration_store;
 mod drain;
 mod event_loop;
 mod http_request;
