--- a/crates/proxy/src/distributed_routes.rs
+++ b/crates/proxy/src/distributed_routes.rs
@@ -61,7 +61,7 @@
     pub fn check(&self, proposal: Proposal<'_>) -> Result<(), RouteError> {
         match proposal {
             Proposal::Changes(changes) => changes.iter().try_for_each(|change| self.check_change(change)),
-            Proposal::Replacement(configuration) => self.check_whole(configuration),
+            Proposal::Replacement(configuration) => self.check_configuration(configuration),
         }
     }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    fn check_whole(&self, configuration: &Configuration) -> Result<(), RouteError> {
+    fn check_configuration(&self, configuration: &Configuration) -> Result<(), RouteError> {
         if configuration.tenants().next().is_some() {
             return Err(RouteError::Tenant);
         }
--- a/crates/proxy/src/driver/configuration/storage.rs
+++ b/crates/proxy/src/driver/configuration/storage.rs
@@ -80,7 +80,8 @@
     match routes.check(Proposal::Replacement(configuration)) {
         Ok(()) => true,
         Err(error) => {
-            tracing::warn!(version = %configuration.version(), "the stored configuration is not used: {error}");
+            let version = configuration.version();
+            tracing::warn!(%version, "the stored configuration is not used: {error}");
             false
         }
     }
--- a/crates/proxy/src/driver/configuration/updates.rs
+++ b/crates/proxy/src/driver/configuration/updates.rs
@@ -60,7 +60,8 @@
     fn replace_configuration(&mut self, version: Version) {
         let Some(subscription) = &mut self.subscription else { return };
         let Some(configuration) = subscription.subscriber.configuration() else { return };
-        tracing::info!(target: "configuration", %version, resources = configuration.len(), "snapshot in force");
+        let resources = configuration.len();
+        tracing::info!(target: "configuration", %version, resources, "snapshot in force");
         subscription.routes.replace(configuration);
         subscription.storage.replace(configuration);
     }
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Stops taking connections and requests, but for those on their way: in the listeners' queues, and first requests
-    /// on connections that were accepted. Listeners close once their queues are empty: what waits there would be
-    /// neither accepted nor free to go elsewhere.
+    /// Stops taking connections and requests, but for those on their way: in the listeners' queues, and first
+    /// requests on connections that were accepted. Listeners close once their queues are empty: what waits
+    /// there would be neither accepted nor free to go elsewhere.
     fn drain_listeners_and_clients(&mut self) {
         tracing::info!(owed = self.engine.pending_responses(), "draining");
         self.listen_until = self.listen_deadline();
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! A proxy's start, the turns of its event loop, and the engine's actions.
+//! A proxy's start, and the turns of its event loop.
 
 #[cfg(feature = "sabotage")]
 use super::Sabotage;
@@ -6,23 +6,18 @@
 use super::operators::Operators;
 use super::takeover::Inherited;
 use super::{Options, Proxy, Summary, fresh_seed};
-use crate::engine::{EngineAction, LocalResponse};
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use std::io::Error;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use violetseam::interface::{ListKind, Micros, RequestId};
+use violetseam::interface::{ListKind, Micros};
 use violetseam_fleet_state::fleet_quotas::FleetQuotas;
 use violetseam_settings::ProxySettings;
-use violetseam_site_protocol::peer_datagram::PayloadKind;
 
 /// How often a proxy checks whether it is to stop, where no signal stops it.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How much later than its deadline a response is that is delayed on purpose.
-#[cfg(feature = "sabotage")]
-const RESPONSE_DELAY: Micros = 2_000_000;
 
 /// Binds all sockets and runs until told to stop; SIGTERM and SIGINT drain first. `ready` is given the
 /// addresses that clients can connect to.
@@ -42,7 +37,8 @@
 ///
 /// # Errors
 ///
-/// As [`serve`], and if the control sockets cannot be opened or the other process does not hand over in the end.
+/// As [`serve`], and if the control sockets cannot be opened or the other process does not hand over in the
+/// end.
 pub fn serve_operated(
     settings: ProxySettings,
     options: Options,
@@ -121,7 +117,8 @@
         Ok(())
     }
 
-    /// First events: the list as saved before a restart, which may be stale, then the release service is called.
+    /// First events: the list as saved before a restart, which may be stale, then the release service is
+    /// called.
     fn begin(&mut self) {
         let now = self.now();
         let saved = self.load_saved_list();
@@ -139,6 +136,18 @@
         options: &Options,
         stop_at: Option<Instant>,
     ) -> std::io::Result<()> {
+        let timeout = self.poll_timeout(options, stop_at);
+        self.had_socket_events = false;
+        let before = self.now();
+        event_loop.dispatch(timeout, self).map_err(Error::other)?;
+        // A wait that ended with nothing has polled the sockets at its end.
+        let polled_at = if self.had_socket_events { before } else { self.now() };
+        self.run_due(polled_at);
+        Ok(())
+    }
+
+    /// How long the next poll may wait for events. Starts the shutdown where the options say so.
+    fn poll_timeout(&mut self, options: &Options, stop_at: Option<Instant>) -> Duration {
         let mut timeout = self.timers.wait(self.now(), self.engine.next_deadline());
         if let Some(at) = stop_at {
             timeout = timeout.min(at.saturating_duration_since(Instant::now()));
@@ -152,13 +161,7 @@
                 self.shut_down();
             }
         }
-        self.had_socket_events = false;
-        let before = self.now();
-        event_loop.dispatch(timeout, self).map_err(Error::other)?;
-        // A wait that ended with nothing has polled the sockets at its end.
-        let polled_at = if self.had_socket_events { before } else { self.now() };
-        self.run_due(polled_at);
-        Ok(())
+        timeout
     }
 
     /// Runs what was due when the sockets were last polled: an answer that had come by then has been read.
@@ -173,54 +176,6 @@
         }
     }
 
-    /// Performs the engine's actions, and what comes of them, until nothing is left. Called from within, it
-    /// leaves that to the call it came from.
-    pub(super) fn run_engine_actions(&mut self) {
-        self.had_socket_events = true;
-        if std::mem::replace(&mut self.is_running_actions, true) {
-            return;
-        }
-        loop {
-            if let Some(action) = self.engine.next_action() {
-                self.perform(action);
-            } else if let Some(client) = self.resumed_clients.pop() {
-                self.resume_client(client);
-            } else {
-                break;
-            }
-        }
-        self.is_running_actions = false;
-    }
-
-    fn perform(&mut self, action: EngineAction) {
-        // These are the successor's now: two processes must not vote or speak as one proxy.
-        if self.has_handed_over() && speaks_as_proxy(&action) {
-            return;
-        }
-        match action {
-            EngineAction::StartAttempt { request, attempt, server } => {
-                self.start_attempt(request, attempt, server);
-            }
-            EngineAction::CloseAttempt { request, attempt } => self.close_attempt(request, attempt),
-            EngineAction::Respond { request, response } => self.respond(request, response),
-            EngineAction::Forget { request } => self.forget(request),
-            EngineAction::WatchServerList => self.watch_server_list(),
-            EngineAction::FetchServerList => self.fetch_server_list(),
-            EngineAction::Vote { build, stage, verdict } => {
-                self.record_vote(build, stage, verdict);
-                self.send_vote(build, stage, verdict);
-            }
-            EngineAction::Gossip { to, payload } => self.send_to_peers(to, PayloadKind::Gossip, &payload),
-            EngineAction::BudgetMessage { to, payload } => {
-                self.send_to_peers(Some(to), PayloadKind::QuotaLeases, &payload);
-            }
-            EngineAction::Log(text) => {
-                tracing::info!(target: "verdict", "{text}");
-                self.last_finding = Some(text);
-            }
-        }
-    }
-
     /// Joins the fleet's budgets as a new incarnation: nothing of a process before this one is spent or lent.
     fn join_budgets(&mut self) {
         #[cfg(feature = "sabotage")]
@@ -235,25 +190,4 @@
         self.engine.set_budgets(now, FleetQuotas::new(now, plan, incarnation));
         self.run_engine_actions();
     }
-
-    /// Gives a final response of the proxy's own, unless sabotage delays it.
-    fn respond(&mut self, request: RequestId, response: LocalResponse) {
-        #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(Sabotage::LateAnswer) {
-            return self.delay_response(self.now() + RESPONSE_DELAY, request, response);
-        }
-        self.respond_now(request, response);
-    }
-}
-
-/// Whether an action sends something to others in the proxy's name.
-fn speaks_as_proxy(action: &EngineAction) -> bool {
-    matches!(
-        action,
-        EngineAction::WatchServerList
-            | EngineAction::FetchServerList
-            | EngineAction::Vote { .. }
-            | EngineAction::Gossip { .. }
-            | EngineAction::BudgetMessage { .. }
-    )
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,25 +1,31 @@
 //! The driver: sockets, datagrams, signals and the clock on one `calloop` event loop, for one [`Engine`].
 //!
-//! - `event_loop.rs`: start, turns of the event loop, and the engine's actions
+//! - `options.rs`: how a proxy is started, and what it reports in the end
+//! - `event_loop.rs`: start, and turns of the event loop
+//! - `actions.rs`: the engine's actions
+//! - `clock.rs`: the event loop's clock
 //! - `drain.rs`: the end of a proxy's work, and its summary
 //! - `clients/`: listeners and client connections, up to a complete request and from an answer on
 //! - `servers/`: connections to servers and the attempts on them
 //! - `site_calls/`: calls to discovery and to the release service
 //! - `server_list.rs`: the server list
 //! - `saved_list.rs`: the server list on disk
-//! - `configuration/`: the subscription to a publisher, reports to it, and the last good configuration on disk
+//! - `configuration/`: the subscription to a publisher, reports to it, and the configuration on disk
 //! - `operators/`: the control sockets, commands and the reading of the state
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
 //! - `takeover/`: a new process takes the sockets and what the module learned
 //! - `timers.rs`: the driver's own time-outs, all of them bounds of connections
 
+mod actions;
 mod clients;
+mod clock;
 mod configuration;
 mod drain;
 mod event_loop;
 mod http_request;
 mod operators;
+mod options;
 mod peers;
 mod saved_list;
 mod server_list;
@@ -32,83 +38,38 @@
 pub use operators::{
     DaemonError, Operators, Reload, Reloaded, Reopen, Reopened, SetLog, StateWriter, StateWriterError,
 };
+#[cfg(feature = "sabotage")]
+pub use options::Sabotage;
+pub use options::{Options, Summary};
 pub use takeover::{Inherited, TakeoverError, inherit};
 
 use crate::engine::Engine;
 use calloop::{LoopHandle, RegistrationToken};
 use clients::{Client, InFlightRequest};
+use clock::Clock;
 use configuration::Subscription;
 use drain::Lifecycle;
 use operators::ControlServer;
 use operators::reading::AttemptsByBuild;
+use peers::PeerSocket;
 use rand::{Rng, RngExt, SeedableRng};
 use server_list::ServerList;
 use servers::Server;
 use site_calls::SiteCalls;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
-use std::net::{TcpListener, UdpSocket};
-use std::path::PathBuf;
+use std::net::TcpListener;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
-use std::time::{Duration, Instant};
 use takeover::HandOver;
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
 use violetseam_event_io::quiet::RateLimit;
 use violetseam_http1::Limits as HeadLimits;
-use violetseam_recorder::{Bounds, Recorder};
+use violetseam_recorder::Recorder;
 use violetseam_settings::ProxySettings;
 
 /// One read takes at most so much.
 const READ_BYTES: usize = 64 * 1024;
-/// The event loop's clock at the start of a proxy that takes over from nobody.
-const FIRST_CLOCK: Micros = 1_000_000;
-
-/// How a proxy is started beside its settings.
-#[derive(Clone, Debug, Default)]
-pub struct Options {
-    /// Records every event and action there.
-    pub record: Option<(PathBuf, Bounds)>,
-    /// Measures the time spent in the module.
-    pub time_module: bool,
-    /// Stops by itself after this span.
-    pub stop_after: Option<Duration>,
-    /// Drains once this is set, for proxies that share a process with others and its signals.
-    pub stop: Option<Arc<AtomicBool>>,
-    /// For the checker's own tests: how this proxy breaks the rules on purpose.
-    #[cfg(feature = "sabotage")]
-    pub sabotage: Option<Sabotage>,
-}
-
-/// Ways to break the rules on purpose, so that the rule checker can be seen to notice. Only in builds with
-/// the feature `sabotage`; the module and the engine are the ordinary ones.
-#[cfg(feature = "sabotage")]
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
-    /// Every twentieth request goes out twice.
-    DoubleSend,
-    /// Final answers of the proxy's own are delayed until after the deadline.
-    LateAnswer,
-    /// Discovery's notice that a server drains is ignored.
-    IgnoreDrains,
-    /// The fleet's budgets are ignored.
-    Spendthrift,
-}
-
-/// What a proxy did, reported when it stops.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Summary {
-    /// Requests and attempts.
-    pub counts: crate::engine::Counts,
-    /// Client connections and server connections left open: 0 after a drain.
-    pub left_open: usize,
-    /// Requests left in flight: 0 after a drain.
-    pub left_in_flight: usize,
-    /// Time spent in the module, if measured.
-    pub module_time: Duration,
-}
 
 /// A connection, by its place among those of its kind and its generation, as places are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -125,18 +86,18 @@
 
 /// One proxy on its event loop.
 pub struct Proxy {
+    /// The control sockets, where a daemon runs this proxy.
     control: Option<ControlServer>,
     settings: Rc<ProxySettings>,
     engine: Engine,
     handle: LoopHandle<'static, Proxy>,
-    started: Instant,
-    /// The event loop's clock at the start.
-    origin: Micros,
+    clock: Clock,
     hand_over: HandOver,
     listeners: Vec<ClientListener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
     site_calls: SiteCalls,
+    /// Requests with an attempt or a response to come.
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
     idle_servers: BTreeMap<ServerId, Vec<usize>>,
@@ -144,25 +105,33 @@
     server_list: ServerList,
     /// To a publisher's configuration, where the settings name one.
     subscription: Option<Box<Subscription>>,
-    udp: Option<Rc<UdpSocket>>,
-    udp_token: Option<RegistrationToken>,
+    /// For peers, where the settings name an address.
+    peer_socket: Option<PeerSocket>,
+    /// The proxy's entry in a request's `Via` field.
     via: String,
+    /// The bounds of a message's head and body.
     head_limits: HeadLimits,
+    /// Read buffer, shared by all connections.
     scratch: Vec<u8>,
     rng: rand_pcg::Pcg64,
+    /// The generation of the latest connection.
     generation: u64,
     lifecycle: Lifecycle,
     /// When a drain closes the listeners whatever waits in their queues.
     listen_until: Micros,
+    /// Bounds how often lines are logged that others can cause.
     log_limit: RateLimit,
-    /// Clients whose input waits for its turn.
+    /// Clients with unprocessed input, to be resumed after the engine's actions.
     resumed_clients: Vec<ConnectionId>,
     /// The engine's actions are being performed further up the stack.
     is_running_actions: bool,
     /// Sockets were ready in this turn.
     had_socket_events: bool,
+    /// The latest vote, as operators read it.
     last_vote: Option<String>,
+    /// The latest log line of the analysis, as operators read it.
     last_finding: Option<String>,
+    /// When a datagram of each peer was last received.
     peers_heard_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
@@ -186,8 +155,7 @@
             control: None,
             engine,
             handle,
-            started: Instant::now(),
-            origin: inherited.map_or(FIRST_CLOCK, Inherited::clock),
+            clock: Clock::start(inherited),
             hand_over: HandOver::default(),
             listeners: Vec::new(),
             clients: Slab::new(),
@@ -198,8 +166,7 @@
             timers: Timers::default(),
             server_list: ServerList::default(),
             subscription: None,
-            udp: None,
-            udp_token: None,
+            peer_socket: None,
             via: format!("1.1 {}-{}", settings.name, settings.decisions.position),
             head_limits: head_limits(&settings),
             scratch: vec![0; READ_BYTES],
@@ -221,9 +188,9 @@
         })
     }
 
-    /// The event loop's clock in microseconds: one second at the start, or where the process before had it.
+    /// The event loop's clock in microseconds.
     fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.clock.now()
     }
 
     /// Answers close their connections: this process takes nothing new, or will not in a moment.
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -71,7 +71,7 @@
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
-            uptime_us: self.started.elapsed().as_micros() as u64,
+            uptime_us: self.clock.uptime().as_micros() as u64,
             draining: self.lifecycle.is_draining(),
             release: self.engine.release().map(release_reading),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
--- a/crates/proxy/src/driver/site_calls/mod.rs
+++ b/crates/proxy/src/driver/site_calls/mod.rs
@@ -1,5 +1,5 @@
-//! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch on
-//! the server list and the release's status are answers without an end, one JSON line a message.
+//! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch
+//! on the server list and the release's status are answers without an end, one JSON line a message.
 //!
 //! - `call.rs`: a call from its connection to its end, whatever it is for
 //! - `error.rs`: why a call ended
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -42,7 +42,8 @@
         self.on_vote_ended(outcome, None);
     }
 
-    /// Reports a vote's end to the engine, with the release's status and its fencing number where a reply had them.
+    /// Reports a vote's end to the engine, with the release's status and its fencing number where a reply had
+    /// them.
     fn on_vote_ended(&mut self, outcome: Outcome, release: Option<(ReleaseStatus, u64)>) {
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
--- a/crates/proxy/src/driver/takeover/new_process.rs
+++ b/crates/proxy/src/driver/takeover/new_process.rs
@@ -93,8 +93,8 @@
     }
 }
 
-/// Asks the process at a control socket to hand over. Nothing is taken before [`super::super::serve_operated`] reports
-/// that all sockets are open.
+/// Asks the process at a control socket to hand over. Nothing is taken before
+/// [`super::super::serve_operated`] reports that all sockets are open.
 ///
 /// # Errors
 ///
@@ -153,7 +153,8 @@
 }
 
 impl Proxy {
-    /// The new process: puts what it got on its event loop, reports that it is ready and waits until it may serve.
+    /// The new process: puts what it got on its event loop, reports that it is ready and waits until it may
+    /// serve.
     pub(in super::super) fn adopt(&mut self, inherited: Inherited) -> std::io::Result<()> {
         let Inherited { listeners, peers, clients, mut control, .. } = inherited;
         for listener in listeners {
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -107,7 +107,7 @@
         stream.write_all(&module)?;
         let mut descriptors: Vec<BorrowedFd<'_>> =
             self.listeners.iter().map(|open| open.listener.as_fd()).collect();
-        descriptors.extend(self.udp.as_ref().map(|socket| socket.as_fd()));
+        descriptors.extend(self.peer_socket.as_ref().map(|peers| peers.socket().as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
         send_descriptors(stream, &descriptors)?;
@@ -123,7 +123,7 @@
             clock: self.now(),
             monotonic: monotonic_micros(),
             listeners: self.listeners.len(),
-            peers: self.udp.is_some(),
+            peers: self.peer_socket.is_some(),
             control: has_control_listener,
             release_fence: self.site_calls.highest_fence(),
             clients: idle_clients,
@@ -157,8 +157,8 @@
         self.leave_site();
         self.leave_publisher();
         self.leave_peers();
-        // Both processes hold these sockets: closing this one's copies ends no connection. Other connections that
-        // have become idle meanwhile were marked to close with their answers.
+        // Both processes hold these sockets: closing this one's copies ends no connection. Other connections
+        // that have become idle meanwhile were marked to close with their answers.
         self.set_accepting(true);
         self.stop_listening();
         if let HandOver::Offered { clients, .. } = previous {
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -3,9 +3,9 @@
 use super::ConnectionId;
 #[cfg(feature = "sabotage")]
 use crate::engine::LocalResponse;
+use violetseam::interface::Micros;
 #[cfg(feature = "sabotage")]
 use violetseam::interface::RequestId;
-use violetseam::interface::{Micros, Outcome};
 
 /// Between two rounds of upkeep.
 const UPKEEP_INTERVAL: Micros = 200_000;
@@ -38,10 +38,10 @@
     /// A final response that is delayed on purpose.
     #[cfg(feature = "sabotage")]
     DelayedResponse {
+        /// The request that it answers.
         request: RequestId,
-        /// The response's Retry-After, if it is a rejection.
-        retry_after: Option<Micros>,
-        timed_out: bool,
+        /// The response.
+        response: LocalResponse,
     },
 }
 
@@ -118,13 +118,7 @@
             TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
             TimerKind::Upkeep => self.upkeep(now),
             #[cfg(feature = "sabotage")]
-            TimerKind::DelayedResponse { request, retry_after, timed_out } => {
-                let response = match retry_after {
-                    Some(retry_after) => LocalResponse::Rejected { retry_after },
-                    None => LocalResponse::Failed { timed_out },
-                };
-                self.respond_now(request, response);
-            }
+            TimerKind::DelayedResponse { request, response } => self.respond_now(request, response),
         }
     }
 
@@ -145,22 +139,9 @@
         }
     }
 
+    /// Gives a final response later, on purpose.
     #[cfg(feature = "sabotage")]
     pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, response: LocalResponse) {
-        let kind = match response {
-            LocalResponse::Rejected { retry_after } => {
-                TimerKind::DelayedResponse { request, retry_after: Some(retry_after), timed_out: false }
-            }
-            LocalResponse::Failed { timed_out } => {
-                TimerKind::DelayedResponse { request, retry_after: None, timed_out }
-            }
-        };
-        self.timers.set(at, kind);
-    }
-
-    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that come of it.
-    pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
-        let now = self.now();
-        self.engine.on_attempt_ended(now, request, attempt, outcome)
+        self.timers.set(at, TimerKind::DelayedResponse { request, response });
     }
 }
--- a/crates/proxy/src/engine/action.rs
+++ b/crates/proxy/src/engine/action.rs
@@ -65,7 +65,7 @@
 }
 
 /// A final response that the proxy gives itself.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LocalResponse {
     /// Rejected: it never ran, or repeating it is harmless.
     Rejected {
