--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -1,7 +1,7 @@
 //! HTTP exchanges with the publisher: a watch, and one report at a time.
 
 use super::super::Proxy;
-use super::super::http_request::queue_request;
+use super::super::http_request::HttpRequest;
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
@@ -40,18 +40,20 @@
     pub(super) fn start_exchange(
         &mut self,
         purpose: ExchangePurpose,
-        method: &str,
         path: &str,
         body: &[u8],
     ) -> Option<ExchangeId> {
         self.close_exchange(purpose);
         let id = ExchangeId { purpose, generation: self.next_generation() };
         let subscription = self.subscription.as_mut()?;
-        let to = subscription.publisher;
-        let stream = connect(to).ok()?;
+        let request = match purpose {
+            ExchangePurpose::Watch => HttpRequest::get(subscription.publisher, path),
+            ExchangePurpose::Report => HttpRequest::post(subscription.publisher, path, body),
+        };
+        let stream = connect(request.to).ok()?;
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_publisher_ready(id, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let http = queue_request(&mut socket, to, method, path, body);
+        let http = request.queue(&mut socket);
         let lines = LineReader::new(max_line_bytes(purpose));
         *subscription.exchange(purpose) = Some(Exchange { id, socket, http, lines, reads_body: false });
         Some(id)
--- a/crates/proxy/src/driver/configuration/mod.rs
+++ b/crates/proxy/src/driver/configuration/mod.rs
@@ -28,7 +28,7 @@
 use violetseam_operator_commands::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_settings::RouteTable;
 
-/// Opens a watch.
+/// Where the publisher opens watches.
 const WATCH_PATH: &str = "/v1/configuration/watch";
 
 /// The subscription of one proxy.
@@ -155,7 +155,7 @@
 
     fn open_configuration_watch(&mut self, call: &Subscribe) {
         let path = format!("{WATCH_PATH}?{}", call.to_query());
-        if self.start_exchange(ExchangePurpose::Watch, "GET", &path, &[]).is_none() {
+        if self.start_exchange(ExchangePurpose::Watch, &path, &[]).is_none() {
             self.on_watch_closed();
         }
     }
--- a/crates/proxy/src/driver/configuration/reports.rs
+++ b/crates/proxy/src/driver/configuration/reports.rs
@@ -6,7 +6,7 @@
 use violetseam::interface::Micros;
 use violetseam_distribution::Report;
 
-/// Takes acknowledgements and rejections.
+/// Where the publisher receives acknowledgements and rejections.
 const ACKNOWLEDGE_PATH: &str = "/v1/configuration/acknowledge";
 /// A report that takes longer has failed.
 const REPORT_TIMEOUT: Micros = 3_000_000;
@@ -68,7 +68,7 @@
         }
         let Some(report) = subscription.reports.take_next() else { return };
         let body = report.write();
-        match self.start_exchange(ExchangePurpose::Report, "POST", ACKNOWLEDGE_PATH, &body) {
+        match self.start_exchange(ExchangePurpose::Report, ACKNOWLEDGE_PATH, &body) {
             Some(ExchangeId { generation, .. }) => {
                 self.timers.set(now + REPORT_TIMEOUT, TimerKind::ConfigurationReport(generation));
             }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -68,7 +68,7 @@
 use violetseam_recorder::Recorder;
 use violetseam_settings::ProxySettings;
 
-/// One read takes at most so much.
+/// The most bytes that one read takes.
 const READ_BYTES: usize = 64 * 1024;
 
 /// A connection, by its place among those of its kind and its generation, as places are used again.
@@ -193,7 +193,7 @@
         self.clock.now()
     }
 
-    /// Answers close their connections: this process takes nothing new, or will not in a moment.
+    /// Whether each response closes its connection: this process has stopped accepting, or is about to.
     fn is_leaving(&self) -> bool {
         self.lifecycle.is_draining() || self.is_handing_over()
     }
@@ -203,7 +203,7 @@
         self.generation
     }
 
-    /// A draw for an answer's identity or a wait.
+    /// A random number, for an answer's identity or a wait.
     fn draw(&mut self) -> u64 {
         self.rng.random()
     }
--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -1,25 +1,21 @@
 //! One call: its connection, its request, and the reading of its answer.
 
-use super::super::http_request::queue_request;
+use super::super::http_request::HttpRequest;
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
 use super::{CallError, CallPurpose, MIN_STREAM_SPAN};
 use calloop::{Interest, Readiness};
 use http::StatusCode;
-use std::net::SocketAddr;
 use violetseam::interface::Micros;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::{endpoint_list, release_service};
 
-/// An HTTP request of the proxy's own.
+/// What a call is to send, and for how long.
 pub(super) struct CallRequest<'a> {
     pub(super) purpose: CallPurpose,
-    pub(super) to: SocketAddr,
-    pub(super) method: &'a str,
-    pub(super) path: &'a str,
-    pub(super) body: &'a [u8],
+    pub(super) request: HttpRequest<'a>,
     /// Microseconds until the call's timer fires; none is set without.
     pub(super) timeout: Option<Micros>,
 }
@@ -88,15 +84,15 @@
 
 impl Proxy {
     /// Begins a call; none if no connection could be begun.
-    pub(super) fn start_call(&mut self, request: &CallRequest<'_>) -> Option<usize> {
-        let CallRequest { purpose, to, method, path, body, timeout } = request;
-        let stream = connect(*to).ok()?;
+    pub(super) fn start_call(&mut self, call: &CallRequest<'_>) -> Option<usize> {
+        let CallRequest { purpose, request, timeout } = call;
+        let stream = connect(request.to).ok()?;
         let generation = self.next_generation();
         let entry = self.site_calls.in_flight.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_call_ready(key, readiness);
         let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let http = queue_request(&mut socket, *to, method, path, body);
+        let http = request.queue(&mut socket);
         entry.insert(Call::new(generation, *purpose, socket, http));
         if let Some(timeout) = timeout {
             self.timers.set(self.now() + timeout, TimerKind::Call(ConnectionId { key, generation }));
--- a/crates/proxy/src/driver/site_calls/list_updates.rs
+++ b/crates/proxy/src/driver/site_calls/list_updates.rs
@@ -1,6 +1,7 @@
 //! The server list from discovery: the calls for it, and the lines that they are answered with.
 
 use super::super::Proxy;
+use super::super::http_request::HttpRequest;
 use super::call::CallRequest;
 use super::{CallError, CallPurpose};
 use violetseam::interface::ListKind;
@@ -27,9 +28,9 @@
     }
 
     fn call_discovery(&mut self, purpose: CallPurpose, path: &str) -> Option<usize> {
-        let to = self.settings.roster;
+        let request = HttpRequest::get(self.settings.roster, path);
         let timeout = Some(self.settings.roster_timeout);
-        let call = self.start_call(&CallRequest { purpose, to, method: "GET", path, body: &[], timeout });
+        let call = self.start_call(&CallRequest { purpose, request, timeout });
         if call.is_none() {
             self.on_list_failed(&CallError::NoDiscovery);
         }
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -1,6 +1,7 @@
 //! The release's status, streamed by one of the settings' release services at a time.
 
 use super::super::Proxy;
+use super::super::http_request::HttpRequest;
 use super::super::timers::TimerKind;
 use super::call::CallRequest;
 use super::{CallError, CallPurpose, MIN_STREAM_SPAN};
@@ -18,10 +19,7 @@
         let path = format!("/v1/stage/watch?proxy={}", self.settings.decisions.position);
         self.site_calls.release_stream = self.start_call(&CallRequest {
             purpose: CallPurpose::WatchRelease,
-            to: self.release_service(),
-            method: "GET",
-            path: &path,
-            body: &[],
+            request: HttpRequest::get(self.release_service(), &path),
             timeout: self.settings.desk_silence,
         });
         if self.site_calls.release_stream.is_none() {
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -1,11 +1,15 @@
 //! Votes on the release, each a call to the release service with one reply.
 
 use super::super::Proxy;
+use super::super::http_request::HttpRequest;
 use super::call::CallRequest;
 use super::{CallError, CallPurpose};
 use violetseam::interface::{Build, Outcome, ReleaseStatus, Verdict};
 use violetseam_site_protocol::release_service::{Vote, VoteReply};
 
+/// Where the release service receives votes.
+const VOTE_PATH: &str = "/v1/vote";
+
 impl Proxy {
     /// Sends a vote to the release service.
     pub(in super::super) fn send_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
@@ -13,10 +17,7 @@
         let body = Vote::new(self.settings.decisions.position, build, stage, verdict).write();
         let call = self.start_call(&CallRequest {
             purpose: CallPurpose::Vote,
-            to: self.release_service(),
-            method: "POST",
-            path: "/v1/vote",
-            body: &body,
+            request: HttpRequest::post(self.release_service(), VOTE_PATH, &body),
             timeout: Some(self.settings.decisions.rollout.vote_timeout),
         });
         if call.is_none() {
