--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -71,7 +71,8 @@
         self.respond_now(request, response);
     }
 
-    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that come of it.
+    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that
+    /// come of it.
     pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
         let now = self.now();
         self.engine.on_attempt_ended(now, request, attempt, outcome)
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -18,7 +18,7 @@
     Report,
 }
 
-/// An exchange, told from earlier ones of its purpose by its generation.
+/// Identifies an exchange: its generation differs from that of earlier ones of its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ExchangeId {
     pub(super) purpose: ExchangePurpose,
--- a/crates/proxy/src/driver/configuration/storage.rs
+++ b/crates/proxy/src/driver/configuration/storage.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether the store is to be given the whole configuration: it missed changes, or was just opened again.
+    /// Whether the store is to be given the complete configuration: it missed changes, or was just opened again.
     fn take_needs_snapshot(&mut self, now: Micros) -> bool {
         match &self.store {
             Some(store) => store.take_is_behind(),
--- a/crates/proxy/src/driver/configuration/store/mod.rs
+++ b/crates/proxy/src/driver/configuration/store/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use violetseam_distribution::{Change, Configuration, Version};
 
-/// Tasks that wait for the disk; past it the whole configuration is written instead.
+/// Tasks that wait for the disk; past it the complete configuration is written instead.
 const MAX_QUEUED_TASKS: usize = 64;
 /// How often a file is tried that another process has.
 const IN_USE_POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -19,7 +19,7 @@
 /// How often a proxy checks whether it is to stop, where no signal stops it.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Binds all sockets and runs until told to stop; SIGTERM and SIGINT drain first. `ready` is given the
+/// Binds all sockets and runs until it is stopped; SIGTERM and SIGINT drain first. `ready` is given the
 /// addresses that clients can connect to.
 ///
 /// # Errors
--- a/crates/proxy/src/driver/takeover/descriptor_passing.rs
+++ b/crates/proxy/src/driver/takeover/descriptor_passing.rs
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Receives so many descriptors.
+/// Receives this many descriptors, in as many messages as they come in.
 pub(super) fn receive_descriptors(from: &UnixStream, count: usize) -> Result<Vec<OwnedFd>> {
     let mut received = Vec::with_capacity(count);
     while received.len() < count {
--- a/crates/proxy/src/driver/takeover/mod.rs
+++ b/crates/proxy/src/driver/takeover/mod.rs
@@ -1,8 +1,8 @@
 //! Takeover: a new process gets the sockets of the old one and what its decision module has learned.
 //!
 //! On the control connection, after the question `"takeover"`:
-//! 1. old: a JSON line [`Offer`](protocol::Offer), then the module (postcard, so many bytes), then messages of
-//!    one byte that carry descriptors: listeners, the peers' socket, the listener for control over TCP, idle
+//! 1. old: a JSON line [`Offer`](protocol::Offer), then the module (postcard, so many bytes), then messages
+//!    of one byte that carry descriptors: listeners, the peers' socket, the listener for control over TCP, idle
 //!    client connections;
 //! 2. new: `ready` and a line end, once all its sockets are open; 3. old: `go` and a line end.
 //!
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -15,12 +15,16 @@
 /// Why the old process serves on after it has offered itself.
 #[derive(Debug, thiserror::Error)]
 pub(in super::super) enum HandOverError {
+    /// The offer could not be written or sent.
     #[error("nothing could be handed over: {0}")]
     Offer(#[source] std::io::Error),
+    /// Something else came than the line that says it is ready.
     #[error("the new process does not speak the protocol")]
     UnexpectedMessage,
+    /// Its connection is closed.
     #[error("the new process went away")]
     SuccessorGone,
+    /// It was not ready within [`PEER_TIMEOUT`].
     #[error("the new process took too long")]
     TimedOut,
 }
@@ -71,7 +75,7 @@
     pub(in super::super) fn start_hand_over(&mut self, key: usize) {
         let Some(connection) = self.operator_connection(key) else { return };
         if self.is_handing_over() || self.lifecycle.is_draining() || self.is_persisting() {
-            // Not in the middle of something; the asker reads this as a refusal.
+            // Not in the middle of something else; the new process reads this as a refusal.
             if let Some(mut stream) = self.operator_stream(connection) {
                 let _ = stream.write_all(BUSY_LINE);
             }
@@ -100,20 +104,25 @@
         let Some(mut stream) = self.operator_stream(connection) else {
             return Err(std::io::Error::other("the connection is gone"));
         };
-        // For this one exchange the event loop blocks, some milliseconds: traffic waits anyway.
+        // The event loop blocks for this one exchange, some milliseconds: no client is read meanwhile anyway.
         stream.set_nonblocking(false)?;
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
         stream.write_all(&line)?;
         stream.write_all(&module)?;
+        send_descriptors(stream, &self.offered_descriptors(&idle))?;
+        stream.set_nonblocking(true)?;
+        self.hand_over = HandOver::Offered { successor: connection, clients: idle };
+        Ok(())
+    }
+
+    /// The sockets to hand over, in the order of the [`Offer`]'s fields.
+    fn offered_descriptors(&self, idle_clients: &[usize]) -> Vec<BorrowedFd<'_>> {
         let mut descriptors: Vec<BorrowedFd<'_>> =
             self.listeners.iter().map(|open| open.listener.as_fd()).collect();
         descriptors.extend(self.peer_socket.as_ref().map(|peers| peers.socket().as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
-        descriptors.extend(self.client_streams(&idle).into_iter().map(AsFd::as_fd));
-        send_descriptors(stream, &descriptors)?;
-        stream.set_nonblocking(true)?;
-        self.hand_over = HandOver::Offered { successor: connection, clients: idle };
-        Ok(())
+        descriptors.extend(self.client_streams(idle_clients).into_iter().map(AsFd::as_fd));
+        descriptors
     }
 
     fn offer_line(&self, module_bytes: usize, idle_clients: usize) -> std::io::Result<Vec<u8>> {
@@ -134,7 +143,7 @@
         Ok(line)
     }
 
-    /// The new process has sent something: that it is ready, or nothing that makes sense.
+    /// The new process has sent something: that it is ready, or what the protocol does not have.
     pub(in super::super) fn on_successor_message(&mut self, bytes: &[u8]) {
         let Some(connection) = self.hand_over.successor() else { return };
         if bytes != READY_LINE {
@@ -178,7 +187,7 @@
         }
     }
 
-    /// A takeover failed halfway: all is as it was before it.
+    /// A takeover failed halfway: goes on as before it.
     pub(in super::super) fn abort_hand_over(&mut self, error: &HandOverError) {
         tracing::error!("takeover failed, this process serves on: {error}");
         if let HandOver::Offered { successor, .. } = std::mem::take(&mut self.hand_over) {
@@ -190,7 +199,7 @@
         self.rearm_all_clients();
     }
 
-    /// Sets anew what each client connection is to be woken for.
+    /// Sets anew which events each client connection is polled for.
     fn rearm_all_clients(&mut self) {
         let keys: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -7,9 +7,9 @@
 #[cfg(feature = "sabotage")]
 use violetseam::interface::RequestId;
 
-/// Between two rounds of upkeep.
+/// The span between two rounds of upkeep.
 const UPKEEP_INTERVAL: Micros = 200_000;
-/// A listener that ran out of descriptors pauses so long.
+/// How long a listener pauses that ran out of descriptors or room.
 pub const ACCEPT_PAUSE: Micros = 50_000;
 
 /// What a timer is for. Timers that were set for one instant come due in the order of these variants.
@@ -45,7 +45,7 @@
     },
 }
 
-/// All of them, by time.
+/// The driver's timers, by time.
 pub type Timers = violetseam_event_io::timers::Timers<TimerKind>;
 
 /// When the present state of a connection has lasted too long.
@@ -67,12 +67,12 @@
         timeout
     }
 
-    /// When it is over; `None`: never.
+    /// When the state has lasted too long; `None`: never.
     pub(super) fn at(&self) -> Option<Micros> {
         (self.at < Micros::MAX).then_some(self.at)
     }
 
-    /// Moves it; [`StateTimeout::arm`] sets its timer.
+    /// Sets another time; [`StateTimeout::arm`] sets its timer.
     pub(super) fn set(&mut self, at: Option<Micros>) {
         self.at = at.unwrap_or(Micros::MAX);
     }
--- a/crates/proxy/src/engine/attempts.rs
+++ b/crates/proxy/src/engine/attempts.rs
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Starts an attempt, or ends it at once where none may start ([`violetseam::lease::Permissions::may_start`])
+    /// Starts an attempt, or ends it at once where none may start ([`violetseam::lease::SendPermissions::may_start`])
     /// or the fleet's budget is used up.
     pub(super) fn start_attempt(&mut self, now: Micros, id: RequestId, server: ServerId, cut_at: Micros) {
         let Some(request) = self.requests.get(&id) else { return };
