--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -24,7 +24,7 @@
         loop {
             if let Some(action) = self.engine.next_action() {
                 self.perform(action);
-            } else if let Some(client) = self.resumed_clients.pop() {
+            } else if let Some(client) = self.clients_to_resume.pop() {
                 self.resume_client(client);
             } else {
                 break;
@@ -44,7 +44,7 @@
             }
             EngineAction::CloseAttempt { request, attempt } => self.close_attempt(request, attempt),
             EngineAction::Respond { request, response } => self.respond(request, response),
-            EngineAction::Forget { request } => self.forget(request),
+            EngineAction::Forget { request } => self.forget_request(request),
             EngineAction::WatchServerList => self.watch_server_list(),
             EngineAction::FetchServerList => self.fetch_server_list(),
             EngineAction::Vote { build, stage, verdict } => {
@@ -68,7 +68,7 @@
         if self.sabotage == Some(Sabotage::LateAnswer) {
             return self.delay_response(self.now() + RESPONSE_DELAY, request, response);
         }
-        self.respond_now(request, response);
+        self.send_local_response(request, response);
     }
 
     /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -92,7 +92,7 @@
             return Err(error);
         }
         exchange.socket.flush()?;
-        exchange.socket.want(&self.handle, true);
+        exchange.socket.set_read_interest(&self.handle, true);
         Ok(())
     }
 
@@ -104,8 +104,8 @@
                     exchange.http.feed(&scratch[..count]);
                     self.process_publisher_events(id);
                 }
-                ReadOutcome::Nothing => break,
-                ReadOutcome::Closed | ReadOutcome::Broken => self.exchange_ended(id.purpose),
+                ReadOutcome::WouldBlock => break,
+                ReadOutcome::Closed | ReadOutcome::Failed => self.exchange_ended(id.purpose),
             }
         }
         self.scratch = scratch;
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -81,7 +81,7 @@
 impl Proxy {
     /// The addresses that clients can connect to.
     fn client_addresses(&self) -> Vec<SocketAddr> {
-        self.listeners.iter().filter_map(|open| open.listener.local_addr().ok()).collect()
+        self.listeners.iter().filter_map(|open| open.socket().local_addr().ok()).collect()
     }
 
     fn receive_signals(&mut self, signals: Signals) -> std::io::Result<()> {
@@ -148,7 +148,7 @@
 
     /// How long the next poll may wait for events. Starts the shutdown where the options say so.
     fn poll_timeout(&mut self, options: &Options, stop_at: Option<Instant>) -> Duration {
-        let mut timeout = self.timers.wait(self.now(), self.engine.next_deadline());
+        let mut timeout = self.timers.poll_timeout(self.now(), self.engine.next_deadline());
         if let Some(at) = stop_at {
             timeout = timeout.min(at.saturating_duration_since(Instant::now()));
             if at <= Instant::now() {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -11,7 +11,7 @@
 //! - `server_list.rs`: the server list
 //! - `saved_list.rs`: the server list on disk
 //! - `configuration/`: the subscription to a publisher, reports to it, and the configuration on disk
-//! - `operators/`: the control sockets, commands and the reading of the state
+//! - `operators/`: the control sockets, commands and the state that they read
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
 //! - `takeover/`: a new process takes the sockets and what the module learned
@@ -44,13 +44,13 @@
 pub use takeover::{Inherited, TakeoverError, inherit};
 
 use crate::engine::Engine;
-use calloop::{LoopHandle, RegistrationToken};
+use calloop::LoopHandle;
 use clients::{Client, InFlightRequest};
 use clock::Clock;
 use configuration::Subscription;
 use drain::Lifecycle;
 use operators::ControlServer;
-use operators::reading::AttemptsByBuild;
+use operators::daemon_state::AttemptsByBuild;
 use peers::PeerSocket;
 use rand::{Rng, RngExt, SeedableRng};
 use server_list::ServerList;
@@ -58,12 +58,12 @@
 use site_calls::SiteCalls;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
-use std::net::TcpListener;
 use std::rc::Rc;
 use takeover::HandOver;
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
+use violetseam_event_io::{IdleConnections, Listener};
 use violetseam_http1::Limits as HeadLimits;
 use violetseam_recorder::Recorder;
 use violetseam_settings::ProxySettings;
@@ -78,12 +78,6 @@
     generation: u64,
 }
 
-/// A listener for clients.
-struct ClientListener {
-    listener: Rc<TcpListener>,
-    token: RegistrationToken,
-}
-
 /// One proxy on its event loop.
 pub struct Proxy {
     /// The control sockets, where a daemon runs this proxy.
@@ -93,14 +87,14 @@
     handle: LoopHandle<'static, Proxy>,
     clock: Clock,
     hand_over: HandOver,
-    listeners: Vec<ClientListener>,
+    listeners: Vec<Listener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
     site_calls: SiteCalls,
     /// Requests with an attempt or a response to come.
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
-    idle_servers: BTreeMap<ServerId, Vec<usize>>,
+    idle_servers: IdleConnections<ServerId>,
     timers: Timers,
     server_list: ServerList,
     /// To a publisher's configuration, where the settings name one.
@@ -120,9 +114,9 @@
     /// When a drain closes the listeners whatever waits in their queues.
     listen_until: Micros,
     /// Bounds how often lines are logged that others can cause.
-    log_limit: RateLimit,
+    log_limit: LogRateLimit,
     /// Clients with unprocessed input, to be resumed after the engine's actions.
-    resumed_clients: Vec<ConnectionId>,
+    clients_to_resume: Vec<ConnectionId>,
     /// The engine's actions are being performed further up the stack.
     is_running_actions: bool,
     /// Sockets were ready in this turn.
@@ -162,7 +156,7 @@
             servers: Slab::new(),
             site_calls: SiteCalls::new(inherited.map_or(0, Inherited::release_fence)),
             in_flight: HashMap::new(),
-            idle_servers: BTreeMap::new(),
+            idle_servers: IdleConnections::default(),
             timers: Timers::default(),
             server_list: ServerList::default(),
             subscription: None,
@@ -174,8 +168,8 @@
             generation: 0,
             lifecycle: Lifecycle::default(),
             listen_until: 0,
-            log_limit: RateLimit::default(),
-            resumed_clients: Vec::new(),
+            log_limit: LogRateLimit::default(),
+            clients_to_resume: Vec::new(),
             is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -129,7 +129,7 @@
         }
         let written_bytes = call.socket.flush().map_err(|_| CallError::ConnectionLost)?;
         call.is_written |= written_bytes > 0;
-        call.socket.want(&self.handle, true);
+        call.socket.set_read_interest(&self.handle, true);
         Ok(())
     }
 
@@ -141,7 +141,7 @@
                     call.http.feed(&scratch[..count]);
                     self.process_call_events(key);
                 }
-                ReadOutcome::Nothing => break,
+                ReadOutcome::WouldBlock => break,
                 ReadOutcome::Closed => {
                     if let Some(ClientEvent::End { .. }) = call.http.close() {
                         self.on_answer_end(key);
@@ -149,7 +149,7 @@
                     self.end_call(key, &CallError::Closed);
                     break;
                 }
-                ReadOutcome::Broken => {
+                ReadOutcome::Failed => {
                     self.end_call(key, &CallError::ConnectionLost);
                     break;
                 }
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -118,7 +118,7 @@
     /// The sockets to hand over, in the order of the [`Offer`]'s fields.
     fn offered_descriptors(&self, idle_clients: &[usize]) -> Vec<BorrowedFd<'_>> {
         let mut descriptors: Vec<BorrowedFd<'_>> =
-            self.listeners.iter().map(|open| open.listener.as_fd()).collect();
+            self.listeners.iter().map(|open| open.socket().as_fd()).collect();
         descriptors.extend(self.peer_socket.as_ref().map(|peers| peers.socket().as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(idle_clients).into_iter().map(AsFd::as_fd));
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -118,7 +118,7 @@
             TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
             TimerKind::Upkeep => self.upkeep(now),
             #[cfg(feature = "sabotage")]
-            TimerKind::DelayedResponse { request, response } => self.respond_now(request, response),
+            TimerKind::DelayedResponse { request, response } => self.send_local_response(request, response),
         }
     }
 
--- a/crates/simulated-site/src/drive/streams.rs
+++ b/crates/simulated-site/src/network/streams.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Conn, Later, Role};
 use super::state::Site;
-use crate::day::{Kind, Trouble};
+use crate::scenario::{Fault, FaultKind};
 use http::StatusCode;
 use http::header::HeaderMap;
 use violetseam_http1::Framing;
@@ -15,7 +15,7 @@
         if conn.socket.flush().is_err() {
             return self.close(key);
         }
-        conn.socket.want(&self.handle, true);
+        conn.socket.set_read_interest(&self.handle, true);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -38,7 +38,7 @@
                 let _ = self.handle.enable(token);
             }
         }
-        if let (Role::Roster, Some((proxy, ..))) = (conn.role, conn.stream)
+        if let (Role::Discovery, Some((proxy, ..))) = (conn.role, conn.stream)
             && self.kept.watches.get(&proxy) == Some(&key)
         {
             self.kept.watches.remove(&proxy);
@@ -67,9 +67,14 @@
     }
 
     /// Proxies are cut off from the roster or the desk: their endless answers end.
-    pub(super) fn cut_streams(&mut self, trouble: &Trouble) {
-        let role = if trouble.kind == Kind::RosterCut { Role::Roster } else { Role::Desk };
-        let cut = |c: &Conn| c.role == role && c.stream.is_some_and(|s| trouble.on.contains(&(s.0 as usize)));
+    pub(super) fn cut_streams(&mut self, trouble: &Fault) {
+        let role = if trouble.kind == FaultKind::DiscoveryPartition {
+            Role::Discovery
+        } else {
+            Role::ReleaseService
+        };
+        let cut =
+            |c: &Conn| c.role == role && c.stream.is_some_and(|s| trouble.targets.contains(&(s.0 as usize)));
         let cut: Vec<usize> = self.conns.iter().filter(|(_, c)| cut(c)).map(|(k, _)| k).collect();
         cut.into_iter().for_each(|key| self.close(key));
     }
@@ -94,7 +99,7 @@
         }
         let mut jobs = Vec::new();
         for (_, conn) in self.conns.iter_mut().filter(|(_, c)| c.role == Role::Server(machine)) {
-            conn.socket.want(&self.handle, false);
+            conn.socket.set_read_interest(&self.handle, false);
             jobs.extend(conn.job.take());
         }
         for job in jobs {
@@ -113,7 +118,7 @@
     /// Starts an answer of lines; `whole`: it ends with them.
     pub(super) fn stream(&mut self, key: usize, lines: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let (out, none) = (conn.socket.write_buffer(), HeaderMap::new());
         let framing = if whole { Framing::Length(lines.len() as u64) } else { Framing::Chunked };
         conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
         conn.http.write_body(out, lines);
@@ -125,7 +130,7 @@
 
     pub(super) fn stream_more(&mut self, key: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        conn.http.write_body(conn.socket.out(), line);
+        conn.http.write_body(conn.socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -139,7 +144,7 @@
                     self.stream(key, &body, true);
                 }
                 Later::Read(key, generation) if fresh(key, generation) => {
-                    self.conns[key].socket.want(&self.handle, true);
+                    self.conns[key].socket.set_read_interest(&self.handle, true);
                 }
                 Later::Reply(..) | Later::Read(..) => {}
             }
