--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,30 +1,34 @@
 //! The driver: sockets, datagrams, signals and the clock on one `calloop` event loop, for one [`Engine`].
 //!
-//! - `event_loop.rs`: start, turns of the event loop, and the engine's actions
+//! - `options.rs`: how a proxy is started, and what it reports in the end
+//! - `event_loop.rs`: start, and turns of the event loop
+//! - `actions.rs`: the engine's actions
+//! - `clock.rs`: the event loop's clock
 //! - `drain.rs`: the end of a proxy's work, and its summary
 //! - `clients/`: listeners and client connections, up to a complete request and from an answer on
 //! - `servers/`: connections to servers and the attempts on them
-//! - `site_calls.rs`: calls to discovery and to the release service
+//! - `site_calls/`: calls to discovery and to the release service
+//! - `server_list.rs`: the server list
 //! - `saved_list.rs`: the server list on disk
-//! - `configuration.rs`: the subscription to a publisher, and reports to it
-//! - `configuration_store.rs`: the last good configuration on disk
+//! - `configuration/`: the subscription to a publisher, reports to it, and the configuration on disk
 //! - `operators/`: the control sockets, commands and the state that they read
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
-//! - `takeover.rs`: a new process takes the sockets and what the module learned
-//! - `descriptor_passing.rs`: file descriptors in messages
+//! - `takeover/`: a new process takes the sockets and what the module learned
 //! - `timers.rs`: the driver's own time-outs, all of them bounds of connections
 
+mod actions;
 mod clients;
+mod clock;
 mod configuration;
-mod configuration_store;
-mod descriptor_passing;
 mod drain;
 mod event_loop;
 mod http_request;
 mod operators;
+mod options;
 mod peers;
 mod saved_list;
+mod server_list;
 mod servers;
 mod site_calls;
 mod takeover;
@@ -34,82 +38,38 @@
 pub use operators::{
     DaemonError, Operators, Reload, Reloaded, Reopen, Reopened, SetLog, StateWriter, StateWriterError,
 };
+#[cfg(feature = "sabotage")]
+pub use options::Sabotage;
+pub use options::{Options, Summary};
 pub use takeover::{Inherited, TakeoverError, inherit};
 
 use crate::engine::Engine;
-use calloop::{LoopHandle, RegistrationToken};
+use calloop::LoopHandle;
 use clients::{Client, InFlightRequest};
+use clock::Clock;
 use configuration::Subscription;
+use drain::Lifecycle;
 use operators::ControlServer;
 use operators::daemon_state::AttemptsByBuild;
+use peers::PeerSocket;
 use rand::{Rng, RngExt, SeedableRng};
+use server_list::ServerList;
 use servers::Server;
-use site_calls::Call;
+use site_calls::SiteCalls;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
-use std::net::UdpSocket;
-use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
-use std::time::{Duration, Instant};
+use takeover::HandOver;
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
 use violetseam_event_io::log_rate_limit::LogRateLimit;
 use violetseam_event_io::{IdleConnections, Listener};
 use violetseam_http1::Limits as HeadLimits;
-use violetseam_recorder::{Bounds, Recorder};
+use violetseam_recorder::Recorder;
 use violetseam_settings::ProxySettings;
-use violetseam_site_protocol::endpoint_list::{self, EndpointList};
 
-/// One read takes at most so much.
+/// The most bytes that one read takes.
 const READ_BYTES: usize = 64 * 1024;
-/// The event loop's clock at the start of a proxy that takes over from nobody.
-const FIRST_CLOCK: Micros = 1_000_000;
-
-/// How a proxy is started beside its settings.
-#[derive(Clone, Debug, Default)]
-pub struct Options {
-    /// Records every event and action there.
-    pub record: Option<(PathBuf, Bounds)>,
-    /// Measures the time spent in the module.
-    pub time_module: bool,
-    /// Stops by itself after this span.
-    pub stop_after: Option<Duration>,
-    /// Drains once this is set, for proxies that share a process with others and its signals.
-    pub stop: Option<Arc<AtomicBool>>,
-    /// For the checker's own tests: how this proxy breaks the rules on purpose.
-    #[cfg(feature = "sabotage")]
-    pub sabotage: Option<Sabotage>,
-}
-
-/// Ways to break the rules on purpose, so that the rule checker can be seen to notice. Only in builds with
-/// the feature `sabotage`; the module and the engine are the ordinary ones.
-#[cfg(feature = "sabotage")]
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
-    /// Every twentieth request goes out twice.
-    DoubleSend,
-    /// Final answers of the proxy's own are delayed until after the deadline.
-    LateAnswer,
-    /// Discovery's notice that a server drains is ignored.
-    IgnoreDrains,
-    /// The fleet's budgets are ignored.
-    Spendthrift,
-}
-
-/// What a proxy did, reported when it stops.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Summary {
-    /// Requests and attempts.
-    pub counts: crate::engine::Counts,
-    /// Client connections and server connections left open: 0 after a drain.
-    pub left_open: usize,
-    /// Requests left in flight: 0 after a drain.
-    pub left_in_flight: usize,
-    /// Time spent in the module, if measured.
-    pub module_time: Duration,
-}
 
 /// A connection, by its place among those of its kind and its generation, as places are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -118,72 +78,54 @@
     generation: u64,
 }
 
-/// An entry of the server list, and when it was received.
-struct ListedServer {
-    received_at: Micros,
-    entry: endpoint_list::Endpoint,
-}
-
 /// One proxy on its event loop.
 pub struct Proxy {
+    /// The control sockets, where a daemon runs this proxy.
     control: Option<ControlServer>,
     settings: Rc<ProxySettings>,
     engine: Engine,
     handle: LoopHandle<'static, Proxy>,
-    started: Instant,
-    /// The event loop's clock at the start.
-    origin: Micros,
-    /// A process that is taking over: its connection to the control socket.
-    successor: Option<ConnectionId>,
-    handed_over: bool,
-    /// Idle connections that were offered to it.
-    offered_clients: Vec<usize>,
+    clock: Clock,
+    hand_over: HandOver,
     listeners: Vec<Listener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
-    calls: Slab<Call>,
+    site_calls: SiteCalls,
+    /// Requests with an attempt or a response to come.
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
     idle_servers: IdleConnections<ServerId>,
     timers: Timers,
-    server_list: EndpointList,
-    /// The entries of the server list as discovery stated them.
-    listed_servers: BTreeMap<ServerId, ListedServer>,
-    /// The list has changed since it was saved.
-    list_changed: bool,
-    /// The call that is subscribed to the server list.
-    watch: Option<usize>,
-    /// The call that streams the release's state.
-    release_stream: Option<usize>,
-    /// Which of the settings' controllers is called.
-    release_service_index: usize,
-    /// The highest fencing number received from a controller.
-    release_fence: u64,
+    server_list: ServerList,
     /// To a publisher's configuration, where the settings name one.
     subscription: Option<Box<Subscription>>,
-    udp: Option<Rc<UdpSocket>>,
-    udp_token: Option<RegistrationToken>,
+    /// For peers, where the settings name an address.
+    peer_socket: Option<PeerSocket>,
+    /// The proxy's entry in a request's `Via` field.
     via: String,
+    /// The bounds of a message's head and body.
     head_limits: HeadLimits,
+    /// Read buffer, shared by all connections.
     scratch: Vec<u8>,
     rng: rand_pcg::Pcg64,
+    /// The generation of the latest connection.
     generation: u64,
-    /// Takes nothing new but what is on its way.
-    draining: bool,
+    lifecycle: Lifecycle,
     /// When a drain closes the listeners whatever waits in their queues.
     listen_until: Micros,
-    /// Ends once nothing is left in flight.
-    ending: bool,
-    stopping: bool,
+    /// Bounds how often lines are logged that others can cause.
     log_limit: LogRateLimit,
-    /// Clients whose input waits for its turn.
+    /// Clients with unprocessed input, to be resumed after the engine's actions.
     clients_to_resume: Vec<ConnectionId>,
+    /// The engine's actions are being performed further up the stack.
     is_running_actions: bool,
     /// Sockets were ready in this turn.
     had_socket_events: bool,
+    /// The latest vote, as operators read it.
     last_vote: Option<String>,
+    /// The latest log line of the analysis, as operators read it.
     last_finding: Option<String>,
-    list_received_at: Option<Micros>,
+    /// When a datagram of each peer was last received.
     peers_heard_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
@@ -207,44 +149,31 @@
             control: None,
             engine,
             handle,
-            started: Instant::now(),
-            origin: inherited.map_or(FIRST_CLOCK, Inherited::clock),
-            successor: None,
-            handed_over: false,
-            offered_clients: Vec::new(),
+            clock: Clock::start(inherited),
+            hand_over: HandOver::default(),
             listeners: Vec::new(),
             clients: Slab::new(),
             servers: Slab::new(),
-            calls: Slab::new(),
+            site_calls: SiteCalls::new(inherited.map_or(0, Inherited::release_fence)),
             in_flight: HashMap::new(),
             idle_servers: IdleConnections::default(),
             timers: Timers::default(),
-            server_list: EndpointList::default(),
-            listed_servers: BTreeMap::new(),
-            list_changed: false,
-            watch: None,
-            release_stream: None,
-            release_service_index: 0,
-            release_fence: inherited.map_or(0, Inherited::release_fence),
+            server_list: ServerList::default(),
             subscription: None,
-            udp: None,
-            udp_token: None,
+            peer_socket: None,
             via: format!("1.1 {}-{}", settings.name, settings.decisions.position),
             head_limits: head_limits(&settings),
             scratch: vec![0; READ_BYTES],
             rng,
             generation: 0,
-            draining: false,
+            lifecycle: Lifecycle::default(),
             listen_until: 0,
-            ending: false,
-            stopping: false,
             log_limit: LogRateLimit::default(),
             clients_to_resume: Vec::new(),
             is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
-            list_received_at: None,
             peers_heard_at: BTreeMap::new(),
             attempts_by_build: AttemptsByBuild::default(),
             #[cfg(feature = "sabotage")]
@@ -253,14 +182,14 @@
         })
     }
 
-    /// The event loop's clock in microseconds: one second at the start, or where the process before had it.
+    /// The event loop's clock in microseconds.
     fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.clock.now()
     }
 
-    /// Answers close their connections: this process takes nothing new, or will not in a moment.
+    /// Whether each response closes its connection: this process has stopped accepting, or is about to.
     fn is_leaving(&self) -> bool {
-        self.draining || self.is_handing_over()
+        self.lifecycle.is_draining() || self.is_handing_over()
     }
 
     fn next_generation(&mut self) -> u64 {
@@ -268,7 +197,7 @@
         self.generation
     }
 
-    /// A draw for an answer's identity or a wait.
+    /// A random number, for an answer's identity or a wait.
     fn draw(&mut self) -> u64 {
         self.rng.random()
     }
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -3,13 +3,13 @@
 use super::ConnectionId;
 #[cfg(feature = "sabotage")]
 use crate::engine::LocalResponse;
+use violetseam::interface::Micros;
 #[cfg(feature = "sabotage")]
 use violetseam::interface::RequestId;
-use violetseam::interface::{Micros, Outcome};
 
-/// Between two rounds of upkeep.
+/// The span between two rounds of upkeep.
 const UPKEEP_INTERVAL: Micros = 200_000;
-/// A listener that ran out of descriptors pauses so long.
+/// How long a listener pauses that ran out of descriptors or room.
 pub const ACCEPT_PAUSE: Micros = 50_000;
 
 /// What a timer is for. Timers that were set for one instant come due in the order of these variants.
@@ -38,14 +38,14 @@
     /// A final response that is delayed on purpose.
     #[cfg(feature = "sabotage")]
     DelayedResponse {
+        /// The request that it answers.
         request: RequestId,
-        /// The response's Retry-After, if it is a rejection.
-        retry_after: Option<Micros>,
-        timed_out: bool,
+        /// The response.
+        response: LocalResponse,
     },
 }
 
-/// All of them, by time.
+/// The driver's timers, by time.
 pub type Timers = violetseam_event_io::timers::Timers<TimerKind>;
 
 /// When the present state of a connection has lasted too long.
@@ -67,12 +67,12 @@
         timeout
     }
 
-    /// When it is over; `None`: never.
+    /// When the state has lasted too long; `None`: never.
     pub(super) fn at(&self) -> Option<Micros> {
         (self.at < Micros::MAX).then_some(self.at)
     }
 
-    /// Moves it; [`StateTimeout::arm`] sets its timer.
+    /// Sets another time; [`StateTimeout::arm`] sets its timer.
     pub(super) fn set(&mut self, at: Option<Micros>) {
         self.at = at.unwrap_or(Micros::MAX);
     }
@@ -118,13 +118,7 @@
             TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
             TimerKind::Upkeep => self.upkeep(now),
             #[cfg(feature = "sabotage")]
-            TimerKind::DelayedResponse { request, retry_after, timed_out } => {
-                let response = match retry_after {
-                    Some(retry_after) => LocalResponse::Rejected { retry_after },
-                    None => LocalResponse::Failed { timed_out },
-                };
-                self.send_local_response(request, response);
-            }
+            TimerKind::DelayedResponse { request, response } => self.send_local_response(request, response),
         }
     }
 
@@ -140,27 +134,14 @@
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
         }
-        if std::mem::take(&mut self.list_changed) {
+        if self.server_list.take_unsaved() {
             self.save_list();
         }
     }
 
+    /// Gives a final response later, on purpose.
     #[cfg(feature = "sabotage")]
     pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, response: LocalResponse) {
-        let kind = match response {
-            LocalResponse::Rejected { retry_after } => {
-                TimerKind::DelayedResponse { request, retry_after: Some(retry_after), timed_out: false }
-            }
-            LocalResponse::Failed { timed_out } => {
-                TimerKind::DelayedResponse { request, retry_after: None, timed_out }
-            }
-        };
-        self.timers.set(at, kind);
-    }
-
-    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that come of it.
-    pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
-        let now = self.now();
-        self.engine.on_attempt_ended(now, request, attempt, outcome)
+        self.timers.set(at, TimerKind::DelayedResponse { request, response });
     }
 }
