--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -1,10 +1,9 @@
-//! Operators' connections, from a line to its answer.
+//! Operators' connections: readiness, time-outs and their end.
 
 use super::super::takeover::HandOverError;
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
 use super::ControlServer;
-use super::commands::QueuedCommand;
 use super::stream::{OperatorStream, Transport};
 use calloop::Readiness;
 use rustls::ServerConnection;
@@ -12,29 +11,28 @@
 use std::os::unix::net::UnixStream;
 use violetseam::interface::Micros;
 use violetseam_event_io::ReadOutcome;
-use violetseam_operator_commands::wire::{self, Request, Response};
 
-/// Over TCP, how long the other side may take to show its certificate.
+/// The time that a TLS handshake may take.
 pub(super) const HANDSHAKE_TIMEOUT: Micros = 3_000_000;
-/// A connection that asks nothing for so long is closed.
+/// A connection without input for this span is closed.
 pub(super) const IDLE_TIMEOUT: Micros = 30_000_000;
-/// An operator that leaves more unread is not waited for.
-const MAX_UNWRITTEN_BYTES: usize = 4 * wire::MAX_LINE_BYTES;
 
 /// One operator's connection.
 pub(super) struct Connection {
-    generation: u64,
-    stream: OperatorStream,
-    input: Vec<u8>,
+    pub(super) generation: u64,
+    pub(super) stream: OperatorStream,
+    pub(super) input: Vec<u8>,
     last_read_at: Micros,
 }
 
 impl Connection {
-    fn is_local(&self) -> bool {
+    /// Whether it came over the local socket.
+    pub(super) fn is_local(&self) -> bool {
         self.stream.unix_stream().is_some()
     }
 
-    fn next_line(&mut self) -> Option<Vec<u8>> {
+    /// Takes the next complete line out of the input.
+    pub(super) fn next_line(&mut self) -> Option<Vec<u8>> {
         let end = self.input.iter().position(|byte| *byte == b'\n')?;
         Some(self.input.drain(..=end).collect())
     }
@@ -82,7 +80,7 @@
         self.timers.set(now + timeout, TimerKind::Operator(ConnectionId { key, generation }));
     }
 
-    /// The time that was set for a connection may be over.
+    /// A connection's time-out may have expired.
     pub(in super::super) fn operator_timeout(&mut self, id: ConnectionId) {
         let now = self.now();
         let Some(control) = &self.control else { return };
@@ -119,6 +117,7 @@
         connection.stream.unix_stream().filter(|_| connection.generation == id.generation)
     }
 
+    /// A connection is ready to be read or written.
     fn on_operator(&mut self, key: usize, readiness: Readiness) {
         let Some(control) = &mut self.control else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
@@ -133,7 +132,7 @@
         self.run_engine_actions();
     }
 
-    /// Reads once; breaks off where nothing read is a question.
+    /// Reads once; breaks off where the input is no operator's request.
     fn read_operator(&mut self, key: usize) -> ControlFlow<()> {
         let now = self.now();
         let connection = self.control.as_mut().and_then(|control| control.connections.get_mut(key));
@@ -160,74 +159,4 @@
             }
         }
     }
-
-    fn handle_requests(&mut self, key: usize) {
-        loop {
-            let Some(control) = &mut self.control else { return };
-            let Some(connection) = control.connections.get_mut(key) else { return };
-            let Some(line) = connection.next_line() else {
-                if connection.input.len() > wire::MAX_LINE_BYTES {
-                    self.send_response(key, &Response::Malformed { reason: "line too long".into() });
-                    return self.close_operator(key);
-                }
-                return connection.stream.set_read_interest(&self.handle, true);
-            };
-            if self.handle_request(key, line.trim_ascii_end()).is_break() {
-                return;
-            }
-        }
-    }
-
-    /// Answers one line; breaks off where the connection is a successor's from here on.
-    fn handle_request(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
-        let Some(control) = &self.control else { return ControlFlow::Break(()) };
-        let Some(connection) = control.connections.get(key) else { return ControlFlow::Break(()) };
-        let ask = match wire::parse_request(line) {
-            Ok(ask) => ask,
-            Err(error) => {
-                self.send_response(key, &Response::Malformed { reason: error.to_string() });
-                return ControlFlow::Continue(());
-            }
-        };
-        match ask {
-            Request::Whoami => {
-                let version = env!("CARGO_PKG_VERSION").to_owned();
-                let answer = Response::Whoami { name: self.own_name(), boot: control.boot, version };
-                self.send_response(key, &answer);
-            }
-            Request::State => {
-                let reading = self.daemon_state();
-                self.send_response(key, &Response::State(Box::new(reading)));
-            }
-            Request::Takeover if connection.is_local() => {
-                self.start_hand_over(key);
-                return ControlFlow::Break(());
-            }
-            Request::Takeover => {
-                let reason = "sockets are handed over on the local control socket alone".into();
-                self.send_response(key, &Response::Malformed { reason });
-            }
-            Request::Command(mut command) => {
-                // Over TCP the certificate names the issuer; the name in the command is added to it.
-                let holder = connection.stream.certificate_holder();
-                if let Some(holder) = holder.filter(|holder| *holder != command.issuer) {
-                    command.issuer = format!("{holder} as {}", command.issuer);
-                }
-                let id = ConnectionId { key, generation: connection.generation };
-                self.queue_command(QueuedCommand { connection: id, command });
-            }
-        }
-        ControlFlow::Continue(())
-    }
-
-    /// Sends an answer; closes the connection of an operator that does not read.
-    pub(super) fn send_response(&mut self, key: usize, answer: &Response) {
-        let Some(control) = &mut self.control else { return };
-        let Some(connection) = control.connections.get_mut(key) else { return };
-        let sent = connection.stream.send(&wire::encode_line(answer));
-        if sent.is_err() || connection.stream.unwritten() > MAX_UNWRITTEN_BYTES {
-            return self.close_operator(key);
-        }
-        connection.stream.set_read_interest(&self.handle, true);
-    }
 }
--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -1,4 +1,4 @@
-//! The reading of the state that operators ask for.
+//! The state that operators read.
 
 use super::super::Proxy;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
     BuildAttempts, ConnectionCounts, DaemonState, PauseState, QuotaState, ReleaseState, RequestCounts,
 };
 
-/// Peers heard from so recently count as heard.
+/// A peer counts as heard if a datagram of it arrived within this span.
 const RECENT_PEER_SPAN: Micros = 10_000_000;
 /// The span over which attempts are counted by build.
 const BUILD_COUNT_SPAN: Micros = 10_000_000;
@@ -48,12 +48,12 @@
         format!("{}-{}", self.settings.name, self.settings.decisions.position)
     }
 
-    /// Records the latest vote for the reading.
+    /// Records the latest vote for the state that operators read.
     pub(in super::super) fn record_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         self.last_vote = Some(format!("{verdict:?} on build {build}, stage {stage}").to_lowercase());
     }
 
-    /// Counts an attempt for the reading, by the build that its server is listed with.
+    /// Counts an attempt for the state that operators read, by the build that its server is listed with.
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -1,9 +1,16 @@
-//! The control sockets, local and TCP: operators' questions and commands, and the one reading of the state.
+//! The control sockets, local and TCP: operators' queries and commands.
 //!
 //! What a command leads to is decided in `violetseam-operator-commands`. A command is stored durably before
 //! it is applied and answered: the state writer works on a thread of its own, as a slow disk must not hold up
-//! traffic, and commands wait for each other meanwhile. A command that cannot be stored is refused and
+//! traffic, and commands wait for each other meanwhile. A command that cannot be stored is rejected and
 //! changes nothing.
+//!
+//! - `listeners`: the control sockets, and accepting from them
+//! - `connections`, `stream`: operators' connections, in plain text or under TLS
+//! - `requests`: a request line and its response
+//! - `commands`, `persistence`: commands, and the thread that stores them
+//! - `daemon_state`: the state that operators read
+//! - `reload`: settings that are read again
 
 pub(super) mod commands;
 mod connections;
@@ -11,6 +18,7 @@
 mod listeners;
 mod persistence;
 mod reload;
+mod requests;
 mod stream;
 
 use calloop::channel::Sender;
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -10,7 +10,7 @@
 use std::os::unix::net::UnixStream;
 use violetseam_event_io::{ReadOutcome, Socket};
 
-/// One read takes at most so much.
+/// The size of one read.
 const READ_BYTES: usize = 4_096;
 
 /// The stream under an operator's connection.
@@ -50,14 +50,14 @@
     }
 }
 
-/// One connection, with what TLS keeps of it.
+/// One connection, with its TLS state if it has any.
 pub(super) struct OperatorStream {
     socket: Socket<Transport>,
     tls: Option<Box<ServerConnection>>,
 }
 
 impl OperatorStream {
-    /// Puts a connection on the event loop.
+    /// Registers a connection on the event loop.
     pub(super) fn register(
         handle: &LoopHandle<'static, Proxy>,
         stream: Transport,
@@ -67,50 +67,39 @@
         Ok(OperatorStream { socket: Socket::register(handle, stream, Interest::READ, on_ready)?, tls })
     }
 
-    /// Whether the other side has still to show who it is.
+    /// Whether the TLS handshake is not complete, so that the peer is not authenticated yet.
     pub(super) fn is_handshaking(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
     }
 
-    /// Who the certificate says it is; none over the local socket, whose mode says who can open it.
+    /// The name in the peer's certificate; none over the local socket, whose mode says who can open it.
     pub(super) fn certificate_holder(&self) -> Option<String> {
         let certs = self.tls.as_ref()?.peer_certificates()?;
         certs.first().map(|cert| violetseam_tls_config::holder(cert))
     }
 
-    /// Reads once; what an operator sent is appended to `input`.
+    /// Reads once and appends the operator's bytes to `input`.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
-        let got = self.socket.read(&mut bytes);
-        let ReadOutcome::Bytes(n) = got else { return got };
+        let outcome = self.socket.read(&mut bytes);
+        let ReadOutcome::Bytes(n) = outcome else { return outcome };
         let Some(tls) = &mut self.tls else {
             input.extend_from_slice(&bytes[..n]);
-            return got;
+            return outcome;
         };
-        let before = input.len();
-        let mut sealed = &bytes[..n];
-        while !sealed.is_empty() {
-            // Nothing is flushed on a fault: a peer without a trusted certificate gets no reason.
-            if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
-                return ReadOutcome::Failed;
-            }
-            let mut plain = [0; READ_BYTES];
-            loop {
-                match tls.reader().read(&mut plain) {
-                    Ok(0) => {
-                        let read = input.len() - before;
-                        return if read > 0 { ReadOutcome::Bytes(read) } else { ReadOutcome::Closed };
-                    }
-                    Ok(n) => input.extend_from_slice(&plain[..n]),
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(_) => return ReadOutcome::Failed,
-                }
-            }
+        let length_before = input.len();
+        let decrypted = decrypt(tls, &bytes[..n], input);
+        let read = input.len() - length_before;
+        match decrypted {
+            DecryptOutcome::Complete if self.flush().is_ok() => ReadOutcome::Bytes(read),
+            DecryptOutcome::CloseNotify if read > 0 => ReadOutcome::Bytes(read),
+            DecryptOutcome::CloseNotify => ReadOutcome::Closed,
+            // Nothing is flushed on an error: a peer without a trusted certificate gets no reason.
+            DecryptOutcome::Complete | DecryptOutcome::Failed => ReadOutcome::Failed,
         }
-        if self.flush().is_err() { ReadOutcome::Failed } else { ReadOutcome::Bytes(input.len() - before) }
     }
 
-    /// Takes bytes to be sent.
+    /// Queues bytes and writes what the connection accepts.
     pub(super) fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         match &mut self.tls {
             Some(tls) => tls.writer().write_all(bytes)?,
@@ -119,7 +108,7 @@
         self.flush()
     }
 
-    /// Writes what it can.
+    /// Writes as much as the connection accepts now.
     pub(super) fn flush(&mut self) -> std::io::Result<()> {
         if let Some(tls) = &mut self.tls {
             while tls.wants_write() {
@@ -129,8 +118,8 @@
         self.socket.flush().map(|_| ())
     }
 
-    /// Bytes that wait to be written.
-    pub(super) fn unwritten(&self) -> usize {
+    /// How many bytes have not been written yet.
+    pub(super) fn unwritten_bytes(&self) -> usize {
         self.socket.unwritten_bytes()
     }
 
@@ -139,7 +128,7 @@
         self.socket.set_read_interest(handle, readable);
     }
 
-    /// Takes the connection off the event loop and closes it.
+    /// Removes the connection from the event loop and closes it.
     pub(super) fn remove(&self, handle: &LoopHandle<'static, Proxy>) {
         self.socket.remove(handle);
     }
@@ -152,3 +141,32 @@
         }
     }
 }
+
+/// How the decryption of received bytes ended.
+enum DecryptOutcome {
+    /// All are decrypted.
+    Complete,
+    /// The peer ended the TLS session.
+    CloseNotify,
+    /// The peer violated the protocol, or is not trusted.
+    Failed,
+}
+
+/// Decrypts received bytes and appends the plain text to `input`.
+fn decrypt(tls: &mut ServerConnection, mut sealed: &[u8], input: &mut Vec<u8>) -> DecryptOutcome {
+    while !sealed.is_empty() {
+        if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
+            return DecryptOutcome::Failed;
+        }
+        let mut plain = [0; READ_BYTES];
+        loop {
+            match tls.reader().read(&mut plain) {
+                Ok(0) => return DecryptOutcome::CloseNotify,
+                Ok(n) => input.extend_from_slice(&plain[..n]),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+                Err(_) => return DecryptOutcome::Failed,
+            }
+        }
+    }
+    DecryptOutcome::Complete
+}
