--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -8,8 +8,8 @@
 
 /// Descriptors for the loop, the log, signals, listener, datagrams, discovery, pipeline and votes.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// An idle connection may be closed to make room once it has been idle for this span: a client that has just been
-/// answered is likely to go on.
+/// An idle connection may be closed to make room once it has been idle for this span: a client that has just
+/// been answered is likely to go on.
 const MIN_IDLE_BEFORE_EVICTION: Micros = 2_000_000;
 /// A connection that has sent no call for this span since it came up is evicted before any other.
 const MIN_SILENCE_BEFORE_EVICTION: Micros = 100_000;
@@ -53,8 +53,8 @@
 }
 
 impl Proxy {
-    /// Makes room for a client: a connection that has sent no call is evicted first, then the one that has been idle
-    /// longest. Whether there is room.
+    /// Makes room for a client: a connection that has sent no call is evicted first, then the one that has
+    /// been idle longest. Whether there is room.
     pub(super) fn make_room_for_client(&mut self) -> bool {
         if self.clients.len() < self.budgets.clients {
             return true;
@@ -74,8 +74,8 @@
         true
     }
 
-    /// Makes room for a connection to a server: the idle one that has been idle longest is closed, to whichever server.
-    /// Whether there is room.
+    /// Makes room for a connection to a server: the idle one that has been idle longest is closed, to
+    /// whichever server. Whether there is room.
     pub(super) fn make_room_for_server(&mut self) -> bool {
         if self.servers.len() < self.budgets.servers {
             return true;
--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -5,8 +5,8 @@
 use violetseam::interface::{Micros, RequestId};
 use violetseam_event_io::{Socket, WRITE_BUFFER_HIGH_WATERMARK};
 
-/// Commands of one connection that wait for their responses at once, and that one read may bring: clients open
-/// more connections where all are busy, so a longer burst does not come from one of them.
+/// Commands of one connection that wait for their responses at once, and that one read may bring: clients
+/// open more connections where all are busy, so a longer burst does not come from one of them.
 pub(super) const MAX_PIPELINED_COMMANDS: usize = 32;
 /// A connection that has not sent one complete command within this span is closed.
 const FIRST_COMMAND_TIMEOUT: Micros = 1_500_000;
@@ -14,8 +14,8 @@
 const PARTIAL_COMMAND_TIMEOUT: Micros = 1_500_000;
 /// After a response that ends the connection, its input is read and dropped for this span ...
 const LINGER_TIMEOUT: Micros = 300_000;
-/// ... and up to this many bytes: a connection closed at once over unread bytes would be reset, and the response could
-/// be lost with it.
+/// ... and up to this many bytes: a connection closed at once over unread bytes would be reset, and the
+/// response could be lost with it.
 pub(super) const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// Responses that a client does not read are held for this span.
 const WRITE_STALL_TIMEOUT: Micros = 3_000_000;
@@ -47,10 +47,11 @@
     Open,
     /// Nothing more is read: the connection ends after its pending responses.
     Closing,
-    /// The last response was an error, and the write side is closed; this many bytes of input have been dropped.
+    /// The last response was an error, and the write side is closed; this many bytes of input have been
+    /// dropped.
     Lingering(usize),
-    /// This side has ended the connection between two requests. Nothing is read any more: a request that crossed the
-    /// end on the way is not accepted, and its client sends it elsewhere.
+    /// This side has ended the connection between two requests. Nothing is read any more: a request that
+    /// crossed the end on the way is not accepted, and its client sends it elsewhere.
     Ended,
 }
 
@@ -78,13 +79,14 @@
         }
     }
 
-    /// No response is pending on it, and no part of a command has arrived: it may be closed without the loss of a
-    /// request, provided that nothing lies unread either.
+    /// No response is pending on it, and no part of a command has arrived: it may be closed without the loss
+    /// of a request, provided that nothing lies unread either.
     pub fn is_idle(&self) -> bool {
         self.is_answered() && self.input.is_empty()
     }
 
-    /// No response is pending on it: in the last phase of a shutdown it may be closed, also over a partial command.
+    /// No response is pending on it: in the last phase of a shutdown it may be closed, also over a partial
+    /// command.
     pub fn is_answered(&self) -> bool {
         self.pending_responses.is_empty() && !self.socket.has_unwritten_bytes() && !self.is_parsing
     }
@@ -114,7 +116,8 @@
     /// Sets the events that the connection is to be woken for.
     pub fn update_interest<D>(&self, handle: &LoopHandle<'static, D>, max_command_bytes: usize) {
         let wants_read = match self.state {
-            // Read on while commands wait, within the bound of one command: nothing else shows that the client has left.
+            // Read on while commands wait, within the bound of one command: nothing else shows that the
+            // client has left.
             ClientState::Open => !self.is_full() || self.input.len() < max_command_bytes,
             // Input is dropped from here on, once the write side is closed.
             ClientState::Closing | ClientState::Ended => false,
@@ -123,7 +126,8 @@
         self.socket.set_read_interest(handle, wants_read);
     }
 
-    /// Whether a time-out has expired: of a silent connection, a partial command, or responses that are not read.
+    /// Whether a time-out has expired: of a silent connection, a partial command, or responses that are not
+    /// read.
     pub fn is_timed_out(&self, now: Micros) -> bool {
         let idle = now.saturating_sub(self.idle_since);
         match self.state {
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections: from bytes to commands, and from responses to bytes.
 //!
-//! Responses are written in the order of a connection's commands. A malformed call is answered with an error here, and
-//! the connection ends after that: nothing of it reaches the engine or a server.
+//! Responses are written in the order of a connection's commands. A malformed call is answered with an error
+//! here, and the connection ends after that: nothing of it reaches the engine or a server.
 
 use crate::client::{Client, ClientState, MAX_LINGER_BYTES, MAX_PIPELINED_COMMANDS, PendingResponse};
 use crate::event_loop::ConnectionId;
@@ -111,8 +111,8 @@
         outcome != ReadOutcome::WouldBlock
     }
 
-    /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request must be
-    /// answered: of a burst that is too long none is accepted.
+    /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request
+    /// must be answered: of a burst that is too long none is accepted.
     fn handle_input(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.is_backpressured = client.is_full();
@@ -211,9 +211,9 @@
         }
     }
 
-    /// Goes on with the commands that waited, and ends the connection if the shutdown is that far. What has arrived is
-    /// read first, as requests before it were accepted: a connection that closes over unread bytes is reset, and a
-    /// response that its client has not read yet may be lost with it.
+    /// Goes on with the commands that waited, and ends the connection if the shutdown is that far. What has
+    /// arrived is read first, as requests before it were accepted: a connection that closes over unread bytes
+    /// is reset, and a response that its client has not read yet may be lost with it.
     fn revisit_client(&mut self, connection: ConnectionId) {
         let key = connection.slot;
         let Some(client) = self.open_client(connection) else { return };
--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -16,7 +16,8 @@
 /// Reads the configuration at a start. An error that is likely to be transient is retried for ten seconds.
 ///
 /// # Errors
-/// [`ConfigError::Read`] if the file cannot be read, [`ConfigError::Parse`] if its text is no valid configuration.
+/// [`ConfigError::Read`] if the file cannot be read, [`ConfigError::Parse`] if its text is no valid
+/// configuration.
 pub fn read_config(file: &Path) -> Result<Config, ConfigError> {
     parse_config(file, retry_transient_errors("configuration", || std::fs::read(file)))
 }
@@ -34,9 +35,9 @@
         }
     }
 
-    /// Handles SIGHUP: the new addresses are in force at once. A file that cannot be read, or is only partly written, leaves
-    /// the old ones in force and is read again later while attempts are left: discovery takes what it sends to the new
-    /// address as received either way.
+    /// Handles SIGHUP: the new addresses are in force at once. A file that cannot be read, or is only partly
+    /// written, leaves the old ones in force and is read again later while attempts are left: discovery takes
+    /// what it sends to the new address as received either way.
     pub(super) fn reload(&mut self, attempts_left: u32) {
         self.reload_generation = self.next_generation();
         match parse_config(&self.config_file, std::fs::read(&self.config_file)) {
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Handles a complete answer and goes on with the next query, on the same connection if it may be used again.
+    /// Handles a complete answer and goes on with the next query, on the same connection if it may be used
+    /// again.
     fn finish_exchange(&mut self, generation: u64, is_reusable: bool) {
         if let Err(failure) = self.handle_discovery_answer(generation) {
             return self.fail_query(generation, failure);
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -21,7 +21,8 @@
 
 /// One exchange.
 pub(super) struct Exchange {
-    /// Tells it from earlier exchanges; one on a connection that is used again keeps that connection's number.
+    /// Tells it from earlier exchanges; one on a connection that is used again keeps that connection's
+    /// number.
     pub generation: u64,
     pub socket: Socket,
     pub http: ClientConn,
@@ -135,7 +136,8 @@
         match failure {
             QueryFailure::Declined if self.is_renewal => ListEvidence::WatchAlive,
             QueryFailure::EmptyWatch => ListEvidence::WatchAlive,
-            // A query that is declined or reset, even at once, may have met a service that is up but overloaded.
+            // A query that is declined or reset, even at once, may have met a service that is up but
+            // overloaded.
             QueryFailure::ConnectionRefused => ListEvidence::ServiceDown,
             _ if self.is_accepted() => ListEvidence::PartialList,
             _ => ListEvidence::None,
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -1,11 +1,11 @@
-//! The server list over HTTP: one query at a time, for the changes since the version held, or for the full list where
-//! no version is held.
+//! The server list over HTTP: one query at a time, for the changes since the version held, or for the full
+//! list where no version is held.
 //!
 //! A query for changes waits at the service until there are some (a long poll), and is renewed as soon as it
-//! is answered. It waits for less time than the engine goes without an answer, so that an answer without changes is
-//! the service's heartbeat; a query that has died silently is replaced when the engine asks again. A full
-//! list costs a service that handles its queries one by one a multiple of what a delta does, so it is fetched
-//! only where a delta would not be sound.
+//! is answered. It waits for less time than the engine goes without an answer, so that an answer without
+//! changes is the service's heartbeat; a query that has died silently is replaced when the engine asks again.
+//! A full list costs a service that handles its queries one by one a multiple of what a delta does, so it is
+//! fetched only where a delta would not be sound.
 //!
 //! - `exchange`: one query and its answer
 //! - `answers`: what is done with answers and failures
@@ -57,8 +57,8 @@
 }
 
 impl Discovery {
-    /// Discovery at this address, before the first query. `poll_interval_max` is how long the settings let a proxy go
-    /// without an answer.
+    /// Discovery at this address, before the first query. `poll_interval_max` is how long the settings let a
+    /// proxy go without an answer.
     pub fn new(address: SocketAddr, pushed: bool, poll_interval_max: Micros) -> Self {
         Discovery {
             address,
@@ -97,8 +97,8 @@
 }
 
 impl Proxy {
-    /// The engine wants the list, or has received nothing for long. A query that is scheduled, or is in progress for the
-    /// full list, serves for this one; a watch in progress is taken for dead and replaced.
+    /// The engine wants the list, or has received nothing for long. A query that is scheduled, or is in
+    /// progress for the full list, serves for this one; a watch in progress is taken for dead and replaced.
     pub(super) fn poll_server_list(&mut self) {
         if self.discovery.next_query_at.is_some() || self.discovery.is_fetching() {
             return;
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Queries the changes since the version held, or the full list, on a connection that has just answered or
-    /// on a new one.
+    /// Queries the changes since the version held, or the full list, on a connection that has just answered
+    /// or on a new one.
     fn start_query(&mut self, connection: Option<Exchange>) {
         self.discovery.next_query_at = None;
         self.abandon_query();
@@ -161,8 +161,8 @@
         if verifies {
             self.schedule_verification();
         }
-        // Where lists are pushed no query costs the service anything, and the first one shows whether the process is
-        // ready.
+        // Where lists are pushed no query costs the service anything, and the first one shows whether the
+        // process is ready.
         let fetches_first = self.discovery.pushed && !self.discovery.is_confirmed;
         match self.server_list.version() {
             Some(version) if !fetches_first && !verifies => Query::ChangesSince(version),
@@ -170,8 +170,9 @@
         }
     }
 
-    /// Moves to an address that SIGHUP named: the changes since the version held are queried there. A service with a lower
-    /// version shows in its first answer, one with another list under the same versions later ([`VERIFY_FROM_TENTHS`]).
+    /// Moves to an address that SIGHUP named: the changes since the version held are queried there. A service
+    /// with a lower version shows in its first answer, one with another list under the same versions later
+    /// ([`VERIFY_FROM_TENTHS`]).
     pub(super) fn move_discovery(&mut self, address: SocketAddr) {
         if self.discovery.address == address {
             return;
@@ -220,8 +221,8 @@
         Some(exchange)
     }
 
-    /// How long the next watch waits at the service: drawn, so that watches that were all answered by one change drift
-    /// apart again.
+    /// How long the next watch waits at the service: drawn, so that watches that were all answered by one
+    /// change drift apart again.
     fn draw_watch_wait(&mut self) -> Micros {
         let max_wait = self.discovery.tenths(WATCH_WAIT_TENTHS);
         let wait = self.rng.random_range(max_wait / 4 * 3..=max_wait);
--- a/crates/platform-proxy/src/error.rs
+++ b/crates/platform-proxy/src/error.rs
@@ -25,8 +25,8 @@
     },
 }
 
-/// Why the proxy could not start, or stopped before its time. Each message is the system's, which names the address
-/// where there is one.
+/// Why the proxy could not start, or stopped before its time. Each message is the system's, which names the
+/// address where there is one.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The event loop could not be created.
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -8,7 +8,8 @@
 /// The span between two rounds of maintenance.
 pub(super) const MAINTENANCE_INTERVAL: Micros = 50_000;
 
-/// Identifies a connection: its slot, and the generation that tells it from earlier connections in the same slot.
+/// Identifies a connection: its slot, and the generation that tells it from earlier connections in the same
+/// slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId {
     pub slot: usize,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Executes the engine's actions, and those that follow from them, until none is left. Called while an action is being
-    /// executed, it leaves the rest to the outer call.
+    /// Executes the engine's actions, and those that follow from them, until none is left. Called while an
+    /// action is being executed, it leaves the rest to the outer call.
     pub(super) fn run_engine_actions(&mut self) {
         self.sockets_were_ready = true;
         if std::mem::replace(&mut self.is_running_actions, true) {
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -1,6 +1,7 @@
 //! The proxy on the platform's protocol: sockets, datagrams, signals and the clock on one `calloop` loop, for
 //! one [`Engine`](violetseam_proxy::engine::Engine). All decisions are the engine's; what is bounded here
-//! (descriptors, bytes, how long a connection may take to come up or stay silent) is no judgement on servers or builds.
+//! (descriptors, bytes, how long a connection may take to come up or stay silent) is no judgement on servers
+//! or builds.
 //!
 //! - `proxy`: the state of one proxy
 //! - `event_loop`: polling, timers, and the engine's actions
@@ -48,8 +49,8 @@
 use std::path::PathBuf;
 use violetseam_platform_protocol::config::Config;
 
-/// Binds all sockets and serves until SIGTERM or SIGINT, and then until every request has its final response. SIGHUP
-/// reads the configuration file again.
+/// Binds all sockets and serves until SIGTERM or SIGINT, and then until every request has its final response.
+/// SIGHUP reads the configuration file again.
 ///
 /// # Errors
 /// A [`ServeError`] if the event loop, the signals or a socket cannot be set up, or if polling fails.
@@ -60,15 +61,16 @@
     register_signals(&event_loop).map_err(ServeError::Signals)?;
     let mut proxy = Proxy::new(config, config_file, event_loop.handle());
     retry_transient_errors("peers' address", || proxy.bind_peers()).map_err(ServeError::BindPeers)?;
-    // The first events come before the first client: no request is accepted before the server list and the release
-    // status are known.
+    // The first events come before the first client: no request is accepted before the server list and the
+    // release status are known.
     proxy.begin();
     retry_transient_errors("clients' address", || proxy.listen()).map_err(ServeError::Listen)?;
     run(&mut event_loop, &mut proxy)?;
     let summary =
         Summary { counts: proxy.engine.counts(), unanswered_requests: proxy.engine.pending_responses() };
     proxy.log_counts("stopped");
-    // Dropping the loop would unblock its signals: one that has arrived since would kill the process before its exit.
+    // Dropping the loop would unblock its signals: one that has arrived since would kill the process before
+    // its exit.
     std::mem::forget(event_loop);
     Ok(summary)
 }
--- a/crates/platform-proxy/src/listener.rs
+++ b/crates/platform-proxy/src/listener.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// In a shutdown: accepts the connections that wait in the kernel's queue, and stops listening once that is empty.
-    /// A connection left in the queue would be neither served nor free to go elsewhere.
+    /// In a shutdown: accepts the connections that wait in the kernel's queue, and stops listening once that
+    /// is empty. A connection left in the queue would be neither served nor free to go elsewhere.
     pub(super) fn accept_queued(&mut self) {
         if let Some(open) = &self.listener {
             let socket = open.listener.socket().clone();
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -1,5 +1,5 @@
-//! Gossip with peers: datagrams on one UDP socket. The payload is the datagram, without a header: a sender is known by
-//! its address.
+//! Gossip with peers: datagrams on one UDP socket. The payload is the datagram, without a header: a sender is
+//! known by its address.
 
 use crate::proxy::Proxy;
 use calloop::generic::Generic;
@@ -53,8 +53,8 @@
             tracing::error!(bytes = payload.len(), "a message to peers is too long and was not sent");
             return;
         }
-        // A datagram that cannot be sent is like one that the network lost: counters only grow, so that the next
-        // message makes up for it.
+        // A datagram that cannot be sent is like one that the network lost: counters only grow, so that the
+        // next message makes up for it.
         if let (None, Some(all)) = (to, self.config.peers_all) {
             let _ = socket.send_to(payload, all);
             return;
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -29,8 +29,8 @@
 
 /// The size of the buffer that all connections read into.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-/// A process reports that it is ready this long after its start at the latest, with or without a usable server list:
-/// the platform expects nine in ten of them after 6 s where a day ends soon.
+/// A process reports that it is ready this long after its start at the latest, with or without a usable
+/// server list: the platform expects nine in ten of them after 6 s where a day ends soon.
 const READY_TIMEOUT: Micros = 5_500_000;
 
 /// One proxy on its event loop.
@@ -70,7 +70,8 @@
     pub is_running_actions: bool,
     /// A socket had an event in this turn of the loop.
     pub sockets_were_ready: bool,
-    /// When the loop polled its sockets in the turn before this one: what is read now had not arrived by then.
+    /// When the loop polled its sockets in the turn before this one: what is read now had not arrived by
+    /// then.
     pub previous_poll_at: Micros,
     pub shutdown_phase: ShutdownPhase,
     /// Client connections to be visited again in this turn.
@@ -90,7 +91,8 @@
         let unix_time =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let mut decisions = config.instance.decisions.clone();
-        // Whether the platform pushes lists or not, they arrive here only in answers to queries: the engine has to ask.
+        // Whether the platform pushes lists or not, they arrive here only in answers to queries: the engine
+        // has to ask.
         let pushed = !decisions.subscribes_to_list;
         decisions.subscribes_to_list = true;
         if pushed {
@@ -134,8 +136,8 @@
         }
     }
 
-    /// Passes the first events to the engine: the server list as last held, which may be stale, and the release status of
-    /// the newest build.
+    /// Passes the first events to the engine: the server list as last held, which may be stale, and the
+    /// release status of the newest build.
     pub(super) fn begin(&mut self) {
         let now = self.now();
         let cached = self.config.cached_list.take();
@@ -171,7 +173,8 @@
         self.last_generation
     }
 
-    /// A span drawn between half and one and a half times `span`: all proxies lose a service at the same time.
+    /// A span drawn between half and one and a half times `span`: all proxies lose a service at the same
+    /// time.
     pub(super) fn with_jitter(&mut self, span: Micros) -> Micros {
         span / 2 + self.rng.random_range(0..span.max(1))
     }
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -1,4 +1,5 @@
-//! The watch of the release service: one connection on which the release status and reports of wrong answers arrive.
+//! The watch of the release service: one connection on which the release status and reports of wrong answers
+//! arrive.
 
 use crate::event_loop::TimerKind;
 use crate::proxy::Proxy;
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Moves the watch to an address that SIGHUP named. Votes in flight may still be answered where they were sent.
+    /// Moves the watch to an address that SIGHUP named. Votes in flight may still be answered where they were
+    /// sent.
     pub(super) fn move_pipeline(&mut self, address: SocketAddr) {
         if self.pipeline.address != address {
             self.pipeline.address = address;
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -30,7 +30,8 @@
             return self.respond_at_once(key, b"-BUSY\r\n");
         }
         let now = self.now();
-        // The client's wait began when it sent the call, which may have lain unread for as long as this loop is late.
+        // The client's wait began when it sent the call, which may have lain unread for as long as this loop
+        // is late.
         let unread = self.timers.lateness(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
         let request = self.engine.on_request(now, engine_request(&call, now, unread), true);
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -1,10 +1,10 @@
 //! Connections to servers: kept idle, or with one attempt on them.
 //!
-//! A connection carries one request at a time, though servers would begin several: an answer that waits behind another
-//! one would be late for reasons that are not its server's, and cancelling one attempt closes the connection for all
-//! that share it. How an attempt's end is reported to the engine is settled here: `ConnectFailed` only while the
-//! request's last byte has not been written, `Reset` for a connection that was lost after that or whose answer
-//! was malformed, whoever closed it and why.
+//! A connection carries one request at a time, though servers would begin several: an answer that waits
+//! behind another one would be late for reasons that are not its server's, and cancelling one attempt closes
+//! the connection for all that share it. How an attempt's end is reported to the engine is settled here:
+//! `ConnectFailed` only while the request's last byte has not been written, `Reset` for a connection that was
+//! lost after that or whose answer was malformed, whoever closed it and why.
 
 use crate::event_loop::{ConnectionId, TimerKind};
 use crate::proxy::Proxy;
@@ -15,14 +15,14 @@
 
 /// An idle connection is closed at this share of the time after which its server would close it ...
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
-/// ... and at least this long before that: the server counts from when it wrote, this side from when it read, and a turn
-/// of the loop lies between.
+/// ... and at least this long before that: the server counts from when it wrote, this side from when it read,
+/// and a turn of the loop lies between.
 const IDLE_TIMEOUT_MARGIN: Micros = 30_000;
-/// A connection is idle for this span before it is used again: a second answer comes some milliseconds after the first,
-/// and would otherwise be taken for the answer to what was written meanwhile.
+/// A connection is idle for this span before it is used again: a second answer comes some milliseconds after
+/// the first, and would otherwise be taken for the answer to what was written meanwhile.
 const MIN_IDLE_BEFORE_REUSE: Micros = 10_000;
-/// Reads for one event, so that the bytes of one answer and its load report are read together: a partial answer is lost
-/// when its attempt times out.
+/// Reads for one event, so that the bytes of one answer and its load report are read together: a partial
+/// answer is lost when its attempt times out.
 const MAX_READS_PER_EVENT: usize = 4;
 /// Bytes of an unexpected error that are logged.
 const MAX_LOGGED_ERROR_BYTES: usize = 80;
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Takes an idle connection that may be used again: the one that has been idle longest, as what may still follow an
-    /// answer on it has arrived by now, and is noticed before the connection is used.
+    /// Takes an idle connection that may be used again: the one that has been idle longest, as what may still
+    /// follow an answer on it has arrived by now, and is noticed before the connection is used.
     fn take_idle_server(&mut self, id: ServerId) -> Option<usize> {
         let now = self.now();
         let max_idle_time = self.max_idle_time();
@@ -208,7 +208,8 @@
             return self.run_engine_actions();
         }
         if readiness.writable && server.socket.has_unwritten_bytes() {
-            // The rest of a request counts from its last byte: until that is written the server has none of it.
+            // The rest of a request counts from its last byte: until that is written the server has none of
+            // it.
             let attempt = server.attempt();
             if attempt.is_none_or(|attempt| self.may_send(attempt)) {
                 self.flush_server(slot);
@@ -248,7 +249,8 @@
         if let Some(server) = self.servers.get(slot) {
             match outcome {
                 ReadOutcome::WouldBlock => {}
-                // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent next.
+                // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent
+                // next.
                 ReadOutcome::Bytes(_) => self.close_server(slot),
                 ReadOutcome::Closed | ReadOutcome::Failed => {
                     if server.is_idle() {
@@ -281,7 +283,8 @@
         outcome
     }
 
-    /// Handles the input if the answer is complete. What a server sends is held up to the bounds and one read.
+    /// Handles the input if the answer is complete. What a server sends is held up to the bounds and one
+    /// read.
     fn handle_answer(&mut self, slot: usize) {
         let Some(server) = self.servers.get_mut(slot) else { return };
         let Some(attempt) = server.attempt() else { return };
@@ -347,8 +350,9 @@
         self.idle_servers.insert(id, slot);
     }
 
-    /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut down before
-    /// anything else is written, as the next attempt of the same request would otherwise overlap with this one.
+    /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut
+    /// down before anything else is written, as the next attempt of the same request would otherwise overlap
+    /// with this one.
     pub(super) fn close_server(&mut self, slot: usize) {
         let Some(server) = self.servers.try_remove(slot) else { return };
         server.socket.close_now(&self.handle);
--- a/crates/platform-proxy/src/shutdown.rs
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -7,8 +7,8 @@
 use violetseam::lease::ShutdownSchedule;
 use violetseam_proxy::engine::Counts;
 
-/// After SIGTERM new connections are still accepted, and clients go on with those that they have: the platform states
-/// that clients learn of the shutdown within 0.4 s.
+/// After SIGTERM new connections are still accepted, and clients go on with those that they have: the
+/// platform states that clients learn of the shutdown within 0.4 s.
 const ACCEPT_AFTER_SIGTERM: Micros = 500_000;
 /// A shutdown logs at most this many of the requests that it ends.
 const MAX_LOGGED_REQUESTS: usize = 20;
@@ -60,7 +60,8 @@
             && self.engine.pending_responses() == 0
     }
 
-    /// Handles SIGTERM: connections are still accepted and served for a moment. A second signal changes nothing.
+    /// Handles SIGTERM: connections are still accepted and served for a moment. A second signal changes
+    /// nothing.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown_phase > ShutdownPhase::Running {
             return;
@@ -81,8 +82,8 @@
         self.run_engine_actions();
     }
 
-    /// Answers the requests that are left as failed, and ends every client connection, after what has arrived on it is
-    /// answered.
+    /// Answers the requests that are left as failed, and ends every client connection, after what has arrived
+    /// on it is answered.
     pub(super) fn send_final_responses(&mut self) {
         self.log_unanswered_requests();
         let now = self.now();
@@ -100,7 +101,8 @@
         self.stopping = true;
     }
 
-    /// Logs the requests that a shutdown ends without a server's answer, by the ids that their clients gave them.
+    /// Logs the requests that a shutdown ends without a server's answer, by the ids that their clients gave
+    /// them.
     fn log_unanswered_requests(&self) {
         for (id, request) in self.open_ids.iter().take(MAX_LOGGED_REQUESTS) {
             let id = String::from_utf8_lossy(id);
@@ -130,8 +132,8 @@
         );
     }
 
-    /// Accepts nothing new but what is on its way: connections in the kernel's queue, and calls on connections that have
-    /// had none yet. All other connections end between two requests.
+    /// Accepts nothing new but what is on its way: connections in the kernel's queue, and calls on
+    /// connections that have had none yet. All other connections end between two requests.
     pub(super) fn begin_drain(&mut self) {
         self.shutdown_phase = self.shutdown_phase.max(ShutdownPhase::Draining);
         self.accept_queued();
--- a/crates/platform-proxy/src/start.rs
+++ b/crates/platform-proxy/src/start.rs
@@ -1,5 +1,6 @@
-//! Retries of system calls that fail for a moment at the start: no descriptor or buffer is free, an address is not there
-//! yet, a file cannot be read now. A proxy that stopped at the first of them would be missing until somebody looks.
+//! Retries of system calls that fail for a moment at the start: no descriptor or buffer is free, an address
+//! is not there yet, a file cannot be read now. A proxy that stopped at the first of them would be missing
+//! until somebody looks.
 
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind, Result};
@@ -9,7 +10,8 @@
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// The span between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Transient errors that have no kind in the standard library, as socket(2), epoll_create(2) and open(2) name them.
+/// Transient errors that have no kind in the standard library, as socket(2), epoll_create(2) and open(2) name
+/// them.
 const TRANSIENT_ERRNOS: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::IO];
 
 /// Whether an error is likely to go away by itself.
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -141,8 +141,8 @@
     }
 }
 
-/// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands for one
-/// that cannot be read.
+/// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands
+/// for one that cannot be read.
 fn vote_reply(id: u64, line: Option<Message>) -> Option<VoteReply> {
     match line {
         Some(Message::Accepted { id: of, status: Some(status) }) if of == id => {
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -10,8 +10,8 @@
 
 const READ: &str = "GET /read/1 HTTP/1.1";
 
-fn slow_server() -> Scripted {
-    scripted(|_, mut stream| {
+fn slow_server() -> ScriptedServer {
+    scripted_server(|_, mut stream| {
         while read_request(&stream).is_some() {
             std::thread::sleep(Duration::from_millis(150));
             answer(&mut stream, "200 OK", "", "slow");
@@ -23,7 +23,7 @@
 fn a_half_closed_client_has_left_unless_the_settings_serve_it() {
     for (setting, served) in [("", false), ("connections(half_close = \"serve\")", true)] {
         let server = slow_server();
-        let proxy = Proxy::over(&[server.addr], setting);
+        let proxy = Proxy::with_servers(&[server.addr], setting);
         let mut stream = proxy.connect();
         send(&mut stream, READ, "");
         stream.shutdown(Shutdown::Write).unwrap();
@@ -39,13 +39,13 @@
 fn a_client_that_leaves_frees_its_server() {
     let (seen, closed) = channel();
     let seen = std::sync::Mutex::new(seen);
-    let server = scripted(move |_, stream| {
+    let server = scripted_server(move |_, stream| {
         if read_request(&stream).is_some() {
             let left = (&stream).read(&mut [0; 1]);
             seen.lock().unwrap().send(matches!(left, Ok(0) | Err(_))).unwrap();
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let mut stream = proxy.connect();
     send(&mut stream, READ, "");
     std::thread::sleep(Duration::from_millis(50));
@@ -57,8 +57,10 @@
 #[test]
 fn one_byte_at_a_time_gets_408_and_holds_next_to_nothing() {
     let server = slow_server();
-    let proxy =
-        Proxy::over(&[server.addr], "connections(head_timeout = \"300ms\", body_timeout = \"300ms\")");
+    let proxy = Proxy::with_servers(
+        &[server.addr],
+        "connections(head_timeout = \"300ms\", body_timeout = \"300ms\")",
+    );
     for request in [
         &b"GET /read/1 HTTP/1.1\r\nhost: t\r\nx: "[..],
         b"POST /read/1 HTTP/1.1\r\nhost: t\r\ncontent-length: 999\r\n\r\n",
@@ -83,7 +85,8 @@
 #[test]
 fn heads_bodies_routes_and_framing_past_their_bounds_are_answered_and_closed() {
     let server = slow_server();
-    let proxy = Proxy::over(&[server.addr], "connections(max_head = 512, max_body = 1000, keep_body = 100)");
+    let proxy =
+        Proxy::with_servers(&[server.addr], "connections(max_head = 512, max_body = 1000, keep_body = 100)");
     let long = format!("GET /read/1 HTTP/1.1\r\nx: {}", "a".repeat(600));
     let mut chunked = proxy.connect();
     let chunk = format!(
@@ -93,24 +96,24 @@
     chunked.write_all(chunk.as_bytes()).unwrap();
     chunked.write_all(&[b'c'; 1000]).unwrap();
     assert!(read_answer(&mut chunked).starts_with("HTTP/1.1 413"));
-    assert!(proxy.ask(&long, "").starts_with("HTTP/1.1 431"));
-    assert!(proxy.ask("POST /read/1 HTTP/1.1", &"b".repeat(1001)).starts_with("HTTP/1.1 413"));
-    assert!(proxy.ask("GET /nowhere HTTP/1.1", "").starts_with("HTTP/1.1 404"));
-    assert!(proxy.ask("POST /log/1 HTTP/1.1", "no key").starts_with("HTTP/1.1 400"));
+    assert!(proxy.request(&long, "").starts_with("HTTP/1.1 431"));
+    assert!(proxy.request("POST /read/1 HTTP/1.1", &"b".repeat(1001)).starts_with("HTTP/1.1 413"));
+    assert!(proxy.request("GET /nowhere HTTP/1.1", "").starts_with("HTTP/1.1 404"));
+    assert!(proxy.request("POST /log/1 HTTP/1.1", "no key").starts_with("HTTP/1.1 400"));
     assert!(
         proxy
-            .ask("GET /read/1 HTTP/1.1\r\ntransfer-encoding: chunked\r\ncontent-length: 3", "")
+            .request("GET /read/1 HTTP/1.1\r\ntransfer-encoding: chunked\r\ncontent-length: 3", "")
             .starts_with("HTTP/1.1 400")
     );
-    assert!(proxy.ask("CONNECT t:1 HTTP/1.1", "").starts_with("HTTP/1.1 501"));
-    assert!(proxy.ask("hello", "").starts_with("HTTP/1.1 400"));
+    assert!(proxy.request("CONNECT t:1 HTTP/1.1", "").starts_with("HTTP/1.1 501"));
+    assert!(proxy.request("hello", "").starts_with("HTTP/1.1 400"));
     proxy.drain();
 }
 
 #[test]
 fn pipelined_requests_are_answered_in_order_however_many_are_refused_at_once() {
     // No server at all: each is refused, one from within the other's answer if it were done carelessly.
-    let proxy = Proxy::over(&[], "");
+    let proxy = Proxy::with_servers(&[], "");
     let mut stream = proxy.connect();
     let many = 3_000;
     let mut writer = stream.try_clone().unwrap();
@@ -129,7 +132,7 @@
 #[test]
 fn expect_continue_is_told_to_go_on_and_the_deadline_of_the_client_counts() {
     let server = slow_server();
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let mut stream = proxy.connect();
     stream
         .write_all(b"POST /read/1 HTTP/1.1\r\nhost: t\r\nexpect: 100-continue\r\ncontent-length: 2\r\n\r\n")
@@ -148,7 +151,7 @@
 #[test]
 fn a_drain_answers_what_was_taken_and_takes_nothing_new() {
     let server = slow_server();
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let (mut busy, mut idle, addr) = (proxy.connect(), proxy.connect(), proxy.addr);
     send(&mut idle, READ, "");
     assert!(read_answer(&mut idle).ends_with("slow"));
@@ -165,15 +168,16 @@
 #[test]
 fn an_answer_can_be_reported_wrong_once_and_only_by_its_id() {
     let (seen, _requests) = channel();
-    let server = well(seen);
-    let proxy = Proxy::over(&[server.addr], "");
-    let answer = proxy.ask(READ, "");
+    let server = healthy_server(seen);
+    let proxy = Proxy::with_servers(&[server.addr], "");
+    let answer = proxy.request(READ, "");
     let id = answer.lines().find_map(|l| l.strip_prefix("answer-id: ")).unwrap();
-    let report =
-        |id: &str| proxy.ask("POST /.well-known/wrong-answer HTTP/1.1", &format!("{{\"answer\":\"{id}\"}}"));
+    let report = |id: &str| {
+        proxy.request("POST /.well-known/wrong-answer HTTP/1.1", &format!("{{\"answer\":\"{id}\"}}"))
+    };
     assert!(report(id).starts_with("HTTP/1.1 202"));
     assert!(report(id).starts_with("HTTP/1.1 404"));
     assert!(report("00000000000000000").starts_with("HTTP/1.1 400"));
-    assert!(proxy.ask("GET /.well-known/wrong-answer HTTP/1.1", "").starts_with("HTTP/1.1 405"));
+    assert!(proxy.request("GET /.well-known/wrong-answer HTTP/1.1", "").starts_with("HTTP/1.1 405"));
     proxy.drain();
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A proxy on its own thread, scripted servers, and a site that lists them; all on loopback.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -11,27 +11,31 @@
 use violetseam_proxy::driver::{Options, Summary, serve};
 use violetseam_settings::read_text;
 
-/// Waits for a condition, not for a time; fails loudly when it does not come.
-pub fn wait_for(what: &str, mut is: impl FnMut() -> bool) {
-    let until = Instant::now() + Duration::from_secs(20);
-    while !is() {
-        assert!(Instant::now() < until, "waited in vain for: {what}");
+/// How long [`wait_for`] waits for its condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Waits until a condition holds; panics when it does not in time.
+pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "waited in vain for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// A server that plays `script` on each connection, on a thread of its own.
-pub struct Scripted {
+pub struct ScriptedServer {
     pub addr: SocketAddr,
     /// Connections accepted so far.
     pub accepted: Arc<AtomicUsize>,
 }
 
-pub fn scripted(script: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> Scripted {
+pub fn scripted_server(script: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> ScriptedServer {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     let accepted = Arc::new(AtomicUsize::new(0));
-    let (count, script) = (accepted.clone(), Arc::new(script));
+    let count = accepted.clone();
+    let script = Arc::new(script);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let n = count.fetch_add(1, Ordering::SeqCst);
@@ -39,13 +43,14 @@
             std::thread::spawn(move || script(n, stream));
         }
     });
-    Scripted { addr, accepted }
+    ScriptedServer { addr, accepted }
 }
 
-/// Reads one request head and its body of a stated length; the head's text, none at the end.
+/// Reads one request with a Content-Length; its text, or none at the end of the connection.
 pub fn read_request(stream: &TcpStream) -> Option<String> {
     let mut reader = BufReader::with_capacity(1, stream);
-    let (mut head, mut length) = (String::new(), 0);
+    let mut head = String::new();
+    let mut length = 0;
     loop {
         let mut line = String::new();
         if reader.read_line(&mut line).ok()? == 0 {
@@ -69,10 +74,10 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// A server that answers every request well, and tells each to whoever listens.
-pub fn well(seen: Sender<String>) -> Scripted {
+/// A server that answers every request with 200, and sends each to `seen`.
+pub fn healthy_server(seen: Sender<String>) -> ScriptedServer {
     let seen = Mutex::new(seen);
-    scripted(move |_, mut stream| {
+    scripted_server(move |_, mut stream| {
         while let Some(request) = read_request(&stream) {
             let _ = seen.lock().unwrap().send(request);
             answer(&mut stream, "200 OK", "", "fine");
@@ -80,18 +85,17 @@
     })
 }
 
-/// A roster and a release desk: the list is told when asked, and what `push` sends after that.
+/// Discovery and a release service: discovery sends the list when it is called, and then what is given to
+/// `push`.
 pub struct Site {
-    pub roster: Scripted,
-    pub desk: Scripted,
+    pub discovery: ScriptedServer,
+    pub release_service: ScriptedServer,
     pushes: Arc<Mutex<Vec<Sender<String>>>>,
-    /// Lists told in whole.
-    pub told: Arc<AtomicUsize>,
-    /// Votes as posted.
-    pub votes: Receiver<String>,
+    /// Full lists sent so far.
+    pub lists_sent: Arc<AtomicUsize>,
 }
 
-fn stream_of_lines(stream: &mut TcpStream, lines: &Receiver<String>) {
+fn stream_lines(stream: &mut TcpStream, lines: &Receiver<String>) {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let mut text = head.to_owned();
     loop {
@@ -106,36 +110,37 @@
 impl Site {
     pub fn start(list: String) -> Site {
         let pushes: Arc<Mutex<Vec<Sender<String>>>> = Arc::default();
-        let told = Arc::new(AtomicUsize::new(0));
-        let (to, count) = (pushes.clone(), told.clone());
-        let roster = scripted(move |_, mut stream| {
+        let lists_sent = Arc::new(AtomicUsize::new(0));
+        let watchers = pushes.clone();
+        let count = lists_sent.clone();
+        let discovery = scripted_server(move |_, mut stream| {
             if read_request(&stream).is_some() {
                 let (push, lines) = channel();
                 push.send(list.clone()).unwrap();
-                to.lock().unwrap().push(push);
+                watchers.lock().unwrap().push(push);
                 count.fetch_add(1, Ordering::SeqCst);
-                stream_of_lines(&mut stream, &lines);
+                stream_lines(&mut stream, &lines);
             }
         });
-        let (vote, votes) = channel();
-        let vote = Mutex::new(vote);
-        let desk = scripted(move |_, mut stream| {
+        let release_service = scripted_server(move |_, mut stream| {
             let Some(request) = read_request(&stream) else { return };
             if request.starts_with("POST") {
-                let _ = vote.lock().unwrap().send(request);
                 return answer(&mut stream, "200 OK", "", "{\"outcome\":\"ok\"}");
             }
             let (push, lines) = channel();
             push.send("{\"build\":1,\"stage\":0,\"phase\":\"released\",\"cap\":1.0}".into()).unwrap();
-            stream_of_lines(&mut stream, &lines);
+            stream_lines(&mut stream, &lines);
             drop(push);
         });
-        Site { roster, desk, pushes, told, votes }
+        Site { discovery, release_service, pushes, lists_sent }
     }
 
-    /// Sends a line to all who watch the roster.
+    /// Sends a line to all that watch the server list.
     pub fn push(&self, line: &str) {
-        self.pushes.lock().unwrap().iter().for_each(|to| drop(to.send(line.to_owned())));
+        for watcher in self.pushes.lock().unwrap().iter() {
+            // Fails for a watch that has ended.
+            let _ = watcher.send(line.to_owned());
+        }
     }
 }
 
@@ -175,24 +180,24 @@
 contract(ask_within = "10s", cold_from = 0.5, cold_span = "1s", drain_grace = "200ms", fall_multiple = 3.0, fall_span = "1s")
 {more}
 "#,
-        site.roster.addr, site.desk.addr
+        site.discovery.addr, site.release_service.addr
     )
 }
 
 impl Proxy {
-    /// Starts one over these servers and waits until it has heard of them.
-    pub fn over(servers: &[SocketAddr], more: &str) -> Proxy {
+    /// Starts one with these servers listed, and waits until discovery has sent it the list.
+    pub fn with_servers(servers: &[SocketAddr], more: &str) -> Proxy {
         let site = Site::start(list(servers));
         let text = settings(&site, more);
-        let proxy = Proxy::with(site, &text);
-        wait_for("the list to be told", || proxy.site.told.load(Ordering::SeqCst) > 0);
+        let proxy = Proxy::with_settings(site, &text);
+        wait_for("the list to be told", || proxy.site.lists_sent.load(Ordering::SeqCst) > 0);
         // The line may still be on its way; a request held by the decisions waits for it.
         std::thread::sleep(Duration::from_millis(60));
         proxy
     }
 
     /// Starts one with these settings.
-    pub fn with(site: Site, text: &str) -> Proxy {
+    pub fn with_settings(site: Site, text: &str) -> Proxy {
         let settings = read_text("test.star", text, &[]).unwrap();
         let stop = Arc::new(AtomicBool::new(false));
         let options = Options { stop: Some(stop.clone()), ..Options::default() };
@@ -208,24 +213,21 @@
     }
 
     /// One request on a connection of its own; the whole answer.
-    pub fn ask(&self, head: &str, body: &str) -> String {
+    pub fn request(&self, head: &str, body: &str) -> String {
         let mut stream = self.connect();
         send(&mut stream, head, body);
         read_answer(&mut stream)
     }
 
-    /// Drains it: nothing may be left open or in hand.
+    /// Drains it: no connection may be left open and no request in flight.
     pub fn drain(mut self) -> Summary {
         self.stop.store(true, Ordering::Relaxed);
         let summary = self.thread.take().unwrap().join().unwrap().unwrap();
         assert_eq!((summary.left_open, summary.left_in_flight), (0, 0), "leaked: {summary:?}");
         assert_eq!(summary.counts.overdue, 0, "the module owed an answer");
-        let c = summary.counts;
-        assert_eq!(
-            c.received,
-            c.served + c.rejected + c.failed + c.disconnected,
-            "one final answer each: {c:?}"
-        );
+        let counts = summary.counts;
+        let ended = counts.served + counts.rejected + counts.failed + counts.disconnected;
+        assert_eq!(counts.received, ended, "one final answer each: {counts:?}");
         summary
     }
 }
@@ -237,7 +239,8 @@
 
 /// Reads one answer of a stated length; its text, or what came until the connection closed.
 pub fn read_answer(stream: &mut TcpStream) -> String {
-    let (mut text, mut byte) = (Vec::new(), [0]);
+    let mut text = Vec::new();
+    let mut byte = [0];
     loop {
         if let Some(head_end) = text.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&text[..head_end]).to_ascii_lowercase();
@@ -253,7 +256,7 @@
     }
 }
 
-/// What an answer says of itself: served, refused or failed.
+/// The outcome that an answer states: served, refused or failed.
 pub fn outcome(answer: &str) -> &str {
     let field = answer.lines().find_map(|l| l.strip_prefix("violetseam-answer: "));
     field.unwrap_or("none")
--- a/crates/proxy/tests/interleavings.rs
+++ b/crates/proxy/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Every order of events, whole: up to six of them for one or two requests, against an oracle that shares no code with
-//! the engine and knows only what its orders say and what the test let happen.
+//! Every order of up to six events for one or two requests, checked against an oracle that shares no code
+//! with the engine and knows only its actions and the events that the test caused.
 
 use std::collections::BTreeMap;
 use violetseam::interface::*;
@@ -10,9 +10,10 @@
 const DEADLINE: Micros = 1_000 * MS;
 const GRACE: Micros = 20 * MS;
 const WINDOW: Micros = 500 * MS;
-const MOST: usize = 3;
-/// Classes: may be repeated, never, within a window.
-const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed];
+const MAX_ATTEMPTS: usize = 3;
+/// One class of each idempotency.
+const IDEMPOTENCY_BY_CLASS: [Idempotency; 3] =
+    [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed];
 
 fn settings(cancel: bool) -> Settings {
     let class = |effect| RequestClass {
@@ -23,8 +24,8 @@
         ..RequestClass::default()
     };
     Settings {
-        classes: EFFECTS.map(class).into(),
-        limits: Limits { max_attempts: MOST, cancel, ..Limits::default() },
+        classes: IDEMPOTENCY_BY_CLASS.map(class).into(),
+        limits: Limits { max_attempts: MAX_ATTEMPTS, cancel, ..Limits::default() },
         rules: ServiceRules {
             deadline_grace: GRACE,
             poll_interval_max: u64::MAX,
@@ -38,72 +39,77 @@
     }
 }
 
-/// What can happen next. Attempts are named by their place in the oracle's list.
+/// An event that can happen next. Attempts are named by their place in the oracle's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     /// A request of this class arrives.
     Arrive(usize),
-    /// An attempt's connection comes up, and its request is written if it still may be.
-    Up(usize),
-    /// A connection that was coming up fails.
-    NoConnection(usize),
-    /// A written request is answered, or its connection breaks.
+    /// An attempt's connection is established, and its request is written if it still may be.
+    Connected(usize),
+    /// A connection that was being established fails.
+    ConnectFailed(usize),
+    /// A written request is answered.
     Answered(usize),
-    Broken(usize),
+    /// The connection of a written request is reset.
+    Reset(usize),
     /// A client leaves.
-    Leaves(RequestId),
+    ClientLeaves(RequestId),
     /// All servers drain, and others are listed.
-    Replaced,
+    ServersReplaced,
     /// Half a window passes.
     Wait,
-    /// What comes due next comes due.
-    Due,
+    /// Time passes up to the engine's next deadline.
+    NextDeadline,
 }
 
+/// The state of an attempt, as the oracle knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stand {
-    Dialing,
-    Written,
-    Over,
+enum AttemptState {
+    Connecting,
+    Sent,
+    Ended,
 }
 
+/// An attempt that the engine has started.
 #[derive(Debug)]
-struct Try {
+struct Attempt {
     request: RequestId,
     number: usize,
     server: ServerId,
-    stand: Stand,
+    state: AttemptState,
     /// When its request was written, if that may have had an effect.
-    ran_at: Option<Micros>,
+    sent_at: Option<Micros>,
 }
 
+/// A request and what has become of it.
 #[derive(Debug, Default)]
-struct Asked {
+struct ClientRequest {
     class: usize,
     deadline: Micros,
-    gone: bool,
-    finals: usize,
+    disconnected: bool,
+    responses: usize,
     forgotten: bool,
 }
 
-struct World {
+/// The engine under test, and the oracle's record of requests and attempts.
+struct Harness {
     engine: Engine,
     now: Micros,
     generation: u64,
-    tries: Vec<Try>,
-    asked: BTreeMap<RequestId, Asked>,
+    attempts: Vec<Attempt>,
+    requests: BTreeMap<RequestId, ClientRequest>,
 }
 
-impl World {
-    fn new(cancel: bool) -> World {
+impl Harness {
+    fn new(cancel: bool) -> Harness {
         let engine = Engine::new(settings(cancel), 5, None);
-        let mut world =
-            World { engine, now: START, generation: 0, tries: Vec::new(), asked: BTreeMap::new() };
-        world.list(ListKind::Cached);
-        world
+        let mut harness =
+            Harness { engine, now: START, generation: 0, attempts: Vec::new(), requests: BTreeMap::new() };
+        harness.list_servers(ListKind::Cached);
+        harness
     }
 
-    fn list(&mut self, kind: ListKind) {
+    fn list_servers(&mut self, kind: ListKind) {
         self.generation += 1;
         let entry = |id| ServerEntry {
             id,
@@ -123,63 +129,68 @@
         server / 10 == self.generation
     }
 
-    /// What can happen now, without what would be the same as something else.
-    fn steps(&self) -> Vec<Step> {
+    /// All steps that can happen now, without those that would be equal to another one.
+    fn possible_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.asked.len() < 2 {
+        if self.requests.len() < 2 {
             // The second's class differs, so that both orders of two are seen.
-            let taken = self.asked.values().next().map(|a| a.class);
-            steps.extend((0..EFFECTS.len()).filter(|c| Some(*c) != taken).map(Step::Arrive));
+            let taken = self.requests.values().next().map(|a| a.class);
+            steps.extend((0..IDEMPOTENCY_BY_CLASS.len()).filter(|c| Some(*c) != taken).map(Step::Arrive));
         }
-        for (at, one) in self.tries.iter().enumerate() {
-            match one.stand {
-                Stand::Dialing => steps.extend([Step::Up(at), Step::NoConnection(at)]),
-                Stand::Written => steps.extend([Step::Answered(at), Step::Broken(at)]),
-                Stand::Over => {}
+        for (at, one) in self.attempts.iter().enumerate() {
+            match one.state {
+                AttemptState::Connecting => steps.extend([Step::Connected(at), Step::ConnectFailed(at)]),
+                AttemptState::Sent => steps.extend([Step::Answered(at), Step::Reset(at)]),
+                AttemptState::Ended => {}
             }
         }
-        let open = |a: &Asked| !a.gone && a.finals == 0;
-        steps.extend(self.asked.iter().filter(|(_, a)| open(a)).map(|(id, _)| Step::Leaves(*id)));
-        if !self.asked.is_empty() {
-            steps.extend([Step::Replaced, Step::Wait, Step::Due]);
+        let open = |a: &ClientRequest| !a.disconnected && a.responses == 0;
+        steps.extend(self.requests.iter().filter(|(_, a)| open(a)).map(|(id, _)| Step::ClientLeaves(*id)));
+        if !self.requests.is_empty() {
+            steps.extend([Step::ServersReplaced, Step::Wait, Step::NextDeadline]);
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn perform_step(&mut self, step: Step) {
         match step {
             Step::Arrive(class) => {
                 let deadline = self.now + DEADLINE;
                 let request = Request { deadline, class, ..Request::default() };
                 let id = self.engine.on_request(self.now, request, true);
-                assert!(self.asked.insert(id, Asked { class, deadline, ..Asked::default() }).is_none());
+                assert!(
+                    self.requests
+                        .insert(id, ClientRequest { class, deadline, ..ClientRequest::default() })
+                        .is_none()
+                );
             }
-            Step::Up(at) => {
-                let (request, number) = (self.tries[at].request, self.tries[at].number);
+            Step::Connected(at) => {
+                let request = self.attempts[at].request;
+                let number = self.attempts[at].number;
                 let may = self.engine.may_send(self.now, request, number);
                 if may {
-                    self.written(at);
+                    self.on_sent(at);
                 }
-                // What may not leave has its connection closed.
+                // An attempt that may not be sent has its connection closed.
                 self.perform_actions();
-                assert!(may || self.tries[at].stand == Stand::Over, "withheld and still open");
+                assert!(may || self.attempts[at].state == AttemptState::Ended, "withheld and still open");
             }
-            Step::NoConnection(at) => self.ended(at, Outcome::ConnectFailed),
-            Step::Answered(at) => self.ended(at, Outcome::Ok),
-            Step::Broken(at) => self.ended(at, Outcome::Reset),
-            Step::Leaves(id) => {
-                self.asked.get_mut(&id).unwrap().gone = true;
+            Step::ConnectFailed(at) => self.end_attempt(at, Outcome::ConnectFailed),
+            Step::Answered(at) => self.end_attempt(at, Outcome::Ok),
+            Step::Reset(at) => self.end_attempt(at, Outcome::Reset),
+            Step::ClientLeaves(id) => {
+                self.requests.get_mut(&id).unwrap().disconnected = true;
                 self.engine.on_client_disconnected(self.now, id);
             }
-            Step::Replaced => self.list(ListKind::Full),
-            Step::Wait => self.pass(self.now + WINDOW / 2),
-            Step::Due => self.pass(self.engine.next_deadline().unwrap_or(self.now)),
+            Step::ServersReplaced => self.list_servers(ListKind::Full),
+            Step::Wait => self.advance_to(self.now + WINDOW / 2),
+            Step::NextDeadline => self.advance_to(self.engine.next_deadline().unwrap_or(self.now)),
         }
         self.perform_actions();
     }
 
-    /// Time passes up to then; what comes due on the way is played in its turn.
-    fn pass(&mut self, until: Micros) {
+    /// Time passes; the deadlines on the way run in their order.
+    fn advance_to(&mut self, until: Micros) {
         while let Some(due) = self.engine.next_deadline().filter(|due| *due <= until) {
             self.now = self.now.max(due);
             self.engine.run_deadlines(self.now);
@@ -188,65 +199,80 @@
         self.now = self.now.max(until);
     }
 
-    fn ended(&mut self, at: usize, outcome: Outcome) {
-        self.tries[at].stand = Stand::Over;
-        let (request, number) = (self.tries[at].request, self.tries[at].number);
+    fn end_attempt(&mut self, at: usize, outcome: Outcome) {
+        self.attempts[at].state = AttemptState::Ended;
+        let request = self.attempts[at].request;
+        let number = self.attempts[at].number;
         if self.engine.on_attempt_ended(self.now, request, number, outcome) {
-            self.finished(request);
+            self.on_response(request);
         }
     }
 
-    fn finished(&mut self, request: RequestId) {
-        let asked = self.asked.get_mut(&request).unwrap();
-        asked.finals += 1;
-        assert!(asked.finals == 1 && !asked.gone, "an answer too many, or to nobody");
+    fn on_response(&mut self, request: RequestId) {
+        let asked = self.requests.get_mut(&request).unwrap();
+        asked.responses += 1;
+        assert!(asked.responses == 1 && !asked.disconnected, "an answer too many, or to nobody");
         assert!(self.now <= asked.deadline + GRACE, "answered late");
     }
 
-    /// Rules 2 and 3, as its last byte leaves.
-    fn written(&mut self, at: usize) {
-        let (request, server) = (self.tries[at].request, self.tries[at].server);
+    /// Checks rules 2 and 3 when the last byte of a request has been written.
+    fn on_sent(&mut self, at: usize) {
+        let request = self.attempts[at].request;
+        let server = self.attempts[at].server;
         assert!(self.is_listed(server), "written to a server that drains");
-        let asked = &self.asked[&request];
-        assert!(asked.finals == 0 && !asked.gone, "written for nobody");
-        let earlier = |t: &&Try| t.request == request && t.ran_at.is_some();
-        if let Some(first) = self.tries.iter().find(earlier) {
-            match EFFECTS[asked.class] {
+        let asked = &self.requests[&request];
+        assert!(asked.responses == 0 && !asked.disconnected, "written for nobody");
+        let earlier = |t: &&Attempt| t.request == request && t.sent_at.is_some();
+        if let Some(first) = self.attempts.iter().find(earlier) {
+            match IDEMPOTENCY_BY_CLASS[asked.class] {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("written twice"),
                 Idempotency::Keyed => {
-                    assert!(self.now < first.ran_at.unwrap() + WINDOW, "written again after its window");
+                    assert!(self.now < first.sent_at.unwrap() + WINDOW, "written again after its window");
                 }
             }
         }
-        let out = |t: &Try| t.request == request && t.stand == Stand::Written;
-        assert!(!self.tries.iter().any(out), "written beside one that is out");
-        let this = &mut self.tries[at];
-        (this.stand, this.ran_at) = (Stand::Written, Some(self.now));
+        let out = |t: &Attempt| t.request == request && t.state == AttemptState::Sent;
+        assert!(!self.attempts.iter().any(out), "written beside one that is out");
+        let this = &mut self.attempts[at];
+        this.state = AttemptState::Sent;
+        this.sent_at = Some(self.now);
     }
 
     fn perform_actions(&mut self) {
         while let Some(action) = self.engine.next_action() {
             match action {
                 EngineAction::StartAttempt { request, attempt, server } => {
-                    let asked = &self.asked[&request];
-                    assert!(asked.finals == 0 && !asked.gone && !asked.forgotten, "started for nobody");
-                    assert!(attempt < MOST, "too many attempts");
-                    let of = |t: &&Try| t.request == request;
-                    assert_eq!(self.tries.iter().filter(of).count(), attempt, "numbers in their order");
-                    let dialing = Stand::Dialing;
-                    self.tries.push(Try { request, number: attempt, server, stand: dialing, ran_at: None });
+                    let asked = &self.requests[&request];
+                    assert!(
+                        asked.responses == 0 && !asked.disconnected && !asked.forgotten,
+                        "started for nobody"
+                    );
+                    assert!(attempt < MAX_ATTEMPTS, "too many attempts");
+                    let of = |t: &&Attempt| t.request == request;
+                    assert_eq!(self.attempts.iter().filter(of).count(), attempt, "numbers in their order");
+                    let dialing = AttemptState::Connecting;
+                    self.attempts.push(Attempt {
+                        request,
+                        number: attempt,
+                        server,
+                        state: dialing,
+                        sent_at: None,
+                    });
                 }
                 EngineAction::CloseAttempt { request, attempt } => {
-                    let is = |t: &&mut Try| (t.request, t.number) == (request, attempt);
-                    let one = self.tries.iter_mut().find(is).expect("dropped and never started");
-                    assert!(one.stand != Stand::Over, "dropped and ended before");
-                    one.stand = Stand::Over;
+                    let is = |t: &&mut Attempt| (t.request, t.number) == (request, attempt);
+                    let one = self.attempts.iter_mut().find(is).expect("dropped and never started");
+                    assert!(one.state != AttemptState::Ended, "dropped and ended before");
+                    one.state = AttemptState::Ended;
                 }
-                EngineAction::Respond { request, .. } => self.finished(request),
+                EngineAction::Respond { request, .. } => self.on_response(request),
                 EngineAction::Forget { request } => {
-                    let asked = self.asked.get_mut(&request).unwrap();
-                    assert!((asked.finals == 1 || asked.gone) && !asked.forgotten, "forgotten too soon");
+                    let asked = self.requests.get_mut(&request).unwrap();
+                    assert!(
+                        (asked.responses == 1 || asked.disconnected) && !asked.forgotten,
+                        "forgotten too soon"
+                    );
                     asked.forgotten = true;
                 }
                 EngineAction::WatchServerList | EngineAction::FetchServerList | EngineAction::Log(_) => {}
@@ -255,33 +281,35 @@
         }
     }
 
-    /// Nothing more happens but time: each request has had its one answer, or its client had left.
+    /// Lets time pass and checks that each request has had its one response, or its client had left.
     fn finish(mut self) {
-        self.pass(self.now + 3 * DEADLINE);
-        for at in 0..self.tries.len() {
-            if self.tries[at].stand != Stand::Over {
-                self.ended(at, Outcome::Reset);
+        self.advance_to(self.now + 3 * DEADLINE);
+        for at in 0..self.attempts.len() {
+            if self.attempts[at].state != AttemptState::Ended {
+                self.end_attempt(at, Outcome::Reset);
                 self.perform_actions();
             }
         }
-        for (id, asked) in &self.asked {
-            assert!(asked.gone || asked.finals == 1, "{id} has no answer");
+        for (id, asked) in &self.requests {
+            assert!(asked.disconnected || asked.responses == 1, "{id} has no answer");
             assert!(asked.forgotten, "{id} is still held");
         }
     }
 }
 
-fn play(cancel: bool, steps: &[Step]) -> World {
-    let mut world = World::new(cancel);
-    steps.iter().for_each(|step| world.take(*step));
-    world
+fn replay(cancel: bool, steps: &[Step]) -> Harness {
+    let mut harness = Harness::new(cancel);
+    for step in steps {
+        harness.perform_step(*step);
+    }
+    harness
 }
 
-/// All continuations, depth first; how many orders were played to their end.
+/// Checks all continuations of `steps`, depth first; returns how many orders were checked.
 fn search(cancel: bool, depth: usize, steps: &mut Vec<Step>) -> usize {
-    let world = play(cancel, steps);
-    let next = if steps.len() < depth { world.steps() } else { Vec::new() };
-    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.finish()));
+    let harness = replay(cancel, steps);
+    let next = if steps.len() < depth { harness.possible_steps() } else { Vec::new() };
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| harness.finish()));
     assert!(result.is_ok(), "after {steps:?}");
     let mut played = 1;
     for step in next {
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -16,8 +16,8 @@
 #[test]
 fn answers_pass_as_the_server_gave_them_and_connections_are_kept() {
     let (seen, requests) = channel();
-    let server = well(seen);
-    let proxy = Proxy::over(&[server.addr], "");
+    let server = healthy_server(seen);
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let mut stream = proxy.connect();
     for _ in 0..5 {
         send(&mut stream, READ, "");
@@ -33,13 +33,13 @@
 #[test]
 fn a_server_that_accepts_and_never_reads_costs_no_client_its_answer() {
     // It takes the connection and leaves it; a large body fills all buffers on the way.
-    let server = scripted(|_, stream| {
+    let server = scripted_server(|_, stream| {
         std::thread::sleep(Duration::from_secs(3));
         drop(stream);
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let began = Instant::now();
-    let answer = proxy.ask(PAY, &"x".repeat(4 << 20));
+    let answer = proxy.request(PAY, &"x".repeat(4 << 20));
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
     assert_eq!(outcome(&answer), "failed");
     assert!(began.elapsed() < Duration::from_millis(1_000), "after the deadline: {:?}", began.elapsed());
@@ -48,12 +48,12 @@
 
 #[test]
 fn a_server_that_dies_with_bytes_both_ways_fails_what_must_not_run_twice() {
-    let server = scripted(|_, mut stream| {
+    let server = scripted_server(|_, mut stream| {
         let _ = stream.read(&mut [0; 10]);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-le");
     });
-    let proxy = Proxy::over(&[server.addr], "");
-    let answer = proxy.ask(PAY, "once");
+    let proxy = Proxy::with_servers(&[server.addr], "");
+    let answer = proxy.request(PAY, "once");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     assert_eq!(server.accepted.load(Ordering::SeqCst), 1, "an unsafe request was sent again");
     proxy.drain();
@@ -61,13 +61,13 @@
 
 #[test]
 fn what_is_safe_is_sent_again_after_a_reset_and_served() {
-    let server = scripted(|n, mut stream| {
+    let server = scripted_server(|n, mut stream| {
         if n > 0 && read_request(&stream).is_some() {
             answer(&mut stream, "200 OK", "", "second");
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
-    assert!(proxy.ask(READ, "").ends_with("second"));
+    let proxy = Proxy::with_servers(&[server.addr], "");
+    assert!(proxy.request(READ, "").ends_with("second"));
     proxy.drain();
 }
 
@@ -78,13 +78,13 @@
         ("503 Service Unavailable", "", 1),
         ("500 Oops", "x-not-run: 1\r\n", 1),
     ] {
-        let server = scripted(move |_, mut stream| {
+        let server = scripted_server(move |_, mut stream| {
             while read_request(&stream).is_some() {
                 answer(&mut stream, status, fields, "no");
             }
         });
-        let proxy = Proxy::over(&[server.addr], "limits(max_attempts = 2)");
-        let answer = proxy.ask(PAY, "once");
+        let proxy = Proxy::with_servers(&[server.addr], "limits(max_attempts = 2)");
+        let answer = proxy.request(PAY, "once");
         // Never run: it may be tried again, and refused in the end. Else it fails, after one attempt.
         assert_eq!(outcome(&answer), if attempts == 2 { "refused" } else { "failed" }, "{status} {fields}");
         assert_eq!(proxy.drain().counts.attempts, attempts, "{status} {fields}");
@@ -104,15 +104,15 @@
         filled.push(stream);
         assert!(filled.len() < 64, "the queue does not fill");
     }
-    let proxy = Proxy::over(&[addr], "connections(connect_timeout = \"80ms\")");
-    let answer = proxy.ask(PAY, "once");
+    let proxy = Proxy::with_servers(&[addr], "connections(connect_timeout = \"80ms\")");
+    let answer = proxy.request(PAY, "once");
     assert_eq!(outcome(&answer), "refused", "it never ran, so it is refused and not failed: {answer}");
     proxy.drain();
 }
 
 #[test]
 fn an_answer_that_trickles_is_cut_in_time() {
-    let server = scripted(|_, mut stream| {
+    let server = scripted_server(|_, mut stream| {
         if read_request(&stream).is_some() {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n");
             while stream.write_all(b".").is_ok() {
@@ -120,9 +120,9 @@
             }
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let began = Instant::now();
-    let answer = proxy.ask(PAY, "once");
+    let answer = proxy.request(PAY, "once");
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
     assert!(began.elapsed() < Duration::from_millis(1_000));
     proxy.drain();
@@ -133,7 +133,7 @@
     // Each connection serves one request, then closes as soon as the next begins to arrive, unanswered.
     let (seen, requests) = channel();
     let seen = std::sync::Mutex::new(seen);
-    let server = scripted(move |n, mut stream| {
+    let server = scripted_server(move |n, mut stream| {
         if read_request(&stream).is_some() {
             seen.lock().unwrap().send(n).unwrap();
             answer(&mut stream, "200 OK", "", "first");
@@ -142,7 +142,7 @@
             let _ = stream.shutdown(Shutdown::Both);
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let mut stream = proxy.connect();
     send(&mut stream, LOG, "a");
     assert!(read_answer(&mut stream).ends_with("first"));
@@ -161,12 +161,12 @@
 
 #[test]
 fn a_server_that_closed_while_idle_is_noticed_before_anything_is_sent() {
-    let server = scripted(|_, mut stream| {
+    let server = scripted_server(|_, mut stream| {
         if read_request(&stream).is_some() {
             answer(&mut stream, "200 OK", "", "fine");
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     let mut stream = proxy.connect();
     for _ in 0..20 {
         send(&mut stream, PAY, "x");
@@ -181,24 +181,24 @@
 fn bodies_past_what_is_kept_go_out_once_and_no_further_attempt_follows() {
     let body = "y".repeat(300_000);
     // The first connection dies within the body, so a retryable request would be tried again.
-    let server = scripted(|n, mut stream| {
+    let server = scripted_server(|n, mut stream| {
         if n == 0 {
             let _ = stream.read_exact(&mut [0; 150_000]);
         } else if let Some(request) = read_request(&stream) {
             answer(&mut stream, "200 OK", "", &format!("{}", request.len() > 300_000));
         }
     });
-    let proxy = Proxy::over(&[server.addr], "connections(keep_body = 1000)");
-    let answer = proxy.ask("POST /read/1 HTTP/1.1", &body);
+    let proxy = Proxy::with_servers(&[server.addr], "connections(keep_body = 1000)");
+    let answer = proxy.request("POST /read/1 HTTP/1.1", &body);
     assert_ne!(outcome(&answer), "served", "what was not kept cannot be sent again: {answer}");
-    assert!(proxy.ask("POST /read/1 HTTP/1.1", &body).ends_with("true"), "the whole body passes");
+    assert!(proxy.request("POST /read/1 HTTP/1.1", &body).ends_with("true"), "the whole body passes");
     assert_eq!(server.accepted.load(Ordering::SeqCst), 2);
     proxy.drain();
 }
 
 #[test]
 fn long_answers_are_passed_on_as_they_come_and_a_break_closes_the_client() {
-    let server = scripted(|n, mut stream| {
+    let server = scripted_server(|n, mut stream| {
         if read_request(&stream).is_some() {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
             for _ in 0..100 {
@@ -209,7 +209,7 @@
             }
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
+    let proxy = Proxy::with_servers(&[server.addr], "");
     for whole in [true, false] {
         let mut stream = proxy.connect();
         send(&mut stream, "GET /read/1 HTTP/1.1\r\nconnection: close", "");
@@ -224,7 +224,7 @@
 
 #[test]
 fn malformed_answers_are_resets_and_a_head_answer_has_no_body() {
-    let server = scripted(|_, mut stream| {
+    let server = scripted_server(|_, mut stream| {
         while let Some(request) = read_request(&stream) {
             if request.starts_with("HEAD") {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 77\r\n\r\n");
@@ -234,8 +234,8 @@
             }
         }
     });
-    let proxy = Proxy::over(&[server.addr], "");
-    assert!(proxy.ask(PAY, "x").starts_with("HTTP/1.1 502"));
+    let proxy = Proxy::with_servers(&[server.addr], "");
+    assert!(proxy.request(PAY, "x").starts_with("HTTP/1.1 502"));
     let mut stream = proxy.connect();
     send(&mut stream, "HEAD /read/1 HTTP/1.1\r\nconnection: close", "");
     let mut text = String::new();
--- a/crates/proxy/tests/stored_module.rs
+++ b/crates/proxy/tests/stored_module.rs
@@ -1,4 +1,5 @@
-//! A module handed over by an earlier build is read, written again to the same bytes, and decides as it did there.
+//! A module handed over by an earlier build is read, written again to the same bytes, and decides as it did
+//! there.
 
 use std::path::{Path, PathBuf};
 use violetseam::balancer::Balancer;
