--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -135,7 +135,7 @@
                     self.rearm_server(server);
                 }
             }
-            ClientState::Idle if self.draining && client.http.is_idle() && drained => {
+            ClientState::Idle if self.lifecycle.is_draining() && client.http.is_idle() && drained => {
                 return self.close_client(key);
             }
             // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as
