--- a/crates/scale-bench/src/fit.rs
+++ b/crates/scale-bench/src/fit.rs
@@ -1,6 +1,6 @@
 //! Least squares over measured points: a line, and a power law as a line through logarithms.
 
-use std::fmt;
+use thiserror::Error;
 
 /// One measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,25 +46,16 @@
 }
 
 /// Why there is no fit.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FitError {
     /// Fewer than two different sizes.
+    #[error("fewer than two different sizes")]
     TooFewSizes,
     /// A value is not finite, or not positive where its logarithm is taken.
+    #[error("a value that cannot be fitted")]
     UnusableValue,
 }
 
-impl fmt::Display for FitError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            FitError::TooFewSizes => "fewer than two different sizes",
-            FitError::UnusableValue => "a value that cannot be fitted",
-        })
-    }
-}
-
-impl std::error::Error for FitError {}
-
 impl Curve {
     /// The curve's value at a size.
     pub fn at(&self, size: f64) -> f64 {
@@ -95,9 +86,9 @@
     if points.iter().any(|p| !p.size.is_finite() || !p.value.is_finite()) {
         return Err(FitError::UnusableValue);
     }
-    let solved = solve(points)?;
-    let curve = Curve::Line { intercept: solved.intercept, slope: solved.slope };
-    Ok(with_spread(curve, solved.standard_error, points))
+    let regression = least_squares(points)?;
+    let curve = Curve::Line { intercept: regression.intercept, slope: regression.slope };
+    Ok(with_spread(curve, regression.standard_error, points))
 }
 
 /// Fits a power law by ordinary least squares over logarithms; sizes and values must be above zero.
@@ -110,18 +101,19 @@
     }
     let logarithms: Vec<Point> =
         points.iter().map(|p| Point { size: p.size.ln(), value: p.value.ln() }).collect();
-    let solved = solve(&logarithms)?;
-    let curve = Curve::Power { factor: solved.intercept.exp(), exponent: solved.slope };
-    Ok(with_spread(curve, solved.standard_error, points))
+    let regression = least_squares(&logarithms)?;
+    let curve = Curve::Power { factor: regression.intercept.exp(), exponent: regression.slope };
+    Ok(with_spread(curve, regression.standard_error, points))
 }
 
-struct Solved {
+/// The line of least squares.
+struct Regression {
     intercept: f64,
     slope: f64,
     standard_error: f64,
 }
 
-fn solve(points: &[Point]) -> Result<Solved, FitError> {
+fn least_squares(points: &[Point]) -> Result<Regression, FitError> {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|p| p.value).sum::<f64>() / count;
@@ -129,15 +121,15 @@
     if points.len() < 2 || size_variation <= 0.0 {
         return Err(FitError::TooFewSizes);
     }
-    let joint: f64 = points.iter().map(|p| (p.size - mean_size) * (p.value - mean_value)).sum();
-    let slope = joint / size_variation;
+    let covariation: f64 = points.iter().map(|p| (p.size - mean_size) * (p.value - mean_value)).sum();
+    let slope = covariation / size_variation;
     let intercept = mean_value - slope * mean_size;
     let residuals: f64 = points.iter().map(|p| (p.value - intercept - slope * p.size).powi(2)).sum();
     let standard_error = match points.len() {
         2 => 0.0,
         _ => (residuals / (count - 2.0) / size_variation).sqrt(),
     };
-    Ok(Solved { intercept, slope, standard_error })
+    Ok(Regression { intercept, slope, standard_error })
 }
 
 fn with_spread(curve: Curve, standard_error: f64, points: &[Point]) -> Fit {
--- a/crates/scale-bench/src/server_list.rs
+++ b/crates/scale-bench/src/server_list.rs
@@ -1,8 +1,8 @@
-//! The server list: a whole list and changes of N servers, from bytes to the proxy's table of addresses.
+//! The server list: a complete list and changes of N servers, from bytes to the proxy's table of addresses.
 
-use super::resources::{median_micros, peak_bytes, resident_bytes};
-use super::table::{Measurement, Unit};
-use super::{Run, ScaleError, Slope};
+use crate::resources::{MeasuredProcess, median_micros};
+use crate::table::{Measurement, Unit};
+use crate::{Benchmark, RunOptions, ScaleError};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,106 +14,147 @@
 const ZONES: u16 = 11;
 /// Servers of one cell.
 const CELL_SERVERS: u64 = 40;
+/// Repeats of each timed piece of work.
 const REPEATS: usize = 9;
+/// Repeats of the change of one server, which takes least.
+const SERVER_DELTA_REPEATS: usize = REPEATS * 10;
+/// Time at which the lists are applied, in microseconds.
+const APPLIED_AT: u64 = 1;
+/// Version of the complete list: as long a number as after some time in service.
+const FIRST_VERSION: u64 = 1_000_000;
+const FIRST_SERVER_ID: u64 = 1_000_000;
+/// 10.0.0.0.
+const FIRST_ADDRESS: u32 = 0x0a00_0000;
+const PORT: u16 = 8_080;
+/// The build that most servers run; the next one is on trial.
+pub const STABLE_BUILD: u16 = 100;
+/// Share of the servers that run the build on trial.
+const TRIAL_SHARE: f64 = 0.1;
 
-/// See the module.
-pub struct ServerList;
+/// A complete list and changes of it, as a proxy receives them.
+pub struct ServerListBenchmark;
 
-impl Slope for ServerList {
+impl Benchmark for ServerListBenchmark {
     fn name(&self) -> &'static str {
         "server-list"
     }
 
-    fn size_of(&self) -> &'static str {
+    fn size_unit(&self) -> &'static str {
         "servers"
     }
 
-    fn sizes(&self, quick: bool) -> &'static [u64] {
+    fn default_sizes(&self, quick: bool) -> &'static [u64] {
         if quick { &[100, 1_000, 4_000] } else { &[1_000, 5_000, 10_000, 20_000, 68_000] }
     }
 
-    fn isolated(&self) -> bool {
+    fn needs_own_process(&self) -> bool {
         true
     }
 
-    fn sample(&self, size: u64, run: &Run) -> Result<Vec<Measurement>, ScaleError> {
-        let whole = whole_list(size, run.seed);
-        let bytes = whole.write();
-        let count = |quantity: &str, value: f64| Measurement::new(quantity, Unit::Count, size, value);
-        let mut found = vec![Measurement::new("whole list", Unit::Bytes, size, bytes.len() as f64)];
-        let zone_bytes = changes(&whole, zone_lines(&whole)).write();
-        found.push(Measurement::new("change of a zone", Unit::Bytes, size, zone_bytes.len() as f64));
-        let one_bytes = changes(&whole, whole.servers[..1].to_vec()).write();
-        found.push(Measurement::new("change of one server", Unit::Bytes, size, one_bytes.len() as f64));
-        let taken = bytes.len() <= MAX_LINE_BYTES && ListUpdate::parse(&bytes).is_ok();
-        found.push(count("refused", if taken { 0.0 } else { 1.0 }));
-        if !taken {
-            return Ok(found);
+    fn sample(&self, size: u64, options: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
+        let full = full_list(size, options.seed);
+        let encoded = EncodedUpdates {
+            full: full.write(),
+            zone: delta(&full, zone_removal(&full)).write(),
+            server: delta(&full, full.servers[..1].to_vec()).write(),
+        };
+        let bytes = |quantity: &str, update: &[u8]| {
+            Measurement::new(quantity, Unit::Bytes, size, update.len() as f64)
+        };
+        let is_rejected = encoded.full.len() > MAX_LINE_BYTES || ListUpdate::parse(&encoded.full).is_err();
+        let rejected = if is_rejected { 1.0 } else { 0.0 };
+        let mut measurements = vec![
+            bytes("whole list", &encoded.full),
+            bytes("change of a zone", &encoded.zone),
+            bytes("change of one server", &encoded.server),
+            Measurement::new("refused", Unit::Count, size, rejected),
+        ];
+        if !is_rejected {
+            measurements.extend(measure_costs(size, &encoded)?);
         }
-        found.extend(costs(size, &bytes, &one_bytes, &zone_bytes)?);
-        Ok(found)
+        Ok(measurements)
     }
 }
 
-/// Times and memory of a list that is taken.
-fn costs(size: u64, whole: &[u8], one: &[u8], zone: &[u8]) -> Result<Vec<Measurement>, ScaleError> {
-    let failed = |e: violetseam_site_protocol::Malformed| ScaleError::Failed(e.to_string());
-    let before = resident_bytes()?;
-    let message = ListUpdate::parse(whole).map_err(failed)?;
-    let mut roster = EndpointList::default();
-    roster.apply(1, &message).map_err(failed)?;
-    let held = message.servers.iter().filter(|line| roster.address(line.id).is_some()).count();
-    let grown = peak_bytes()?.saturating_sub(before);
-    let parse = median_micros(REPEATS, || drop(ListUpdate::parse(whole)))?;
-    let apply = median_micros(REPEATS, || drop(EndpointList::default().apply(1, &message)))?;
-    let repeats = REPEATS * 10;
-    let (parse_one, apply_one) = change_costs(&mut roster, one, repeats)?;
-    let (parse_zone, apply_zone) = change_costs(&mut roster, zone, REPEATS)?;
+/// A list and two changes of it, as they go over the wire.
+struct EncodedUpdates {
+    /// The complete list.
+    full: Vec<u8>,
+    /// The removal of all servers of one zone.
+    zone: Vec<u8>,
+    /// One server.
+    server: Vec<u8>,
+}
+
+/// Times and memory of a list that is accepted.
+fn measure_costs(size: u64, encoded: &EncodedUpdates) -> Result<Vec<Measurement>, ScaleError> {
+    let resident_before = MeasuredProcess::Own.resident_bytes()?;
+    let full = ListUpdate::parse(&encoded.full)?;
+    let mut list = EndpointList::default();
+    list.apply(APPLIED_AT, &full)?;
+    let addresses = full.servers.iter().filter(|endpoint| list.address(endpoint.id).is_some()).count();
+    let growth = MeasuredProcess::Own.peak_bytes()?.saturating_sub(resident_before);
+    let parse_full = median_micros(REPEATS, || drop(ListUpdate::parse(&encoded.full)))?;
+    let apply_full = median_micros(REPEATS, || drop(EndpointList::default().apply(APPLIED_AT, &full)))?;
+    let server = measure_delta(&mut list, &encoded.server, SERVER_DELTA_REPEATS)?;
+    let zone = measure_delta(&mut list, &encoded.zone, REPEATS)?;
     Ok(vec![
-        Measurement::new("addresses held", Unit::Count, size, held as f64),
-        Measurement::new("memory of the whole list", Unit::Bytes, size, grown as f64),
-        Measurement::new("parse the whole list", Unit::Microseconds, size, parse),
-        Measurement::new("apply the whole list", Unit::Microseconds, size, apply),
-        Measurement::new("parse one change", Unit::Microseconds, size, parse_one),
-        Measurement::new("apply one change", Unit::Microseconds, size, apply_one),
-        Measurement::new("parse a zone's change", Unit::Microseconds, size, parse_zone),
-        Measurement::new("apply a zone's change", Unit::Microseconds, size, apply_zone),
+        Measurement::new("addresses held", Unit::Count, size, addresses as f64),
+        Measurement::new("memory of the whole list", Unit::Bytes, size, growth as f64),
+        Measurement::new("parse the whole list", Unit::Microseconds, size, parse_full),
+        Measurement::new("apply the whole list", Unit::Microseconds, size, apply_full),
+        Measurement::new("parse one change", Unit::Microseconds, size, server.parse_micros),
+        Measurement::new("apply one change", Unit::Microseconds, size, server.apply_micros),
+        Measurement::new("parse a zone's change", Unit::Microseconds, size, zone.parse_micros),
+        Measurement::new("apply a zone's change", Unit::Microseconds, size, zone.apply_micros),
     ])
 }
 
-/// The times to parse a change and to apply it, in microseconds. It is applied again and again to the same
-/// version.
-fn change_costs(roster: &mut EndpointList, bytes: &[u8], repeats: usize) -> Result<(f64, f64), ScaleError> {
-    let change = ListUpdate::parse(bytes).map_err(|e| ScaleError::Failed(e.to_string()))?;
-    let again = ListUpdate { version: change.base, ..change };
-    let parse = median_micros(repeats, || drop(ListUpdate::parse(bytes)))?;
-    let apply = median_micros(repeats, || drop(roster.apply(1, &again)))?;
-    Ok((parse, apply))
+/// Median times of one delta.
+struct DeltaTimes {
+    /// From bytes to the message, in microseconds.
+    parse_micros: f64,
+    /// From the message to the list, in microseconds.
+    apply_micros: f64,
 }
 
-/// A whole list of `size` servers in eleven zones.
-pub fn whole_list(size: u64, seed: u64) -> ListUpdate {
+/// Measures one delta. It is applied again and again to the same version of the list.
+fn measure_delta(list: &mut EndpointList, bytes: &[u8], repeats: usize) -> Result<DeltaTimes, ScaleError> {
+    let parsed = ListUpdate::parse(bytes)?;
+    let repeatable = ListUpdate { version: parsed.base, ..parsed };
+    let parse_micros = median_micros(repeats, || drop(ListUpdate::parse(bytes)))?;
+    let apply_micros = median_micros(repeats, || drop(list.apply(APPLIED_AT, &repeatable)))?;
+    Ok(DeltaTimes { parse_micros, apply_micros })
+}
+
+/// A complete list of `size` servers in eleven zones.
+pub fn full_list(size: u64, seed: u64) -> ListUpdate {
     let mut random = Pcg32::seed_from_u64(seed);
-    let line = |id: u64| Endpoint {
-        id: 1_000_000 + id,
-        addr: SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + id as u32), 8_080)),
-        build: 100 + u16::from(random.random_bool(0.1)),
+    let endpoint = |id: u64| Endpoint {
+        id: FIRST_SERVER_ID + id,
+        addr: SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + id as u32), PORT)),
+        build: STABLE_BUILD + u16::from(random.random_bool(TRIAL_SHARE)),
         state: EndpointState::Ready,
         zone: (id % u64::from(ZONES)) as u16,
         cell: (id / CELL_SERVERS) as u16,
         size: 1.0,
         age_us: None,
     };
-    ListUpdate { kind: UpdateKind::Full, version: 1_000_000, base: 0, servers: (0..size).map(line).collect() }
+    ListUpdate {
+        kind: UpdateKind::Full,
+        version: FIRST_VERSION,
+        base: 0,
+        servers: (0..size).map(endpoint).collect(),
+    }
 }
 
 /// The servers of one zone, as they are listed when the zone is lost.
-pub fn zone_lines(whole: &ListUpdate) -> Vec<Endpoint> {
-    let of_zone = whole.servers.iter().filter(|line| line.zone == 0);
-    of_zone.map(|line| Endpoint { state: EndpointState::Gone, ..line.clone() }).collect()
+pub fn zone_removal(full: &ListUpdate) -> Vec<Endpoint> {
+    let of_zone = full.servers.iter().filter(|endpoint| endpoint.zone == 0);
+    of_zone.map(|endpoint| Endpoint { state: EndpointState::Gone, ..endpoint.clone() }).collect()
 }
 
-/// Changed lines on top of a whole list.
-pub fn changes(whole: &ListUpdate, servers: Vec<Endpoint>) -> ListUpdate {
-    ListUpdate { kind: UpdateKind::Delta, version: whole.version + 1, base: whole.version, servers }
+/// Changed servers on top of a complete list.
+pub fn delta(full: &ListUpdate, servers: Vec<Endpoint>) -> ListUpdate {
+    ListUpdate { kind: UpdateKind::Delta, version: full.version + 1, base: full.version, servers }
 }
--- a/crates/scale-bench/src/settings.rs
+++ b/crates/scale-bench/src/settings.rs
@@ -1,90 +1,92 @@
-//! A settings script with N routes or N tenants: time and memory of reading and checking it whole.
+//! A settings script with N routes or N tenants: time and memory of reading and checking all of it.
 //!
 //! A change of one route or tenant has the whole script checked again, so this is the cost of a change.
 
-use super::resources::{peak_bytes, resident_bytes};
-use super::table::{Measurement, Unit};
-use super::{Run, ScaleError, Slope};
+use crate::resources::MeasuredProcess;
+use crate::table::{Measurement, Unit};
+use crate::{Benchmark, RunOptions, ScaleError};
 use std::time::Instant;
 use violetseam_settings::read_text;
 
+/// Name of the script in error messages.
 const SCRIPT_NAME: &str = "scale.star";
 
 /// What there are N of in the script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settings {
+pub enum SettingsBenchmark {
     /// Routes to one class, none a prefix of another.
     Routes,
     /// Tenants with a quota each.
     Tenants,
 }
 
-impl Slope for Settings {
+impl Benchmark for SettingsBenchmark {
     fn name(&self) -> &'static str {
         match self {
-            Settings::Routes => "settings",
-            Settings::Tenants => "settings-tenants",
+            SettingsBenchmark::Routes => "settings",
+            SettingsBenchmark::Tenants => "settings-tenants",
         }
     }
 
-    fn size_of(&self) -> &'static str {
+    fn size_unit(&self) -> &'static str {
         match self {
-            Settings::Routes => "routes",
-            Settings::Tenants => "tenants",
+            SettingsBenchmark::Routes => "routes",
+            SettingsBenchmark::Tenants => "tenants",
         }
     }
 
-    fn sizes(&self, quick: bool) -> &'static [u64] {
+    fn default_sizes(&self, quick: bool) -> &'static [u64] {
         match (self, quick) {
             (_, true) => &[100, 300, 1_000],
-            (Settings::Routes, false) => &[1_000, 3_000, 10_000, 30_000],
-            (Settings::Tenants, false) => &[1_000, 3_000, 10_000, 30_000, 110_000],
+            (SettingsBenchmark::Routes, false) => &[1_000, 3_000, 10_000, 30_000],
+            (SettingsBenchmark::Tenants, false) => &[1_000, 3_000, 10_000, 30_000, 110_000],
         }
     }
 
-    fn isolated(&self) -> bool {
+    fn needs_own_process(&self) -> bool {
         true
     }
 
-    fn sample(&self, size: u64, _: &Run) -> Result<Vec<Measurement>, ScaleError> {
-        let text = self.script(size);
-        let before = resident_bytes()?;
+    fn sample(&self, size: u64, _: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
+        let script = self.script(size);
+        let resident_before = MeasuredProcess::Own.resident_bytes()?;
         let start = Instant::now();
-        let read = read_text(SCRIPT_NAME, &text, &[]);
+        let result = read_text(SCRIPT_NAME, &script, &[]);
         let time = start.elapsed().as_secs_f64();
-        let grown = peak_bytes()?.saturating_sub(before);
-        let mut found = vec![
-            Measurement::new("refused", Unit::Count, size, if read.is_err() { 1.0 } else { 0.0 }),
+        let growth = MeasuredProcess::Own.peak_bytes()?.saturating_sub(resident_before);
+        let mut measurements = vec![
+            Measurement::new("refused", Unit::Count, size, if result.is_err() { 1.0 } else { 0.0 }),
             Measurement::new("time until taken or refused", Unit::Seconds, size, time),
-            Measurement::new("peak memory", Unit::Bytes, size, grown as f64),
+            Measurement::new("peak memory", Unit::Bytes, size, growth as f64),
         ];
-        if let Ok(settings) = read {
-            let held = match self {
-                Settings::Routes => settings.routes.len(),
-                Settings::Tenants => settings.tenants.len(),
+        if let Ok(settings) = result {
+            let entries = match self {
+                SettingsBenchmark::Routes => settings.routes.len(),
+                SettingsBenchmark::Tenants => settings.tenants.len(),
             };
-            found.push(Measurement::new("entries held", Unit::Count, size, held as f64));
+            measurements.push(Measurement::new("entries held", Unit::Count, size, entries as f64));
         }
-        Ok(found)
+        Ok(measurements)
     }
 }
 
-impl Settings {
+impl SettingsBenchmark {
     /// The script with N entries.
     pub fn script(&self, size: u64) -> String {
         let entries = match self {
-            Settings::Routes => "route(prefix = \"/service-%d/\" % i, to = \"read\")",
-            Settings::Tenants => "tenant(name = \"customer-%d\" % i, quota = 10)",
+            SettingsBenchmark::Routes => "route(prefix = \"/service-%d/\" % i, to = \"read\")",
+            SettingsBenchmark::Tenants => "tenant(name = \"customer-%d\" % i, quota = 10)",
         };
-        let other = match self {
-            Settings::Routes => "",
-            Settings::Tenants => "route(prefix = \"/\", to = \"read\")\n",
+        let other_sections = match self {
+            SettingsBenchmark::Routes => "",
+            SettingsBenchmark::Tenants => "route(prefix = \"/\", to = \"read\")\n",
         };
-        format!("{COMMON}{other}for i in range({size}):\n    {entries}\n")
+        format!("{COMMON_SECTIONS}{other_sections}for i in range({size}):\n    {entries}\n")
     }
 }
 
-const COMMON: &str = r#"
+/// The part of the script that is the same at every size.
+const COMMON_SECTIONS: &str = r#"
 fleet(name = "scale", size = 3, position = 0)
 listen(addr = "127.0.0.1:8000")
 roster(addr = "127.0.0.1:7100")
--- a/crates/scale-bench/src/table.rs
+++ b/crates/scale-bench/src/table.rs
@@ -1,8 +1,8 @@
-//! Measurements of one slope, as a table for people and as CSV.
+//! Measurements of one benchmark, as a table for people and as CSV.
 
-use super::fit::{self, Curve, Fit, FitError, Point};
+use crate::fit::{self, Curve, Fit, FitError, Point};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
 use std::io;
 
@@ -60,13 +60,13 @@
     }
 }
 
-/// All measurements of one slope.
+/// All measurements of one benchmark.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// The slope's name.
+    /// The benchmark's name.
     pub name: String,
     /// What the size counts, such as "servers".
-    pub size_of: String,
+    pub size_unit: String,
     /// The measurements, in the order in which they were made.
     pub measurements: Vec<Measurement>,
 }
@@ -112,18 +112,18 @@
 
     /// The table for people: a line for each quantity, a column for each size, then the fits.
     pub fn text(&self) -> String {
-        let sizes: BTreeMap<u64, ()> = self.measurements.iter().map(|m| (m.size, ())).collect();
+        let sizes: BTreeSet<u64> = self.measurements.iter().map(|m| m.size).collect();
         let mut rows = vec![vec!["quantity".to_owned(), "unit".to_owned()]];
-        rows[0].extend(sizes.keys().map(|size| format!("{size} {}", self.size_of)));
+        rows[0].extend(sizes.iter().map(|size| format!("{size} {}", self.size_unit)));
         rows[0].extend(["line", "power law"].map(str::to_owned));
         for (quantity, unit) in self.quantities() {
             let mut row = vec![quantity.to_owned(), unit.to_string()];
-            row.extend(sizes.keys().map(|size| self.value(quantity, *size).map_or("-".into(), figure)));
+            row.extend(sizes.iter().map(|size| self.value(quantity, *size).map_or("-".into(), format_value)));
             let fits = self.fits(quantity);
-            row.extend([described(&fits.line), described(&fits.power)]);
+            row.extend([describe_fit(&fits.line), describe_fit(&fits.power)]);
             rows.push(row);
         }
-        format!("{}\n{}", self.name, aligned(&rows))
+        format!("{}\n{}", self.name, align_columns(&rows))
     }
 
     /// Writes one line for each measurement, under a line of column names.
@@ -133,15 +133,17 @@
     pub fn write_csv(&self, out: &mut dyn io::Write) -> io::Result<()> {
         writeln!(out, "slope,size_of,quantity,unit,size,value")?;
         for m in &self.measurements {
-            let [name, size_of, quantity] = [&self.name, &self.size_of, &m.quantity].map(|t| quoted(t));
-            writeln!(out, "{name},{size_of},{quantity},{},{},{}", m.unit, m.size, m.value)?;
+            let name = csv_field(&self.name);
+            let size_unit = csv_field(&self.size_unit);
+            let quantity = csv_field(&m.quantity);
+            writeln!(out, "{name},{size_unit},{quantity},{},{},{}", m.unit, m.size, m.value)?;
         }
         Ok(())
     }
 }
 
 /// A value with four figures, without an exponent where people read it easily.
-fn figure(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
         size if !(1e-3..1e9).contains(&size) => format!("{value:.3e}"),
@@ -151,27 +153,30 @@
     }
 }
 
-fn described(fit: &Result<Fit, FitError>) -> String {
+/// A fit and its spread in words, or why there is none.
+fn describe_fit(fit: &Result<Fit, FitError>) -> String {
     match fit {
         Err(e) => e.to_string(),
         Ok(fit) => {
             let curve = match fit.curve {
                 Curve::Line { intercept, slope } => {
-                    format!("{} + {}*n", figure(intercept), figure(slope))
+                    format!("{} + {}*n", format_value(intercept), format_value(slope))
                 }
-                Curve::Power { factor, exponent } => format!("{}*n^{exponent:.2}", figure(factor)),
+                Curve::Power { factor, exponent } => format!("{}*n^{exponent:.2}", format_value(factor)),
             };
             let spread = fit.largest_residual * 100.0;
-            format!("{curve} (residual {spread:.1}%, standard error {})", figure(fit.standard_error))
+            format!("{curve} (residual {spread:.1}%, standard error {})", format_value(fit.standard_error))
         }
     }
 }
 
-fn quoted(text: &str) -> String {
+/// A text as one CSV field, in quotes where it needs them.
+fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n']) { format!("\"{}\"", text.replace('"', "\"\"")) } else { text.into() }
 }
 
-fn aligned(rows: &[Vec<String>]) -> String {
+/// The rows as lines with columns of one width each.
+fn align_columns(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| rows.iter().filter_map(|r| r.get(column)).map(String::len).max();
     let widths: Vec<usize> = (0..columns).map(|column| width(column).unwrap_or(0)).collect();
