--- a/crates/scale-bench/src/lightweight_proxies/registry/endpoints.rs
+++ b/crates/scale-bench/src/lightweight_proxies/registry/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
-use violetseam_simulated_site::model::roster::Roster;
+use violetseam_simulated_site::model::endpoint_registry::EndpointRegistry;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
 
 /// The build that all listed servers run.
@@ -31,7 +31,7 @@
 
 /// The list of servers.
 pub(super) struct Endpoints {
-    list: Roster,
+    list: EndpointRegistry,
     servers: usize,
     /// Changes so far: the servers change in turn.
     changes: usize,
@@ -41,11 +41,11 @@
 impl Endpoints {
     /// A list of so many ready servers.
     pub(super) fn new(servers: usize) -> Endpoints {
-        let mut list = Roster::default();
+        let mut list = EndpointRegistry::default();
         for number in 0..servers {
-            list.change(0, endpoint(number, EndpointState::Ready), 0);
+            list.schedule_change(0, endpoint(number, EndpointState::Ready), 0);
         }
-        list.advance(0);
+        list.apply_due(0);
         Endpoints { list, servers, changes: 0, cached: None }
     }
 
@@ -61,10 +61,10 @@
             let number = self.changes % self.servers;
             let round = self.changes / self.servers;
             let state = if round.is_multiple_of(2) { EndpointState::Draining } else { EndpointState::Ready };
-            self.list.change(now, endpoint(number, state), 0);
+            self.list.schedule_change(now, endpoint(number, state), 0);
             self.changes += 1;
         }
-        self.list.advance(now);
+        self.list.apply_due(now);
     }
 
     /// The line for a caller: what changed since a version, or the complete list if none is given.
@@ -78,8 +78,8 @@
             return cached.line.clone();
         }
         let update = match since {
-            Some(base) => self.list.since(0, base).unwrap_or_else(|| empty_delta(base)),
-            None => self.list.full(0),
+            Some(base) => self.list.delta_since(0, base).unwrap_or_else(|| empty_delta(base)),
+            None => self.list.snapshot(0),
         };
         let line = Rc::new(update.write());
         self.cached = Some(CachedMessage { key, line: line.clone() });
