--- a/crates/scale-bench/src/benchmark.rs
+++ b/crates/scale-bench/src/benchmark.rs
@@ -71,7 +71,10 @@
     if options.quick {
         command.arg("--quick");
     }
-    let output = command.stderr(Stdio::inherit()).output()?;
+    let output = command
+        .stderr(Stdio::inherit())
+        .output()
+        .map_err(|source| ScaleError::StartProcess { subcommand: "lab scale", source })?;
     if !output.status.success() {
         let status = output.status;
         return Err(ScaleError::SampleProcess { benchmark: benchmark.name(), size, status });
--- a/crates/scale-bench/src/command.rs
+++ b/crates/scale-bench/src/command.rs
@@ -3,11 +3,12 @@
 use crate::benchmark::{Benchmark, RunOptions, measure, measure_in_processes};
 use crate::error::ScaleError;
 use crate::lightweight_proxies::{endpoint_list, evidence as evidence_traffic, idle_processes, release};
+use crate::table::Table;
 use crate::{distribution, evidence, memory, routing, server_list, settings};
 use clap::{Args, Subcommand};
 use std::fs::File;
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 /// Arguments of `violetseam lab scale`.
 #[derive(Args, Clone, Debug)]
@@ -15,7 +16,7 @@
     /// What is measured
     #[command(subcommand)]
     pub name: BenchmarkName,
-    /// The sizes, separated by commas; the slope's own if not given
+    /// The sizes, separated by commas; the benchmark's own if not given
     #[arg(long, global = true, value_delimiter = ',')]
     pub sizes: Vec<u64>,
     /// Write the measurements as CSV to this file too; `-`: to standard output in place of the table
@@ -27,7 +28,7 @@
     /// Seed of all random numbers
     #[arg(long, global = true, default_value_t = 1)]
     pub seed: u64,
-    /// Measure in this process and print JSON; how a slope measures one size alone
+    /// Measure in this process and print JSON; how one size is measured alone
     #[arg(long, global = true, hide = true)]
     pub sample: bool,
 }
@@ -107,9 +108,15 @@
     };
     match args.csv.as_deref() {
         Some(path) if path.as_os_str() == "-" => return Ok(table.write_csv(&mut io::stdout())?),
-        Some(path) => table.write_csv(&mut File::create(path)?)?,
+        Some(path) => write_csv_file(&table, path)?,
         None => {}
     }
     print!("{}", table.text());
     Ok(())
 }
+
+fn write_csv_file(table: &Table, path: &Path) -> Result<(), ScaleError> {
+    File::create(path)
+        .and_then(|mut file| table.write_csv(&mut file))
+        .map_err(|source| ScaleError::File { path: path.display().to_string(), source })
+}
--- a/crates/scale-bench/src/distribution/publisher.rs
+++ b/crates/scale-bench/src/distribution/publisher.rs
@@ -71,7 +71,10 @@
     command.args(["publisher", "--log", "error", "--listen", &listen.to_string()]);
     command.args(["--snapshots-per-second", &SNAPSHOTS_PER_SECOND.to_string()]);
     command.arg("--state").arg(state_dir);
-    Ok(command.stdout(Stdio::piped()).spawn()?)
+    command
+        .stdout(Stdio::piped())
+        .spawn()
+        .map_err(|source| ScaleError::StartProcess { subcommand: "publisher", source })
 }
 
 /// The address that the process prints once it listens; a process that prints none is ended.
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -19,11 +19,39 @@
     /// More sizes than one run takes.
     #[error("more than {MAX_SIZES} sizes")]
     TooManySizes,
-    /// A size for which the benchmark has no fleet.
-    #[error("{bounds}")]
-    SizeOutOfBounds {
-        /// What the benchmark takes.
-        bounds: String,
+    /// A file of measurements or statistics cannot be read or written.
+    #[error("{path}: {source}")]
+    File {
+        /// The file.
+        path: String,
+        /// What failed.
+        source: io::Error,
+    },
+    /// This program cannot be started again as a process of a benchmark.
+    #[error("cannot start the process `{subcommand}`: {source}")]
+    StartProcess {
+        /// What the process would have run.
+        subcommand: &'static str,
+        /// What failed.
+        source: io::Error,
+    },
+    /// More or fewer proxies than the benchmark has sockets and peers for.
+    #[error("a fleet has {min} to {max} proxies")]
+    ProxiesOutOfBounds {
+        /// The fewest.
+        min: u64,
+        /// The most.
+        max: u64,
+    },
+    /// More or fewer proxies or servers than the benchmark has a fleet for.
+    #[error("1 to {max_proxies} {unit} and 1 to {max_servers} servers")]
+    FleetOutOfBounds {
+        /// What a proxy is to the benchmark: a thread or a process.
+        unit: &'static str,
+        /// The most proxies.
+        max_proxies: u64,
+        /// The most listed servers.
+        max_servers: u64,
     },
     /// The process that measures one size ended with a failure.
     #[error("{benchmark} at {size}: {status}")]
--- a/crates/scale-bench/src/lightweight_proxies/controller.rs
+++ b/crates/scale-bench/src/lightweight_proxies/controller.rs
@@ -143,6 +143,7 @@
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
         .stderr(log)
-        .spawn()?;
+        .spawn()
+        .map_err(|source| ScaleError::StartProcess { subcommand: "controller", source })?;
     Ok(child)
 }
--- a/crates/scale-bench/src/lightweight_proxies/endpoint_list.rs
+++ b/crates/scale-bench/src/lightweight_proxies/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use super::registry::{RegistryServer, TrafficCounts};
 use super::threads::{ControlPlane, MAX_PROXIES, ProxyThreads};
-use super::{MAX_SERVERS, counted_seconds};
+use super::{FleetLimit, FleetSize, counted_span};
 use crate::table::{Measurement, Unit};
 use crate::{Benchmark, RunOptions, ScaleError};
 use clap::Args;
@@ -52,16 +52,12 @@
     }
 
     fn sample(&self, size: u64, options: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
-        let (proxies, servers) = self.proxies.map_or((size, self.servers), |proxies| (proxies, size));
-        if !(1..=MAX_PROXIES as u64).contains(&proxies) || !(1..=MAX_SERVERS).contains(&servers) {
-            let bounds = format!("1 to {MAX_PROXIES} proxies and 1 to {MAX_SERVERS} servers");
-            return Err(ScaleError::SizeOutOfBounds { bounds });
-        }
-        let seconds = counted_seconds(options.quick, QUICK_SECONDS, self.seconds);
+        let limit = FleetLimit { unit: "proxies", max_proxies: MAX_PROXIES as u64 };
+        let fleet = FleetSize::new(size, self.servers, self.proxies, limit)?;
         let plan = Plan {
-            proxies: proxies as usize,
-            servers: servers as usize,
-            span: Duration::from_secs_f64(seconds),
+            proxies: fleet.proxies,
+            servers: fleet.servers,
+            span: counted_span(options.quick, QUICK_SECONDS, self.seconds),
             changes_per_second: self.changes.clamp(0.1, 100.0),
         };
         Ok(measurements(&measure(&plan)?, size))
--- a/crates/scale-bench/src/lightweight_proxies/evidence/mod.rs
+++ b/crates/scale-bench/src/lightweight_proxies/evidence/mod.rs
@@ -6,7 +6,7 @@
 
 pub use rates::{EvidenceTraffic, RoleRates};
 
-use super::counted_seconds;
+use super::counted_span;
 use super::engine_fleet::{EngineFleet, FleetConfig, ReleaseSource, START_TIME, simulate};
 use crate::table::{Measurement, Unit};
 use crate::{Benchmark, RunOptions, ScaleError};
@@ -57,8 +57,7 @@
             release_source: if self.rest { ReleaseSource::Released } else { ReleaseSource::OnTrial },
             seed: options.seed,
         };
-        let seconds = counted_seconds(options.quick, QUICK_SECONDS, self.seconds);
-        let span = Duration::from_secs_f64(seconds);
+        let span = counted_span(options.quick, QUICK_SECONDS, self.seconds);
         let transport = if self.simulated { Transport::Simulated } else { Transport::Loopback };
         Plan { fleet, transport, warm_up: span / WARM_UP_DIVISOR, span }
     }
@@ -79,8 +78,7 @@
 
     fn sample(&self, size: u64, options: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
         if !(MIN_PROXIES..=MAX_PROXIES).contains(&size) {
-            let bounds = format!("a fleet has {MIN_PROXIES} to {MAX_PROXIES} proxies");
-            return Err(ScaleError::SizeOutOfBounds { bounds });
+            return Err(ScaleError::ProxiesOutOfBounds { min: MIN_PROXIES, max: MAX_PROXIES });
         }
         Ok(measurements(&measure(&self.plan(size, options))?))
     }
@@ -111,7 +109,7 @@
     rows
 }
 
-/// What carries the datagrams.
+/// How the datagrams are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
     /// None: simulated time, datagrams counted as they are handed over.
@@ -125,7 +123,7 @@
 pub struct Plan {
     /// The fleet.
     pub fleet: FleetConfig,
-    /// What carries the datagrams.
+    /// How the datagrams are delivered.
     pub transport: Transport,
     /// Passes before counting begins.
     pub warm_up: Duration,
--- a/crates/scale-bench/src/lightweight_proxies/evidence/rates.rs
+++ b/crates/scale-bench/src/lightweight_proxies/evidence/rates.rs
@@ -29,7 +29,7 @@
 pub struct EvidenceTraffic {
     /// Proxies.
     pub proxies: usize,
-    /// What carried the datagrams.
+    /// How the datagrams were delivered.
     pub transport: Transport,
     /// Proxies that send a sum to all peers; none in a full mesh.
     pub collector: RoleRates,
--- a/crates/scale-bench/src/lightweight_proxies/idle_processes.rs
+++ b/crates/scale-bench/src/lightweight_proxies/idle_processes.rs
@@ -2,7 +2,7 @@
 
 use super::registry::RegistryServer;
 use super::threads::{ControlPlane, settings_script};
-use super::{MAX_SERVERS, counted_seconds};
+use super::{FleetLimit, FleetSize, counted_span};
 use crate::resources::MeasuredProcess;
 use crate::table::{Measurement, Unit};
 use crate::{Benchmark, RunOptions, ScaleError};
@@ -55,16 +55,12 @@
     }
 
     fn sample(&self, size: u64, options: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
-        let (proxies, servers) = self.proxies.map_or((size, self.servers), |proxies| (proxies, size));
-        if !(1..=MAX_PROCESSES).contains(&proxies) || !(1..=MAX_SERVERS).contains(&servers) {
-            let bounds = format!("1 to {MAX_PROCESSES} processes and 1 to {MAX_SERVERS} servers");
-            return Err(ScaleError::SizeOutOfBounds { bounds });
-        }
-        let seconds = counted_seconds(options.quick, QUICK_SECONDS, self.seconds);
+        let limit = FleetLimit { unit: "processes", max_proxies: MAX_PROCESSES };
+        let fleet = FleetSize::new(size, self.servers, self.proxies, limit)?;
         let plan = Plan {
-            processes: proxies as usize,
-            servers: servers as usize,
-            span: Duration::from_secs_f64(seconds),
+            processes: fleet.proxies,
+            servers: fleet.servers,
+            span: counted_span(options.quick, QUICK_SECONDS, self.seconds),
         };
         let usage = measure(&plan)?;
         Ok(vec![
@@ -150,7 +146,8 @@
                 .arg(&script)
                 .stdin(Stdio::null())
                 .stdout(Stdio::null())
-                .spawn()?;
+                .spawn()
+                .map_err(|source| ScaleError::StartProcess { subcommand: "serve", source })?;
             processes.children.push(child);
         }
         Ok(processes)
--- a/crates/scale-bench/src/lightweight_proxies/registry/mod.rs
+++ b/crates/scale-bench/src/lightweight_proxies/registry/mod.rs
@@ -63,7 +63,7 @@
     }
 
     fn send(&self, command: Command) {
-        // A registry whose thread has ended takes no commands; its counts stand still.
+        // A registry whose thread has ended accepts no commands; its counts no longer change.
         let _ = self.commands.send(command);
     }
 }
--- a/crates/scale-bench/src/lightweight_proxies/registry/server.rs
+++ b/crates/scale-bench/src/lightweight_proxies/registry/server.rs
@@ -59,7 +59,7 @@
     Stream,
 }
 
-/// Serves until it is told to stop.
+/// Serves until [`Command::Stop`].
 ///
 /// # Errors
 /// Errors of the event loop.
--- a/crates/scale-bench/src/lightweight_proxies/release/clients.rs
+++ b/crates/scale-bench/src/lightweight_proxies/release/clients.rs
@@ -19,7 +19,7 @@
 const REOPEN_DELAY: Micros = 1_000_000;
 /// Spreads the proxies over that span: a prime, so that neighbours are far apart.
 const REOPEN_SPREAD_FACTOR: Micros = 7_919;
-/// Longest time from a vote to its reply that is told apart, in microseconds.
+/// Longest time from a vote to its reply that the histogram distinguishes, in microseconds.
 const MAX_VOTE_MICROS: u64 = 60_000_000;
 const READ_BYTES: usize = 16 * 1024;
 
--- a/crates/scale-bench/src/lightweight_proxies/release/mod.rs
+++ b/crates/scale-bench/src/lightweight_proxies/release/mod.rs
@@ -10,12 +10,11 @@
 pub use clients::ClientCounts;
 pub use phases::{Phase, Plan, ReleaseTraffic, measure};
 
-use super::counted_seconds;
+use super::counted_span;
 use super::engine_fleet::{FleetConfig, ReleaseSource};
 use crate::table::{Measurement, Unit};
 use crate::{Benchmark, RunOptions, ScaleError};
 use clap::Args;
-use std::time::Duration;
 use violetseam::interface::Micros;
 
 /// Most proxies: each has a descriptor here and one in the controller, and votes take more.
@@ -52,11 +51,10 @@
             release_source: ReleaseSource::ExternalController,
             seed: options.seed,
         };
-        let seconds = counted_seconds(options.quick, QUICK_SECONDS, self.seconds);
         Plan {
             fleet,
             vote_rate_limit: self.allowance.clamp(1.0, 1e6),
-            span: Duration::from_secs_f64(seconds),
+            span: counted_span(options.quick, QUICK_SECONDS, self.seconds),
         }
     }
 }
@@ -76,13 +74,13 @@
 
     fn sample(&self, size: u64, options: &RunOptions) -> Result<Vec<Measurement>, ScaleError> {
         if !(1..=MAX_PROXIES).contains(&size) {
-            return Err(ScaleError::SizeOutOfBounds { bounds: format!("1 to {MAX_PROXIES} proxies") });
+            return Err(ScaleError::ProxiesOutOfBounds { min: 1, max: MAX_PROXIES });
         }
         Ok(measurements(&measure(&self.plan(size, options))?, size))
     }
 }
 
-/// One fleet's rows: rates and bytes for each proxy, the controller's own as a whole.
+/// One fleet's rows: rates and bytes for each proxy, the controller's own in total.
 fn measurements(traffic: &ReleaseTraffic, size: u64) -> Vec<Measurement> {
     let mut rows = Vec::new();
     let mut row = |quantity: &str, unit, value| rows.push(Measurement::new(quantity, unit, size, value));
--- a/crates/scale-bench/src/resources.rs
+++ b/crates/scale-bench/src/resources.rs
@@ -50,7 +50,7 @@
     /// [`ScaleError`] if the process has ended or the kernel does not give the value.
     pub fn processor_seconds(self) -> Result<f64, ScaleError> {
         let path = self.path("stat");
-        let text = std::fs::read_to_string(&path)?;
+        let text = read_file(&path)?;
         // The program's name is in parentheses and may hold spaces.
         let after_name = text.rsplit_once(')').map_or("", |(_, rest)| rest);
         let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -63,7 +63,7 @@
 
     fn status_bytes(self, field: &'static str) -> Result<u64, ScaleError> {
         let path = self.path("status");
-        let text = std::fs::read_to_string(&path)?;
+        let text = read_file(&path)?;
         let line = text.lines().find_map(|line| line.strip_prefix(field));
         let kilobytes = line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse::<u64>().ok());
         match kilobytes {
@@ -97,8 +97,12 @@
 /// Records a time in nanoseconds, 1 at least.
 ///
 /// # Errors
-/// [`ScaleError`] if the histogram does not take the value.
+/// [`ScaleError`] if the histogram does not accept the value.
 pub fn record_nanoseconds(times: &mut Histogram<u64>, time: Duration) -> Result<(), ScaleError> {
     let nanoseconds = time.as_nanos().min(u128::from(u64::MAX)) as u64;
     Ok(times.record(nanoseconds.max(1))?)
 }
+
+fn read_file(path: &str) -> Result<String, ScaleError> {
+    std::fs::read_to_string(path).map_err(|source| ScaleError::File { path: path.to_owned(), source })
+}
--- a/crates/scale-bench/src/settings.rs
+++ b/crates/scale-bench/src/settings.rs
@@ -1,6 +1,6 @@
 //! A settings script with N routes or N tenants: time and memory of reading and checking all of it.
 //!
-//! A change of one route or tenant has the whole script checked again, so this is the cost of a change.
+//! A change of one route or tenant has the complete script checked again, so this is the cost of a change.
 
 use crate::resources::MeasuredProcess;
 use crate::table::{Measurement, Unit};
--- a/crates/scale-bench/src/table.rs
+++ b/crates/scale-bench/src/table.rs
@@ -43,7 +43,7 @@
 /// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
-    /// What was measured, in a few words; the same at every size.
+    /// What was measured, in a short phrase; the same at every size.
     pub quantity: String,
     /// Its unit.
     pub unit: Unit,
@@ -71,6 +71,15 @@
     pub measurements: Vec<Measurement>,
 }
 
+/// A quantity of a table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Quantity<'a> {
+    /// What is measured.
+    pub name: &'a str,
+    /// Its unit.
+    pub unit: Unit,
+}
+
 /// Both fits of one quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fits {
@@ -82,14 +91,15 @@
 
 impl Table {
     /// The quantities, in the order of their first measurement.
-    pub fn quantities(&self) -> Vec<(&str, Unit)> {
-        let mut found: Vec<(&str, Unit)> = Vec::new();
-        for m in &self.measurements {
-            if !found.iter().any(|(name, _)| *name == m.quantity) {
-                found.push((&m.quantity, m.unit));
+    pub fn quantities(&self) -> Vec<Quantity<'_>> {
+        let mut quantities: Vec<Quantity<'_>> = Vec::new();
+        for measurement in &self.measurements {
+            let quantity = Quantity { name: &measurement.quantity, unit: measurement.unit };
+            if !quantities.iter().any(|known| known.name == quantity.name) {
+                quantities.push(quantity);
             }
         }
-        found
+        quantities
     }
 
     /// The points of one quantity, by size; repeated sizes stay apart.
@@ -116,10 +126,10 @@
         let mut rows = vec![vec!["quantity".to_owned(), "unit".to_owned()]];
         rows[0].extend(sizes.iter().map(|size| format!("{size} {}", self.size_unit)));
         rows[0].extend(["line", "power law"].map(str::to_owned));
-        for (quantity, unit) in self.quantities() {
-            let mut row = vec![quantity.to_owned(), unit.to_string()];
-            row.extend(sizes.iter().map(|size| self.value(quantity, *size).map_or("-".into(), format_value)));
-            let fits = self.fits(quantity);
+        for Quantity { name, unit } in self.quantities() {
+            let mut row = vec![name.to_owned(), unit.to_string()];
+            row.extend(sizes.iter().map(|size| self.value(name, *size).map_or("-".into(), format_value)));
+            let fits = self.fits(name);
             row.extend([describe_fit(&fits.line), describe_fit(&fits.power)]);
             rows.push(row);
         }
@@ -153,7 +163,7 @@
     }
 }
 
-/// A fit and its spread in words, or why there is none.
+/// A fit and its spread as text, or why there is none.
 fn describe_fit(fit: &Result<Fit, FitError>) -> String {
     match fit {
         Err(e) => e.to_string(),
