--- a/crates/scale-bench/src/lightweight_proxies/registry/server.rs
+++ b/crates/scale-bench/src/lightweight_proxies/registry/server.rs
@@ -136,7 +136,7 @@
     /// Publishes what is unsent and open now.
     fn update_gauges(&mut self) {
         let unsent: usize =
-            self.connections.iter().map(|(_, connection)| connection.socket.unwritten()).sum();
+            self.connections.iter().map(|(_, connection)| connection.socket.unwritten_bytes()).sum();
         let is_watch = |connection: &Connection| connection.watched_version.is_some();
         let watches = self.connections.iter().filter(|(_, connection)| is_watch(connection)).count();
         self.counters.unsent_bytes.set(unsent as u64);
@@ -161,8 +161,8 @@
                 connection.http.feed(&bytes[..length]);
                 self.handle_http_events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.close(key),
         }
     }
 
@@ -200,7 +200,7 @@
                 if connection.is_counted {
                     self.counters.sent_bytes.add(sent as u64);
                 }
-                connection.socket.want(&self.handle, true);
+                connection.socket.set_read_interest(&self.handle, true);
             }
             Err(_) => self.close(key),
         }
@@ -240,7 +240,7 @@
             ResponseBody::Complete => Framing::Length(line.len() as u64),
             ResponseBody::Stream => Framing::Chunked,
         };
-        let out = connection.socket.out();
+        let out = connection.socket.write_buffer();
         connection.http.start_answer(out, StatusCode::OK, &HeaderMap::new(), &[], framing, false);
         connection.http.write_body(out, line);
         if body == ResponseBody::Complete {
@@ -262,7 +262,7 @@
             self.counters.deltas.add(1);
             if let Some(connection) = self.connections.get_mut(key) {
                 connection.watched_version = Some(self.endpoints.version());
-                connection.http.write_body(connection.socket.out(), &line);
+                connection.http.write_body(connection.socket.write_buffer(), &line);
             }
             self.flush(key);
         }
--- a/crates/scale-bench/src/lightweight_proxies/release/clients.rs
+++ b/crates/scale-bench/src/lightweight_proxies/release/clients.rs
@@ -202,10 +202,10 @@
             self.controller,
             request.body.len()
         );
-        socket.out().extend_from_slice(head.as_bytes());
-        socket.out().extend_from_slice(request.body);
+        socket.write_buffer().extend_from_slice(head.as_bytes());
+        socket.write_buffer().extend_from_slice(request.body);
         if request.purpose == CallPurpose::Vote {
-            self.counts.vote_bytes += socket.unwritten() as u64;
+            self.counts.vote_bytes += socket.unwritten_bytes() as u64;
         }
         let mut http = ClientConn::new(violetseam_http1::Limits::default());
         http.expect_answer(false);
@@ -237,7 +237,7 @@
             self.on_call_lost(key);
             return false;
         }
-        call.socket.want(&self.handle, true);
+        call.socket.set_read_interest(&self.handle, true);
         true
     }
 
@@ -253,8 +253,8 @@
                 call.http.feed(&bytes[..length]);
                 self.handle_http_events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.on_call_lost(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.on_call_lost(key),
         }
     }
 
