--- a/crates/scale-bench/src/table.rs
+++ b/crates/scale-bench/src/table.rs
@@ -1,8 +1,8 @@
-//! Measurements of one slope, as a table for people and as CSV.
+//! Measurements of one benchmark, as a table for people and as CSV.
 
-use super::fit::{self, Curve, Fit, FitError, Point};
+use crate::fit::{self, Curve, Fit, FitError, Point};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
 use std::io;
 
@@ -43,7 +43,7 @@
 /// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
-    /// What was measured, in a few words; the same at every size.
+    /// What was measured, in a short phrase; the same at every size.
     pub quantity: String,
     /// Its unit.
     pub unit: Unit,
@@ -60,17 +60,26 @@
     }
 }
 
-/// All measurements of one slope.
+/// All measurements of one benchmark.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// The slope's name.
+    /// The benchmark's name.
     pub name: String,
     /// What the size counts, such as "servers".
-    pub size_of: String,
+    pub size_unit: String,
     /// The measurements, in the order in which they were made.
     pub measurements: Vec<Measurement>,
 }
 
+/// A quantity of a table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Quantity<'a> {
+    /// What is measured.
+    pub name: &'a str,
+    /// Its unit.
+    pub unit: Unit,
+}
+
 /// Both fits of one quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fits {
@@ -82,14 +91,15 @@
 
 impl Table {
     /// The quantities, in the order of their first measurement.
-    pub fn quantities(&self) -> Vec<(&str, Unit)> {
-        let mut found: Vec<(&str, Unit)> = Vec::new();
-        for m in &self.measurements {
-            if !found.iter().any(|(name, _)| *name == m.quantity) {
-                found.push((&m.quantity, m.unit));
+    pub fn quantities(&self) -> Vec<Quantity<'_>> {
+        let mut quantities: Vec<Quantity<'_>> = Vec::new();
+        for measurement in &self.measurements {
+            let quantity = Quantity { name: &measurement.quantity, unit: measurement.unit };
+            if !quantities.iter().any(|known| known.name == quantity.name) {
+                quantities.push(quantity);
             }
         }
-        found
+        quantities
     }
 
     /// The points of one quantity, by size; repeated sizes stay apart.
@@ -112,18 +122,18 @@
 
     /// The table for people: a line for each quantity, a column for each size, then the fits.
     pub fn text(&self) -> String {
-        let sizes: BTreeMap<u64, ()> = self.measurements.iter().map(|m| (m.size, ())).collect();
+        let sizes: BTreeSet<u64> = self.measurements.iter().map(|m| m.size).collect();
         let mut rows = vec![vec!["quantity".to_owned(), "unit".to_owned()]];
-        rows[0].extend(sizes.keys().map(|size| format!("{size} {}", self.size_of)));
+        rows[0].extend(sizes.iter().map(|size| format!("{size} {}", self.size_unit)));
         rows[0].extend(["line", "power law"].map(str::to_owned));
-        for (quantity, unit) in self.quantities() {
-            let mut row = vec![quantity.to_owned(), unit.to_string()];
-            row.extend(sizes.keys().map(|size| self.value(quantity, *size).map_or("-".into(), figure)));
-            let fits = self.fits(quantity);
-            row.extend([described(&fits.line), described(&fits.power)]);
+        for Quantity { name, unit } in self.quantities() {
+            let mut row = vec![name.to_owned(), unit.to_string()];
+            row.extend(sizes.iter().map(|size| self.value(name, *size).map_or("-".into(), format_value)));
+            let fits = self.fits(name);
+            row.extend([describe_fit(&fits.line), describe_fit(&fits.power)]);
             rows.push(row);
         }
-        format!("{}\n{}", self.name, aligned(&rows))
+        format!("{}\n{}", self.name, align_columns(&rows))
     }
 
     /// Writes one line for each measurement, under a line of column names.
@@ -133,15 +143,17 @@
     pub fn write_csv(&self, out: &mut dyn io::Write) -> io::Result<()> {
         writeln!(out, "slope,size_of,quantity,unit,size,value")?;
         for m in &self.measurements {
-            let [name, size_of, quantity] = [&self.name, &self.size_of, &m.quantity].map(|t| quoted(t));
-            writeln!(out, "{name},{size_of},{quantity},{},{},{}", m.unit, m.size, m.value)?;
+            let name = csv_field(&self.name);
+            let size_unit = csv_field(&self.size_unit);
+            let quantity = csv_field(&m.quantity);
+            writeln!(out, "{name},{size_unit},{quantity},{},{},{}", m.unit, m.size, m.value)?;
         }
         Ok(())
     }
 }
 
 /// A value with four figures, without an exponent where people read it easily.
-fn figure(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
         size if !(1e-3..1e9).contains(&size) => format!("{value:.3e}"),
@@ -151,27 +163,30 @@
     }
 }
 
-fn described(fit: &Result<Fit, FitError>) -> String {
+/// A fit and its spread as text, or why there is none.
+fn describe_fit(fit: &Result<Fit, FitError>) -> String {
     match fit {
         Err(e) => e.to_string(),
         Ok(fit) => {
             let curve = match fit.curve {
                 Curve::Line { intercept, slope } => {
-                    format!("{} + {}*n", figure(intercept), figure(slope))
+                    format!("{} + {}*n", format_value(intercept), format_value(slope))
                 }
-                Curve::Power { factor, exponent } => format!("{}*n^{exponent:.2}", figure(factor)),
+                Curve::Power { factor, exponent } => format!("{}*n^{exponent:.2}", format_value(factor)),
             };
             let spread = fit.largest_residual * 100.0;
-            format!("{curve} (residual {spread:.1}%, standard error {})", figure(fit.standard_error))
+            format!("{curve} (residual {spread:.1}%, standard error {})", format_value(fit.standard_error))
         }
     }
 }
 
-fn quoted(text: &str) -> String {
+/// A text as one CSV field, in quotes where it needs them.
+fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n']) { format!("\"{}\"", text.replace('"', "\"\"")) } else { text.into() }
 }
 
-fn aligned(rows: &[Vec<String>]) -> String {
+/// The rows as lines with columns of one width each.
+fn align_columns(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| rows.iter().filter_map(|r| r.get(column)).map(String::len).max();
     let widths: Vec<usize> = (0..columns).map(|column| width(column).unwrap_or(0)).collect();
