--- a/crates/simulated-site/src/lib.rs
+++ b/crates/simulated-site/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what surrounds a proxy: servers, roster, release desk and clients, on loopback sockets,
-//! with troubles by script. They write down what crosses their sockets, for the rule checker.
+//! Simulated services and clients around proxies, on loopback sockets, with injected faults. They record what
+//! crosses their sockets, for the checker of the invariants.
 //!
-//! [`day`] is the script of a day, [`model`] what each stand-in does, without I/O and with time passed in,
-//! [`drive`] the sockets. Servers here are models: their work is waiting, not computing, so that a machine
-//! can carry a fleet of them. Figures measured against them are of simulated servers.
+//! [`scenario`] describes a run, [`model`] what each service does, without I/O and with the time passed in,
+//! [`network`] the sockets. Servers are models whose work is waiting, not computing, so that one machine can
+//! carry a fleet of them. Figures measured against them are figures of simulated servers.
 
 pub mod model;
 pub mod network;
@@ -11,7 +11,7 @@
 
 use std::time::Instant;
 
-/// The one clock of all stand-ins of a run, in microseconds.
+/// The common clock of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
--- a/crates/simulated-site/src/model/endpoint_registry.rs
+++ b/crates/simulated-site/src/model/endpoint_registry.rs
@@ -1,5 +1,5 @@
-//! The simulated discovery service's list of servers: changes become visible late, and readers get the complete
-//! list or what changed.
+//! The simulated discovery service's list of servers: changes become visible late, and readers get the
+//! complete list or what changed.
 
 use std::collections::BTreeMap;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
@@ -47,7 +47,8 @@
 }
 
 impl EndpointRegistry {
-    /// Schedules an entry that becomes visible at a time. `started_at` is when the server started; 0: long ago.
+    /// Schedules an entry that becomes visible at a time. `started_at` is when the server started; 0: long
+    /// ago.
     pub fn schedule_change(&mut self, visible_at: u64, endpoint: Endpoint, started_at: u64) {
         self.changes += 1;
         self.scheduled.insert((visible_at, self.changes), ScheduledChange { endpoint, started_at });
--- a/crates/simulated-site/src/model/release_service/mod.rs
+++ b/crates/simulated-site/src/model/release_service/mod.rs
@@ -1,23 +1,22 @@
 //! The simulated release service: offers builds in stages, counts votes, starts and drains servers.
 //!
-//! Servers stand in places. A stage wants the new build in its share of them; the previous server of a place
-//! stays until the release, or drains once its successor runs, as the rollout says. A build that is rolled back
-//! is replaced by the previous one, which is started again where it has ended.
+//! Servers stand in places. A stage wants the new build in its share of them; the previous server of a
+//! place stays until the release, or drains once its successor runs, as the rollout says. A build that is
+//! rolled back is replaced by the previous one, which is started again where it has ended.
 
 mod pool;
+mod rollback;
+mod stage_clock;
+mod stages;
 mod votes;
 
 pub use pool::{PooledServer, ServerCommand, ServerPool};
 
 use crate::scenario::{GateMode, Release, Rollout};
+use stage_clock::StageClock;
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate, VerdictName, Vote, VoteOutcome};
 use votes::{VoteRateLimit, Votes, is_for_any_stage, matches_status};
 
-/// A stage's clock starts so long after all its servers run, in microseconds ...
-const STAGE_SETTLE_TIME: u64 = 1_000_000;
-/// ... or so long after their launch at the latest.
-const MAX_LAUNCH_TIME: u64 = 8_000_000;
-
 /// What became of a build.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BuildOutcome {
@@ -38,55 +37,6 @@
     }
 }
 
-/// Times of the present stage.
-#[derive(Debug, Default)]
-struct StageClock {
-    launched_at: u64,
-    /// When the stage's own time begins.
-    settled_at: Option<u64>,
-    /// Time that does not count, because the clock was held or the service was down.
-    held: u64,
-    held_since: Option<u64>,
-    down_since: Option<u64>,
-}
-
-impl StageClock {
-    fn restart(&mut self, now: u64) {
-        self.launched_at = now;
-        self.settled_at = None;
-        self.held = 0;
-    }
-
-    fn stop(&mut self, now: u64) {
-        self.down_since.get_or_insert(now);
-    }
-
-    /// Goes on after a stop.
-    fn resume(&mut self, now: u64) {
-        let Some(since) = self.down_since.take() else { return };
-        if let Some(settled_at) = self.settled_at {
-            self.held += now.saturating_sub(since.max(settled_at));
-        }
-    }
-
-    /// Counts the time since the last turn as held, if it was.
-    fn set_held(&mut self, now: u64, is_held: bool) {
-        if let Some(since) = self.held_since.take() {
-            self.held += now.saturating_sub(since);
-        }
-        self.held_since = is_held.then_some(now);
-    }
-
-    /// When the stage's own time begins, once that is known.
-    fn settle(&mut self, now: u64, is_running: bool) -> Option<u64> {
-        let is_due = is_running || now >= self.launched_at + MAX_LAUNCH_TIME;
-        if self.settled_at.is_none() && is_due {
-            self.settled_at = Some(now + STAGE_SETTLE_TIME);
-        }
-        self.settled_at
-    }
-}
-
 /// The release service.
 #[derive(Debug)]
 pub struct ReleaseService {
@@ -214,126 +164,6 @@
         }
     }
 
-    /// A turn of a build on trial.
-    fn advance_stage(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
-        let build = self.status.build;
-        let wanted = self.wanted_servers();
-        self.launch_missing(now, wanted);
-        if !self.plan.keep_previous_build {
-            self.drain_replaced(now, self.previous_build, build, commands);
-        }
-        let is_running = self.running_servers(build) >= wanted;
-        let Some(settled_at) = self.clock.settle(now, is_running) else { return };
-        self.clock.set_held(now, self.is_held());
-        if self.has_votes_to_roll_back() {
-            return self.roll_back(now);
-        }
-        if self.may_promote(now, settled_at) {
-            self.promote(now, commands);
-        }
-    }
-
-    /// Servers of the new build that the present stage wants.
-    fn wanted_servers(&self) -> usize {
-        let share = self.plan.stages[usize::from(self.status.stage)];
-        ((share * self.places as f64).ceil() as usize).clamp(1, self.places)
-    }
-
-    fn running_servers(&self, build: u16) -> usize {
-        self.pool.of_build(build).filter(|(_, server)| server.is_running()).count()
-    }
-
-    /// Launches servers of the new build until there are as many as wanted.
-    fn launch_missing(&mut self, now: u64, wanted: usize) {
-        let build = self.status.build;
-        let taken: Vec<usize> = self.pool.of_build(build).map(|(_, server)| server.place).collect();
-        // Spread over the places, and so over zones and cells.
-        let spread = (0..self.places).map(|i| (i * 7 + 3) % self.places.max(1));
-        let candidates = spread.chain(0..self.places).filter(|place| !taken.contains(place));
-        let mut chosen: Vec<usize> = Vec::new();
-        for place in candidates {
-            if taken.len() + chosen.len() < wanted && !chosen.contains(&place) {
-                chosen.push(place);
-            }
-        }
-        for place in chosen {
-            self.launch(now, place, build);
-        }
-    }
-
-    /// Whether votes hold the clock.
-    fn is_held(&self) -> bool {
-        self.plan.gate == GateMode::Timer
-            && self.plan.votes_to_hold > 0.0
-            && self.has_votes(VerdictName::Hold, self.plan.votes_to_hold)
-    }
-
-    fn may_promote(&self, now: u64, settled_at: u64) -> bool {
-        let age = now.saturating_sub(settled_at + self.clock.held);
-        let is_settled = now >= settled_at;
-        match self.plan.gate {
-            GateMode::Timer => is_settled && age >= self.plan.stage_duration,
-            GateMode::Any | GateMode::Share => {
-                let has_votes = self.has_votes(VerdictName::On, self.plan.votes_to_promote);
-                is_settled && has_votes && age >= self.plan.bake
-            }
-        }
-    }
-
-    /// Goes on to the next stage, or releases the build after the last.
-    fn promote(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
-        self.votes.clear();
-        let next_stage = usize::from(self.status.stage) + 1;
-        if next_stage < self.plan.stages.len() {
-            self.status.stage += 1;
-            self.status.cap = self.plan.caps[next_stage];
-            return self.clock.restart(now);
-        }
-        self.status.phase = PhaseName::Released;
-        self.status.cap = 1.0;
-        if let Some(outcome) = self.outcomes.last_mut() {
-            outcome.released_at = Some(now);
-        }
-        let previous: Vec<u64> = self.pool.of_build(self.previous_build).map(|(id, _)| id).collect();
-        for server in previous {
-            self.drain(now, server, commands);
-        }
-    }
-
-    /// A turn of a rollback: the cap falls with the number of servers of the build.
-    fn advance_rollback(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
-        let build = self.status.build;
-        let previous = self.previous_build;
-        let restored: Vec<usize> = self.pool.of_build(previous).map(|(_, server)| server.place).collect();
-        for place in (0..self.places).filter(|place| !restored.contains(place)) {
-            self.launch(now, place, previous);
-        }
-        self.cancel_starts(build);
-        self.drain_replaced(now, build, previous, commands);
-        self.lower_cap();
-        let is_gone = self.pool.iter().all(|(_, server)| server.build != build);
-        if is_gone && self.running_servers(previous) >= self.places {
-            self.status.phase = PhaseName::Withdrawn;
-            self.status.cap = 0.0;
-        }
-    }
-
-    /// Removes servers of a build that do not run yet.
-    fn cancel_starts(&mut self, build: u16) {
-        let starting = self.pool.of_build(build).filter(|(_, server)| server.is_starting());
-        let starting: Vec<u64> = starting.map(|(id, _)| id).collect();
-        for server in starting {
-            self.pool.remove(server);
-        }
-    }
-
-    fn lower_cap(&mut self) {
-        let remaining = self.pool.of_build(self.status.build).count() as f64 / self.places as f64;
-        let cap_per_share = self.plan.caps[0] / self.plan.stages[0];
-        let bound = (remaining * cap_per_share).min(1.0);
-        self.status.cap = if remaining == 0.0 { 0.0 } else { self.status.cap.min(bound) };
-    }
-
     fn has_votes_to_roll_back(&self) -> bool {
         self.has_votes(VerdictName::Back, self.plan.votes_to_roll_back)
     }
--- a/crates/simulated-site/src/model/server/dedup.rs
+++ b/crates/simulated-site/src/model/server/dedup.rs
@@ -51,8 +51,8 @@
 }
 
 impl DedupCaches {
-    /// Whether a request that arrives at a server repeats one that the server's group has executed. `class` is the
-    /// index of the request's class, `key` its key; 0: none.
+    /// Whether a request that arrives at a server repeats one that the server's group has executed. `class`
+    /// is the index of the request's class, `key` its key; 0: none.
     pub fn is_duplicate(
         &mut self,
         now: u64,
--- a/crates/simulated-site/src/model/server/impairment.rs
+++ b/crates/simulated-site/src/model/server/impairment.rs
@@ -56,8 +56,8 @@
 }
 
 impl FaultTarget {
-    /// Applies the faults that are active now to the server. `fleet_slowdown` is how many times slower a defective
-    /// build makes all servers.
+    /// Applies the faults that are active now to the server. `fleet_slowdown` is how many times slower a
+    /// defective build makes all servers.
     pub fn apply_faults<'a>(
         &mut self,
         server: &mut Server,
--- a/crates/simulated-site/src/model/server/mod.rs
+++ b/crates/simulated-site/src/model/server/mod.rs
@@ -18,8 +18,8 @@
 
 /// Work of a duplicate, whose first execution is remembered, as a share of the request's.
 const DUPLICATE_WORK_SHARE: f64 = 0.05;
-/// A server collapses beyond this factor on its overload limit, so that a proxy at the limit does not depend on
-/// rounding.
+/// A server collapses beyond this factor on its overload limit, so that a proxy at the limit does not
+/// depend on rounding.
 const COLLAPSE_MARGIN: f64 = 1.25;
 /// The least share of a machine that a noisy neighbor leaves.
 const MIN_REMAINING_SHARE: f64 = 0.05;
@@ -139,8 +139,8 @@
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Takes a request, and returns a reply if there is one at once. A server that is warming up collapses if it
-    /// gets more than it can bear.
+    /// Takes a request, and returns a reply if there is one at once. A server that is warming up collapses
+    /// if it gets more than it can bear.
     pub fn accept(
         &mut self,
         now: u64,
--- /dev/null
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -0,0 +1,267 @@
+//! Connections to proxies: opening, writing, reading, closing.
+
+use super::super::headers::{BUILD, WRONG};
+use super::{Clients, TimerKind};
+use calloop::{Interest, Readiness};
+use http::StatusCode;
+use violetseam_event_io::{ReadOutcome, Socket, connect};
+use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::{Limits, ResponseHead};
+use violetseam_invariants::Record;
+use violetseam_invariants::record::Answer;
+
+/// Bytes that are read from a connection at once.
+const READ_BUFFER_SIZE: usize = 16 * 1_024;
+/// How long a report of a wrong answer may take, in microseconds.
+const REPORT_TIMEOUT: u64 = 1_000_000;
+
+/// Identifies a connection, as long as the same exchange is on it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ConnectionId {
+    pub(super) key: usize,
+    pub(super) generation: u64,
+}
+
+/// A connection to a proxy, with at most one exchange on it.
+pub(super) struct Connection {
+    pub(super) generation: u64,
+    pub(super) proxy: usize,
+    pub(super) socket: Socket,
+    pub(super) http: ClientConn,
+    pub(super) exchange: Exchange,
+    pub(super) is_connected: bool,
+}
+
+/// What happens on a connection.
+pub(super) enum Exchange {
+    Idle,
+    Attempt(Box<Attempt>),
+    WrongAnswerReport,
+}
+
+/// An attempt at a request.
+pub(super) struct Attempt {
+    /// Its number in the records.
+    pub(super) number: u64,
+    /// Key of the request.
+    pub(super) request: usize,
+    pub(super) started_at: u64,
+    pub(super) deadline: u64,
+    pub(super) is_sent: bool,
+    pub(super) response: Option<ResponseInfo>,
+}
+
+/// What the head of a response says.
+#[derive(Clone, Debug)]
+pub(super) struct ResponseInfo {
+    status: StatusCode,
+    /// How the proxy classifies the response.
+    pub(super) answer: Option<Answer>,
+    pub(super) build: u16,
+    pub(super) is_wrong: bool,
+    /// By which the answer may be reported as wrong.
+    pub(super) id: Option<String>,
+    /// In seconds.
+    pub(super) retry_after: u64,
+}
+
+impl ResponseInfo {
+    fn parse(head: &ResponseHead) -> Self {
+        let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+        let answer = match text("violetseam-answer") {
+            Some("served") => Some(Answer::Served),
+            Some("refused") => Some(Answer::Refused),
+            Some("failed") => Some(Answer::Failed),
+            _ => None,
+        };
+        ResponseInfo {
+            status: head.status,
+            answer,
+            build: text(BUILD).and_then(|build| build.parse().ok()).unwrap_or(0),
+            is_wrong: text(WRONG).is_some(),
+            id: text("answer-id").map(str::to_owned),
+            retry_after: text("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0),
+        }
+    }
+}
+
+impl Clients {
+    /// Opens a connection to a proxy for an exchange.
+    pub(super) fn open(&mut self, proxy: usize, exchange: Exchange) -> Option<ConnectionId> {
+        let stream = connect(self.addresses.proxy(proxy)).ok()?;
+        let generation = self.next_sequence();
+        let slot = self.connections.vacant_entry();
+        let key = slot.key();
+        let on_ready = move |readiness: Readiness, clients: &mut Clients| clients.on_ready(key, readiness);
+        let socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
+        let http = ClientConn::new(Limits::default());
+        slot.insert(Connection { generation, proxy, socket, http, exchange, is_connected: false });
+        Some(ConnectionId { key, generation })
+    }
+
+    pub(super) fn flush(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.socket.flush().is_err() {
+            return self.on_connection_lost(key);
+        }
+        connection.socket.want(&self.handle, true);
+    }
+
+    fn on_ready(&mut self, key: usize, readiness: Readiness) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if !connection.is_connected {
+            return self.on_connect_progress(key, readiness);
+        }
+        if readiness.writable {
+            self.flush(key);
+        }
+        if readiness.readable || readiness.error {
+            self.read(key);
+        }
+    }
+
+    fn on_connect_progress(&mut self, key: usize, readiness: Readiness) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.socket.connect_error().is_some() {
+            return self.on_connection_lost(key);
+        }
+        if !readiness.writable {
+            return;
+        }
+        connection.is_connected = true;
+        self.unreachable_since.remove(&connection.proxy);
+        match connection.exchange {
+            Exchange::Attempt(_) => self.send_request(key),
+            Exchange::WrongAnswerReport => self.flush(key),
+            Exchange::Idle => {}
+        }
+    }
+
+    fn read(&mut self, key: usize) {
+        let mut buffer = [0; READ_BUFFER_SIZE];
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        match connection.socket.read(&mut buffer) {
+            ReadOutcome::Bytes(_) if matches!(connection.exchange, Exchange::Idle) => {
+                let proxy = connection.proxy as u32;
+                self.record(Record::Surplus { proxy });
+                self.close(key);
+            }
+            ReadOutcome::Bytes(length) => {
+                connection.http.feed(&buffer[..length]);
+                self.process_events(key);
+            }
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Closed | ReadOutcome::Broken => self.on_connection_lost(key),
+        }
+    }
+
+    fn process_events(&mut self, key: usize) {
+        while let Some(connection) = self.connections.get_mut(key) {
+            match connection.http.next_event() {
+                None => return,
+                Some(ClientEvent::Head(head)) => self.on_response_head(key, &head),
+                Some(ClientEvent::Body(_)) => {}
+                Some(ClientEvent::End { reusable }) => return self.on_response_end(key, reusable),
+                Some(ClientEvent::Fault(_)) => return self.on_connection_lost(key),
+            }
+        }
+    }
+
+    fn on_response_head(&mut self, key: usize, head: &ResponseHead) {
+        let response = ResponseInfo::parse(head);
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if let Exchange::Attempt(attempt) = &mut connection.exchange {
+            attempt.response = Some(response);
+        } else if response.status == StatusCode::ACCEPTED {
+            self.report.accepted_reports += 1;
+        }
+    }
+
+    /// A response is complete.
+    fn on_response_end(&mut self, key: usize, is_reusable: bool) {
+        // A new generation, as the timers of this exchange must not affect the next.
+        let generation = self.next_sequence();
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        connection.generation = generation;
+        let exchange = std::mem::replace(&mut connection.exchange, Exchange::Idle);
+        let proxy = connection.proxy;
+        if connection.http.held() > 0 {
+            self.record(Record::Surplus { proxy: proxy as u32 });
+        }
+        if is_reusable {
+            self.idle_connections.entry(proxy).or_default().push(key);
+        } else {
+            self.close(key);
+        }
+        if let Exchange::Attempt(attempt) = exchange
+            && let Some(response) = &attempt.response
+        {
+            self.on_answer(proxy, &attempt, response);
+        }
+    }
+
+    fn on_connection_lost(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        // A response that ends with the connection is complete now.
+        if let Some(ClientEvent::End { .. }) = connection.http.close() {
+            return self.on_response_end(key, false);
+        }
+        let proxy = connection.proxy;
+        let was_connected = connection.is_connected;
+        let exchange = std::mem::replace(&mut connection.exchange, Exchange::Idle);
+        self.close(key);
+        let Exchange::Attempt(attempt) = exchange else { return };
+        if !was_connected || !attempt.is_sent {
+            return self.on_unreachable(attempt.request, proxy);
+        }
+        self.record(Record::Answered { request: attempt.number, answer: Answer::Broken });
+        self.report.attempts.broken += 1;
+        self.retry_or_finish(attempt.request, false, 0);
+    }
+
+    pub(super) fn close(&mut self, key: usize) {
+        let connection = self.connections.remove(key);
+        connection.socket.remove(&self.handle);
+        if let Some(idle) = self.idle_connections.get_mut(&connection.proxy) {
+            idle.retain(|other| *other != key);
+        }
+    }
+
+    /// The client closes a connection without a response: of its own accord, or long after its deadline.
+    pub(super) fn disconnect(&mut self, id: ConnectionId, is_early: bool) {
+        let Some(connection) = self.connections.get_mut(id.key) else { return };
+        if connection.generation != id.generation {
+            return;
+        }
+        let exchange = std::mem::replace(&mut connection.exchange, Exchange::Idle);
+        let proxy = connection.proxy;
+        self.close(id.key);
+        let Exchange::Attempt(attempt) = exchange else { return };
+        if !attempt.is_sent {
+            return self.on_unreachable(attempt.request, proxy);
+        }
+        self.record(Record::Left { request: attempt.number });
+        self.report.attempts.disconnected += 1;
+        if is_early {
+            self.finish_unserved(attempt.request);
+        } else {
+            self.retry_or_finish(attempt.request, false, 0);
+        }
+    }
+
+    /// Reports an answer as wrong to the proxy that forwarded it.
+    pub(super) fn report_wrong_answer(&mut self, proxy: usize, answer_id: &str) {
+        let Some(id) = self.open(proxy, Exchange::WrongAnswerReport) else { return };
+        let body = format!("{{\"answer\":\"{answer_id}\"}}");
+        let length = body.len();
+        let text = format!(
+            "POST /.well-known/wrong-answer HTTP/1.1\r\nhost: lab\r\nconnection: close\r\n\
+             content-length: {length}\r\n\r\n{body}"
+        );
+        if let Some(connection) = self.connections.get_mut(id.key) {
+            connection.socket.out().extend_from_slice(text.as_bytes());
+            connection.http.expect_answer(false);
+        }
+        self.schedule(self.clock.now() + REPORT_TIMEOUT, TimerKind::Timeout(id));
+    }
+}
--- /dev/null
+++ b/crates/simulated-site/src/network/clients/mod.rs
@@ -0,0 +1,176 @@
+//! Clients: an open loop of requests over persistent connections, with deadlines, retries, early
+//! disconnects and reports of wrong answers.
+
+mod connection;
+mod report;
+mod requests;
+
+pub use report::{AttemptCounts, ClassCounts, ClientReport, Progress};
+
+use super::{AddressPlan, NetworkError};
+use crate::Clock;
+use crate::model::RandomSource;
+use crate::model::traffic::{ClientRequest, TrafficGenerator};
+use crate::scenario::Scenario;
+use calloop::{EventLoop, LoopHandle};
+use connection::{Connection, ConnectionId};
+use rand::SeedableRng;
+use requests::PendingRequest;
+use slab::Slab;
+use std::collections::{BTreeMap, HashMap};
+use std::iter::Peekable;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use violetseam_invariants::{Entry, Record};
+
+/// The longest wait of the event loop, in microseconds.
+const MAX_WAIT: u64 = 50_000;
+/// Makes the clients' draws different from those of the traffic.
+const SEED_MASK: u64 = 0xc1e7;
+
+/// What a timer does.
+#[derive(Clone, Debug)]
+enum TimerKind {
+    /// Starts the next attempt of a request.
+    StartAttempt { request: usize },
+    /// Ends an exchange that has taken too long.
+    Timeout(ConnectionId),
+    /// The client disconnects early.
+    Disconnect(ConnectionId),
+    /// Reports an answer as wrong.
+    ReportWrongAnswer { proxy: usize, answer_id: String },
+}
+
+/// All clients.
+pub struct Clients {
+    clock: Clock,
+    scenario: Rc<Scenario>,
+    addresses: AddressPlan,
+    handle: LoopHandle<'static, Clients>,
+    random: RandomSource,
+    traffic: Peekable<TrafficGenerator>,
+    /// When the scenario starts.
+    begin: u64,
+    requests: Slab<PendingRequest>,
+    connections: Slab<Connection>,
+    /// Keys of idle connections, by proxy.
+    idle_connections: HashMap<usize, Vec<usize>>,
+    /// By time and order.
+    timers: BTreeMap<(u64, u64), TimerKind>,
+    sequence: u64,
+    last_attempt: u64,
+    report: ClientReport,
+    /// Proxies that are known to be unreachable, and until when clients avoid them.
+    avoided_until: BTreeMap<usize, u64>,
+    /// Since when a proxy cannot be reached.
+    unreachable_since: BTreeMap<usize, u64>,
+    progress: Arc<Progress>,
+}
+
+/// Runs the clients until the scenario is over and no request is pending, or until `stop` is set. The
+/// scenario starts at `begin`.
+///
+/// # Errors
+/// The event loop could not be set up, or waiting for events failed.
+pub fn run(
+    scenario: &Scenario,
+    addresses: AddressPlan,
+    clock: Clock,
+    begin: u64,
+    stop: &AtomicBool,
+    progress: Arc<Progress>,
+) -> Result<ClientReport, NetworkError> {
+    let mut event_loop: EventLoop<'static, Clients> =
+        EventLoop::try_new().map_err(NetworkError::EventLoop)?;
+    let mut clients = Clients {
+        clock,
+        addresses,
+        handle: event_loop.handle(),
+        random: RandomSource::seed_from_u64(scenario.seed ^ SEED_MASK),
+        traffic: TrafficGenerator::new(scenario).peekable(),
+        begin,
+        requests: Slab::new(),
+        connections: Slab::new(),
+        idle_connections: HashMap::new(),
+        timers: BTreeMap::new(),
+        sequence: 0,
+        last_attempt: 0,
+        report: ClientReport {
+            classes: vec![ClassCounts::default(); scenario.classes.len()],
+            ..ClientReport::default()
+        },
+        avoided_until: BTreeMap::new(),
+        unreachable_since: BTreeMap::new(),
+        progress,
+        scenario: Rc::new(scenario.clone()),
+    };
+    loop {
+        let wait = clients.time_to_next_event().min(MAX_WAIT);
+        event_loop.dispatch(Duration::from_micros(wait), &mut clients).map_err(NetworkError::EventLoop)?;
+        clients.advance();
+        if clients.is_finished() || stop.load(Ordering::Relaxed) {
+            return Ok(clients.report);
+        }
+    }
+}
+
+impl Clients {
+    /// Records an event for the checker of the invariants.
+    fn record(&mut self, record: Record) {
+        let at = self.clock.now();
+        self.report.entries.push(Entry { at, record });
+    }
+
+    /// A number that is larger than all before.
+    fn next_sequence(&mut self) -> u64 {
+        self.sequence += 1;
+        self.sequence
+    }
+
+    fn schedule(&mut self, at: u64, timer: TimerKind) {
+        let sequence = self.next_sequence();
+        self.timers.insert((at, sequence), timer);
+    }
+
+    fn next_timer(&self) -> Option<u64> {
+        self.timers.keys().next().map(|key| key.0)
+    }
+
+    fn time_to_next_event(&mut self) -> u64 {
+        let now = self.clock.now();
+        let next_arrival = self.traffic.peek().map(|request| request.at + self.begin);
+        let next_event = next_arrival.into_iter().chain(self.next_timer()).min();
+        next_event.map_or(MAX_WAIT, |at| at.saturating_sub(now))
+    }
+
+    fn is_finished(&mut self) -> bool {
+        self.traffic.peek().is_none() && self.requests.is_empty() && self.timers.is_empty()
+    }
+
+    /// Does what is due.
+    fn advance(&mut self) {
+        let now = self.clock.now();
+        let begin = self.begin;
+        while let Some(request) = self.traffic.next_if(|request| request.at + begin <= now) {
+            self.on_arrival(ClientRequest { at: request.at + begin, ..request });
+        }
+        while self.next_timer().is_some_and(|at| at <= now) {
+            if let Some((_, timer)) = self.timers.pop_first() {
+                self.on_timer(timer);
+            }
+        }
+    }
+
+    fn on_timer(&mut self, timer: TimerKind) {
+        match timer {
+            TimerKind::StartAttempt { request } => self.start_attempt(request),
+            TimerKind::Timeout(connection) => self.disconnect(connection, false),
+            TimerKind::Disconnect(connection) => self.disconnect(connection, true),
+            TimerKind::ReportWrongAnswer { proxy, answer_id } => {
+                self.report_wrong_answer(proxy, &answer_id);
+            }
+        }
+    }
+}
--- a/crates/simulated-site/src/network/headers.rs
+++ b/crates/simulated-site/src/network/headers.rs
@@ -1,34 +1,47 @@
-//! Header fields by which clients and servers here tell each other what the proxy between them does not need to know.
+//! Header fields by which simulated clients and servers tell each other what the proxy between them need not
+//! know.
 
 use violetseam_http1::RequestHead;
 
-/// Names the client's request to the servers.
+/// Number of the client's request.
 pub const REQUEST: &str = "x-lab-request";
 /// The request's true work, in microseconds of a standard core.
 pub const WORK: &str = "x-lab-work-us";
-/// The request's class, by index.
+/// Index of the request's class.
 pub const CLASS: &str = "x-lab-class";
-/// On an answer: nobody but the stand-ins can tell that it is wrong.
+/// On a response: the answer is wrong, which only the simulation can tell.
 pub const WRONG: &str = "x-lab-wrong";
-/// On an answer: the build that gave it.
+/// On a response: the build that gave it.
 pub const BUILD: &str = "x-lab-build";
-/// On a 503: the request was not run.
+/// On a 503: the request was not executed.
 pub const NOT_RUN: &str = "x-not-run";
-/// The request's key.
+/// The request's idempotency key.
 pub const KEY: &str = "idempotency-key";
 
 /// A field as a number.
 pub(super) fn number(head: &RequestHead, name: &str) -> Option<u64> {
-    head.headers.get(name)?.to_str().ok()?.parse().ok()
+    text(head, name)?.parse().ok()
+}
+
+/// The index of the request's class; 0 without one.
+pub(super) fn class_of(head: &RequestHead) -> usize {
+    number(head, CLASS).unwrap_or(0) as usize
 }
 
 /// The proxy that sent a request: the last number of its `Via`.
 pub(super) fn proxy_of(head: &RequestHead) -> u32 {
-    let via = head.headers.get_all("via").into_iter().next_back().and_then(|v| v.to_str().ok()).unwrap_or("");
-    via.rsplit('-').next().and_then(|n| n.trim().parse().ok()).unwrap_or(u32::MAX)
+    let last = head.headers.get_all("via").into_iter().next_back();
+    let via = last.and_then(|value| value.to_str().ok()).unwrap_or("");
+    via.rsplit('-').next().and_then(|number| number.trim().parse().ok()).unwrap_or(u32::MAX)
+}
+
+/// The idempotency key as a number: its value, or a hash of its text; 0 without a key.
+pub(super) fn key_of(head: &RequestHead) -> u64 {
+    let Some(key) = text(head, KEY) else { return 0 };
+    let hash = |hash: u64, byte: u8| hash.wrapping_mul(31) + u64::from(byte);
+    key.parse().unwrap_or_else(|_| key.bytes().fold(7, hash))
 }
 
-/// A key as a number: the number it is, or one that stands for its text.
-pub(super) fn key_of(text: &str) -> u64 {
-    text.parse().unwrap_or_else(|_| text.bytes().fold(7, |h: u64, b| h.wrapping_mul(31) + u64::from(b)))
+fn text<'a>(head: &'a RequestHead, name: &str) -> Option<&'a str> {
+    head.headers.get(name)?.to_str().ok()
 }
--- /dev/null
+++ b/crates/simulated-site/src/network/site/servers.rs
@@ -0,0 +1,185 @@
+//! Servers: how they start, drain, stop, crash and start again, and how discovery lists them.
+
+use super::super::NetworkError;
+use super::listeners::listen;
+use super::state::{Listener, SimulatedServer, Site, rule_state};
+use crate::model::release_service::ServerCommand;
+use crate::model::server::{Build, FaultTarget, Server};
+use crate::scenario::FaultKind;
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction};
+use std::rc::Rc;
+use violetseam_invariants::Record;
+use violetseam_invariants::record::Start;
+use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
+
+impl Site {
+    /// Carries out a command of the release service.
+    pub(super) fn execute(&mut self, now: u64, command: ServerCommand) {
+        match command {
+            ServerCommand::Start { server, place, build } => self.start_successor(now, server, place, build),
+            ServerCommand::Drain { server } => {
+                if let Some(entry) = self.servers.get_mut(&server) {
+                    entry.is_draining = true;
+                }
+                self.list(now + self.scenario.discovery.drain_delay, server, EndpointState::Draining);
+            }
+            ServerCommand::Stop { server } => {
+                self.list(now + self.scenario.discovery.drain_delay, server, EndpointState::Gone);
+                self.stop_server(server);
+                self.servers.remove(&server);
+            }
+        }
+    }
+
+    /// Starts a further server in a place.
+    fn start_successor(&mut self, now: u64, server: u64, place: usize, build: u16) {
+        let index = place + self.scenario.servers.len() * self.servers_by_place[place];
+        self.servers_by_place[place] += 1;
+        let build = Build::in_scenario(&self.scenario, build);
+        match self.start_server(server, index, build, false) {
+            Ok(()) => self.list(now + self.scenario.discovery.startup_delay, server, EndpointState::Ready),
+            Err(e) => self.log(format!("server {server} does not start: {e}")),
+        }
+    }
+
+    /// Starts a server. `index` is that by which faults name it; `warm`: it has been running for long.
+    pub(super) fn start_server(
+        &mut self,
+        server: u64,
+        index: usize,
+        build: Build,
+        warm: bool,
+    ) -> Result<(), NetworkError> {
+        let now = self.clock.now();
+        let spec = self.scenario.server_spec(index).clone();
+        let model = Server::start(spec, build, now, warm);
+        if !warm {
+            self.record_start(server, &model);
+        }
+        let listener = self.listen_for_server(server)?;
+        // Servers pause at different times.
+        let next_pause = now + (server * 7_919 % 1_000) * 1_000;
+        let entry = SimulatedServer {
+            model,
+            listener: Some(listener),
+            fault_target: FaultTarget { index, next_pause },
+            is_unreachable: false,
+            is_draining: false,
+            down_until: None,
+        };
+        self.servers.insert(server, entry);
+        Ok(())
+    }
+
+    fn record_start(&mut self, server: u64, model: &Server) {
+        let start = Start {
+            capacity: model.capacity(),
+            cold_from: model.spec.slow_start_floor,
+            cold_span: model.spec.slow_start_span,
+        };
+        self.record(Record::Started { server, start });
+    }
+
+    fn listen_for_server(&mut self, server: u64) -> Result<Listener, NetworkError> {
+        let address = self.addresses.server(server);
+        let socket = Rc::new(listen(address)?);
+        let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
+        let inserted = self.handle.insert_source(source, move |_, socket, site: &mut Site| {
+            site.accept_for_server(server, socket);
+            Ok(PostAction::Continue)
+        });
+        let token = inserted.map_err(|e| NetworkError::Register { address, source: e.error })?;
+        Ok(Listener { socket, token })
+    }
+
+    /// Ends a server's process: everything in flight is lost.
+    pub(super) fn stop_server(&mut self, server: u64) {
+        if let Some(listener) = self.servers.get_mut(&server).and_then(|entry| entry.listener.take()) {
+            self.handle.remove(listener.token);
+        }
+        self.close_connections_to_server(server);
+    }
+
+    /// Schedules a server's entry on the endpoint list.
+    pub(super) fn list(&mut self, at: u64, server: u64, state: EndpointState) {
+        let Some(entry) = self.servers.get(&server) else { return };
+        let spec = &entry.model.spec;
+        let endpoint = Endpoint {
+            id: server,
+            addr: self.addresses.server(server),
+            build: entry.model.build.number,
+            state,
+            zone: spec.zone,
+            cell: spec.cell,
+            size: spec.cores,
+            age_us: None,
+        };
+        let started_at = entry.model.listed_start();
+        let visible_at = at + self.injected_delay(FaultKind::DiscoveryDelay);
+        self.registry.schedule_change(visible_at, endpoint, started_at);
+    }
+
+    /// Makes due changes of the endpoint list visible.
+    pub(super) fn publish_endpoint_changes(&mut self) {
+        let now = self.clock.now();
+        let changes = self.registry.apply_due(now);
+        if changes.is_empty() {
+            return;
+        }
+        for change in changes {
+            self.record(Record::Listed { server: change.server, state: rule_state(change.state) });
+        }
+        self.notify_endpoint_watches(now);
+    }
+
+    /// A server crashes, and starts again at a time.
+    pub(super) fn crash(&mut self, now: u64, server: u64, restarts_at: u64) {
+        self.stop_server(server);
+        let Some(entry) = self.servers.get_mut(&server) else { return };
+        entry.down_until = Some(restarts_at);
+        let crash_listed_at = now + self.scenario.discovery.crash_delay;
+        let restart_listed_at = restarts_at + self.scenario.discovery.startup_delay;
+        if crash_listed_at < restart_listed_at {
+            self.list(crash_listed_at, server, EndpointState::Gone);
+        }
+    }
+
+    /// Starts the crashed servers that are due, without warm caches.
+    pub(super) fn restart_crashed_servers(&mut self, now: u64) {
+        let is_due = |entry: &SimulatedServer| entry.down_until.is_some_and(|at| at <= now);
+        let due: Vec<u64> =
+            self.servers.iter().filter(|(_, entry)| is_due(entry)).map(|(id, _)| *id).collect();
+        for server in due {
+            match self.listen_for_server(server) {
+                Ok(listener) => self.restart(now, server, listener),
+                Err(e) => self.log(format!("server {server} does not start again: {e}")),
+            }
+        }
+    }
+
+    fn restart(&mut self, now: u64, server: u64, listener: Listener) {
+        let Some(entry) = self.servers.get_mut(&server) else { return };
+        entry.down_until = None;
+        entry.listener = Some(listener);
+        let state = if entry.is_draining { EndpointState::Draining } else { EndpointState::Ready };
+        let model = Server::start(entry.model.spec.clone(), entry.model.build.clone(), now, false);
+        self.record_start(server, &model);
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.model = model;
+        }
+        self.list(now + self.scenario.discovery.startup_delay, server, state);
+    }
+
+    /// Servers that collapsed answer nobody any more.
+    pub(super) fn stop_collapsed_servers(&mut self) {
+        let has_collapsed = |entry: &SimulatedServer| entry.model.collapsed && entry.listener.is_some();
+        let collapsed: Vec<u64> =
+            self.servers.iter().filter(|(_, entry)| has_collapsed(entry)).map(|(id, _)| *id).collect();
+        for server in collapsed {
+            self.log(format!("server {server} was overloaded while warming up, and collapsed"));
+            self.report.collapsed.push(server);
+            self.stop_server(server);
+        }
+    }
+}
--- a/crates/simulated-site/src/scenario/fault.rs
+++ b/crates/simulated-site/src/scenario/fault.rs
@@ -18,8 +18,8 @@
     /// A second figure; see [`FaultKind`].
     #[serde(default, rename = "extra")]
     pub parameter: f64,
-    /// Which servers or proxies, by index. Later servers of a place have its index plus a multiple of the number
-    /// of places.
+    /// Which servers or proxies, by index. Later servers of a place have its index plus a multiple of the
+    /// number of places.
     #[serde(default, rename = "on")]
     pub targets: Vec<usize>,
     /// Which zone, class or direction; see [`FaultKind`].
@@ -67,8 +67,8 @@
     SlowFleet,
     /// The class `selector` is `magnitude` times slower everywhere.
     SlowClass,
-    /// The zone `selector` fails: unreachable if `parameter` is over 0.5, otherwise its servers crash; its proxies
-    /// crash too if `magnitude` is over 0.5.
+    /// The zone `selector` fails: unreachable if `parameter` is over 0.5, otherwise its servers crash; its
+    /// proxies crash too if `magnitude` is over 0.5.
     #[serde(rename = "zone_loss")]
     ZoneOutage,
     /// Proxies are killed, and started again at the end.
@@ -82,15 +82,16 @@
     /// A second process starts under the identity of each of these proxies. It must exit and say why.
     #[serde(rename = "proxy_twin")]
     DuplicateProxy,
-    /// Datagrams between the targets and other proxies are lost: all (`selector` 0), those sent by targets (1),
-    /// those sent to targets (2). If `parameter` is over 0.5, also those among the targets.
+    /// Datagrams between the targets and other proxies are lost: all (`selector` 0), those sent by targets
+    /// (1), those sent to targets (2). If `parameter` is over 0.5, also those among the targets.
     #[serde(rename = "peers_cut")]
     GossipPartition,
-    /// The share `magnitude` of the datagrams from and to the targets is lost; of all, if there are no targets.
+    /// The share `magnitude` of the datagrams from and to the targets is lost; of all, if there are no
+    /// targets.
     #[serde(rename = "peers_loss")]
     GossipLoss,
-    /// Datagrams from and to the targets (of all, if there are none) are delayed by up to `magnitude` seconds, and
-    /// so arrive in any order.
+    /// Datagrams from and to the targets (of all, if there are none) are delayed by up to `magnitude`
+    /// seconds, and so arrive in any order.
     #[serde(rename = "peers_slow")]
     GossipDelay,
     /// Discovery answers none of the target proxies.
@@ -104,7 +105,8 @@
     ServerPartition,
     /// Proxies are replaced by a new process that takes over, `magnitude` times.
     ProxyTakeover,
-    /// The release controller is killed `magnitude` times, and each time started again after `parameter` seconds.
+    /// The release controller is killed `magnitude` times, and each time started again after `parameter`
+    /// seconds.
     ControllerCrash,
     /// Votes get no reply, half of them count, and no release status is sent.
     #[serde(rename = "desk_silent")]
--- a/crates/simulated-site/src/scenario/mod.rs
+++ b/crates/simulated-site/src/scenario/mod.rs
@@ -41,8 +41,8 @@
     pub proxies: Vec<ProxySpec>,
     /// Servers that run at the start, one for each place.
     pub servers: Vec<ServerSpec>,
-    /// Later servers: the first for each place, then the second for each, and so on; after the last, again from
-    /// the front.
+    /// Later servers: the first for each place, then the second for each, and so on; after the last, again
+    /// from the front.
     pub spares: Vec<ServerSpec>,
     /// Request classes.
     pub classes: Vec<ClassSpec>,
@@ -94,7 +94,8 @@
 }
 
 impl Scenario {
-    /// The rules for the checker of the invariants. `slack` is how far observed times may be off, in microseconds.
+    /// The rules for the checker of the invariants. `slack` is how far observed times may be off, in
+    /// microseconds.
     pub fn rules(&self, slack: u64) -> Rules {
         let quotas = self.retry_quotas.as_ref();
         let retries_per_second = quotas.map_or(&[][..], |quotas| &quotas.retries_per_second);
