--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -1,7 +1,7 @@
-//! Servers' answers: what their status says of an attempt, and how they get to the client.
+//! Servers' responses: the outcome that their status gives an attempt, and their way to the client.
 
 use super::super::Proxy;
-use super::{AnswerState, Server, State};
+use super::{AttemptId, ConnectionState, ResponseState, Server};
 use http::StatusCode;
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_event_io::ReadOutcome;
@@ -9,6 +9,7 @@
 use violetseam_http1::{Framing, ResponseHead};
 
 impl Proxy {
+    /// Reads once.
     pub(super) fn read_server(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(server) = self.servers.get_mut(key) {
@@ -17,25 +18,26 @@
                     server.http.feed(&scratch[..n]);
                     self.server_events(key);
                 }
-                ReadOutcome::Nothing => {}
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => match server.http.close() {
-                    Some(ClientEvent::End { .. }) => self.on_answer_complete(key, false),
+                    Some(ClientEvent::End { .. }) => self.on_response_complete(key, false),
                     _ => self.on_server_lost(key),
                 },
-                ReadOutcome::Broken => self.on_server_lost(key),
+                ReadOutcome::Failed => self.on_server_lost(key),
             }
         }
         self.scratch = scratch;
     }
 
+    /// Handles what a server's input gives, until it gives nothing more for now.
     fn server_events(&mut self, key: usize) {
         while let Some(server) = self.servers.get_mut(key) {
             let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
             match event {
-                ClientEvent::Head(head) => self.on_answer_head(key, head),
-                ClientEvent::Body(bytes) => self.on_answer_body(key, &bytes),
+                ClientEvent::Head(head) => self.on_response_head(key, head),
+                ClientEvent::Body(bytes) => self.on_response_body(key, &bytes),
                 ClientEvent::End { reusable } => {
-                    self.on_answer_complete(key, reusable);
+                    self.on_response_complete(key, reusable);
                     if self.servers.get(key).is_none_or(Server::is_idle) {
                         return;
                     }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// What an answer's status says of the attempt.
+    /// The outcome that a response's status gives its attempt.
     fn outcome_of(&self, head: &ResponseHead) -> Outcome {
         let not_run = head.headers.contains_key(&self.settings.headers.not_run);
         match head.status {
@@ -59,40 +61,39 @@
         }
     }
 
-    fn on_answer_head(&mut self, key: usize, head: Box<ResponseHead>) {
+    fn on_response_head(&mut self, key: usize, head: Box<ResponseHead>) {
         let outcome = self.outcome_of(&head);
         let Some(server) = self.servers.get_mut(key) else { return };
-        let State::Busy(active) = &mut server.state else { return };
-        let request = active.request;
-        let attempt = active.attempt;
+        let ConnectionState::Busy(active) = &mut server.state else { return };
+        let id = active.id;
         let is_stream_class = self
             .in_flight
-            .get(&request)
+            .get(&id.request)
             .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
         if outcome != Outcome::Ok {
-            // Reported at once: what follows of such an answer is read only to use the connection again.
-            server.state = State::Discarding { body_bytes: 0 };
-            self.detach_attempt(request, attempt);
-            self.end_attempt(request, attempt, outcome);
+            // Reported at once: the rest of such a response is read only to use the connection again.
+            server.state = ConnectionState::Discarding { body_bytes: 0 };
+            self.set_attempt_connection(id, None);
+            self.end_attempt(id.request, id.attempt, outcome);
         } else if is_stream_class {
             self.start_streaming(key, &head, &[]);
         } else {
-            active.answer = AnswerState::Buffered { head, body: Vec::new() };
+            active.response = ResponseState::Buffered { head, body: Vec::new() };
         }
     }
 
-    fn on_answer_body(&mut self, key: usize, bytes: &[u8]) {
+    fn on_response_body(&mut self, key: usize, bytes: &[u8]) {
         let max_buffered = self.settings.connections.keep_answer;
         let Some(server) = self.servers.get_mut(key) else { return };
         match &mut server.state {
-            State::Discarding { body_bytes } => {
+            ConnectionState::Discarding { body_bytes } => {
                 *body_bytes += bytes.len();
                 if *body_bytes > max_buffered {
                     self.close_server(key);
                 }
             }
-            State::Busy(active) => match &mut active.answer {
-                AnswerState::Buffered { head, body } => {
+            ConnectionState::Busy(active) => match &mut active.response {
+                ResponseState::Buffered { head, body } => {
                     body.extend_from_slice(bytes);
                     if body.len() > max_buffered {
                         let head = head.clone();
@@ -100,29 +101,29 @@
                         self.start_streaming(key, &head, &body);
                     }
                 }
-                AnswerState::Streaming => {
-                    let request = active.request;
+                ResponseState::Streaming => {
+                    let request = active.id.request;
                     if let Some(client) = self.waiting_client(request) {
-                        self.write_answer_body(client, bytes);
+                        self.write_response_body(client, bytes);
                         self.flush_client(client);
                     }
                 }
-                AnswerState::Awaited => {}
+                ResponseState::Awaited => {}
             },
-            State::Connecting(_) | State::Idle => {}
+            ConnectionState::Connecting(_) | ConnectionState::Idle => {}
         }
     }
 
-    /// From here on the answer is the client's: no time-out of the request applies any more.
+    /// Begins to pass a response on as it arrives: no time-out of the request applies from here on.
     fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
         let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
-        active.answer = AnswerState::Streaming;
-        let request = active.request;
-        let attempt = active.attempt;
+        active.response = ResponseState::Streaming;
+        let id = active.id;
+        let AttemptId { request, attempt } = id;
         let now = self.now();
         if !self.engine.on_stream_started(now, request, attempt) {
-            // Another attempt's answer is the client's already.
-            self.detach_attempt(request, attempt);
+            // The client already gets another attempt's response.
+            self.set_attempt_connection(id, None);
             self.close_server(key);
             self.end_attempt(request, attempt, Outcome::Cancelled);
             return;
@@ -133,47 +134,52 @@
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
             in_flight.streaming_from = Some(key);
         }
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
+        if let Some(client) = self.start_response(request, head, framing, answer) {
+            self.write_response_body(client, body);
             self.flush_client(client);
         }
     }
 
-    /// The answer is complete.
-    fn on_answer_complete(&mut self, key: usize, reusable: bool) {
+    /// The response is complete.
+    fn on_response_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
         // A request that is not completely written cannot be distinguished from a next one by the server.
-        let reusable = reusable && !server.socket.waits();
-        let state = std::mem::replace(&mut server.state, State::Idle);
-        let State::Busy(active) = state else { return self.pool_or_close(key, reusable) };
-        let request = active.request;
-        let attempt = active.attempt;
+        let reusable = reusable && !server.socket.has_unwritten_bytes();
+        let state = std::mem::replace(&mut server.state, ConnectionState::Idle);
+        let ConnectionState::Busy(active) = state else { return self.pool_or_close(key, reusable) };
+        let AttemptId { request, attempt } = active.id;
         let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
-        self.detach_attempt(request, attempt);
+        self.set_attempt_connection(active.id, None);
         self.pool_or_close(key, reusable && is_request_written);
-        match active.answer {
-            AnswerState::Buffered { head, body } => {
+        match active.response {
+            ResponseState::Buffered { head, body } => {
                 let answer = self.draw();
                 self.engine.record_delivered_answer(request, attempt, answer);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
-                    self.deliver_buffered(request, &head, &body, answer);
+                    self.deliver_buffered_response(request, &head, &body, answer);
                 }
             }
-            AnswerState::Streaming => {
+            ResponseState::Streaming => {
                 let client = self.waiting_client(request);
                 self.end_attempt(request, attempt, Outcome::Ok);
                 if let Some(client) = client {
-                    self.finish_answer(client);
+                    self.finish_response(client);
                 }
             }
-            AnswerState::Awaited => {}
+            ResponseState::Awaited => {}
         }
     }
 
-    /// Gives the client an answer that is complete.
-    fn deliver_buffered(&mut self, request: RequestId, head: &ResponseHead, body: &[u8], answer: u64) {
+    /// Gives the client a response that is complete.
+    fn deliver_buffered_response(
+        &mut self,
+        request: RequestId,
+        head: &ResponseHead,
+        body: &[u8],
+        answer: u64,
+    ) {
         tracing::debug!(request, status = head.status.as_u16(), "final answer");
-        // An answer without a body may still state the length that one would have (HEAD, 304).
+        // A response without a body may still state the length that one would have (HEAD, 304).
         let stated =
             head.headers.get(http::header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
         let bodiless = body.is_empty() && head.framing == Framing::Length(0);
@@ -182,9 +188,9 @@
             None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
             _ => Framing::Length(body.len() as u64),
         };
-        if let Some(client) = self.start_answer(request, head, framing, answer) {
-            self.write_answer_body(client, body);
-            self.finish_answer(client);
+        if let Some(client) = self.start_response(request, head, framing, answer) {
+            self.write_response_body(client, body);
+            self.finish_response(client);
         }
     }
 }
--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -104,7 +104,7 @@
         if connection.socket.flush().is_err() {
             return self.on_connection_lost(key);
         }
-        connection.socket.want(&self.handle, true);
+        connection.socket.set_read_interest(&self.handle, true);
     }
 
     fn on_ready(&mut self, key: usize, readiness: Readiness) {
@@ -150,8 +150,8 @@
                 connection.http.feed(&buffer[..length]);
                 self.process_events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.on_connection_lost(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.on_connection_lost(key),
         }
     }
 
@@ -259,7 +259,7 @@
              content-length: {length}\r\n\r\n{body}"
         );
         if let Some(connection) = self.connections.get_mut(id.key) {
-            connection.socket.out().extend_from_slice(text.as_bytes());
+            connection.socket.write_buffer().extend_from_slice(text.as_bytes());
             connection.http.expect_answer(false);
         }
         self.schedule(self.clock.now() + REPORT_TIMEOUT, TimerKind::Timeout(id));
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -130,7 +130,7 @@
         let tenant = self.scenario.tenants.get(request.tenant).map_or("", |tenant| tenant.0.as_str());
         let class = &self.scenario.classes[request.class];
         let text = encode(pending, number, class, tenant, timeout_ms);
-        connection.socket.out().extend_from_slice(text.as_bytes());
+        connection.socket.write_buffer().extend_from_slice(text.as_bytes());
         connection.http.expect_answer(false);
         let id = ConnectionId { key, generation: connection.generation };
         // The deadline as stated: the proxy may not use what rounding to milliseconds cuts off.
--- a/crates/simulated-site/src/network/site/listeners.rs
+++ b/crates/simulated-site/src/network/site/listeners.rs
@@ -112,8 +112,8 @@
                 connection.http.feed(&buffer[..length]);
                 self.process_events(key);
             }
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Closed | ReadOutcome::Broken => self.close(key),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::Closed | ReadOutcome::Failed => self.close(key),
         }
     }
 
--- a/crates/simulated-site/src/network/site/server_http.rs
+++ b/crates/simulated-site/src/network/site/server_http.rs
@@ -96,7 +96,7 @@
                 StatusCode::SERVICE_UNAVAILABLE
             }
         };
-        let out = connection.socket.out();
+        let out = connection.socket.write_buffer();
         let no_headers = HeaderMap::new();
         let framing = Framing::Length(RESPONSE_BODY.len() as u64);
         connection.http.start_answer(out, status, &no_headers, &fields, framing, false);
--- a/crates/simulated-site/src/network/site/streams.rs
+++ b/crates/simulated-site/src/network/site/streams.rs
@@ -24,7 +24,7 @@
         if connection.socket.flush().is_err() {
             return self.close(key);
         }
-        connection.socket.want(&self.handle, true);
+        connection.socket.set_read_interest(&self.handle, true);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -114,7 +114,7 @@
         let mut attempts = Vec::new();
         for (_, connection) in &mut self.connections {
             if connection.role == Role::Server(server) {
-                connection.socket.want(&self.handle, false);
+                connection.socket.set_read_interest(&self.handle, false);
                 attempts.extend(connection.attempt.take());
             }
         }
@@ -142,7 +142,7 @@
     /// Starts a response of lines.
     pub(super) fn start_response(&mut self, key: usize, lines: &[u8], end: ResponseEnd) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        let out = connection.socket.out();
+        let out = connection.socket.write_buffer();
         let no_headers = HeaderMap::new();
         let framing = match end {
             ResponseEnd::Complete => Framing::Length(lines.len() as u64),
@@ -159,7 +159,7 @@
     /// Goes on with an open response.
     pub(super) fn continue_response(&mut self, key: usize, line: &[u8]) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        connection.http.write_body(connection.socket.out(), line);
+        connection.http.write_body(connection.socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -175,7 +175,7 @@
                 DelayedAction::Reply { body, .. } => {
                     self.start_response(id.key, &body, ResponseEnd::Complete);
                 }
-                DelayedAction::StartReading { .. } => connection.socket.want(&self.handle, true),
+                DelayedAction::StartReading { .. } => connection.socket.set_read_interest(&self.handle, true),
             }
         }
     }
