--- a/crates/simulated-site/src/model/release_service/stage_clock.rs
+++ b/crates/simulated-site/src/model/release_service/stage_clock.rs
@@ -1,4 +1,4 @@
-//! The time of a stage, without the time for which it was held.
+//! The time of a stage, without the time for which it was paused.
 
 /// A stage's clock starts so long after all its servers run, in microseconds ...
 const STAGE_SETTLE_TIME: u64 = 1_000_000;
@@ -12,9 +12,9 @@
     launched_at: u64,
     /// When the stage's own time begins.
     settled_at: Option<u64>,
-    /// Time that does not count, because the clock was held or the service was down.
-    pub(super) held: u64,
-    held_since: Option<u64>,
+    /// Time that does not count, because votes paused the clock or the service was down.
+    pub(super) paused_time: u64,
+    paused_since: Option<u64>,
     down_since: Option<u64>,
 }
 
@@ -22,7 +22,7 @@
     pub(super) fn restart(&mut self, now: u64) {
         self.launched_at = now;
         self.settled_at = None;
-        self.held = 0;
+        self.paused_time = 0;
     }
 
     pub(super) fn stop(&mut self, now: u64) {
@@ -33,16 +33,16 @@
     pub(super) fn resume(&mut self, now: u64) {
         let Some(since) = self.down_since.take() else { return };
         if let Some(settled_at) = self.settled_at {
-            self.held += now.saturating_sub(since.max(settled_at));
+            self.paused_time += now.saturating_sub(since.max(settled_at));
         }
     }
 
-    /// Counts the time since the last turn as held, if it was.
-    pub(super) fn set_held(&mut self, now: u64, is_held: bool) {
-        if let Some(since) = self.held_since.take() {
-            self.held += now.saturating_sub(since);
+    /// Adds the time since the last turn, if the clock was paused. `is_paused`: it is from now on.
+    pub(super) fn set_paused(&mut self, now: u64, is_paused: bool) {
+        if let Some(since) = self.paused_since.take() {
+            self.paused_time += now.saturating_sub(since);
         }
-        self.held_since = is_held.then_some(now);
+        self.paused_since = is_paused.then_some(now);
     }
 
     /// When the stage's own time begins, once that is known.
--- a/crates/simulated-site/src/model/release_service/stages.rs
+++ b/crates/simulated-site/src/model/release_service/stages.rs
@@ -15,7 +15,7 @@
         }
         let is_running = self.running_servers(build) >= wanted;
         let Some(settled_at) = self.clock.settle(now, is_running) else { return };
-        self.clock.set_held(now, self.is_held());
+        self.clock.set_paused(now, self.is_paused_by_votes());
         if self.has_votes_to_roll_back() {
             return self.roll_back(now);
         }
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Whether votes hold the clock.
-    fn is_held(&self) -> bool {
+    /// Whether votes pause the clock.
+    fn is_paused_by_votes(&self) -> bool {
         self.plan.gate == GateMode::Timer
             && self.plan.votes_to_hold > 0.0
             && self.has_votes(VerdictName::Hold, self.plan.votes_to_hold)
     }
 
     fn may_promote(&self, now: u64, settled_at: u64) -> bool {
-        let age = now.saturating_sub(settled_at + self.clock.held);
+        let age = now.saturating_sub(settled_at + self.clock.paused_time);
         let is_settled = now >= settled_at;
         match self.plan.gate {
             GateMode::Timer => is_settled && age >= self.plan.stage_duration,
--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -1,7 +1,8 @@
 //! Connections to proxies: opening, writing, reading, closing.
 
-use super::super::headers::{BUILD, WRONG};
+use super::requests::Execution;
 use super::{Clients, TimerKind};
+use crate::network::headers::{BUILD, WRONG};
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
@@ -32,6 +33,15 @@
     pub(super) is_connected: bool,
 }
 
+/// Why a client closes a connection without a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DisconnectReason {
+    /// Of its own accord, before its deadline.
+    Early,
+    /// Long after its deadline.
+    Timeout,
+}
+
 /// What happens on a connection.
 pub(super) enum Exchange {
     Idle,
@@ -216,7 +226,7 @@
         }
         self.record(Record::Answered { request: attempt.number, answer: Answer::Broken });
         self.report.attempts.broken += 1;
-        self.retry_or_finish(attempt.request, false, 0);
+        self.retry_or_finish(attempt.request, Execution::Possible, 0);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -227,8 +237,8 @@
         }
     }
 
-    /// The client closes a connection without a response: of its own accord, or long after its deadline.
-    pub(super) fn disconnect(&mut self, id: ConnectionId, is_early: bool) {
+    /// The client closes a connection without a response.
+    pub(super) fn disconnect(&mut self, id: ConnectionId, reason: DisconnectReason) {
         let Some(connection) = self.connections.get_mut(id.key) else { return };
         if connection.generation != id.generation {
             return;
@@ -242,10 +252,11 @@
         }
         self.record(Record::Left { request: attempt.number });
         self.report.attempts.disconnected += 1;
-        if is_early {
-            self.finish_unserved(attempt.request);
-        } else {
-            self.retry_or_finish(attempt.request, false, 0);
+        match reason {
+            DisconnectReason::Early => self.finish_unserved(attempt.request),
+            DisconnectReason::Timeout => {
+                self.retry_or_finish(attempt.request, Execution::Possible, 0);
+            }
         }
     }
 
--- a/crates/simulated-site/src/network/clients/mod.rs
+++ b/crates/simulated-site/src/network/clients/mod.rs
@@ -13,7 +13,7 @@
 use crate::model::traffic::{ClientRequest, TrafficGenerator};
 use crate::scenario::Scenario;
 use calloop::{EventLoop, LoopHandle};
-use connection::{Connection, ConnectionId};
+use connection::{Connection, ConnectionId, DisconnectReason};
 use rand::SeedableRng;
 use requests::PendingRequest;
 use slab::Slab;
@@ -84,28 +84,8 @@
 ) -> Result<ClientReport, NetworkError> {
     let mut event_loop: EventLoop<'static, Clients> =
         EventLoop::try_new().map_err(NetworkError::EventLoop)?;
-    let mut clients = Clients {
-        clock,
-        addresses,
-        handle: event_loop.handle(),
-        random: RandomSource::seed_from_u64(scenario.seed ^ SEED_MASK),
-        traffic: TrafficGenerator::new(scenario).peekable(),
-        begin,
-        requests: Slab::new(),
-        connections: Slab::new(),
-        idle_connections: HashMap::new(),
-        timers: BTreeMap::new(),
-        sequence: 0,
-        last_attempt: 0,
-        report: ClientReport {
-            classes: vec![ClassCounts::default(); scenario.classes.len()],
-            ..ClientReport::default()
-        },
-        avoided_until: BTreeMap::new(),
-        unreachable_since: BTreeMap::new(),
-        progress,
-        scenario: Rc::new(scenario.clone()),
-    };
+    let handle = event_loop.handle();
+    let mut clients = Clients::new(scenario, addresses, clock, begin, handle, progress);
     loop {
         let wait = clients.time_to_next_event().min(MAX_WAIT);
         event_loop.dispatch(Duration::from_micros(wait), &mut clients).map_err(NetworkError::EventLoop)?;
@@ -117,6 +97,38 @@
 }
 
 impl Clients {
+    fn new(
+        scenario: &Scenario,
+        addresses: AddressPlan,
+        clock: Clock,
+        begin: u64,
+        handle: LoopHandle<'static, Clients>,
+        progress: Arc<Progress>,
+    ) -> Clients {
+        Clients {
+            clock,
+            addresses,
+            handle,
+            random: RandomSource::seed_from_u64(scenario.seed ^ SEED_MASK),
+            traffic: TrafficGenerator::new(scenario).peekable(),
+            begin,
+            requests: Slab::new(),
+            connections: Slab::new(),
+            idle_connections: HashMap::new(),
+            timers: BTreeMap::new(),
+            sequence: 0,
+            last_attempt: 0,
+            report: ClientReport {
+                classes: vec![ClassCounts::default(); scenario.classes.len()],
+                ..ClientReport::default()
+            },
+            avoided_until: BTreeMap::new(),
+            unreachable_since: BTreeMap::new(),
+            progress,
+            scenario: Rc::new(scenario.clone()),
+        }
+    }
+
     /// Records an event for the checker of the invariants.
     fn record(&mut self, record: Record) {
         let at = self.clock.now();
@@ -166,8 +178,8 @@
     fn on_timer(&mut self, timer: TimerKind) {
         match timer {
             TimerKind::StartAttempt { request } => self.start_attempt(request),
-            TimerKind::Timeout(connection) => self.disconnect(connection, false),
-            TimerKind::Disconnect(connection) => self.disconnect(connection, true),
+            TimerKind::Timeout(connection) => self.disconnect(connection, DisconnectReason::Timeout),
+            TimerKind::Disconnect(connection) => self.disconnect(connection, DisconnectReason::Early),
             TimerKind::ReportWrongAnswer { proxy, answer_id } => {
                 self.report_wrong_answer(proxy, &answer_id);
             }
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -1,10 +1,10 @@
 //! Requests from their first attempt to their last.
 
-use super::super::headers::{CLASS, KEY, REQUEST, WORK};
 use super::connection::{Attempt, ConnectionId, Exchange, ResponseInfo};
 use super::{Clients, TimerKind};
 use crate::model::traffic::ClientRequest;
-use crate::scenario::{ClassSpec, Idempotency};
+use crate::network::headers::{CLASS, KEY, REQUEST, WORK};
+use crate::scenario::{ClassSpec, Idempotency, ProxySpec};
 use rand::RngExt;
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -25,6 +25,15 @@
 /// Body of a request that is not idempotent.
 const REQUEST_BODY: &str = "work";
 
+/// Whether an attempt may have been executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Execution {
+    /// It cannot have been.
+    None,
+    /// It may have been.
+    Possible,
+}
+
 /// A request that is not finished.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
@@ -104,7 +113,7 @@
     fn proxy_weights(&self) -> Vec<f64> {
         let is_weighted = self.scenario.clients.own_proxy;
         let proxies = self.scenario.proxies.iter().enumerate();
-        let weight = |(n, proxy): (usize, &crate::scenario::ProxySpec)| {
+        let weight = |(n, proxy): (usize, &ProxySpec)| {
             if self.avoided_until.contains_key(&n) {
                 0.0
             } else if is_weighted {
@@ -167,12 +176,12 @@
                 self.progress.rejected.fetch_add(1, Ordering::Relaxed);
                 let complies = self.random.random::<f64>() < self.scenario.clients.retry_after_compliance;
                 let retry_after = if complies { response.retry_after * 1_000_000 } else { 0 };
-                self.retry_or_finish(attempt.request, true, retry_after);
+                self.retry_or_finish(attempt.request, Execution::None, retry_after);
             }
             _ => {
                 self.report.attempts.failed += 1;
                 self.progress.failed.fetch_add(1, Ordering::Relaxed);
-                self.retry_or_finish(attempt.request, false, 0);
+                self.retry_or_finish(attempt.request, Execution::Possible, 0);
             }
         }
     }
@@ -201,9 +210,9 @@
         }
     }
 
-    /// Retries a request after an attempt that was not served, if its class allows that. `was_not_run`: the
-    /// attempt cannot have been executed. `retry_after` is in microseconds.
-    pub(super) fn retry_or_finish(&mut self, request: usize, was_not_run: bool, retry_after: u64) {
+    /// Retries a request after an attempt that was not served, if its class and the attempt's execution allow
+    /// that. `retry_after` is in microseconds.
+    pub(super) fn retry_or_finish(&mut self, request: usize, execution: Execution, retry_after: u64) {
         let now = self.clock.now();
         let Some(pending) = self.requests.get(request) else { return };
         let class = &self.scenario.classes[pending.request.class];
@@ -213,7 +222,7 @@
             Idempotency::KeyedZone | Idempotency::KeyedCell | Idempotency::NonIdempotent => false,
         };
         let has_retries = pending.attempts <= self.scenario.clients.retries;
-        if (was_not_run || may_repeat) && has_retries {
+        if (execution == Execution::None || may_repeat) && has_retries {
             let wait = self.scenario.clients.backoff.max(retry_after);
             self.schedule(now + wait, TimerKind::StartAttempt { request });
         } else {
@@ -256,7 +265,7 @@
         if now >= since + self.scenario.clients.dead_proxy_detection {
             self.avoided_until.insert(proxy, now + PROXY_AVOIDANCE_TIME);
         }
-        self.retry_or_finish(request, true, 0);
+        self.retry_or_finish(request, Execution::None, 0);
     }
 }
 
--- a/crates/simulated-site/src/network/site/controller_link/mod.rs
+++ b/crates/simulated-site/src/network/site/controller_link/mod.rs
@@ -4,8 +4,8 @@
 //! The controller is another process and may be down for a while. Threads with blocking sockets make the
 //! watches and calls; the site's event loop only takes what they received.
 
-use super::super::NetworkError;
 use crate::model::release_service::{BuildOutcome, PooledServer, ServerCommand, ServerPool, initial_status};
+use crate::network::NetworkError;
 use crate::scenario::Rollout;
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/simulated-site/src/network/site/controller_link/threads.rs
+++ b/crates/simulated-site/src/network/site/controller_link/threads.rs
@@ -1,7 +1,7 @@
 //! The threads of a link to a controller, and their HTTP calls on blocking sockets.
 
-use super::super::super::NetworkError;
 use super::{ControllerMessage, EncodedVote, ReplyToVote};
+use crate::network::NetworkError;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/simulated-site/src/network/site/datagrams.rs
+++ b/crates/simulated-site/src/network/site/datagrams.rs
@@ -1,8 +1,8 @@
 //! Datagrams between proxies as they reach the relay: lost, repeated, corrupted or delayed by faults.
 
-use super::super::{AddressPlan, NetworkError};
 use super::relay::{Link, Relay};
 use super::state::Site;
+use crate::network::{AddressPlan, NetworkError};
 use crate::scenario::{Fault, FaultKind};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
--- a/crates/simulated-site/src/network/site/listeners.rs
+++ b/crates/simulated-site/src/network/site/listeners.rs
@@ -1,9 +1,9 @@
 //! Listens for connections to servers, discovery and the release service, and reads requests from them.
 
-use super::super::NetworkError;
-use super::super::headers::proxy_of;
 use super::connection::{Connection, ConnectionId, DelayedAction, Role};
 use super::state::Site;
+use crate::network::NetworkError;
+use crate::network::headers::proxy_of;
 use crate::scenario::FaultKind;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
--- a/crates/simulated-site/src/network/site/relay.rs
+++ b/crates/simulated-site/src/network/site/relay.rs
@@ -1,6 +1,6 @@
 //! The network between proxies: its sockets, and the datagrams on their way.
 
-use super::super::{AddressPlan, NetworkError};
+use crate::network::{AddressPlan, NetworkError};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
--- a/crates/simulated-site/src/network/site/server_http.rs
+++ b/crates/simulated-site/src/network/site/server_http.rs
@@ -1,9 +1,9 @@
 //! Requests to servers, and their replies.
 
-use super::super::headers::{BUILD, NOT_RUN, REQUEST, WORK, WRONG, class_of, key_of, number, proxy_of};
 use super::connection::Role;
 use super::state::Site;
 use crate::model::server::{Reply, Server, ServerRequest};
+use crate::network::headers::{BUILD, NOT_RUN, REQUEST, WORK, WRONG, class_of, key_of, number, proxy_of};
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName};
 use violetseam_http1::{Framing, RequestHead};
--- a/crates/simulated-site/src/network/site/servers.rs
+++ b/crates/simulated-site/src/network/site/servers.rs
@@ -1,10 +1,10 @@
 //! Servers: how they start, drain, stop, crash and start again, and how discovery lists them.
 
-use super::super::NetworkError;
 use super::listeners::listen;
 use super::state::{Listener, SimulatedServer, Site, rule_state};
 use crate::model::release_service::ServerCommand;
 use crate::model::server::{Build, FaultTarget, Server};
+use crate::network::NetworkError;
 use crate::scenario::FaultKind;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
--- a/crates/simulated-site/src/network/site/state.rs
+++ b/crates/simulated-site/src/network/site/state.rs
@@ -1,6 +1,5 @@
 //! The state of the site, and what all its parts need: active faults, the status as sent, records.
 
-use super::super::AddressPlan;
 use super::connection::{Connection, Pending};
 use super::relay::Relay;
 use super::release_source::ReleaseSource;
@@ -9,6 +8,7 @@
 use crate::model::RandomSource;
 use crate::model::endpoint_registry::EndpointRegistry;
 use crate::model::server::{CompletedRequest, DedupCaches, FaultTarget, Server};
+use crate::network::AddressPlan;
 use crate::scenario::{Fault, FaultKind, Scenario};
 use calloop::{LoopHandle, RegistrationToken};
 use slab::Slab;
@@ -74,7 +74,7 @@
     }
 }
 
-/// A release status and the time from which it held.
+/// A release status and the time from which it was in force.
 pub(super) struct StatusChange {
     pub(super) at: u64,
     pub(super) status: ReleaseUpdate,
