--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -8,8 +8,8 @@
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
 use violetseam_http1::{Limits, ResponseHead};
-use violetseam_invariants::Record;
-use violetseam_invariants::record::Answer;
+use violetseam_invariants::FinalResponse;
+use violetseam_invariants::ObservedEvent;
 
 /// Bytes that are read from a connection at once.
 const READ_BUFFER_SIZE: usize = 16 * 1_024;
@@ -66,7 +66,7 @@
 pub(super) struct ResponseInfo {
     status: StatusCode,
     /// How the proxy classifies the response.
-    pub(super) answer: Option<Answer>,
+    pub(super) answer: Option<FinalResponse>,
     pub(super) build: u16,
     pub(super) is_wrong: bool,
     /// By which the answer may be reported as wrong.
@@ -79,9 +79,9 @@
     fn parse(head: &ResponseHead) -> Self {
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let answer = match text("violetseam-answer") {
-            Some("served") => Some(Answer::Served),
-            Some("refused") => Some(Answer::Refused),
-            Some("failed") => Some(Answer::Failed),
+            Some("served") => Some(FinalResponse::Served),
+            Some("refused") => Some(FinalResponse::Rejected),
+            Some("failed") => Some(FinalResponse::Failed),
             _ => None,
         };
         ResponseInfo {
@@ -153,7 +153,7 @@
         match connection.socket.read(&mut buffer) {
             ReadOutcome::Bytes(_) if matches!(connection.exchange, Exchange::Idle) => {
                 let proxy = connection.proxy as u32;
-                self.record(Record::Surplus { proxy });
+                self.record(ObservedEvent::UnexpectedBytes { proxy });
                 self.close(key);
             }
             ReadOutcome::Bytes(length) => {
@@ -196,7 +196,7 @@
         let exchange = std::mem::replace(&mut connection.exchange, Exchange::Idle);
         let proxy = connection.proxy;
         if connection.http.held() > 0 {
-            self.record(Record::Surplus { proxy: proxy as u32 });
+            self.record(ObservedEvent::UnexpectedBytes { proxy: proxy as u32 });
         }
         if is_reusable {
             self.idle_connections.entry(proxy).or_default().push(key);
@@ -224,7 +224,10 @@
         if !was_connected || !attempt.is_sent {
             return self.on_unreachable(attempt.request, proxy);
         }
-        self.record(Record::Answered { request: attempt.number, answer: Answer::Broken });
+        self.record(ObservedEvent::ResponseReceived {
+            request: attempt.number,
+            response: FinalResponse::ConnectionClosed,
+        });
         self.report.attempts.broken += 1;
         self.retry_or_finish(attempt.request, Execution::Possible, 0);
     }
@@ -250,7 +253,7 @@
         if !attempt.is_sent {
             return self.on_unreachable(attempt.request, proxy);
         }
-        self.record(Record::Left { request: attempt.number });
+        self.record(ObservedEvent::ClientDisconnected { request: attempt.number });
         self.report.attempts.disconnected += 1;
         match reason {
             DisconnectReason::Early => self.finish_unserved(attempt.request),
--- a/crates/simulated-site/src/network/clients/mod.rs
+++ b/crates/simulated-site/src/network/clients/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use violetseam_invariants::{Entry, Record};
+use violetseam_invariants::{EventRecord, ObservedEvent};
 
 /// The longest wait of the event loop, in microseconds.
 const MAX_WAIT: u64 = 50_000;
@@ -130,9 +130,9 @@
     }
 
     /// Records an event for the checker of the invariants.
-    fn record(&mut self, record: Record) {
+    fn record(&mut self, event: ObservedEvent) {
         let at = self.clock.now();
-        self.report.entries.push(Entry { at, record });
+        self.report.entries.push(EventRecord { at, event });
     }
 
     /// A number that is larger than all before.
--- a/crates/simulated-site/src/network/clients/report.rs
+++ b/crates/simulated-site/src/network/clients/report.rs
@@ -3,7 +3,7 @@
 use crate::scenario::ClassSpec;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicU64;
-use violetseam_invariants::Entry;
+use violetseam_invariants::EventRecord;
 
 /// Requests of one class by what became of them.
 #[derive(Clone, Debug, Default)]
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 pub struct ClientReport {
     /// Records for the checker of the invariants.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EventRecord>,
     /// By class.
     pub classes: Vec<ClassCounts>,
     /// Attempts of all classes.
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -8,8 +8,8 @@
 use rand::RngExt;
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
-use violetseam_invariants::Record;
-use violetseam_invariants::record::Answer;
+use violetseam_invariants::FinalResponse;
+use violetseam_invariants::ObservedEvent;
 
 /// How long past its deadline a client still waits, so that a late response is seen as late. In
 /// microseconds, as all times here.
@@ -143,7 +143,7 @@
         connection.http.expect_answer(false);
         let id = ConnectionId { key, generation: connection.generation };
         // The deadline as stated: the proxy may not use what rounding to milliseconds cuts off.
-        let sent = Record::Sent {
+        let sent = ObservedEvent::RequestSent {
             request: number,
             proxy: connection.proxy as u32,
             class: request.class,
@@ -167,11 +167,11 @@
     /// A response to an attempt is complete.
     pub(super) fn on_answer(&mut self, proxy: usize, attempt: &Attempt, response: &ResponseInfo) {
         // A response of the proxy that is neither rejected nor failed: the request was invalid.
-        let answer = response.answer.unwrap_or(Answer::Failed);
-        self.record(Record::Answered { request: attempt.number, answer });
+        let answer = response.answer.unwrap_or(FinalResponse::Failed);
+        self.record(ObservedEvent::ResponseReceived { request: attempt.number, response: answer });
         match answer {
-            Answer::Served => self.on_served(proxy, attempt, response),
-            Answer::Refused => {
+            FinalResponse::Served => self.on_served(proxy, attempt, response),
+            FinalResponse::Rejected => {
                 self.report.attempts.rejected += 1;
                 self.progress.rejected.fetch_add(1, Ordering::Relaxed);
                 let complies = self.random.random::<f64>() < self.scenario.clients.retry_after_compliance;
--- a/crates/simulated-site/src/network/site/discovery_http.rs
+++ b/crates/simulated-site/src/network/site/discovery_http.rs
@@ -4,8 +4,8 @@
 use super::state::{Site, rule_state};
 use super::streams::ResponseEnd;
 use crate::scenario::FaultKind;
-use violetseam_invariants::Record;
-use violetseam_invariants::record::{Call, State as RuleState};
+use violetseam_invariants::ObservedEvent;
+use violetseam_invariants::{EndpointListCall, ServerStatus};
 use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind};
 
 /// Prefix of the path of a watch.
@@ -50,10 +50,10 @@
             || self.is_partitioned(FaultKind::DiscoveryPartition, proxy);
         if is_unreachable {
             // Never answered; the caller times out.
-            return self.record(Record::Called { proxy, call: Call::Failed });
+            return self.record(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::Failed });
         }
         if self.is_active(FaultKind::DiscoveryGarbage) {
-            self.record(Record::Called { proxy, call: Call::Failed });
+            self.record(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::Failed });
             return self.start_response(key, MALFORMED_LIST, ResponseEnd::Complete);
         }
         self.send_list(now, key, &query);
@@ -62,8 +62,8 @@
     fn send_list(&mut self, now: u64, key: usize, query: &ListQuery) {
         let ListQuery { proxy, is_watch, .. } = *query;
         let update = self.list_update(now, query);
-        let call = if is_watch { Call::Watch } else { Call::Fetch };
-        self.record(Record::Called { proxy, call });
+        let call = if is_watch { EndpointListCall::WatchStarted } else { EndpointListCall::ListFetched };
+        self.record(ObservedEvent::EndpointListCalled { proxy, call });
         self.record_list(proxy, &update);
         let end = if is_watch { ResponseEnd::Open } else { ResponseEnd::Complete };
         self.start_response(key, &update.write(), end);
@@ -98,8 +98,8 @@
     fn record_list(&mut self, proxy: u32, update: &ListUpdate) {
         for endpoint in &update.servers {
             let started = self.registry.started_at(endpoint.id);
-            let state = rule_state(endpoint.state);
-            self.record(Record::Told { proxy, server: endpoint.id, state, started });
+            let status = rule_state(endpoint.state);
+            self.record(ObservedEvent::ServerStatusSent { proxy, server: endpoint.id, status, started });
         }
         if update.kind == UpdateKind::Full {
             self.record_absent_servers(proxy, update);
@@ -111,7 +111,12 @@
         let listed: Vec<u64> = update.servers.iter().map(|endpoint| endpoint.id).collect();
         let last_server = self.servers.keys().next_back().copied().unwrap_or(0);
         for server in (1..=last_server).filter(|id| !listed.contains(id)) {
-            self.record(Record::Told { proxy, server, state: RuleState::Gone, started: None });
+            self.record(ObservedEvent::ServerStatusSent {
+                proxy,
+                server,
+                status: ServerStatus::Removed,
+                started: None,
+            });
         }
     }
 
--- a/crates/simulated-site/src/network/site/report.rs
+++ b/crates/simulated-site/src/network/site/report.rs
@@ -2,7 +2,7 @@
 
 use crate::model::release_service::BuildOutcome;
 use std::collections::BTreeMap;
-use violetseam_invariants::Entry;
+use violetseam_invariants::EventRecord;
 
 /// A build that was offered, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct SiteReport {
     /// Records for the checker of the invariants.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EventRecord>,
     /// The builds that were offered, in order.
     pub builds: Vec<BuildReport>,
     /// Servers that collapsed because they were overloaded while warming up.
--- a/crates/simulated-site/src/network/site/server_http.rs
+++ b/crates/simulated-site/src/network/site/server_http.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use http::header::{HeaderMap, HeaderName};
 use violetseam_http1::{Framing, RequestHead};
-use violetseam_invariants::{Arrival, End, Record};
+use violetseam_invariants::{AttemptArrival, AttemptOutcome, ObservedEvent};
 
 /// Work of a request that does not state it.
 const DEFAULT_WORK: u64 = 1_000;
@@ -26,7 +26,7 @@
         let status = self.releases.status();
         let is_newest = arrival.build > self.scenario.rollout.first_build && arrival.build == status.build;
         self.recent_attempts.add(is_newest);
-        self.record(Record::Arrived(arrival));
+        self.record(ObservedEvent::AttemptArrived(arrival));
     }
 
     /// A request to a server is complete.
@@ -106,23 +106,24 @@
 }
 
 /// How an attempt ended, for the checker of the invariants.
-fn end_of(reply: Reply) -> End {
+fn end_of(reply: Reply) -> AttemptOutcome {
     match reply {
-        Reply::Ok { .. } => End::Ok,
-        Reply::Error => End::Error,
-        Reply::NotRun => End::NotRun,
+        Reply::Ok { .. } => AttemptOutcome::Ok,
+        Reply::Error => AttemptOutcome::Error,
+        Reply::NotRun => AttemptOutcome::NotRun,
     }
 }
 
 /// An attempt as it arrives at a server.
-fn arrival(attempt: u64, server: u64, model: &Server, head: &RequestHead) -> Arrival {
-    Arrival {
-        number: attempt,
+fn arrival(attempt: u64, server: u64, model: &Server, head: &RequestHead) -> AttemptArrival {
+    AttemptArrival {
+        attempt,
         request: number(head, REQUEST).unwrap_or(0),
         proxy: proxy_of(head),
         server,
         build: model.build.number,
-        place: (model.spec.zone, model.spec.cell),
+        zone: model.spec.zone,
+        cell: model.spec.cell,
         class: class_of(head),
         key: key_of(head),
         work: number(head, WORK).unwrap_or(0),
--- a/crates/simulated-site/src/network/site/servers.rs
+++ b/crates/simulated-site/src/network/site/servers.rs
@@ -9,8 +9,8 @@
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
 use std::rc::Rc;
-use violetseam_invariants::Record;
-use violetseam_invariants::record::Start;
+use violetseam_invariants::ObservedEvent;
+use violetseam_invariants::ServerStart;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
 
 impl Site {
@@ -73,12 +73,12 @@
     }
 
     fn record_start(&mut self, server: u64, model: &Server) {
-        let start = Start {
+        let start = ServerStart {
             capacity: model.capacity(),
-            cold_from: model.spec.slow_start_floor,
-            cold_span: model.spec.slow_start_span,
+            slow_start_floor: model.spec.slow_start_floor,
+            slow_start_span: model.spec.slow_start_span,
         };
-        self.record(Record::Started { server, start });
+        self.record(ObservedEvent::ServerStarted { server, start });
     }
 
     fn listen_for_server(&mut self, server: u64) -> Result<Listener, NetworkError> {
@@ -128,7 +128,10 @@
             return;
         }
         for change in changes {
-            self.record(Record::Listed { server: change.server, state: rule_state(change.state) });
+            self.record(ObservedEvent::ServerListed {
+                server: change.server,
+                status: rule_state(change.state),
+            });
         }
         self.notify_endpoint_watches(now);
     }
--- a/crates/simulated-site/src/network/site/state.rs
+++ b/crates/simulated-site/src/network/site/state.rs
@@ -16,8 +16,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
-use violetseam_invariants::record::{Phase as RulePhase, State as RuleState};
-use violetseam_invariants::{End, Entry, Finish, Record};
+use violetseam_invariants::{AttemptEnd, AttemptOutcome, EventRecord, ObservedEvent};
+use violetseam_invariants::{Phase as RulePhase, ServerStatus};
 use violetseam_site_protocol::endpoint_list::EndpointState;
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
@@ -93,7 +93,7 @@
     pub(super) registry: EndpointRegistry,
     pub(super) releases: ReleaseSource,
     pub(super) relay: Relay,
-    pub(super) entries: Vec<Entry>,
+    pub(super) entries: Vec<EventRecord>,
     pub(super) log: Sender<String>,
     pub(super) report: SiteReport,
     pub(super) dedup_caches: DedupCaches,
@@ -111,14 +111,14 @@
 
 impl Site {
     /// Records an event for the checker of the invariants.
-    pub(super) fn record(&mut self, record: Record) {
+    pub(super) fn record(&mut self, event: ObservedEvent) {
         let at = self.clock.now();
-        self.entries.push(Entry { at, record });
+        self.entries.push(EventRecord { at, event });
     }
 
     /// Records the end of an attempt.
-    pub(super) fn record_end(&mut self, attempt: u64, end: End) {
-        self.record(Record::Ended(Finish { number: attempt, end }));
+    pub(super) fn record_end(&mut self, attempt: u64, outcome: AttemptOutcome) {
+        self.record(ObservedEvent::AttemptEnded(AttemptEnd { attempt, outcome }));
     }
 
     /// Records the release status as sent to a proxy.
@@ -130,7 +130,7 @@
             PhaseName::Withdrawn => RulePhase::Withdrawn,
         };
         let ReleaseUpdate { build, stage, cap, .. } = status;
-        self.record(Record::News { proxy, build, stage, phase, cap });
+        self.record(ObservedEvent::ReleaseStatusSent { proxy, build, stage, phase, cap });
     }
 
     /// Writes a line to the log of the run. Nobody reads it once the run is over.
@@ -182,10 +182,10 @@
 }
 
 /// A state as the checker of the invariants knows it.
-pub(super) fn rule_state(state: EndpointState) -> RuleState {
+pub(super) fn rule_state(state: EndpointState) -> ServerStatus {
     match state {
-        EndpointState::Ready => RuleState::Ready,
-        EndpointState::Draining => RuleState::Draining,
-        EndpointState::Gone => RuleState::Gone,
+        EndpointState::Ready => ServerStatus::Ready,
+        EndpointState::Draining => ServerStatus::Draining,
+        EndpointState::Gone => ServerStatus::Removed,
     }
 }
--- a/crates/simulated-site/src/network/site/streams.rs
+++ b/crates/simulated-site/src/network/site/streams.rs
@@ -6,8 +6,8 @@
 use http::StatusCode;
 use http::header::HeaderMap;
 use violetseam_http1::Framing;
-use violetseam_invariants::record::Call;
-use violetseam_invariants::{End, Record};
+use violetseam_invariants::EndpointListCall;
+use violetseam_invariants::{AttemptOutcome, ObservedEvent};
 
 /// Whether a response ends with what is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
         connection.socket.remove(&self.handle);
         if let Some(attempt) = connection.attempt {
             self.pending.attempts.remove(&attempt);
-            self.record_end(attempt, End::Lost);
+            self.record_end(attempt, AttemptOutcome::Lost);
         }
         match connection.role {
             Role::Server(server) => self.on_server_connection_closed(server, connection.attempt),
@@ -59,7 +59,7 @@
         let Some(proxy) = watch.map(Watch::proxy) else { return };
         if self.pending.endpoint_watches.get(&proxy) == Some(&key) {
             self.pending.endpoint_watches.remove(&proxy);
-            self.record(Record::Called { proxy, call: Call::WatchLost });
+            self.record(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::WatchEnded });
         }
     }
 
@@ -120,7 +120,7 @@
         }
         for attempt in attempts {
             self.pending.attempts.remove(&attempt);
-            self.record_end(attempt, End::Lost);
+            self.record_end(attempt, AttemptOutcome::Lost);
             if let Some(entry) = self.servers.get_mut(&server) {
                 entry.model.cancel(now, attempt);
             }
