--- a/crates/simulated-site/src/network/site/faults.rs
+++ b/crates/simulated-site/src/network/site/faults.rs
@@ -22,10 +22,10 @@
             }
             self.was_active[index] = is_active;
             if is_active {
-                self.log(format!("fault begins: {:?}", fault.kind));
+                self.log(format!("trouble begins: {}", fault.kind.log_name()));
                 self.on_fault_start(now, fault);
             } else {
-                self.log(format!("fault ends: {:?}", fault.kind));
+                self.log(format!("trouble ends: {}", fault.kind.log_name()));
                 self.on_fault_end(fault);
             }
         }
--- a/crates/simulated-site/src/scenario/fault.rs
+++ b/crates/simulated-site/src/scenario/fault.rs
@@ -1,6 +1,7 @@
 //! Faults that are injected while a scenario runs.
 
 use serde::{Deserialize, Serialize};
+use serde_json::Value;
 
 /// An injected fault.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -139,3 +140,17 @@
     #[serde(rename = "handshake_slow")]
     SlowHandshake,
 }
+
+impl FaultKind {
+    /// Its name in the log of a run: the stored name in camel case. Readers of the log depend on it.
+    pub fn log_name(self) -> String {
+        let Ok(Value::String(stored_name)) = serde_json::to_value(self) else { return String::new() };
+        stored_name.split('_').map(capitalized).collect()
+    }
+}
+
+fn capitalized(word: &str) -> String {
+    let mut letters = word.chars();
+    let first = letters.next().map(|letter| letter.to_ascii_uppercase());
+    first.into_iter().chain(letters).collect()
+}
--- a/crates/simulated-site/tests/stored_scenario.rs
+++ b/crates/simulated-site/tests/stored_scenario.rs
@@ -95,6 +95,13 @@
     }
 }
 
+#[test]
+fn logs_name_a_fault_by_its_stored_name_in_camel_case() {
+    assert_eq!(FaultKind::GossipReordering.log_name(), "PeersDisordered");
+    assert_eq!(FaultKind::ServerCrash.log_name(), "Crash");
+    assert_eq!(FaultKind::SlowFleet.log_name(), "SharedSlow");
+}
+
 #[test]
 fn a_scenario_whose_parts_do_not_fit_is_invalid() {
     let valid = read(&stored_scenario());
