--- a/crates/event-io/src/listener.rs
+++ b/crates/event-io/src/listener.rs
@@ -1,4 +1,5 @@
-//! A TCP listener on the event loop. Accepting can be paused: connections wait in the kernel's queue meanwhile.
+//! A TCP listener on the event loop. Accepting can be paused: connections wait in the kernel's queue
+//! meanwhile.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -13,8 +14,8 @@
 }
 
 impl Listener {
-    /// Registers a non-blocking listener on the event loop, which calls `on_ready` while connections wait in its
-    /// queue.
+    /// Registers a non-blocking listener on the event loop, which calls `on_ready` while connections wait in
+    /// its queue.
     ///
     /// # Errors
     /// The system's error if the listener cannot be added to the event loop.
@@ -40,8 +41,8 @@
         let _ = if is_accepting { handle.enable(&self.token) } else { handle.disable(&self.token) };
     }
 
-    /// Removes the listener from the event loop. The socket closes when it is dropped, but within its own callback
-    /// only once that returns.
+    /// Removes the listener from the event loop. The socket closes when it is dropped, but within its own
+    /// callback only once that returns.
     pub fn remove<D>(self, handle: &LoopHandle<'static, D>) {
         handle.remove(self.token);
     }
--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -63,6 +63,13 @@
     Ready(Vec<u8>),
 }
 
+impl PendingResponse {
+    /// Whether this is the place of a request whose response has not been decided yet.
+    pub fn is_of(&self, request: RequestId) -> bool {
+        matches!(self, PendingResponse::Request(id) if *id == request)
+    }
+}
+
 impl Client {
     /// A new, open connection.
     pub fn new(socket: Socket, generation: u64, now: Micros) -> Self {
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -78,8 +78,8 @@
         if client.generation != generation {
             return;
         }
-        let is_placeholder = |pending: &&mut PendingResponse| matches!(pending, PendingResponse::Request(id) if *id == request);
-        if let Some(placeholder) = client.pending_responses.iter_mut().find(is_placeholder) {
+        let mut pending = client.pending_responses.iter_mut();
+        if let Some(placeholder) = pending.find(|pending| pending.is_of(request)) {
             *placeholder = PendingResponse::Ready(bytes);
         }
         self.flush_client(slot);
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: what they are read for, their time-outs and their end.
+//! Client connections: readiness, time-outs and their end.
 
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
@@ -13,11 +13,11 @@
 
 /// A client's unread input is bounded by this and one read.
 const MAX_INPUT_BYTES: usize = 64 * 1024;
-/// A closed connection's input is read and dropped for so long.
+/// How long the input of a connection is read and dropped after its last response.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 impl Proxy {
-    /// Connections between requests.
+    /// The connections that are between two requests.
     pub(in super::super) fn idle_clients(&self) -> Vec<usize> {
         self.clients.iter().filter(|(_, c)| c.is_between_requests()).map(|(key, _)| key).collect()
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// After a drain that was called off: connections between requests have their ordinary time again.
+    /// After a drain that was cancelled: idle connections have their ordinary time-out again.
     pub(in super::super) fn reset_idle_timeouts(&mut self) {
         for key in self.idle_clients() {
             self.clients[key].timeout.set(None);
@@ -52,14 +52,14 @@
         if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
-    /// Closes a connection, which the engine need not hear of.
+    /// Closes a connection without a report to the engine.
     pub(in super::super) fn close_client(&mut self, key: usize) {
-        if self.clients.contains(key) {
-            self.clients.remove(key).socket.remove(&self.handle);
+        if let Some(client) = self.clients.try_remove(key) {
+            client.socket.remove(&self.handle);
         }
     }
 
-    /// The connection broke, or its client closed it: it needs no answer any more.
+    /// The connection failed, or its client closed it: its request needs no response any more.
     pub(super) fn on_client_lost(&mut self, key: usize) {
         let Some(client) = self.clients.get(key) else { return };
         let waiting = client.waiting_request();
@@ -99,7 +99,7 @@
         self.rearm_client(key);
     }
 
-    /// The client has closed its side of the connection.
+    /// The client has closed its write side.
     fn on_client_half_closed(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let serve = self.settings.connections.half_close == HalfClose::Serve;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Goes on with input that waited for the answer before it.
+    /// Goes on with input that waited for the response to the request before it.
     pub(in super::super) fn resume_client(&mut self, id: ConnectionId) {
         if self.clients.get(id.key).is_some_and(|client| client.generation == id.generation) {
             self.client_events(id.key);
@@ -144,20 +144,20 @@
         }
     }
 
-    /// Sets what the connection is to be woken for and when its present state has lasted too long.
+    /// Sets the events that the connection is to be woken for, and its time-out.
     pub(in super::super) fn rearm_client(&mut self, key: usize) {
-        self.set_client_limit(key);
-        let is_body_stuck = self.is_body_stuck(key);
+        self.set_client_timeout(key);
+        let is_body_backpressured = self.is_body_backpressured(key);
         let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get(key) else { return };
         let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
-        // While a process takes over, what comes next on a connection is for whoever has it then.
-        let reads = !client.half_closed && !is_body_stuck && !is_full && !is_handing_over;
-        client.socket.set_read_interest(&self.handle, reads);
+        // While a process takes over, what arrives next on a connection is for the process that has it then.
+        let wants_read = !client.half_closed && !is_body_backpressured && !is_full && !is_handing_over;
+        client.socket.set_read_interest(&self.handle, wants_read);
     }
 
-    /// Sets when the present state has lasted too long.
-    fn set_client_limit(&mut self, key: usize) {
+    /// Sets the time-out of the connection's present state.
+    fn set_client_timeout(&mut self, key: usize) {
         let now = self.now();
         let first_request_timeout = self.first_request_timeout();
         let settings = &self.settings.connections;
@@ -171,15 +171,16 @@
             ClientState::Closing => Some(settings.head_timeout),
             ClientState::Lingering => Some(LINGER_TIMEOUT),
         };
-        // A client that trickles its head must not push its own limit on with each byte.
+        // A client that sends its head byte by byte must not postpone its own time-out with each byte.
         let timeout_at = timeout.map(|timeout| now + timeout);
         client.timeout.set(timeout_at.map(|at| client.timeout.at().map_or(at, |running| running.min(at))));
         let id = ConnectionId { key, generation: client.generation };
         client.timeout.arm(&mut self.timers, TimerKind::Client(id));
     }
 
-    /// A body that grows is read as fast as its server takes it, and not before it has one.
-    fn is_body_stuck(&self, key: usize) -> bool {
+    /// Whether the body of a request that has begun has to wait: it is read as fast as its server takes it,
+    /// and beyond what may be buffered not before it has a server.
+    fn is_body_backpressured(&self, key: usize) -> bool {
         let request = self.clients.get(key).and_then(Client::waiting_request);
         let request = request.and_then(|id| self.in_flight.get(&id));
         let Some(request) = request.filter(|request| !request.is_complete) else { return false };
@@ -190,7 +191,7 @@
         is_server_slow && request.body.len() > self.settings.connections.keep_body
     }
 
-    /// The time that was set for a client's state may be over.
+    /// A client connection's time-out may have expired.
     pub(in super::super) fn client_timeout(&mut self, now: Micros, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(id.key).filter(|c| c.generation == id.generation) else {
             return;
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: the proxy's own, and those of servers as they are passed on.
+//! Responses to clients: the proxy's own, and those of servers as they are passed on.
 
 use super::super::{ConnectionId, Proxy};
 use super::ClientState;
@@ -10,18 +10,18 @@
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_site_protocol::answer_report;
 
-/// Says how a final answer came about: served, refused or failed.
+/// States the outcome of a final response: served, refused or failed.
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("violetseam-answer");
 
 impl Proxy {
-    /// Answers what never reaches the engine. Faults close the connection, refused routes do not.
+    /// Responds to a request that never reaches the engine.
     pub(super) fn respond_with_error(&mut self, key: usize, status: StatusCode, reason: &str) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.state = ClientState::Idle;
         self.write_local_response(key, status, &format!("{reason}\n"), &[]);
     }
 
-    /// Writes an answer of the proxy's own.
+    /// Writes a response of the proxy's own.
     pub(super) fn write_local_response(
         &mut self,
         key: usize,
@@ -49,13 +49,13 @@
         self.finish_response(key);
     }
 
-    /// A final answer that no server gave: refused 503, failed 502 or 504.
+    /// Sends a final response that no server gave: rejected 503, failed 502 or 504.
     pub(in super::super) fn send_local_response(&mut self, request: RequestId, response: LocalResponse) {
         let Some(key) = self.waiting_client(request) else { return };
         tracing::debug!(request, answer = ?response, "final answer");
         match response {
             LocalResponse::Rejected { retry_after } => {
-                // Whole seconds are all the field can say; rounded up, as "not before" is what it means.
+                // Retry-After counts whole seconds; rounded up, as the client must not retry earlier.
                 let seconds = retry_after.div_ceil(1_000_000).to_string();
                 let advice = (RETRY_AFTER, seconds.as_bytes());
                 let outcome = (OUTCOME_HEADER, &b"refused"[..]);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The client that waits for a request's answer.
+    /// The client that waits for a request's response.
     pub(in super::super) fn waiting_client(&self, id: RequestId) -> Option<usize> {
         let request = self.in_flight.get(&id)?;
         let client = self.clients.get(request.client.key)?;
@@ -77,7 +77,7 @@
         (is_waiting && client.generation == request.client.generation).then_some(request.client.key)
     }
 
-    /// Starts the client's answer, as a server gave it; none if no client waits for it any more.
+    /// Starts a client's response with a server's head; none if no client waits for it any more.
     pub(in super::super) fn start_response(
         &mut self,
         id: RequestId,
@@ -99,13 +99,13 @@
         Some(key)
     }
 
-    /// Writes bytes of an answer's body.
+    /// Writes bytes of a response's body.
     pub(in super::super) fn write_response_body(&mut self, key: usize, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.http.write_body(client.socket.write_buffer(), bytes);
     }
 
-    /// The present answer is complete: the connection carries on or closes once all is written.
+    /// Completes the present response: the connection carries on, or closes once all is written.
     pub(in super::super) fn finish_response(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let carries_on = client.http.finish_answer(client.socket.write_buffer()) && !client.half_closed;
@@ -113,7 +113,8 @@
         self.flush_client(key);
     }
 
-    /// Writes what waits; then the connection may close, or a next request or a paused server go on.
+    /// Writes what is unwritten; then the connection may close, a next request begin or a paused server be
+    /// read.
     pub(in super::super) fn flush_client(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.socket.flush().is_err() {
