--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -57,8 +57,8 @@
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
-        if let Some(listed) = self.listed_servers.get(&server) {
-            self.attempts_by_build.count(listed.entry.build);
+        if let Some(build) = self.server_list.build(server) {
+            self.attempts_by_build.count(build);
         }
     }
 
@@ -71,8 +71,8 @@
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
-            uptime_us: self.started.elapsed().as_micros() as u64,
-            draining: self.draining,
+            uptime_us: self.clock.uptime().as_micros() as u64,
+            draining: self.lifecycle.is_draining(),
             release: self.engine.release().map(release_state),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
@@ -85,9 +85,9 @@
             },
             pending_responses: self.engine.pending_responses() as u64,
             peers: recent_peers.count() as u64,
-            endpoint_list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
-            servers: self.listed_servers.len() as u64,
-            configuration: self.configuration_reading(),
+            endpoint_list_age_us: self.server_list.received_at().map(|at| now.saturating_sub(at)),
+            servers: self.server_list.len() as u64,
+            configuration: self.configuration_state(),
             quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
     }
