--- a/crates/simulated-site/src/network/discovery_http.rs
+++ b/crates/simulated-site/src/network/discovery_http.rs
@@ -2,8 +2,7 @@
 
 use super::state::{Site, rule_state};
 use crate::scenario::FaultKind;
-use violetseam_invariants::Record;
-use violetseam_invariants::record::{Call, State as RuleState};
+use violetseam_invariants::{EndpointListCall, ObservedEvent, ServerStatus};
 use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind as ListKind};
 
 impl Site {
@@ -21,10 +20,10 @@
             || self.cut_off(FaultKind::DiscoveryPartition, proxy)
         {
             // Never answered; the caller gives up.
-            return self.see(Record::Called { proxy, call: Call::Failed });
+            return self.see(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::Failed });
         }
         if self.active(FaultKind::DiscoveryGarbage).is_some() {
-            self.see(Record::Called { proxy, call: Call::Failed });
+            self.see(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::Failed });
             return self.stream(key, &[b"{\"kind\":\"full\",\"version\":", &b"7,]\n"[..]].concat(), true);
         }
         let delta = since.filter(|_| watch).map(|base| {
@@ -35,7 +34,10 @@
         if self.active(FaultKind::DiscoveryVersionRollback).is_some() {
             message = ListUpdate { version: 1, ..self.roster.snapshot(now) };
         }
-        self.see(Record::Called { proxy, call: if watch { Call::Watch } else { Call::Fetch } });
+        self.see(ObservedEvent::EndpointListCalled {
+            proxy,
+            call: if watch { EndpointListCall::WatchStarted } else { EndpointListCall::ListFetched },
+        });
         self.see_told(proxy, &message);
         self.stream(key, &message.write(), !watch);
         if watch {
@@ -51,14 +53,19 @@
         for line in &message.servers {
             let started = self.roster.started_at(line.id);
             let state = rule_state(line.state);
-            self.see(Record::Told { proxy, server: line.id, state, started });
+            self.see(ObservedEvent::ServerStatusSent { proxy, server: line.id, status: state, started });
         }
         if message.kind == ListKind::Full {
             // Who is absent from a whole list has left.
             let there: Vec<u64> = message.servers.iter().map(|l| l.id).collect();
             let gone: Vec<u64> = (1..=self.machines.keys().next_back().copied().unwrap_or(0)).collect();
             for server in gone.into_iter().filter(|id| !there.contains(id)) {
-                self.see(Record::Told { proxy, server, state: RuleState::Gone, started: None });
+                self.see(ObservedEvent::ServerStatusSent {
+                    proxy,
+                    server,
+                    status: ServerStatus::Removed,
+                    started: None,
+                });
             }
         }
     }
--- a/crates/simulated-site/src/network/machines.rs
+++ b/crates/simulated-site/src/network/machines.rs
@@ -9,8 +9,7 @@
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use std::net::TcpListener;
 use std::rc::Rc;
-use violetseam_invariants::Record;
-use violetseam_invariants::record::Start;
+use violetseam_invariants::{ObservedEvent, ServerStart};
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
 
 impl Site {
@@ -50,8 +49,12 @@
 
     fn see_start(&mut self, machine: u64, server: &Server) {
         let (cold_from, cold_span) = (server.spec.slow_start_floor, server.spec.slow_start_span);
-        let start = Start { capacity: server.capacity(), cold_from, cold_span };
-        self.see(Record::Started { server: machine, start });
+        let start = ServerStart {
+            capacity: server.capacity(),
+            slow_start_floor: cold_from,
+            slow_start_span: cold_span,
+        };
+        self.see(ObservedEvent::ServerStarted { server: machine, start });
     }
 
     fn listen_server(&mut self, machine: u64) -> Result<(Rc<TcpListener>, RegistrationToken), NetworkError> {
@@ -98,7 +101,7 @@
         let now = self.clock.now();
         let changed = self.roster.apply_due(now);
         for change in &changed {
-            self.see(Record::Listed { server: change.server, state: rule_state(change.state) });
+            self.see(ObservedEvent::ServerListed { server: change.server, status: rule_state(change.state) });
         }
         if !changed.is_empty() {
             self.tell_roster(now);
