--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use violetseam_proxy::driver::{Options, Summary, inherit, serve_operated};
+use violetseam_proxy::driver::{Options, Recording, Summary, inherit, serve_operated};
 use violetseam_recorder::Bounds;
 use violetseam_settings::read_file;
 
@@ -78,7 +78,7 @@
     fn options(&self) -> Options {
         let bounds = Bounds { total: self.record_most, ..Bounds::default() };
         Options {
-            record: self.record.clone().map(|path| (path, bounds)),
+            record: self.record.clone().map(|path| Recording { path, bounds }),
             time_module: self.time_module,
             stop_after: self.stop_after.map(Duration::from_secs),
             stop: None,
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -40,7 +40,7 @@
 };
 #[cfg(feature = "sabotage")]
 pub use options::Sabotage;
-pub use options::{Options, Summary};
+pub use options::{Options, Recording, Summary};
 pub use takeover::{Inherited, TakeoverError, inherit};
 
 use crate::engine::Engine;
@@ -210,7 +210,7 @@
     inherited: Option<&Inherited>,
 ) -> std::io::Result<Engine> {
     let recorder = match &options.record {
-        Some((path, bounds)) => Some(Recorder::start(path, *bounds, &settings.decisions, seed)?),
+        Some(Recording { path, bounds }) => Some(Recorder::start(path, *bounds, &settings.decisions, seed)?),
         None => None,
     };
     let mut engine = match inherited {
--- a/crates/proxy/src/driver/options.rs
+++ b/crates/proxy/src/driver/options.rs
@@ -7,11 +7,20 @@
 use std::time::Duration;
 use violetseam_recorder::Bounds;
 
+/// Where a proxy records its events and actions.
+#[derive(Clone, Debug)]
+pub struct Recording {
+    /// The file.
+    pub path: PathBuf,
+    /// How much is recorded.
+    pub bounds: Bounds,
+}
+
 /// How a proxy is started beside its settings.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Records every event and action there.
-    pub record: Option<(PathBuf, Bounds)>,
+    /// Records every event and action.
+    pub record: Option<Recording>,
     /// Measures the time spent in the module.
     pub time_module: bool,
     /// Stops by itself after this span.
