--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -309,10 +309,10 @@
         let id = format!("n{n}");
         client.send(&get(&id));
         let (mut wire, words) = one.accept_command();
-        let answered = Instant::now();
         wire.say(&good(&words));
         assert_eq!(client.hear(), Heard::Value(value(&id)));
-        std::thread::sleep(Duration::from_millis(113).saturating_sub(answered.elapsed()));
+        // The proxy has read the answer by now: its connection has rested for at least this long.
+        std::thread::sleep(Duration::from_millis(113));
         // The next comes on a connection of its own: nothing follows on this one.
         client.send(&get(&format!("again{n}")));
         let (mut next, words) = one.accept_command();
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -161,9 +161,14 @@
 
 #[test]
 fn a_server_that_closed_while_idle_is_noticed_before_anything_is_sent() {
-    let server = scripted_server(|_, mut stream| {
+    let (to_test, closed) = channel();
+    let to_test = std::sync::Mutex::new(to_test);
+    let server = scripted_server(move |_, mut stream| {
         if read_request(&stream).is_some() {
             answer(&mut stream, "200 OK", "", "fine");
+            // On loopback the end of the connection has arrived when the close returns.
+            drop(stream);
+            to_test.lock().unwrap().send(()).unwrap();
         }
     });
     let proxy = Proxy::with_servers(&[server.addr], "");
@@ -171,7 +176,7 @@
     for _ in 0..20 {
         send(&mut stream, PAY, "x");
         assert_eq!(outcome(&read_answer(&mut stream)), "served");
-        std::thread::sleep(Duration::from_millis(5));
+        closed.recv_timeout(Duration::from_secs(10)).unwrap();
     }
     drop(stream);
     proxy.drain();
