--- a/crates/scenarios/tests/scenarios.rs
+++ b/crates/scenarios/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios that come with the program: their names, and the scripts that are written for their processes.
+//! The scenarios that come with the program: their names, and the scripts written for their processes.
 
 use std::path::Path;
 use violetseam_scenarios::builtin_scenarios::{NAMES, named};
