--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -30,7 +30,8 @@
             return self.respond_at_once(key, b"-BUSY\r\n");
         }
         let now = self.now();
-        // The client's wait began when it sent the call, which may have lain unread for as long as this loop is late.
+        // The client's wait began when it sent the call, which may have lain unread for as long as this loop
+        // is late.
         let unread = self.timers.lateness(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
         let request = self.engine.on_request(now, engine_request(&call, now, unread), true);
@@ -77,8 +78,8 @@
         if client.generation != generation {
             return;
         }
-        let is_placeholder = |pending: &&mut PendingResponse| matches!(pending, PendingResponse::Request(id) if *id == request);
-        if let Some(placeholder) = client.pending_responses.iter_mut().find(is_placeholder) {
+        let mut pending = client.pending_responses.iter_mut();
+        if let Some(placeholder) = pending.find(|pending| pending.is_of(request)) {
             *placeholder = PendingResponse::Ready(bytes);
         }
         self.flush_client(slot);
