--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -64,7 +64,7 @@
 #[test]
 fn links_that_are_cut_slow_and_lossy_leave_the_fleet_within_its_budgets() {
     let day = fleet_scenarios::failing_links(3);
-    let (outcome, shown) = play(20, &day, &[], Some("ends: GossipReordering"));
+    let (outcome, shown) = play(20, &day, &[], Some("trouble ends: PeersDisordered"));
     kept(&day, &outcome);
     // What an operator sees: each proxy's rights, and what they come to. The daemons are read one after another, so that the
     // sum is no bound here.
