--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -12,7 +12,7 @@
 use violetseam_operator_store::{OpenedStore, Store, StoreError};
 use violetseam_proxy::driver::{Operators, Options, Reloaded, Reopened, SetLog, inherit, serve_operated};
 use violetseam_recorder::Bounds;
-use violetseam_settings::{Identity, ProxySettings, read_file};
+use violetseam_settings::{ControlTls, Identity, ProxySettings, read_file};
 use violetseam_tls_config::KeyFiles;
 
 #[derive(ClapArgs)]
@@ -97,8 +97,8 @@
             SabotageName::Spendthrift => violetseam_proxy::driver::Sabotage::Spendthrift,
         }),
     };
-    let name = format!("{}-{}", settings.name, settings.decisions.position);
-    let inherited = match (args.takeover, &settings.control) {
+    let name = format!("{}-{}", settings.fleet_name, settings.decisions.position);
+    let inherited = match (args.takeover, &settings.control_socket) {
         (false, _) => None,
         (true, Some(control)) => Some(inherit(control).map_err(|e| e.to_string())?),
         (true, None) => return Err("--takeover needs a control socket in the settings".into()),
@@ -152,7 +152,7 @@
     settings: &ProxySettings,
     set_log: SetLog,
 ) -> Result<Option<Operators>, String> {
-    let (Some(socket), Some(folder)) = (settings.control.clone(), &settings.state_dir) else {
+    let (Some(socket), Some(folder)) = (settings.control_socket.clone(), &settings.state_dir) else {
         return Ok(None);
     };
     let now = violetseam_fleet::wall_clock();
@@ -193,7 +193,7 @@
 
 /// The keys for control over TCP, checked.
 fn keys_of(settings: &ProxySettings) -> Result<Option<Arc<rustls::ServerConfig>>, String> {
-    let Some((_, identity)) = &settings.control_tls else { return Ok(None) };
+    let Some(ControlTls { identity, .. }) = &settings.control_tls else { return Ok(None) };
     let now_s = (violetseam_fleet::wall_clock() / 1_000_000) as i64;
     let loaded = violetseam_tls_config::server_tls(&key_files(identity), now_s)
         .map_err(|e| format!("control_tls: {e}"))?;
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -5,7 +5,9 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate_file, needed};
+use violetseam_starlark_config::{
+    Call, Located, ScriptDuration, ScriptError, evaluate_file, required_section,
+};
 
 /// The longest name, in bytes.
 const MAX_NAME_LEN: usize = 64;
@@ -24,17 +26,17 @@
     build: u16,
     control: String,
     #[serde(default = "default_lease")]
-    lease: Span,
+    lease: ScriptDuration,
     #[serde(default = "default_heartbeat")]
-    beat: Span,
+    beat: ScriptDuration,
 }
 
-fn default_lease() -> Span {
-    Span::ms(2_000)
+fn default_lease() -> ScriptDuration {
+    ScriptDuration::from_millis(2_000)
 }
 
-fn default_heartbeat() -> Span {
-    Span::ms(1_000)
+fn default_heartbeat() -> ScriptDuration {
+    ScriptDuration::from_millis(1_000)
 }
 
 /// A controller's settings.
@@ -60,26 +62,26 @@
 /// The script fails, has no `controller(...)` call or more than one, or a value is out of bounds.
 pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
-    let sections: Result<Vec<Placed<Section>>, ScriptError> = calls.into_iter().map(Call::read).collect();
+    let sections: Result<Vec<Located<Section>>, ScriptError> = calls.into_iter().map(Call::read).collect();
     let sections = sections?;
-    let placed = needed(&path.display().to_string(), "controller", &sections)?;
-    let section = &placed.is;
+    let located = required_section(&path.display().to_string(), "controller", &sections)?;
+    let section = &located.value;
     if !is_valid_name(&section.name) {
-        return placed.fault("controller: a name has 1 to 64 characters without spaces");
+        return located.reject("controller: a name has 1 to 64 characters without spaces");
     }
-    if !LEASE_MICROS.contains(&section.lease.0) {
-        return placed.fault("controller: a lease is 100ms to 10m");
+    if !LEASE_MICROS.contains(&section.lease.as_micros()) {
+        return located.reject("controller: a lease is 100ms to 10m");
     }
-    if section.beat.0 < MIN_HEARTBEAT_MICROS {
-        return placed.fault("controller: a beat is at least 10ms");
+    if section.beat.as_micros() < MIN_HEARTBEAT_MICROS {
+        return located.reject("controller: a beat is at least 10ms");
     }
     Ok(Settings {
         name: section.name.clone(),
         listen: section.listen,
         build: section.build,
         control: PathBuf::from(&section.control),
-        lease: Duration::from_micros(section.lease.0),
-        heartbeat: Duration::from_micros(section.beat.0),
+        lease: Duration::from_micros(section.lease.as_micros()),
+        heartbeat: Duration::from_micros(section.beat.as_micros()),
     })
 }
 
--- a/crates/plan-simulation/src/player.rs
+++ b/crates/plan-simulation/src/player.rs
@@ -155,12 +155,12 @@
     fn agenda(&self) -> Vec<(Micros, Due)> {
         let s = self.script;
         let mut agenda: Vec<(Micros, Due)> = Vec::new();
-        agenda.extend(s.signs.iter().enumerate().map(|(n, x)| (x.at.0, Due::Sign(n))));
-        agenda.extend(s.unsigns.iter().enumerate().map(|(n, x)| (x.at.0, Due::Unsign(n))));
-        agenda.extend(s.orders.iter().enumerate().map(|(n, x)| (x.at.0, Due::Order(n))));
-        agenda.extend(s.loses.iter().enumerate().map(|(n, x)| (x.at.0, Due::Lose(n))));
-        agenda.extend(s.clocks.iter().enumerate().map(|(n, x)| (x.at.0, Due::Clock(n))));
-        agenda.extend(s.aways.iter().map(|x| (x.at.0, Due::Away(x.span.0))));
+        agenda.extend(s.signs.iter().enumerate().map(|(n, x)| (x.at.as_micros(), Due::Sign(n))));
+        agenda.extend(s.unsigns.iter().enumerate().map(|(n, x)| (x.at.as_micros(), Due::Unsign(n))));
+        agenda.extend(s.orders.iter().enumerate().map(|(n, x)| (x.at.as_micros(), Due::Order(n))));
+        agenda.extend(s.loses.iter().enumerate().map(|(n, x)| (x.at.as_micros(), Due::Lose(n))));
+        agenda.extend(s.clocks.iter().enumerate().map(|(n, x)| (x.at.as_micros(), Due::Clock(n))));
+        agenda.extend(s.aways.iter().map(|x| (x.at.as_micros(), Due::Away(x.span.as_micros()))));
         agenda.sort_by_key(|(at, _)| *at);
         agenda
     }
@@ -168,7 +168,8 @@
     fn run(&mut self) {
         let end = self.script.end.unwrap_or(self.plan.longest + AFTER);
         let mut agenda = self.agenda().into_iter().peekable();
-        let mut votes: Vec<(Micros, &Votes)> = self.script.votes.iter().map(|v| (v.at.0, v)).collect();
+        let mut votes: Vec<(Micros, &Votes)> =
+            self.script.votes.iter().map(|v| (v.at.as_micros(), v)).collect();
         self.tell(Event::Started);
         let told = self.platform.all();
         self.told(told);
@@ -196,8 +197,8 @@
             self.tell(Event::Tick);
             if self.release.announcement() != before {
                 // Those who wait for news vote on them at once, not in their old rhythm.
-                let begun = votes.iter_mut().filter(|v| v.0 < Micros::MAX && v.1.at.0 <= self.at);
-                begun.for_each(|v| v.0 = v.0.min(self.at + v.1.every.0));
+                let begun = votes.iter_mut().filter(|v| v.0 < Micros::MAX && v.1.at.as_micros() <= self.at);
+                begun.for_each(|v| v.0 = v.0.min(self.at + v.1.every.as_micros()));
             }
             self.settle();
             next_tick = match self.release.next_due() {
@@ -229,7 +230,7 @@
             Due::Order(n) => {
                 let o = &script.orders[n];
                 let order = match o.what {
-                    Power::Hold => Order::Hold(o.span.map_or(self.plan.longest, |span| span.0)),
+                    Power::Hold => Order::Hold(o.span.map_or(self.plan.longest, |span| span.as_micros())),
                     Power::Resume => Order::Resume,
                     Power::Back => Order::Back,
                     Power::Skip => Order::Skip,
@@ -243,12 +244,12 @@
             Due::Lose(n) => {
                 let l = &script.loses[n];
                 self.say(format!("place {} is lost", l.place));
-                let gone = self.platform.lose(l.place, self.at + l.span.0);
+                let gone = self.platform.lose(l.place, self.at + l.span.as_micros());
                 return self.told(gone);
             }
             Due::Clock(n) => {
                 let c = &script.clocks[n];
-                self.shift += c.ahead.0 as i64 - c.back.0 as i64;
+                self.shift += c.ahead.as_micros() as i64 - c.back.as_micros() as i64;
                 return self.say("the controller's clock is set");
             }
             Due::Away(span) => {
@@ -275,8 +276,8 @@
             if *at > self.at {
                 continue;
             }
-            *at = self.at + spec.every.0;
-            if spec.until.is_some_and(|until| self.at > until.0) {
+            *at = self.at + spec.every.as_micros();
+            if spec.until.is_some_and(|until| self.at > until.as_micros()) {
                 *at = Micros::MAX;
                 continue;
             }
--- a/crates/plan-simulation/src/script.rs
+++ b/crates/plan-simulation/src/script.rs
@@ -4,7 +4,9 @@
 use std::path::Path;
 use violetseam_plan::{Micros, Plan, Power};
 use violetseam_release::Verdict;
-use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, one};
+use violetseam_starlark_config::{
+    Call, Located, ScriptDuration, ScriptError, evaluate, evaluate_file, optional_section,
+};
 
 violetseam_starlark_config::functions! {
     functions: start, votes, sign, unsign, order, lose, clock, away, end
@@ -23,10 +25,10 @@
     pub build: u16,
     /// How long a place takes to start a build.
     #[serde(default = "ten_seconds")]
-    pub boot: Span,
+    pub boot: ScriptDuration,
     /// How long a place takes to drain.
     #[serde(default = "ten_seconds")]
-    pub drain: Span,
+    pub drain: ScriptDuration,
 }
 
 /// Proxies that vote on whatever stage they are told of, again and again.
@@ -35,10 +37,10 @@
 pub struct Votes {
     /// From when on.
     #[serde(default)]
-    pub at: Span,
+    pub at: ScriptDuration,
     /// Until when; for the whole rehearsal if not given.
     #[serde(default)]
-    pub until: Option<Span>,
+    pub until: Option<ScriptDuration>,
     /// How many proxies, from number `first` on.
     pub proxies: u32,
     /// The first one's number.
@@ -50,7 +52,7 @@
     #[serde(default)]
     pub stage: Option<u8>,
     /// How long after each news, and then again and again.
-    pub every: Span,
+    pub every: ScriptDuration,
 }
 
 /// Somebody approves a wave, or takes it back.
@@ -58,7 +60,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Sign {
     /// When.
-    pub at: Span,
+    pub at: ScriptDuration,
     /// Who.
     pub who: String,
     /// Which wave.
@@ -70,14 +72,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Order {
     /// When.
-    pub at: Span,
+    pub at: ScriptDuration,
     /// Who.
     pub who: String,
     /// What.
     pub what: Power,
     /// For how long, of a hold.
     #[serde(default, rename = "for")]
-    pub span: Option<Span>,
+    pub span: Option<ScriptDuration>,
     /// Tried again and again until there is something to do: a refusal is no news.
     #[serde(skip)]
     pub until_it_counts: bool,
@@ -88,12 +90,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Lose {
     /// When.
-    pub at: Span,
+    pub at: ScriptDuration,
     /// Which.
     pub place: u32,
     /// For how long.
     #[serde(rename = "for")]
-    pub span: Span,
+    pub span: ScriptDuration,
 }
 
 /// The controller's wall clock is set.
@@ -101,13 +103,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Clock {
     /// When.
-    pub at: Span,
+    pub at: ScriptDuration,
     /// Ahead by so much.
     #[serde(default)]
-    pub ahead: Span,
+    pub ahead: ScriptDuration,
     /// Back by so much.
     #[serde(default)]
-    pub back: Span,
+    pub back: ScriptDuration,
 }
 
 /// No controller runs.
@@ -115,10 +117,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Away {
     /// From when on.
-    pub at: Span,
+    pub at: ScriptDuration,
     /// For how long.
     #[serde(rename = "for")]
-    pub span: Span,
+    pub span: ScriptDuration,
 }
 
 /// The rehearsal ends.
@@ -126,7 +128,7 @@
 #[serde(deny_unknown_fields)]
 pub struct End {
     /// When, at the latest.
-    pub at: Span,
+    pub at: ScriptDuration,
 }
 
 /// A rehearsal's script.
@@ -161,8 +163,8 @@
 fn utc() -> String {
     "UTC".to_owned()
 }
-fn ten_seconds() -> Span {
-    Span(10_000_000)
+fn ten_seconds() -> ScriptDuration {
+    ScriptDuration::from_micros(10_000_000)
 }
 
 /// Reads a script from a file.
@@ -183,43 +185,48 @@
 
 fn read(name: &str, calls: Vec<Call>) -> Result<Script, ScriptError> {
     let mut script = Script::default();
-    let (mut starts, mut ends): (Vec<Placed<Start>>, Vec<Placed<End>>) = (Vec::new(), Vec::new());
+    let (mut starts, mut ends): (Vec<Located<Start>>, Vec<Located<End>>) = (Vec::new(), Vec::new());
     for call in calls {
         match call.function {
             "start" => starts.push(call.read()?),
-            "votes" => script.votes.push(call.read()?.is),
-            "sign" => script.signs.push(call.read()?.is),
-            "unsign" => script.unsigns.push(call.read()?.is),
-            "order" => script.orders.push(call.read()?.is),
-            "lose" => script.loses.push(call.read()?.is),
-            "clock" => script.clocks.push(call.read()?.is),
-            "away" => script.aways.push(call.read()?.is),
+            "votes" => script.votes.push(call.read()?.value),
+            "sign" => script.signs.push(call.read()?.value),
+            "unsign" => script.unsigns.push(call.read()?.value),
+            "order" => script.orders.push(call.read()?.value),
+            "lose" => script.loses.push(call.read()?.value),
+            "clock" => script.clocks.push(call.read()?.value),
+            "away" => script.aways.push(call.read()?.value),
             "end" => ends.push(call.read()?),
-            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such function"))),
+            other => return Err(ScriptError::invalid(call.location, format!("{other}: no such function"))),
         }
     }
-    let Some(start) = one("start", &starts)? else { return Err(ScriptError::missing_section(name, "start")) };
-    if script.votes.iter().any(|v| v.every.0 < 1_000) {
+    let Some(start) = optional_section("start", &starts)? else {
+        return Err(ScriptError::missing_section(name, "start"));
+    };
+    if script.votes.iter().any(|v| v.every.as_micros() < 1_000) {
         return Err(ScriptError::invalid(name, "votes come every millisecond at most"));
     }
-    let Some(at) = violetseam_plan::moment_of(&start.is.at, &start.is.zone) else {
-        return start.fault("start: at is YYYY-MM-DDTHH:MM, zone the IANA name of a time zone");
+    let Some(at) = violetseam_plan::moment_of(&start.value.at, &start.value.zone) else {
+        return start.reject("start: at is YYYY-MM-DDTHH:MM, zone the IANA name of a time zone");
     };
-    (script.start, script.build) = (at, start.is.build);
-    (script.boot, script.drain) = (start.is.boot.0, start.is.drain.0);
-    script.end = one("end", &ends)?.map(|end| end.is.at.0);
+    (script.start, script.build) = (at, start.value.build);
+    (script.boot, script.drain) = (start.value.boot.as_micros(), start.value.drain.as_micros());
+    script.end = optional_section("end", &ends)?.map(|end| end.value.at.as_micros());
     Ok(script)
 }
 
 /// What a plan is rehearsed with if nothing else is said: everybody who is asked approves at once, all
 /// proxies vote 'on', whoever may leave a hold does so after a minute.
 pub fn healthy(plan: &Plan, start: Micros, build: u16) -> Script {
-    let sign =
-        |(who, wave): (&String, &String)| Sign { at: Span(1_000), who: who.clone(), wave: wave.clone() };
+    let sign = |(who, wave): (&String, &String)| Sign {
+        at: ScriptDuration::from_micros(1_000),
+        who: who.clone(),
+        wave: wave.clone(),
+    };
     let asked = plan.sign_offs.iter().flat_map(|s| s.by.iter().map(move |who| (who, &s.wave)));
-    let every = Span((plan.fleet.vote_ttl / 3).max(1_000));
+    let every = ScriptDuration::from_micros((plan.fleet.vote_ttl / 3).max(1_000));
     let on = Votes {
-        at: Span(0),
+        at: ScriptDuration::from_micros(0),
         until: None,
         proxies: plan.fleet.proxies,
         first: 0,
@@ -232,7 +239,7 @@
     let minutes = (plan.longest / 60_000_000).min(10_000);
     let orders = leave.flat_map(|who| {
         (1..=minutes).map(move |n| Order {
-            at: Span(n * 60_000_000),
+            at: ScriptDuration::from_micros(n * 60_000_000),
             who: who.clone(),
             what: Power::Resume,
             span: None,
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -7,13 +7,13 @@
 use crate::document::{Sections, WaveSection};
 use crate::{Gate, Micros, OnClose, Plan, Power, Wave};
 use std::collections::BTreeSet;
-use violetseam_starlark_config::{Placed, ScriptError};
+use violetseam_starlark_config::{Located, ScriptError};
 
 struct Faults(Vec<ScriptError>);
 
 impl Faults {
-    fn at<T>(&mut self, placed: &Placed<T>, reason: impl std::fmt::Display) {
-        self.0.push(ScriptError::invalid(&placed.at, reason));
+    fn at<T>(&mut self, placed: &Located<T>, reason: impl std::fmt::Display) {
+        self.0.push(ScriptError::invalid(&placed.location, reason));
     }
 }
 
@@ -58,7 +58,7 @@
     faults.0
 }
 
-fn check_fleet(faults: &mut Faults, placed: &Placed<crate::document::FleetSection>, plan: &Plan) {
+fn check_fleet(faults: &mut Faults, placed: &Located<crate::document::FleetSection>, plan: &Plan) {
     let f = &plan.fleet;
     if f.proxies == 0 || f.places == 0 || f.proxies > 65_535 || f.places > 20_000 {
         faults.at(placed, "fleet: 1 to 65535 proxies and 1 to 20000 places");
@@ -79,7 +79,7 @@
         faults.at(placed, format!("fleet: {votes} 'back' votes are not taken within a vote's {ttl}"));
     }
     let inside = |places: &BTreeSet<u32>| places.iter().all(|p| *p < f.places);
-    for (name, places) in &placed.is.groups {
+    for (name, places) in &placed.value.groups {
         if places.is_empty() || !inside(places) {
             faults.at(
                 placed,
@@ -92,15 +92,15 @@
     }
 }
 
-fn check_wave(faults: &mut Faults, s: &Sections, placed: &Placed<WaveSection>, n: usize, plan: &Plan) {
+fn check_wave(faults: &mut Faults, s: &Sections, placed: &Located<WaveSection>, n: usize, plan: &Plan) {
     let wave: &Wave = &plan.waves[n];
     let name = &wave.name;
     let mut fault = |reason: String| faults.at(placed, format!("wave {name:?}: {reason}"));
     if !plain(name) {
         fault("a name has 1 to 64 characters without spaces".into());
     }
-    if let Some(before) = s.waves[..n].iter().find(|w| w.is.name == *name) {
-        fault(format!("there is one of this name at {}", before.at));
+    if let Some(before) = s.waves[..n].iter().find(|w| w.value.name == *name) {
+        fault(format!("there is one of this name at {}", before.location));
     }
     if !share(wave.cap) {
         fault(format!("a cap is over 0 and at most 1, not {}", wave.cap));
@@ -148,7 +148,7 @@
     let known = |name: &String| plan.waves.iter().any(|w| w.name == *name);
     let mut held: Vec<&str> = Vec::new();
     for placed in &s.holds {
-        let h = &placed.is;
+        let h = &placed.value;
         if !known(&h.before) {
             faults.at(placed, format!("hold: no wave {:?}", h.before));
         }
@@ -164,7 +164,7 @@
         }
     }
     for placed in &s.sign_offs {
-        let o = &placed.is;
+        let o = &placed.value;
         if !known(&o.wave) {
             faults.at(placed, format!("sign_off: no wave {:?}", o.wave));
         }
@@ -177,22 +177,22 @@
         if !o.by.iter().all(|who| plain(who)) {
             faults.at(placed, "sign_off: names have 1 to 64 characters without spaces");
         }
-        if o.within.0 == 0 || o.within.0 > plan.longest {
+        if o.within.as_micros() == 0 || o.within.as_micros() > plan.longest {
             faults.at(placed, "sign_off: within is over 0 and at most the plan's longest");
         }
     }
     for (n, placed) in s.allows.iter().enumerate() {
-        let a = &placed.is;
+        let a = &placed.value;
         if !plain(&a.who) || a.may.is_empty() {
             faults.at(
                 placed,
                 "allow: who has 1 to 64 characters without spaces, may is hold, resume, back or skip",
             );
         }
-        if s.allows[..n].iter().any(|other| other.is.who == a.who) {
+        if s.allows[..n].iter().any(|other| other.value.who == a.who) {
             faults.at(placed, format!("allow: {:?} twice", a.who));
         }
-        let resumes = s.allows.iter().any(|other| other.is.may.contains(&Power::Resume));
+        let resumes = s.allows.iter().any(|other| other.value.may.contains(&Power::Resume));
         if a.may.contains(&Power::Hold) && !resumes {
             faults.at(placed, "allow: a hold without a way out: nobody may resume");
         }
@@ -210,7 +210,7 @@
     }
     let open = plan.calendar.open_spans(at, until);
     if open.is_empty() {
-        let place = s.windows.first().map_or(&head.at, |w| &w.at);
+        let place = s.windows.first().map_or(&head.location, |w| &w.location);
         faults.0.push(ScriptError::invalid(
             place,
             format!("no window opens within the plan's {}", span(plan.longest)),
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -5,7 +5,9 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
-use violetseam_starlark_config::{Call, Placed, ScriptError, Span, evaluate, evaluate_file, needed};
+use violetseam_starlark_config::{
+    Call, Located, ScriptDuration, ScriptError, evaluate, evaluate_file, required_section,
+};
 
 violetseam_starlark_config::functions! { functions: plan, fleet, wave, hold, window, freeze, sign_off, allow }
 
@@ -14,7 +16,7 @@
 pub(crate) struct PlanSection {
     pub name: String,
     pub build: u16,
-    pub longest: Span,
+    pub longest: ScriptDuration,
     #[serde(default = "stops")]
     pub downtime: Downtime,
 }
@@ -24,7 +26,7 @@
 pub(crate) struct FleetSection {
     pub proxies: u32,
     pub places: u32,
-    pub vote_ttl: Span,
+    pub vote_ttl: ScriptDuration,
     #[serde(default = "many")]
     pub votes_per_s: f64,
     pub stage_caps: Vec<f64>,
@@ -33,9 +35,9 @@
     #[serde(default)]
     pub beside: bool,
     #[serde(default = "five_minutes")]
-    pub launch: Span,
+    pub launch: ScriptDuration,
     #[serde(default = "second")]
-    pub settle: Span,
+    pub settle: ScriptDuration,
     #[serde(default)]
     pub groups: BTreeMap<String, BTreeSet<u32>>,
 }
@@ -49,7 +51,7 @@
     #[serde(default)]
     pub groups: Option<Vec<String>>,
     pub cap: f64,
-    pub soak: Span,
+    pub soak: ScriptDuration,
     pub gate: Gate,
     #[serde(default = "half")]
     pub votes: f64,
@@ -64,7 +66,7 @@
     #[serde(default)]
     pub leave: Vec<String>,
     #[serde(default)]
-    pub at_most: Option<Span>,
+    pub at_most: Option<ScriptDuration>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -93,7 +95,7 @@
     pub by: Vec<String>,
     #[serde(default = "once")]
     pub count: usize,
-    pub within: Span,
+    pub within: ScriptDuration,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -121,24 +123,24 @@
 fn once() -> usize {
     1
 }
-fn five_minutes() -> Span {
-    Span(300_000_000)
+fn five_minutes() -> ScriptDuration {
+    ScriptDuration::from_micros(300_000_000)
 }
-fn second() -> Span {
-    Span(1_000_000)
+fn second() -> ScriptDuration {
+    ScriptDuration::from_micros(1_000_000)
 }
 
 /// All sections, as called.
 #[derive(Debug, Default)]
 pub(crate) struct Sections {
-    pub plan: Vec<Placed<PlanSection>>,
-    pub fleet: Vec<Placed<FleetSection>>,
-    pub waves: Vec<Placed<WaveSection>>,
-    pub holds: Vec<Placed<HoldSection>>,
-    pub windows: Vec<Placed<WindowSection>>,
-    pub freezes: Vec<Placed<FreezeSection>>,
-    pub sign_offs: Vec<Placed<SignOffSection>>,
-    pub allows: Vec<Placed<AllowSection>>,
+    pub plan: Vec<Located<PlanSection>>,
+    pub fleet: Vec<Located<FleetSection>>,
+    pub waves: Vec<Located<WaveSection>>,
+    pub holds: Vec<Located<HoldSection>>,
+    pub windows: Vec<Located<WindowSection>>,
+    pub freezes: Vec<Located<FreezeSection>>,
+    pub sign_offs: Vec<Located<SignOffSection>>,
+    pub allows: Vec<Located<AllowSection>>,
 }
 
 fn sort(calls: Vec<Call>) -> Result<Sections, ScriptError> {
@@ -153,7 +155,7 @@
             "freeze" => s.freezes.push(call.read()?),
             "sign_off" => s.sign_offs.push(call.read()?),
             "allow" => s.allows.push(call.read()?),
-            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such section"))),
+            other => return Err(ScriptError::invalid(call.location, format!("{other}: no such section"))),
         }
     }
     Ok(s)
@@ -195,57 +197,57 @@
 fn build(name: &str, s: &Sections) -> Result<Plan, Vec<ScriptError>> {
     let mut faults = Vec::new();
     let mut keep = |fault: ScriptError| faults.push(fault);
-    let plan = needed(name, "plan", &s.plan).map_err(&mut keep).ok();
-    let fleet = needed(name, "fleet", &s.fleet).map_err(&mut keep).ok();
+    let plan = required_section(name, "plan", &s.plan).map_err(&mut keep).ok();
+    let fleet = required_section(name, "fleet", &s.fleet).map_err(&mut keep).ok();
     let windows: Vec<Window> = s.windows.iter().filter_map(|w| window(w).map_err(&mut keep).ok()).collect();
     let freezes: Vec<Freeze> = s.freezes.iter().filter_map(|f| freeze(f).map_err(&mut keep).ok()).collect();
     let (Some(plan), Some(fleet)) = (plan, fleet) else { return Err(faults) };
     let waves: Vec<Wave> =
-        s.waves.iter().filter_map(|w| wave(w, &fleet.is).map_err(&mut keep).ok()).collect();
+        s.waves.iter().filter_map(|w| wave(w, &fleet.value).map_err(&mut keep).ok()).collect();
     if !faults.is_empty() {
         return Err(faults);
     }
-    let f = &fleet.is;
+    let f = &fleet.value;
     Ok(Plan {
-        name: plan.is.name.clone(),
-        build: plan.is.build,
-        longest: plan.is.longest.0,
-        downtime: plan.is.downtime,
+        name: plan.value.name.clone(),
+        build: plan.value.build,
+        longest: plan.value.longest.as_micros(),
+        downtime: plan.value.downtime,
         fleet: Fleet {
             proxies: f.proxies,
             places: f.places,
-            vote_ttl: f.vote_ttl.0,
+            vote_ttl: f.vote_ttl.as_micros(),
             votes_per_s: f.votes_per_s,
             stage_caps: f.stage_caps.clone(),
             votes_back: f.votes_back,
             beside: f.beside,
-            launch: f.launch.0,
-            settle: f.settle.0,
+            launch: f.launch.as_micros(),
+            settle: f.settle.as_micros(),
         },
         waves,
         holds: s
             .holds
             .iter()
             .map(|h| Hold {
-                before: h.is.before.clone(),
-                leave: h.is.leave.clone(),
-                at_most: h.is.at_most.map(|span| span.0),
+                before: h.value.before.clone(),
+                leave: h.value.leave.clone(),
+                at_most: h.value.at_most.map(|span| span.as_micros()),
             })
             .collect(),
         sign_offs: s
             .sign_offs
             .iter()
             .map(|o| SignOff {
-                wave: o.is.wave.clone(),
-                by: o.is.by.clone(),
-                count: o.is.count,
-                within: o.is.within.0,
+                wave: o.value.wave.clone(),
+                by: o.value.by.clone(),
+                count: o.value.count,
+                within: o.value.within.as_micros(),
             })
             .collect(),
         overrides: s
             .allows
             .iter()
-            .map(|a| Override { who: a.is.who.clone(), may: a.is.may.clone() })
+            .map(|a| Override { who: a.value.who.clone(), may: a.value.may.clone() })
             .collect(),
         calendar: Calendar { windows, freezes },
     })
@@ -265,27 +267,27 @@
     chosen
 }
 
-fn wave(placed: &Placed<WaveSection>, fleet: &FleetSection) -> Result<Wave, ScriptError> {
-    let w = &placed.is;
+fn wave(placed: &Located<WaveSection>, fleet: &FleetSection) -> Result<Wave, ScriptError> {
+    let w = &placed.value;
     let places = match (w.share, &w.groups) {
         (Some(share), None) if share > 0.0 && share <= 1.0 => spread(share, fleet.places),
         (Some(_), None) => {
-            return placed.fault(format!("wave {:?}: a share is over 0 and at most 1", w.name));
+            return placed.reject(format!("wave {:?}: a share is over 0 and at most 1", w.name));
         }
         (None, Some(groups)) => {
             let mut places = BTreeSet::new();
             for group in groups {
                 let Some(of) = fleet.groups.get(group) else {
-                    return placed.fault(format!("wave {:?}: the fleet has no group {group:?}", w.name));
+                    return placed.reject(format!("wave {:?}: the fleet has no group {group:?}", w.name));
                 };
                 places.extend(of);
             }
             places
         }
-        _ => return placed.fault(format!("wave {:?}: either share or groups", w.name)),
+        _ => return placed.reject(format!("wave {:?}: either share or groups", w.name)),
     };
     let (name, cap, soak, gate, votes, on_close) =
-        (w.name.clone(), w.cap, w.soak.0, w.gate, w.votes, w.on_close);
+        (w.name.clone(), w.cap, w.soak.as_micros(), w.gate, w.votes, w.on_close);
     Ok(Wave { name, places, cap, soak, gate, votes, on_close })
 }
 
@@ -321,34 +323,34 @@
     (minutes < 60 && total <= 1_440).then_some(total)
 }
 
-fn window(placed: &Placed<WindowSection>) -> Result<Window, ScriptError> {
-    let w = &placed.is;
+fn window(placed: &Located<WindowSection>) -> Result<Window, ScriptError> {
+    let w = &placed.value;
     let Some(days) = days(&w.days) else {
-        return placed.fault(format!("window: {:?} are no days: mon-fri, or sat,sun", w.days));
+        return placed.reject(format!("window: {:?} are no days: mon-fri, or sat,sun", w.days));
     };
     let (Some(start), Some(end)) = (minutes(&w.start), minutes(&w.end)) else {
-        return placed.fault("window: times are HH:MM, from 00:00 to 24:00");
+        return placed.reject("window: times are HH:MM, from 00:00 to 24:00");
     };
     if start == end || start >= 1_440 {
-        return placed.fault("window: opens before 24:00, and closes at another time than it opens");
+        return placed.reject("window: opens before 24:00, and closes at another time than it opens");
     }
     if calendar::zone(&w.zone).is_none() {
-        return placed.fault(format!("window: no time zone {:?}", w.zone));
+        return placed.reject(format!("window: no time zone {:?}", w.zone));
     }
     Ok(Window { days, start, end, zone: w.zone.clone() })
 }
 
-fn freeze(placed: &Placed<FreezeSection>) -> Result<Freeze, ScriptError> {
-    let f = &placed.is;
+fn freeze(placed: &Located<FreezeSection>) -> Result<Freeze, ScriptError> {
+    let f = &placed.value;
     if calendar::zone(&f.zone).is_none() {
-        return placed.fault(format!("freeze: no time zone {:?}", f.zone));
+        return placed.reject(format!("freeze: no time zone {:?}", f.zone));
     }
     let at = |text: &str| calendar::moment_of(text, &f.zone);
     let (Some(start), Some(end)) = (at(&f.start), at(&f.end)) else {
-        return placed.fault("freeze: moments are YYYY-MM-DDTHH:MM, by the clocks of its zone");
+        return placed.reject("freeze: moments are YYYY-MM-DDTHH:MM, by the clocks of its zone");
     };
     if end <= start {
-        return placed.fault("freeze: ends before it begins");
+        return placed.reject("freeze: ends before it begins");
     }
     Ok(Freeze { start, end, reason: f.reason.clone() })
 }
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -48,7 +48,7 @@
 
     /// How long a connection may be idle that has carried no request yet.
     pub(super) fn first_request_timeout(&self) -> Micros {
-        let idle = self.settings.connections.client_idle;
+        let idle = self.settings.connections.client_idle_timeout;
         if self.draining { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
@@ -166,7 +166,7 @@
             State::Waiting(_) => None,
             State::Collecting(_) => Some(settings.body_timeout),
             State::Idle if client.http.is_receiving() => Some(settings.head_timeout),
-            State::Idle if client.used => Some(settings.client_idle),
+            State::Idle if client.used => Some(settings.client_idle_timeout),
             State::Idle => Some(first_request_timeout),
             State::Closing => Some(settings.head_timeout),
             State::Lingering => Some(LINGER_TIMEOUT),
@@ -186,7 +186,7 @@
         let latest_server = request.connections.iter().rev().flatten().next();
         let server = latest_server.and_then(|&key| self.servers.get(key));
         let is_server_slow = server.is_none_or(|server| server.unwritten() > HIGH_WATER);
-        is_server_slow && request.body.len() > self.settings.connections.keep_body
+        is_server_slow && request.body.len() > self.settings.connections.max_retained_body_bytes
     }
 
     /// The time that was set for a client's state may be over.
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -37,7 +37,7 @@
     pub(super) fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
         let s = &self.settings;
         let path = head.target.split(['?', '#']).next().unwrap_or("");
-        if path == s.connections.flag_path {
+        if path == s.connections.wrong_answer_path {
             return match head.method {
                 Method::POST => RequestPurpose::AnswerReport,
                 _ => RequestPurpose::Decline {
@@ -53,7 +53,7 @@
         };
         // Without its key no server could drop a repeat.
         let keyed = s.decisions.classes[route.class].idempotency == Idempotency::Keyed;
-        if keyed && !head.headers.contains_key(&s.headers.key) {
+        if keyed && !head.headers.contains_key(&s.headers.idempotency_key) {
             return RequestPurpose::Decline {
                 status: StatusCode::BAD_REQUEST,
                 reason: "a request of this class needs its key",
@@ -64,7 +64,7 @@
 
     /// Bytes of a body have come.
     pub(super) fn on_body(&mut self, key: usize, bytes: Vec<u8>) {
-        let keep = self.settings.connections.keep_body;
+        let keep = self.settings.connections.max_retained_body_bytes;
         let Some(client) = self.clients.get_mut(key) else { return };
         match &mut client.state {
             State::Collecting(pending) => {
@@ -186,7 +186,7 @@
 fn server_request_head(settings: &ProxySettings, head: &RequestHead, via: &str, framing: Framing) -> Vec<u8> {
     let names = &settings.headers;
     let forwarded = [
-        names.key.clone(),
+        names.idempotency_key.clone(),
         names.tenant.clone(),
         names.cost.clone(),
         names.deadline.clone(),
@@ -211,7 +211,7 @@
         deadline: arrived_at + wait,
         class,
         cost_hint: number(&names.cost).filter(|us| *us > 0 && *us < MAX_COST_HINT),
-        key: head.headers.get(&names.key).map(|value| key_number(value.as_bytes())),
+        key: head.headers.get(&names.idempotency_key).map(|value| key_number(value.as_bytes())),
         tenant: tenant.unwrap_or(unknown_tenant),
         is_retry: head.headers.contains_key(&names.retry),
     }
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -84,7 +84,7 @@
         let client = self.clients.get_mut(key)?;
         let fields = [
             (VIA, self.via.as_bytes()),
-            (self.settings.headers.answer.clone(), answer.as_bytes()),
+            (self.settings.headers.response_id.clone(), answer.as_bytes()),
             (OUTCOME_HEADER, &b"served"[..]),
         ];
         let out = client.socket.out();
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -132,7 +132,7 @@
         }
         let now = self.now();
         let seed = self.draw();
-        let name = format!("{}-{position}", settings.name);
+        let name = format!("{}-{position}", settings.fleet_name);
         self.subscription = Some(Box::new(Subscription {
             publisher,
             subscriber: Subscriber::new(now, &name, seed, sound),
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -226,7 +226,7 @@
         if self.sabotage == Some(Sabotage::Spendthrift) {
             return;
         }
-        let Some(plan) = self.settings.budgets.clone() else { return };
+        let Some(plan) = self.settings.retry_quotas.clone() else { return };
         let now = self.now();
         // Of the moment and the process whatever the seed, as no two incarnations of a position may be alike.
         let seed = fresh_seed();
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -234,7 +234,7 @@
             subscription: None,
             udp: None,
             udp_token: None,
-            via: format!("1.1 {}-{}", settings.name, settings.decisions.position),
+            via: format!("1.1 {}-{}", settings.fleet_name, settings.decisions.position),
             head_limits: head_limits(&settings),
             scratch: vec![0; READ_BYTES],
             rng,
@@ -302,9 +302,9 @@
 /// The bounds of a client's request.
 fn head_limits(settings: &ProxySettings) -> HeadLimits {
     HeadLimits {
-        head: settings.connections.max_head,
-        fields: settings.connections.max_fields,
-        body: settings.connections.max_body,
+        head: settings.connections.max_head_bytes,
+        fields: settings.connections.max_header_fields,
+        body: settings.connections.max_body_bytes,
     }
 }
 
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -40,7 +40,7 @@
             operators;
         let unpublished_path = unpublished(&path);
         self.listen_on_unix_socket(&unpublished_path)?;
-        let tls_listener = match self.settings.control_tls.as_ref().map(|tls| tls.0) {
+        let tls_listener = match self.settings.control_tls.as_ref().map(|tls| tls.listen) {
             Some(addr) => Some(self.listen_on_tcp(addr, inherited)?),
             None => None,
         };
--- a/crates/proxy/src/driver/operators/reading.rs
+++ b/crates/proxy/src/driver/operators/reading.rs
@@ -45,7 +45,7 @@
 impl Proxy {
     /// The name that operators know this proxy by.
     pub(super) fn own_name(&self) -> String {
-        format!("{}-{}", self.settings.name, self.settings.decisions.position)
+        format!("{}-{}", self.settings.fleet_name, self.settings.decisions.position)
     }
 
     /// Records the latest vote for the reading.
--- a/crates/proxy/src/driver/operators/reload.rs
+++ b/crates/proxy/src/driver/operators/reload.rs
@@ -42,8 +42,9 @@
 
 /// The first difference that only a new process can take up.
 fn first_fixed_change(old: &ProxySettings, new: &ProxySettings) -> Option<&'static str> {
-    let control_addr = |settings: &ProxySettings| settings.control_tls.as_ref().map(|tls| tls.0);
-    let same_identity = old.name == new.name && old.site == new.site && old.class_names == new.class_names;
+    let control_addr = |settings: &ProxySettings| settings.control_tls.as_ref().map(|tls| tls.listen);
+    let same_identity =
+        old.fleet_name == new.fleet_name && old.site == new.site && old.class_names == new.class_names;
     let same_addresses = old.listen == new.listen && old.peer_listen == new.peer_listen;
     let checks = [
         ("decisions", format!("{:?}", old.decisions) == format!("{:?}", new.decisions)),
@@ -51,7 +52,7 @@
         ("addresses that are bound", same_addresses),
         ("the publisher", old.publisher == new.publisher),
         ("tenants", old.tenants == new.tenants),
-        ("budgets of the fleet", old.budgets == new.budgets),
+        ("budgets of the fleet", old.retry_quotas == new.retry_quotas),
         ("the address of control_tls", control_addr(old) == control_addr(new)),
     ];
     checks.into_iter().find(|(_, same)| !same).map(|(setting, _)| setting)
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -51,7 +51,7 @@
 
     /// What an answer's status says of the attempt.
     fn outcome_of(&self, head: &ResponseHead) -> Outcome {
-        let not_run = head.headers.contains_key(&self.settings.headers.not_run);
+        let not_run = head.headers.contains_key(&self.settings.headers.not_processed);
         match head.status {
             StatusCode::SERVICE_UNAVAILABLE if not_run => Outcome::Rejected,
             status if status.is_server_error() => Outcome::Error,
@@ -82,7 +82,7 @@
     }
 
     fn on_answer_body(&mut self, key: usize, bytes: &[u8]) {
-        let max_buffered = self.settings.connections.keep_answer;
+        let max_buffered = self.settings.connections.max_buffered_response_bytes;
         let Some(server) = self.servers.get_mut(key) else { return };
         match &mut server.state {
             State::Discarding { body_bytes } => {
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -175,7 +175,7 @@
         } else {
             out.extend_from_slice(&in_flight.body);
         }
-        if !in_flight.is_complete || buffered > self.settings.connections.keep_body {
+        if !in_flight.is_complete || buffered > self.settings.connections.max_retained_body_bytes {
             // What grows from here on goes to this server alone and is not buffered.
             self.engine.mark_not_repeatable(request);
         }
@@ -207,10 +207,10 @@
                 let client = self.in_flight.get(&active.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
                 reads = !client.is_some_and(Client::is_slow);
-                Some(settings.stream_idle)
+                Some(settings.stream_idle_timeout)
             }
             State::Busy(_) => None,
-            State::Discarding { .. } | State::Idle => Some(settings.server_idle),
+            State::Discarding { .. } | State::Idle => Some(settings.server_idle_timeout),
         };
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
@@ -331,7 +331,7 @@
 
     /// Keeps a connection for later attempts, if it can carry them and there are not too many.
     fn pool_or_close(&mut self, key: usize, reusable: bool) {
-        let max_idle = self.settings.connections.idle_per_server;
+        let max_idle = self.settings.connections.max_idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
         let idle = self.idle_servers.entry(server.id).or_default();
         if reusable && idle.len() < max_idle {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -111,8 +111,8 @@
     }
 
     fn call_discovery(&mut self, purpose: CallPurpose, path: &str) -> Option<usize> {
-        let to = self.settings.roster;
-        let timeout = Some(self.settings.roster_timeout);
+        let to = self.settings.discovery;
+        let timeout = Some(self.settings.discovery_timeout);
         let call = self.call(&CallRequest { purpose, to, method: "GET", path, body: &[], timeout });
         if call.is_none() {
             self.on_list_failed(&CallError::NoRoster);
@@ -132,7 +132,7 @@
             method: "GET",
             path: &path,
             body: &[],
-            timeout: self.settings.desk_silence,
+            timeout: self.settings.release_idle_timeout,
         });
         if self.release_stream.is_none() {
             self.on_release_stream_lost();
@@ -141,16 +141,16 @@
 
     /// The controller that is called.
     fn release_service(&self) -> SocketAddr {
-        let controllers = &self.settings.desks;
+        let controllers = &self.settings.release_services;
         controllers[self.release_service_index % controllers.len()]
     }
 
     fn on_release_stream_lost(&mut self) {
         self.release_stream = None;
         // A standby may have become the leader.
-        self.release_service_index = (self.release_service_index + 1) % self.settings.desks.len();
+        self.release_service_index = (self.release_service_index + 1) % self.settings.release_services.len();
         // Drawn, as all proxies lose the release service together.
-        let span = self.settings.desk_reconnect.max(MIN_STREAM_SPAN);
+        let span = self.settings.release_reconnect_delay.max(MIN_STREAM_SPAN);
         let wait = span / 2 + self.draw() % span;
         self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
     }
@@ -402,7 +402,7 @@
         let ConnectionId { key, generation } = id;
         let now = self.now();
         let timers = &mut self.timers;
-        let silence = self.settings.desk_silence;
+        let silence = self.settings.release_idle_timeout;
         if let Some(call) = self
             .calls
             .get_mut(key)
--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -1,41 +1,56 @@
 //! Budgets of further attempts that the whole fleet keeps.
 
-use crate::sections::{BudgetParts, Fleet, RequestClass};
+use crate::sections::{BudgetsSection, FleetSection, RequestClassSection};
 use violetseam_fleet_state::fleet_quotas::QuotaPlan;
-use violetseam_starlark_config::{Placed, ScriptError};
+use violetseam_starlark_config::{Located, ScriptError};
 
 /// The largest budget of further attempts, a second.
-const FURTHER_MOST: f64 = 1e6;
+const MAX_FURTHER_ATTEMPTS_PER_S: f64 = 1e6;
+/// Quotas are counted in thousandths of an attempt.
+const QUOTA_UNITS_PER_ATTEMPT: f64 = 1e3;
 
 /// The fleet's budgets; none where no class has one.
+///
+/// # Errors
+///
+/// A class's budget out of bounds, a `budgets(...)` section without a class that has one, or a division of the
+/// budgets that cannot be kept.
 pub(super) fn check_budgets(
-    fleet: &Placed<Fleet>,
-    classes: &[Placed<RequestClass>],
-    parts: Option<&Placed<BudgetParts>>,
+    fleet: &Located<FleetSection>,
+    classes: &[Located<RequestClassSection>],
+    section: Option<&Located<BudgetsSection>>,
 ) -> Result<Option<QuotaPlan>, ScriptError> {
-    if let Some(class) = classes.iter().find(|c| !(0.0..=FURTHER_MOST).contains(&c.is.further)) {
-        return class.fault(format!("request_class {:?}: further is 0 to {FURTHER_MOST}", class.is.name));
+    let bounds = 0.0..=MAX_FURTHER_ATTEMPTS_PER_S;
+    if let Some(class) = classes.iter().find(|class| !bounds.contains(&class.value.further)) {
+        return class.reject(format!(
+            "request_class {:?}: further is 0 to {MAX_FURTHER_ATTEMPTS_PER_S}",
+            class.value.name
+        ));
     }
-    let by_class: Vec<u64> = classes.iter().map(|c| (c.is.further * 1e3).round() as u64).collect();
-    if by_class.iter().all(|budget| *budget == 0) {
-        return match parts {
-            Some(parts) => parts.fault("budgets: no request_class has a budget of further attempts"),
+    let quota_by_class: Vec<u64> = classes.iter().map(|class| quota(class.value.further)).collect();
+    if quota_by_class.iter().all(|quota| *quota == 0) {
+        return match section {
+            Some(section) => section.reject("budgets: no request_class has a budget of further attempts"),
             None => Ok(None),
         };
     }
-    let is = parts.map(|p| p.is.clone()).unwrap_or_default();
+    let budgets = section.map(|section| section.value.clone()).unwrap_or_default();
     let plan = QuotaPlan {
-        members: fleet.is.size,
-        position: fleet.is.position,
-        quota_by_class: by_class,
-        guaranteed_percent: is.floor_percent,
-        lease_duration: is.lease.0,
-        max_drift_ppm: is.drift_ppm,
-        burst: is.burst.0,
+        members: fleet.value.size,
+        position: fleet.value.position,
+        quota_by_class,
+        guaranteed_percent: budgets.floor_percent,
+        lease_duration: budgets.lease.as_micros(),
+        max_drift_ppm: budgets.drift_ppm,
+        burst: budgets.burst.as_micros(),
     };
     if let Err(error) = plan.validate() {
         let class = &classes[error.class];
-        return class.fault(format!("budgets of {:?}: {}", class.is.name, error.reason));
+        return class.reject(format!("budgets of {:?}: {}", class.value.name, error.reason));
     }
     Ok(Some(plan))
 }
+
+fn quota(attempts_per_s: f64) -> u64 {
+    (attempts_per_s * QUOTA_UNITS_PER_ATTEMPT).round() as u64
+}
--- a/crates/settings/src/check/classes.rs
+++ b/crates/settings/src/check/classes.rs
@@ -1,40 +1,59 @@
 //! Classes of requests.
 
-use crate::sections::{EffectName, RequestClass};
-use violetseam_starlark_config::{Placed, ScriptError};
+use crate::sections::{IdempotencyName, RequestClassSection};
+use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
+/// The most classes.
+const MAX_CLASSES: usize = 64;
+/// The shortest deadline.
+const MIN_DEADLINE: ScriptDuration = ScriptDuration::from_millis(50);
+
+/// The names of the classes, in the order of the script.
+///
+/// # Errors
+///
+/// No class or too many, a name that is there twice, or a class out of bounds.
 pub(super) fn check_classes(
     script: &str,
-    classes: &[Placed<RequestClass>],
+    classes: &[Located<RequestClassSection>],
 ) -> Result<Vec<String>, ScriptError> {
     let mut names: Vec<String> = Vec::new();
     for class in classes {
-        let c = &class.is;
-        let name = &c.name;
+        let name = &class.value.name;
         if names.contains(name) {
-            return class.fault(format!("request_class: {name:?} twice"));
-        }
-        if c.aim.0 == 0 || c.aim > c.deadline {
-            return class.fault(format!("request_class {name:?}: the aim is past the deadline, or zero"));
-        }
-        if c.deadline.0 < 50_000 {
-            return class
-                .fault(format!("request_class {name:?}: a deadline under 50ms leaves no room to answer"));
-        }
-        if (c.effect == EffectName::Keyed) != c.window.is_some() {
-            return class.fault(format!(
-                "request_class {name:?}: a keyed class, and no other, has a window in which servers drop repeats"
-            ));
-        }
-        let fraction = (0.0..=1.0).contains(&c.late_worth);
-        if !(c.worth.is_finite() && c.worth >= 0.0 && fraction) {
-            return class.fault(format!("request_class {name:?}: worth is 0 or more, late_worth 0 to 1"));
+            return class.reject(format!("request_class: {name:?} twice"));
         }
+        check_class(class)?;
         names.push(name.clone());
     }
     match names.len() {
         0 => Err(ScriptError::missing_section(script, "request_class")),
-        1..=64 => Ok(names),
-        n => classes[64].fault(format!("request_class: {n} classes, 64 at most")),
+        1..=MAX_CLASSES => Ok(names),
+        count => {
+            classes[MAX_CLASSES].reject(format!("request_class: {count} classes, {MAX_CLASSES} at most"))
+        }
+    }
+}
+
+fn check_class(class: &Located<RequestClassSection>) -> Result<(), ScriptError> {
+    let section = &class.value;
+    let name = &section.name;
+    if section.aim == ScriptDuration::ZERO || section.aim > section.deadline {
+        return class.reject(format!("request_class {name:?}: the aim is past the deadline, or zero"));
+    }
+    if section.deadline < MIN_DEADLINE {
+        return class
+            .reject(format!("request_class {name:?}: a deadline under 50ms leaves no room to answer"));
+    }
+    if (section.effect == IdempotencyName::Keyed) != section.window.is_some() {
+        return class.reject(format!(
+            "request_class {name:?}: a keyed class, and no other, has a window in which servers drop repeats"
+        ));
+    }
+    let is_worth_valid = section.worth.is_finite() && section.worth >= 0.0;
+    let is_late_worth_valid = (0.0..=1.0).contains(&section.late_worth);
+    if !(is_worth_valid && is_late_worth_valid) {
+        return class.reject(format!("request_class {name:?}: worth is 0 or more, late_worth 0 to 1"));
     }
+    Ok(())
 }
--- a/crates/settings/src/check/connections.rs
+++ b/crates/settings/src/check/connections.rs
@@ -1,68 +1,108 @@
 //! Header fields that carry what the decisions look at, and bounds of connections.
 
-use crate::sections::{ConnectionLimits, HeaderNames};
-use crate::settings::{Connections, Headers};
+use crate::sections::{ConnectionsSection, HeadersSection};
+use crate::settings::{ConnectionLimits, HeaderNames};
 use http::HeaderName;
-use violetseam_starlark_config::{Placed, ScriptError};
+use std::ops::RangeInclusive;
+use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
-pub(super) fn check_headers(names: Option<&Placed<HeaderNames>>) -> Result<Headers, ScriptError> {
-    let is = names.map(|n| n.is.clone()).unwrap_or_default();
-    let read = |text: &str| {
-        HeaderName::from_bytes(text.as_bytes()).map_err(|_| {
-            let at = names.map_or("headers", |n| n.at.as_str());
-            ScriptError::invalid(at, format!("headers: {text:?} is no field name"))
-        })
+/// The shortest time-out of a connection.
+const MIN_TIMEOUT: ScriptDuration = ScriptDuration::from_millis(1);
+/// The bounds of the largest request head, in bytes.
+const MAX_HEAD_BOUNDS: RangeInclusive<usize> = 256..=1 << 20;
+/// The bounds of the largest count of header fields.
+const MAX_FIELDS_BOUNDS: RangeInclusive<usize> = 1..=128;
+
+/// The names of the header fields.
+///
+/// # Errors
+///
+/// A name that HTTP does not permit, or one that stands for two request fields.
+pub(super) fn check_headers(section: Option<&Located<HeadersSection>>) -> Result<HeaderNames, ScriptError> {
+    let texts = section.map(|section| section.value.clone()).unwrap_or_default();
+    let location = section.map_or("headers", |section| section.location.as_str());
+    let parse = |text: &str| {
+        HeaderName::from_bytes(text.as_bytes())
+            .map_err(|_| ScriptError::invalid(location, format!("headers: {text:?} is no field name")))
     };
-    let headers = Headers {
-        key: read(&is.key)?,
-        tenant: read(&is.tenant)?,
-        cost: read(&is.cost)?,
-        deadline: read(&is.deadline)?,
-        retry: read(&is.retry)?,
-        not_run: read(&is.not_run)?,
-        answer: read(&is.answer)?,
+    let names = HeaderNames {
+        idempotency_key: parse(&texts.key)?,
+        tenant: parse(&texts.tenant)?,
+        cost: parse(&texts.cost)?,
+        deadline: parse(&texts.deadline)?,
+        retry: parse(&texts.retry)?,
+        not_processed: parse(&texts.not_run)?,
+        response_id: parse(&texts.answer)?,
     };
-    let all = [&headers.key, &headers.tenant, &headers.cost, &headers.deadline, &headers.retry];
-    if let (Some(n), true) = (names, (1..all.len()).any(|i| all[..i].contains(&all[i]))) {
-        return n.fault("headers: one field for two purposes");
+    match section {
+        Some(section) if has_duplicate_request_field(&names) => {
+            section.reject("headers: one field for two purposes")
+        }
+        _ => Ok(names),
     }
-    Ok(headers)
 }
 
+fn has_duplicate_request_field(names: &HeaderNames) -> bool {
+    let request_fields = [&names.idempotency_key, &names.tenant, &names.cost, &names.deadline, &names.retry];
+    let is_duplicate = |index: usize| request_fields[..index].contains(&request_fields[index]);
+    (1..request_fields.len()).any(is_duplicate)
+}
+
+/// The bounds of connections, with defaults where there is no section.
+///
+/// # Errors
+///
+/// A bound that the section sets too low or too high.
 pub(super) fn check_connections(
-    section: Option<&Placed<ConnectionLimits>>,
-) -> Result<Connections, ScriptError> {
-    let is = section.map(|c| c.is.clone()).unwrap_or_default();
-    if let Some(c) = section {
-        let spans = [is.head_timeout, is.body_timeout, is.client_idle, is.server_idle, is.stream_idle];
-        if spans.iter().chain([&is.connect_timeout]).any(|s| s.0 < 1_000) {
-            return c.fault("connections: a time-out under 1ms");
-        }
-        if is.max_head < 256 || is.max_head > 1 << 20 || is.max_fields == 0 || is.max_fields > 128 {
-            return c.fault("connections: max_head is 256 bytes to 1 MiB, max_fields 1 to 128");
-        }
-        if is.keep_body as u64 > is.max_body {
-            return c.fault("connections: keep_body is over max_body");
-        }
-        if is.max_clients == 0 || !is.flag_path.starts_with('/') {
-            return c.fault("connections: max_clients is 1 or more, flag_path starts with /");
-        }
+    section: Option<&Located<ConnectionsSection>>,
+) -> Result<ConnectionLimits, ScriptError> {
+    if let Some(section) = section {
+        check_connection_bounds(section)?;
+    }
+    Ok(connection_limits(section.map(|section| section.value.clone()).unwrap_or_default()))
+}
+
+fn check_connection_bounds(section: &Located<ConnectionsSection>) -> Result<(), ScriptError> {
+    let limits = &section.value;
+    let timeouts = [
+        limits.head_timeout,
+        limits.body_timeout,
+        limits.client_idle,
+        limits.server_idle,
+        limits.stream_idle,
+        limits.connect_timeout,
+    ];
+    if timeouts.iter().any(|timeout| *timeout < MIN_TIMEOUT) {
+        return section.reject("connections: a time-out under 1ms");
+    }
+    if !MAX_HEAD_BOUNDS.contains(&limits.max_head) || !MAX_FIELDS_BOUNDS.contains(&limits.max_fields) {
+        return section.reject("connections: max_head is 256 bytes to 1 MiB, max_fields 1 to 128");
+    }
+    if limits.keep_body as u64 > limits.max_body {
+        return section.reject("connections: keep_body is over max_body");
+    }
+    if limits.max_clients == 0 || !limits.flag_path.starts_with('/') {
+        return section.reject("connections: max_clients is 1 or more, flag_path starts with /");
+    }
+    Ok(())
+}
+
+fn connection_limits(section: ConnectionsSection) -> ConnectionLimits {
+    ConnectionLimits {
+        max_head_bytes: section.max_head,
+        max_header_fields: section.max_fields,
+        max_body_bytes: section.max_body,
+        max_retained_body_bytes: section.keep_body,
+        max_buffered_response_bytes: section.keep_answer,
+        head_timeout: section.head_timeout.as_micros(),
+        body_timeout: section.body_timeout.as_micros(),
+        client_idle_timeout: section.client_idle.as_micros(),
+        server_idle_timeout: section.server_idle.as_micros(),
+        stream_idle_timeout: section.stream_idle.as_micros(),
+        connect_timeout: section.connect_timeout.as_micros(),
+        max_idle_per_server: section.idle_per_server,
+        max_clients: section.max_clients,
+        half_close: section.half_close,
+        wrong_answer_path: section.flag_path,
     }
-    Ok(Connections {
-        max_head: is.max_head,
-        max_fields: is.max_fields,
-        max_body: is.max_body,
-        keep_body: is.keep_body,
-        keep_answer: is.keep_answer,
-        head_timeout: is.head_timeout.0,
-        body_timeout: is.body_timeout.0,
-        client_idle: is.client_idle.0,
-        server_idle: is.server_idle.0,
-        stream_idle: is.stream_idle.0,
-        connect_timeout: is.connect_timeout.0,
-        idle_per_server: is.idle_per_server,
-        max_clients: is.max_clients,
-        half_close: is.half_close,
-        flag_path: is.flag_path,
-    })
 }
--- a/crates/settings/src/check/rollout.rs
+++ b/crates/settings/src/check/rollout.rs
@@ -1,76 +1,116 @@
 //! How a release goes on, what servers promise, and the limits of attempts.
 
-use crate::sections::{Contract, EffectName, Limits, RequestClass, Rollout};
-use violetseam_starlark_config::{Placed, ScriptError};
+use crate::sections::{ContractSection, IdempotencyName, LimitsSection, RequestClassSection, RolloutSection};
+use std::ops::RangeInclusive;
+use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
+/// The most stages of a release.
+const MAX_STAGES: usize = 64;
+/// The shortest interval at which servers must be polled.
+const MIN_POLL_INTERVAL: ScriptDuration = ScriptDuration::from_secs(1);
+/// The shortest time that a server has to drain.
+const MIN_DRAIN_GRACE: ScriptDuration = ScriptDuration::from_millis(50);
+/// The bounds of the attempts of one request.
+const MAX_ATTEMPTS_BOUNDS: RangeInclusive<usize> = 1..=100;
+/// The bounds of the shortest span between two rounds of events.
+const TICK_BOUNDS: RangeInclusive<ScriptDuration> =
+    ScriptDuration::from_millis(1)..=ScriptDuration::from_millis(50);
+
+/// Checks stages, votes and exposure.
+///
+/// # Errors
+///
+/// A value out of bounds, caps that fall, stages in which no class could try a build, or votes that expire before
+/// they are answered.
 pub(super) fn check_rollout(
-    rollout: &Placed<Rollout>,
-    classes: &[Placed<RequestClass>],
+    rollout: &Located<RolloutSection>,
+    classes: &[Located<RequestClassSection>],
 ) -> Result<(), ScriptError> {
-    let r = &rollout.is;
-    if r.stage_caps.is_empty() || r.stage_caps.len() > 64 {
-        return rollout.fault("rollout: 1 to 64 stage_caps");
+    check_stages(rollout, classes)?;
+    let section = &rollout.value;
+    let must_be_positive = [section.counted_over, section.vote_ttl, section.call_timeout];
+    if must_be_positive.contains(&ScriptDuration::ZERO) {
+        return rollout.reject("rollout: counted_over, vote_ttl and call_timeout are over 0");
     }
-    if let Some(cap) = r.stage_caps.iter().find(|c| !(**c > 0.0 && **c <= 1.0)) {
-        return rollout.fault(format!("rollout: a stage cap of {cap}: over 0, at most 1"));
+    if section.call_timeout >= section.vote_ttl {
+        return rollout
+            .reject("rollout: a vote would expire before its reply is given up (call_timeout, vote_ttl)");
     }
-    if r.stage_caps.windows(2).any(|w| w[1] < w[0]) {
-        return rollout.fault("rollout: stage_caps fall from one stage to the next");
+    let is_uncounted_valid = section.uncounted >= 0.0 && section.uncounted.is_finite();
+    if !(is_uncounted_valid && (0.0..=1.0).contains(&section.flag_share)) {
+        return rollout.reject("rollout: uncounted is 0 or more, flag_share 0 to 1");
     }
-    if usize::from(r.guarded_stages) > r.stage_caps.len() {
-        return rollout.fault("rollout: more guarded_stages than stages");
+    let vote_numbers = [section.votes_on, section.votes_back, section.vote_allowance];
+    if vote_numbers.iter().any(|number| number.is_nan() || *number < 0.0) {
+        return rollout.reject("rollout: votes_on, votes_back and vote_allowance are 0 or more");
     }
-    if usize::from(r.guarded_stages) == r.stage_caps.len()
-        && classes.iter().all(|c| c.is.effect != EffectName::Retryable)
-    {
-        return rollout
-            .fault("rollout: all stages guarded and no retryable class: no build could ever be tried");
+    Ok(())
+}
+
+fn check_stages(
+    rollout: &Located<RolloutSection>,
+    classes: &[Located<RequestClassSection>],
+) -> Result<(), ScriptError> {
+    let caps = &rollout.value.stage_caps;
+    let guarded_stages = usize::from(rollout.value.guarded_stages);
+    if caps.is_empty() || caps.len() > MAX_STAGES {
+        return rollout.reject("rollout: 1 to 64 stage_caps");
     }
-    if r.counted_over.0 == 0 || r.vote_ttl.0 == 0 || r.call_timeout.0 == 0 {
-        return rollout.fault("rollout: counted_over, vote_ttl and call_timeout are over 0");
+    if let Some(cap) = caps.iter().find(|cap| !(**cap > 0.0 && **cap <= 1.0)) {
+        return rollout.reject(format!("rollout: a stage cap of {cap}: over 0, at most 1"));
     }
-    if r.call_timeout >= r.vote_ttl {
-        return rollout
-            .fault("rollout: a vote would expire before its reply is given up (call_timeout, vote_ttl)");
+    if caps.windows(2).any(|pair| pair[1] < pair[0]) {
+        return rollout.reject("rollout: stage_caps fall from one stage to the next");
     }
-    if !(r.uncounted >= 0.0 && r.uncounted.is_finite() && (0.0..=1.0).contains(&r.flag_share)) {
-        return rollout.fault("rollout: uncounted is 0 or more, flag_share 0 to 1");
+    if guarded_stages > caps.len() {
+        return rollout.reject("rollout: more guarded_stages than stages");
     }
-    let votes = [r.votes_on, r.votes_back, r.vote_allowance];
-    if votes.iter().any(|v| v.is_nan() || *v < 0.0) {
-        return rollout.fault("rollout: votes_on, votes_back and vote_allowance are 0 or more");
+    let has_idempotent_class = classes.iter().any(|class| class.value.effect == IdempotencyName::Idempotent);
+    if guarded_stages == caps.len() && !has_idempotent_class {
+        return rollout
+            .reject("rollout: all stages guarded and no retryable class: no build could ever be tried");
     }
     Ok(())
 }
 
+/// Checks what servers promise.
+///
+/// # Errors
+///
+/// A value out of bounds, or a grace past the deadline that is longer than a class's deadline.
 pub(super) fn check_contract(
-    contract: &Placed<Contract>,
-    classes: &[Placed<RequestClass>],
+    contract: &Located<ContractSection>,
+    classes: &[Located<RequestClassSection>],
 ) -> Result<(), ScriptError> {
-    let c = &contract.is;
-    if !(c.cold_from > 0.0 && c.cold_from <= 1.0) {
-        return contract.fault("contract: cold_from is over 0, at most 1");
+    let section = &contract.value;
+    if !(section.cold_from > 0.0 && section.cold_from <= 1.0) {
+        return contract.reject("contract: cold_from is over 0, at most 1");
     }
-    if !(c.fall_multiple >= 1.0 && c.fall_multiple.is_finite()) || c.fall_span.0 == 0 {
-        return contract.fault("contract: fall_multiple is 1 or more, fall_span over 0");
+    let is_multiple_valid = section.fall_multiple >= 1.0 && section.fall_multiple.is_finite();
+    if !is_multiple_valid || section.fall_span == ScriptDuration::ZERO {
+        return contract.reject("contract: fall_multiple is 1 or more, fall_span over 0");
     }
-    if c.ask_within.0 < 1_000_000 || c.drain_grace.0 < 50_000 {
-        return contract.fault("contract: ask_within is 1s or more, drain_grace 50ms or more");
+    if section.ask_within < MIN_POLL_INTERVAL || section.drain_grace < MIN_DRAIN_GRACE {
+        return contract.reject("contract: ask_within is 1s or more, drain_grace 50ms or more");
     }
-    let shortest = classes.iter().map(|k| k.is.deadline).min().unwrap_or_default();
-    if c.answer_grace > shortest {
-        return contract.fault("contract: answer_grace is longer than a class's deadline");
+    let shortest_deadline = classes.iter().map(|class| class.value.deadline).min().unwrap_or_default();
+    if section.answer_grace > shortest_deadline {
+        return contract.reject("contract: answer_grace is longer than a class's deadline");
     }
     Ok(())
 }
 
-pub(super) fn check_limits(limits: &Placed<Limits>) -> Result<(), ScriptError> {
-    let l = &limits.is;
-    if l.max_attempts == 0 || l.max_attempts > 100 {
-        return limits.fault("limits: max_attempts is 1 to 100");
+/// Checks the limits of attempts.
+///
+/// # Errors
+///
+/// A value out of bounds.
+pub(super) fn check_limits(limits: &Located<LimitsSection>) -> Result<(), ScriptError> {
+    if !MAX_ATTEMPTS_BOUNDS.contains(&limits.value.max_attempts) {
+        return limits.reject("limits: max_attempts is 1 to 100");
     }
-    if l.tick.0 < 1_000 || l.tick.0 > 50_000 {
-        return limits.fault("limits: tick is 1ms to 50ms");
+    if !TICK_BOUNDS.contains(&limits.value.tick) {
+        return limits.reject("limits: tick is 1ms to 50ms");
     }
     Ok(())
 }
--- a/crates/settings/src/check/routes.rs
+++ b/crates/settings/src/check/routes.rs
@@ -1,52 +1,60 @@
 //! Routes: which requests are of which class.
 
 use crate::route_table::{Rank, RouteTable, Target};
-use crate::sections::RouteTo;
+use crate::sections::RouteSection;
 use crate::settings::Route;
 use http::Method;
 use std::collections::HashMap;
-use violetseam_starlark_config::{Placed, ScriptError};
+use violetseam_starlark_config::{Located, ScriptError};
 
-/// The routes in the order of the script, and their table. A route that an earlier one covers is refused:
-/// it could never match.
+/// The routes in the order of the script, and their table.
+///
+/// # Errors
+///
+/// A malformed route, one that an earlier one covers, so that it could never match, or a class without a route.
 pub(super) fn check_routes(
     script: &str,
-    routes: &[Placed<RouteTo>],
-    classes: &[String],
+    sections: &[Located<RouteSection>],
+    class_names: &[String],
 ) -> Result<(Vec<Route>, RouteTable), ScriptError> {
-    let indices: HashMap<&str, usize> =
-        classes.iter().enumerate().map(|(i, name)| (name.as_str(), i)).collect();
-    let (mut list, mut table) = (Vec::new(), RouteTable::default());
-    let mut has_route = vec![false; classes.len()];
-    for (order, placed) in routes.iter().enumerate() {
-        let route = check_route(placed, &indices)?;
-        let (method, prefix) = (route.method.as_ref(), route.prefix.as_str());
+    let class_indices: HashMap<&str, usize> =
+        class_names.iter().enumerate().map(|(index, name)| (name.as_str(), index)).collect();
+    let mut routes = Vec::new();
+    let mut table = RouteTable::default();
+    let mut has_route = vec![false; class_names.len()];
+    for (order, section) in sections.iter().enumerate() {
+        let route = check_route(section, &class_indices)?;
+        let method = route.method.as_ref();
+        let prefix = route.prefix.as_str();
         if table.covering(method, prefix).is_some() {
-            return placed.fault(format!("route: {prefix:?} can never match, an earlier route covers it"));
+            return section.reject(format!("route: {prefix:?} can never match, an earlier route covers it"));
         }
         let target = Target { rank: Rank(order as u64), class: route.class };
         table.insert(method, prefix, target);
         has_route[route.class] = true;
-        list.push(route);
+        routes.push(route);
     }
-    match has_route.iter().position(|has| !has) {
+    match has_route.iter().position(|has_route| !has_route) {
         Some(class) => {
-            Err(ScriptError::invalid(script, format!("no route leads to class {:?}", classes[class])))
+            Err(ScriptError::invalid(script, format!("no route leads to class {:?}", class_names[class])))
         }
-        None => Ok((list, table)),
+        None => Ok((routes, table)),
     }
 }
 
-fn check_route(placed: &Placed<RouteTo>, classes: &HashMap<&str, usize>) -> Result<Route, ScriptError> {
-    let RouteTo { method, prefix, to } = &placed.is;
-    let Some(class) = classes.get(to.as_str()).copied() else {
-        return placed.fault(format!("route: no class {to:?}"));
+fn check_route(
+    section: &Located<RouteSection>,
+    class_indices: &HashMap<&str, usize>,
+) -> Result<Route, ScriptError> {
+    let RouteSection { method, prefix, to } = &section.value;
+    let Some(class) = class_indices.get(to.as_str()).copied() else {
+        return section.reject(format!("route: no class {to:?}"));
     };
     let Ok(method) = method.as_ref().map(|name| Method::from_bytes(name.as_bytes())).transpose() else {
-        return placed.fault("route: malformed method");
+        return section.reject("route: malformed method");
     };
     if !prefix.starts_with('/') {
-        return placed.fault("route: a prefix starts with /");
+        return section.reject("route: a prefix starts with /");
     }
     Ok(Route { method, prefix: prefix.clone(), class })
 }
--- a/crates/settings/src/check/tenants.rs
+++ b/crates/settings/src/check/tenants.rs
@@ -1,19 +1,26 @@
 //! Tenants and their quotas.
 
-use crate::sections::Tenant;
+use crate::sections::TenantSection;
 use std::collections::BTreeMap;
-use violetseam_starlark_config::{Placed, ScriptError};
+use violetseam_starlark_config::{Located, ScriptError};
 
 /// Tenants' indices by name, in the order of the script.
-pub(super) fn check_tenants(calls: &[Placed<Tenant>]) -> Result<BTreeMap<String, usize>, ScriptError> {
-    let mut tenants = BTreeMap::new();
-    for (index, tenant) in calls.iter().enumerate() {
-        if !(tenant.is.quota >= 0.0 && tenant.is.quota.is_finite()) {
-            return tenant.fault("tenant: a quota is a number of requests a second, 0 or more");
+///
+/// # Errors
+///
+/// A quota that is negative or not a number, or a name that is there twice.
+pub(super) fn check_tenants(
+    sections: &[Located<TenantSection>],
+) -> Result<BTreeMap<String, usize>, ScriptError> {
+    let mut indices = BTreeMap::new();
+    for (index, section) in sections.iter().enumerate() {
+        let TenantSection { name, quota } = &section.value;
+        if !(*quota >= 0.0 && quota.is_finite()) {
+            return section.reject("tenant: a quota is a number of requests a second, 0 or more");
         }
-        if tenants.insert(tenant.is.name.clone(), index).is_some() {
-            return tenant.fault(format!("tenant: {:?} twice", tenant.is.name));
+        if indices.insert(name.clone(), index).is_some() {
+            return section.reject(format!("tenant: {name:?} twice"));
         }
     }
-    Ok(tenants)
+    Ok(indices)
 }
--- a/crates/settings/src/collect.rs
+++ b/crates/settings/src/collect.rs
@@ -1,56 +1,64 @@
 //! The calls of a script, gathered by section.
 
-use crate::sections::*;
-use violetseam_starlark_config::{Call, Placed, ScriptError};
+use crate::sections::{
+    BudgetsSection, ConnectionsSection, ContractSection, ControlTlsSection, DiscoverySection, FleetSection,
+    HeadersSection, Identity, LimitsSection, ListenSection, Member, PeersSection, PublisherSection,
+    ReleaseServiceSection, RequestClassSection, RolloutSection, RouteSection, TenantSection,
+};
+use violetseam_starlark_config::{Call, Located, ScriptError};
 
 /// All sections of a script, as called.
 #[derive(Debug, Default)]
 pub(crate) struct Sections {
-    pub fleet: Vec<Placed<Fleet>>,
-    pub listen: Vec<Placed<Listen>>,
-    pub roster: Vec<Placed<Roster>>,
-    pub desk: Vec<Placed<Desk>>,
-    pub publisher: Vec<Placed<Publisher>>,
-    pub peers: Vec<Placed<Peers>>,
-    pub classes: Vec<Placed<RequestClass>>,
-    pub routes: Vec<Placed<RouteTo>>,
-    pub tenants: Vec<Placed<Tenant>>,
-    pub headers: Vec<Placed<HeaderNames>>,
-    pub budgets: Vec<Placed<BudgetParts>>,
-    pub rollout: Vec<Placed<Rollout>>,
-    pub limits: Vec<Placed<Limits>>,
-    pub contract: Vec<Placed<Contract>>,
-    pub connections: Vec<Placed<ConnectionLimits>>,
-    pub members: Vec<Placed<Member>>,
-    pub identity: Vec<Placed<Identity>>,
-    pub control_tls: Vec<Placed<ControlTls>>,
+    pub fleet: Vec<Located<FleetSection>>,
+    pub listen: Vec<Located<ListenSection>>,
+    pub discovery: Vec<Located<DiscoverySection>>,
+    pub release_service: Vec<Located<ReleaseServiceSection>>,
+    pub publisher: Vec<Located<PublisherSection>>,
+    pub peers: Vec<Located<PeersSection>>,
+    pub classes: Vec<Located<RequestClassSection>>,
+    pub routes: Vec<Located<RouteSection>>,
+    pub tenants: Vec<Located<TenantSection>>,
+    pub headers: Vec<Located<HeadersSection>>,
+    pub budgets: Vec<Located<BudgetsSection>>,
+    pub rollout: Vec<Located<RolloutSection>>,
+    pub limits: Vec<Located<LimitsSection>>,
+    pub contract: Vec<Located<ContractSection>>,
+    pub connections: Vec<Located<ConnectionsSection>>,
+    pub members: Vec<Located<Member>>,
+    pub identity: Vec<Located<Identity>>,
+    pub control_tls: Vec<Located<ControlTlsSection>>,
 }
 
 /// Reads each call as the section that it names.
+///
+/// # Errors
+///
+/// Arguments that are not those of the section, with the call's location.
 pub(crate) fn collect(calls: Vec<Call>) -> Result<Sections, ScriptError> {
-    let mut s = Sections::default();
+    let mut sections = Sections::default();
     for call in calls {
         match call.function {
-            "fleet" => s.fleet.push(call.read()?),
-            "listen" => s.listen.push(call.read()?),
-            "roster" => s.roster.push(call.read()?),
-            "desk" => s.desk.push(call.read()?),
-            "publisher" => s.publisher.push(call.read()?),
-            "peers" => s.peers.push(call.read()?),
-            "request_class" => s.classes.push(call.read()?),
-            "route" => s.routes.push(call.read()?),
-            "tenant" => s.tenants.push(call.read()?),
-            "headers" => s.headers.push(call.read()?),
-            "budgets" => s.budgets.push(call.read()?),
-            "rollout" => s.rollout.push(call.read()?),
-            "limits" => s.limits.push(call.read()?),
-            "contract" => s.contract.push(call.read()?),
-            "connections" => s.connections.push(call.read()?),
-            "member" => s.members.push(call.read()?),
-            "identity" => s.identity.push(call.read()?),
-            "control_tls" => s.control_tls.push(call.read()?),
-            other => return Err(ScriptError::invalid(call.at, format!("{other}: no such section"))),
+            "fleet" => sections.fleet.push(call.read()?),
+            "listen" => sections.listen.push(call.read()?),
+            "roster" => sections.discovery.push(call.read()?),
+            "desk" => sections.release_service.push(call.read()?),
+            "publisher" => sections.publisher.push(call.read()?),
+            "peers" => sections.peers.push(call.read()?),
+            "request_class" => sections.classes.push(call.read()?),
+            "route" => sections.routes.push(call.read()?),
+            "tenant" => sections.tenants.push(call.read()?),
+            "headers" => sections.headers.push(call.read()?),
+            "budgets" => sections.budgets.push(call.read()?),
+            "rollout" => sections.rollout.push(call.read()?),
+            "limits" => sections.limits.push(call.read()?),
+            "contract" => sections.contract.push(call.read()?),
+            "connections" => sections.connections.push(call.read()?),
+            "member" => sections.members.push(call.read()?),
+            "identity" => sections.identity.push(call.read()?),
+            "control_tls" => sections.control_tls.push(call.read()?),
+            other => return Err(ScriptError::invalid(call.location, format!("{other}: no such section"))),
         }
     }
-    Ok(s)
+    Ok(sections)
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,4 +15,4 @@
 pub use route_table::{Rank, RouteTable, Target};
 pub use script::{ScriptError, read_file, read_fleet, read_text};
 pub use sections::{HalfClose, Identity, Member};
-pub use settings::{Connections, FleetFile, Headers, ProxySettings, Route};
+pub use settings::{ConnectionLimits, ControlTls, FleetFile, HeaderNames, ProxySettings, Route};
--- /dev/null
+++ b/crates/settings/src/sections/connections.rs
@@ -0,0 +1,86 @@
+//! Header fields and bounds of connections.
+
+use serde::Deserialize;
+use violetseam_starlark_config::ScriptDuration;
+
+/// `headers(...)`: the names of the header fields that the proxy reads or writes.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub(crate) struct HeadersSection {
+    pub key: String,
+    pub tenant: String,
+    pub cost: String,
+    pub deadline: String,
+    pub retry: String,
+    pub not_run: String,
+    pub answer: String,
+}
+
+impl Default for HeadersSection {
+    fn default() -> Self {
+        HeadersSection {
+            key: "idempotency-key".into(),
+            tenant: "x-tenant".into(),
+            cost: "x-cost-us".into(),
+            deadline: "request-timeout-ms".into(),
+            retry: "x-retry".into(),
+            not_run: "x-not-run".into(),
+            answer: "answer-id".into(),
+        }
+    }
+}
+
+/// What it means that a client has closed its sending side.
+#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
+pub enum HalfClose {
+    /// The client has left, and its request is cancelled: a closed socket looks the same until it is written to.
+    #[default]
+    #[serde(rename = "gone")]
+    Cancel,
+    /// It still reads: its response is awaited and written.
+    #[serde(rename = "serve")]
+    Serve,
+}
+
+/// `connections(...)`: sizes in bytes.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub(crate) struct ConnectionsSection {
+    pub max_head: usize,
+    pub max_fields: usize,
+    pub max_body: u64,
+    pub keep_body: usize,
+    pub keep_answer: usize,
+    pub head_timeout: ScriptDuration,
+    pub body_timeout: ScriptDuration,
+    pub client_idle: ScriptDuration,
+    pub server_idle: ScriptDuration,
+    pub stream_idle: ScriptDuration,
+    pub connect_timeout: ScriptDuration,
+    pub idle_per_server: usize,
+    pub max_clients: usize,
+    pub half_close: HalfClose,
+    pub flag_path: String,
+}
+
+impl Default for ConnectionsSection {
+    fn default() -> Self {
+        ConnectionsSection {
+            max_head: 16 * 1024,
+            max_fields: 100,
+            max_body: 8 << 20,
+            keep_body: 64 * 1024,
+            keep_answer: 256 * 1024,
+            head_timeout: ScriptDuration::from_secs(10),
+            body_timeout: ScriptDuration::from_secs(30),
+            client_idle: ScriptDuration::from_secs(60),
+            server_idle: ScriptDuration::from_secs(15),
+            stream_idle: ScriptDuration::from_secs(30),
+            connect_timeout: ScriptDuration::from_millis(250),
+            idle_per_server: 64,
+            max_clients: 200_000,
+            half_close: HalfClose::Cancel,
+            flag_path: "/.well-known/wrong-answer".into(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/settings/src/sections/mod.rs
@@ -0,0 +1,30 @@
+//! The sections as a script writes them: names, types and defaults. Fields have the names that scripts use; what
+//! the sections mean together is checked in `check`, which also gives the fields the names of the program.
+
+mod connections;
+mod fleet;
+mod release;
+mod requests;
+
+pub(crate) use connections::{ConnectionsSection, HeadersSection};
+pub(crate) use fleet::{
+    ControlTlsSection, DiscoverySection, FleetSection, ListenSection, PeersSection, PublisherSection,
+    ReleaseServiceSection,
+};
+pub(crate) use release::{ContractSection, GateName, LimitsSection, RolloutSection};
+pub(crate) use requests::{
+    BudgetsSection, DedupGroupName, IdempotencyName, RequestClassSection, RouteSection, TenantSection,
+};
+
+pub use connections::HalfClose;
+pub use fleet::{Identity, Member};
+
+use violetseam_starlark_config::ScriptDuration;
+
+const fn one_second() -> ScriptDuration {
+    ScriptDuration::from_secs(1)
+}
+
+const fn one() -> f64 {
+    1.0
+}
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -12,92 +12,101 @@
 /// Requests with this method and path prefix are of this class.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Any, where none is given.
+    /// The method; none: any.
     pub method: Option<Method>,
-    /// Of the path.
+    /// What the path starts with.
     pub prefix: String,
     /// The class's index.
     pub class: usize,
 }
 
-/// The header fields that carry what the decisions look at.
+/// The header fields that carry what the decisions rest on.
 #[derive(Clone, Debug)]
-pub struct Headers {
+pub struct HeaderNames {
     /// The key of a keyed request.
-    pub key: HeaderName,
+    pub idempotency_key: HeaderName,
     /// The tenant's name.
     pub tenant: HeaderName,
     /// The work expected, in microseconds.
     pub cost: HeaderName,
     /// How long the client waits, in milliseconds from the request's head.
     pub deadline: HeaderName,
-    /// Present on a client's own repeats.
+    /// Present on a client's own retries.
     pub retry: HeaderName,
-    /// On a server's 503: the request was never run.
-    pub not_run: HeaderName,
-    /// On an answer: the id to report it wrong by.
-    pub answer: HeaderName,
+    /// On a server's 503: the request was not processed.
+    pub not_processed: HeaderName,
+    /// On a response: the id by which a client can report it wrong.
+    pub response_id: HeaderName,
 }
 
-/// Bounds and time-outs of connections. Spans in microseconds, sizes in bytes.
+/// Bounds and time-outs of connections. Time-outs in microseconds, sizes in bytes.
 #[derive(Clone, Debug)]
-pub struct Connections {
-    /// Bytes of a head; past it 431.
-    pub max_head: usize,
-    /// Fields of a head; past it 431.
-    pub max_fields: usize,
-    /// Bytes of a request body; past it 413.
-    pub max_body: u64,
-    /// Bytes of a request body kept for a further attempt.
-    pub keep_body: usize,
-    /// Bytes of an answer awaited whole before it is passed on.
-    pub keep_answer: usize,
+pub struct ConnectionLimits {
+    /// Of a request's head; past it 431.
+    pub max_head_bytes: usize,
+    /// The most fields of a request's head; past it 431.
+    pub max_header_fields: usize,
+    /// Of a request's body; past it 413.
+    pub max_body_bytes: u64,
+    /// Of a request's body that is retained for a further attempt.
+    pub max_retained_body_bytes: usize,
+    /// Of a response that is received completely before it is passed on.
+    pub max_buffered_response_bytes: usize,
     /// For a request's head, from its first byte; past it 408.
     pub head_timeout: Micros,
     /// For a request's body, from its head; past it 408.
     pub body_timeout: Micros,
     /// Between requests of a client.
-    pub client_idle: Micros,
+    pub client_idle_timeout: Micros,
     /// Between requests to a server.
-    pub server_idle: Micros,
-    /// Without a byte of an answer that is being passed on.
-    pub stream_idle: Micros,
+    pub server_idle_timeout: Micros,
+    /// Without a byte of a response that is being passed on.
+    pub stream_idle_timeout: Micros,
     /// For a connection to a server.
     pub connect_timeout: Micros,
-    /// Idle connections kept to each server.
-    pub idle_per_server: usize,
-    /// Client connections taken at once.
+    /// Idle connections kept open to each server.
+    pub max_idle_per_server: usize,
+    /// Client connections accepted at once.
     pub max_clients: usize,
-    /// What a half-closed client means.
+    /// What it means that a client has closed its sending side.
     pub half_close: HalfClose,
-    /// Where clients report wrong answers.
-    pub flag_path: String,
+    /// The path at which clients report wrong answers.
+    pub wrong_answer_path: String,
 }
 
-/// All that a proxy runs by.
+/// Control over TCP under mutual TLS.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ControlTls {
+    /// The address that the daemon listens on.
+    pub listen: SocketAddr,
+    /// The daemon's files.
+    pub identity: Identity,
+}
+
+/// All that a proxy runs by. Times in microseconds.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
     /// Its fleet's name.
-    pub name: String,
+    pub fleet_name: String,
     /// A number that all proxies of the fleet share.
     pub site: u32,
     /// Where clients connect.
     pub listen: Vec<SocketAddr>,
-    /// The roster.
-    pub roster: SocketAddr,
-    /// For a roster call's first line.
-    pub roster_timeout: Micros,
-    /// The release desk, and those that stand by for it.
-    pub desks: Vec<SocketAddr>,
-    /// News that are silent for so long are lost.
-    pub desk_silence: Option<Micros>,
-    /// Before a lost stream of stage news is opened again.
-    pub desk_reconnect: Micros,
+    /// The discovery service, which gives out the endpoint list.
+    pub discovery: SocketAddr,
+    /// For the first line of a call to the discovery service.
+    pub discovery_timeout: Micros,
+    /// The release service, followed by its standbys.
+    pub release_services: Vec<SocketAddr>,
+    /// A watch of the release that is silent for so long is lost; none: never.
+    pub release_idle_timeout: Option<Micros>,
+    /// The delay before a lost watch of the release is opened again.
+    pub release_reconnect_delay: Micros,
     /// The publisher of the routes, if they are distributed; needs [`ProxySettings::state_dir`].
     pub publisher: Option<SocketAddr>,
     /// Where peers' datagrams arrive.
     pub peer_listen: Option<SocketAddr>,
-    /// Peers by position, this proxy's own among them.
+    /// Peers by position, this proxy's own address among them.
     pub peers: Vec<SocketAddr>,
     /// Names of the classes, by index.
     pub class_names: Vec<String>,
@@ -105,23 +114,23 @@
     pub tenants: BTreeMap<String, usize>,
     /// In the order of the script: the first that matches counts.
     pub routes: Vec<Route>,
-    /// The same, to be looked up in.
+    /// The same, for lookups.
     pub route_table: RouteTable,
-    /// Header fields.
-    pub headers: Headers,
+    /// Names of header fields.
+    pub headers: HeaderNames,
     /// Bounds of connections.
-    pub connections: Connections,
-    /// A fixed seed for the decisions' draws; else drawn at each start.
+    pub connections: ConnectionLimits,
+    /// A fixed seed for the balancer's random draws; else drawn at each start.
     pub seed: Option<u64>,
     /// Where the last list and the daemon's state are kept over restarts.
     pub state_dir: Option<PathBuf>,
     /// The path of the control socket.
-    pub control: Option<PathBuf>,
-    /// Control over TCP under mutual TLS: where it listens, and the daemon's files.
-    pub control_tls: Option<(SocketAddr, Identity)>,
-    /// Budgets that the whole fleet keeps, if any class has one.
-    pub budgets: Option<QuotaPlan>,
-    /// What the decisions run by.
+    pub control_socket: Option<PathBuf>,
+    /// Control over TCP, if there is any.
+    pub control_tls: Option<ControlTls>,
+    /// Budgets of further attempts that the whole fleet keeps, if any class has one.
+    pub retry_quotas: Option<QuotaPlan>,
+    /// What the balancer decides by.
     pub decisions: Settings,
 }
 
@@ -130,6 +139,6 @@
 pub struct FleetFile {
     /// The daemons.
     pub members: Vec<Member>,
-    /// The operator's files, for those that are spoken to over TCP.
+    /// The operator's files, for daemons that are controlled over TCP.
     pub identity: Option<Identity>,
 }
--- a/crates/starlark-config/src/call.rs
+++ b/crates/starlark-config/src/call.rs
@@ -3,23 +3,23 @@
 use crate::error::ScriptError;
 use serde::de::DeserializeOwned;
 
-/// A section and the place of its call.
+/// A section's value and the location of the call that gave it.
 #[derive(Clone, Debug)]
-pub struct Placed<T> {
-    /// File and line.
-    pub at: String,
+pub struct Located<T> {
+    /// File and line of the call.
+    pub location: String,
     /// The section.
-    pub is: T,
+    pub value: T,
 }
 
-impl<T> Placed<T> {
+impl<T> Located<T> {
     /// Rejects the section.
     ///
     /// # Errors
     ///
-    /// Always, with the section's place and the reason.
-    pub fn fault<R>(&self, reason: impl std::fmt::Display) -> Result<R, ScriptError> {
-        Err(ScriptError::invalid(&self.at, reason))
+    /// Always: [`ScriptError::Invalid`] with the section's location and the reason.
+    pub fn reject<R>(&self, reason: impl std::fmt::Display) -> Result<R, ScriptError> {
+        Err(ScriptError::invalid(&self.location, reason))
     }
 }
 
@@ -29,9 +29,9 @@
     /// The function.
     pub function: &'static str,
     /// File and line.
-    pub at: String,
+    pub location: String,
     /// Its arguments by name.
-    pub args: serde_json::Map<String, serde_json::Value>,
+    pub arguments: serde_json::Map<String, serde_json::Value>,
 }
 
 impl Call {
@@ -40,10 +40,11 @@
     /// # Errors
     ///
     /// [`ScriptError::Arguments`] if an argument is missing, unknown or of another type.
-    pub fn read<T: DeserializeOwned>(self) -> Result<Placed<T>, ScriptError> {
-        match serde_path_to_error::deserialize(serde_json::Value::Object(self.args)) {
-            Ok(section) => Ok(Placed { at: self.at, is: section }),
-            Err(source) => Err(ScriptError::Arguments { location: self.at, function: self.function, source }),
+    pub fn read<T: DeserializeOwned>(self) -> Result<Located<T>, ScriptError> {
+        let Call { function, location, arguments } = self;
+        match serde_path_to_error::deserialize(serde_json::Value::Object(arguments)) {
+            Ok(value) => Ok(Located { location, value }),
+            Err(source) => Err(ScriptError::Arguments { location, function, source }),
         }
     }
 }
@@ -53,27 +54,30 @@
 /// # Errors
 ///
 /// [`ScriptError::DuplicateSection`] if there is more than one call.
-pub fn one<'a, T>(section: &str, calls: &'a [Placed<T>]) -> Result<Option<&'a Placed<T>>, ScriptError> {
+pub fn optional_section<'a, T>(
+    section: &str,
+    calls: &'a [Located<T>],
+) -> Result<Option<&'a Located<T>>, ScriptError> {
     match calls {
         [] => Ok(None),
         [only] => Ok(Some(only)),
         [first, second, ..] => Err(ScriptError::DuplicateSection {
-            location: second.at.clone(),
+            location: second.location.clone(),
             section: section.to_owned(),
-            first: first.at.clone(),
+            first: first.location.clone(),
         }),
     }
 }
 
-/// The call of a section that must be there once.
+/// The call of a section that must be there once. `script` is the script's name.
 ///
 /// # Errors
 ///
-/// [`ScriptError::MissingSection`] or [`ScriptError::DuplicateSection`].
-pub fn needed<'a, T>(
+/// [`ScriptError::MissingSection`] if there is no call, [`ScriptError::DuplicateSection`] if there is more than one.
+pub fn required_section<'a, T>(
     script: &str,
     section: &str,
-    calls: &'a [Placed<T>],
-) -> Result<&'a Placed<T>, ScriptError> {
-    one(section, calls)?.ok_or_else(|| ScriptError::missing_section(script, section))
+    calls: &'a [Located<T>],
+) -> Result<&'a Located<T>, ScriptError> {
+    optional_section(section, calls)?.ok_or_else(|| ScriptError::missing_section(script, section))
 }
--- a/crates/starlark-config/src/evaluate.rs
+++ b/crates/starlark-config/src/evaluate.rs
@@ -3,20 +3,21 @@
 use crate::call::Call;
 use crate::error::{LoadError, ReadFileError, ScriptError};
 use crate::recorder;
+use starlark::codemap::FileSpan;
 use starlark::environment::{FrozenModule, Globals, GlobalsBuilder, Module};
 use starlark::eval::{Evaluator, FileLoader};
 use starlark::syntax::{AstModule, Dialect};
 use std::path::{Path, PathBuf};
 
-/// Function calls and loop iterations of a script, at most.
+/// The most function calls and loop iterations of a script.
 const MAX_TICKS: u64 = 2_000_000;
-/// Bytes of a script's values, at most.
+/// The most bytes of a script's values.
 const MAX_HEAP_BYTES: usize = 16 << 20;
-/// Nested function calls, at most.
+/// The deepest nesting of function calls.
 const MAX_CALL_DEPTH: usize = 200;
-/// Files loaded by files loaded ..., at most.
+/// The deepest nesting of `load(...)`.
 const MAX_LOAD_DEPTH: usize = 8;
-/// Bytes of one file, at most.
+/// The most bytes of one file.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Evaluates a file: the calls that it made, in order. `options` are the names and values that `option(...)` returns.
@@ -33,10 +34,15 @@
         Ok(text) => text,
         Err(source) => return Err(ScriptError::Read { path: path.to_owned(), source }),
     };
-    let folder = path.parent().map(|p| if p.as_os_str().is_empty() { PathBuf::from(".") } else { p.into() });
+    let folder = path.parent().map(folder_or_current);
     evaluate(&path.display().to_string(), text, folder, options, functions)
 }
 
+/// `Path::parent` gives an empty path for a plain file name, which stands for the working directory.
+fn folder_or_current(folder: &Path) -> PathBuf {
+    if folder.as_os_str().is_empty() { PathBuf::from(".") } else { folder.to_owned() }
+}
+
 /// Evaluates a text: the calls that it made, in order. `name` stands for the file in errors; without a folder the script
 /// can load no files.
 ///
@@ -84,15 +90,18 @@
 fn evaluation_error(name: &str, error: starlark::Error) -> ScriptError {
     let reason = error.without_diagnostic().to_string();
     let location = match error.span() {
-        Some(span) => {
-            let place = span.resolve();
-            format!("{}:{}", place.file, place.span.begin.line + 1)
-        }
+        Some(span) => file_and_line(span),
         None => name.to_owned(),
     };
     ScriptError::Evaluation { location, reason }
 }
 
+/// The location of a piece of a script, as `FILE:LINE`; lines count from 1.
+pub(crate) fn file_and_line(span: &FileSpan) -> String {
+    let resolved = span.resolve();
+    format!("{}:{}", resolved.file, resolved.span.begin.line + 1)
+}
+
 /// Loads files from the script's folder.
 struct Loader<'a> {
     folder: Option<PathBuf>,
@@ -128,7 +137,7 @@
                 eval.set_loader(&deeper);
                 eval.eval_module(ast, self.globals)?;
             }
-            module.freeze().map_err(|e| starlark::Error::new_other(anyhow::anyhow!("{e:?}")))
+            module.freeze().map_err(|error| starlark::Error::new_other(anyhow::anyhow!("{error:?}")))
         })
     }
 }
--- a/crates/starlark-config/src/lib.rs
+++ b/crates/starlark-config/src/lib.rs
@@ -5,13 +5,13 @@
 //! bounded. What the sections mean is up to the caller ([`Call::read`]).
 
 mod call;
+mod duration;
 mod error;
 mod evaluate;
 mod recorder;
-mod span;
 
-pub use call::{Call, Placed, needed, one};
+pub use call::{Call, Located, optional_section, required_section};
+pub use duration::ScriptDuration;
 pub use error::{ReadFileError, ScriptError};
 pub use evaluate::{evaluate, evaluate_file};
 pub use recorder::record_call;
-pub use span::Span;
--- a/crates/starlark-config/src/recorder.rs
+++ b/crates/starlark-config/src/recorder.rs
@@ -2,6 +2,7 @@
 
 use crate::call::Call;
 use crate::error::OptionError;
+use crate::evaluate::file_and_line;
 use starlark::collections::SmallMap;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -54,18 +55,16 @@
     function: &'static str,
     args: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<NoneType> {
-    let mut object = serde_json::Map::new();
+    let mut arguments = serde_json::Map::new();
     for (name, value) in args {
-        object.insert(name, value.to_json_value()?);
+        arguments.insert(name, value.to_json_value()?);
     }
-    let at = match eval.call_stack_top_location() {
-        Some(span) => {
-            let place = span.resolve();
-            format!("{}:{}", place.file, place.span.begin.line + 1)
-        }
+    let location = match eval.call_stack_top_location() {
+        Some(span) => file_and_line(&span),
         None => "script".to_owned(),
     };
-    RECORDER.with_borrow_mut(|recorder| recorder.calls.push(Call { function, at, args: object }));
+    let call = Call { function, location, arguments };
+    RECORDER.with_borrow_mut(|recorder| recorder.calls.push(call));
     Ok(NoneType)
 }
 
