--- a/crates/plan-simulation/src/platform.rs
+++ b/crates/plan-simulation/src/platform.rs
@@ -1,5 +1,5 @@
-//! A simulated platform that starts and drains what the controller wants, each in a fixed time. Places can be lost
-//! for a while.
+//! A simulated platform that starts and drains what the controller wants, each in a fixed time. Places can be
+//! lost for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetseam_plan::Micros;
--- a/crates/plan-simulation/src/script/defaults.rs
+++ b/crates/plan-simulation/src/script/defaults.rs
@@ -17,8 +17,8 @@
 /// The most attempts to end a hold.
 const MAX_RESUME_ORDERS: u64 = 10_000;
 
-/// A script in which all goes well: everybody who is asked approves at once, all proxies vote 'on', and whoever may
-/// end a hold does so within a minute. `start` is in microseconds since 1970 UTC.
+/// A script in which all goes well: everybody who is asked approves at once, all proxies vote 'on', and
+/// whoever may end a hold does so within a minute. `start` is in microseconds since 1970 UTC.
 pub fn default_script(plan: &Plan, start: Micros, initial_build: u16) -> Script {
     Script {
         start,
--- a/crates/plan-simulation/src/script/mod.rs
+++ b/crates/plan-simulation/src/script/mod.rs
@@ -1,4 +1,5 @@
-//! What people, proxies, places and clocks do in a simulation, as a Starlark script. Times count from the offer.
+//! What people, proxies, places and clocks do in a simulation, as a Starlark script. Times count from the
+//! offer.
 
 mod defaults;
 mod sections;
--- a/crates/plan-simulation/tests/common/mod.rs
+++ b/crates/plan-simulation/tests/common/mod.rs
@@ -1,12 +1,11 @@
-//! A reading of plans of its own: from each event, what must have held for the decision on it. It shares
-//! nothing with the decisions but the plan's text; windows are read by fixed offsets of zones without summer
-//! time.
-#![allow(dead_code)]
+//! An independent check of decisions against a plan: from each event, what must have been true for the
+//! decision on it. It shares nothing with the decisions but the plan; windows are read by fixed offsets of
+//! zones without summer time.
 
 use std::collections::{BTreeMap, BTreeSet};
-use violetseam_plan::{Gate, OnClose, Plan, Power};
+use violetseam_plan::{Gate, OnClose, Plan, Power, SignOff};
 use violetseam_plan_simulation::Step;
-use violetseam_release::{Announcement, Event, Order, Phase, PlaceState, Reply, Verdict};
+use violetseam_release::{Announcement, Event, Order, Phase, PlaceState, Reply, Verdict, Vote};
 
 pub const S: u64 = 1_000_000;
 pub const MINUTE: u64 = 60 * S;
@@ -17,7 +16,7 @@
         "UTC" | "Europe/London" => 0,
         "Africa/Nairobi" => 180,
         "Asia/Kolkata" => 330,
-        other => panic!("the reader does not know {other}"),
+        other => panic!("the check does not know {other}"),
     }
 }
 
@@ -43,17 +42,18 @@
     })
 }
 
-struct Cast {
+/// A proxy's last vote.
+struct CastVote {
     verdict: Verdict,
     build: u16,
     stage: u8,
-    until: u64,
+    valid_until: u64,
 }
 
-/// Reads one release.
-pub struct Reader {
+/// Checks the decisions on one release.
+pub struct DecisionChecker {
     plan: Plan,
-    votes: BTreeMap<u32, Cast>,
+    votes: BTreeMap<u32, CastVote>,
     signed: BTreeSet<(String, String)>,
     runs: BTreeSet<(u32, u16)>,
     offered: Option<u64>,
@@ -71,9 +71,9 @@
     pub outcomes: BTreeMap<String, usize>,
 }
 
-impl Reader {
-    pub fn new(plan: &Plan) -> Reader {
-        Reader {
+impl DecisionChecker {
+    pub fn new(plan: &Plan) -> DecisionChecker {
+        DecisionChecker {
             plan: plan.clone(),
             votes: BTreeMap::new(),
             signed: BTreeSet::new(),
@@ -92,12 +92,12 @@
         }
     }
 
-    fn valid_votes(&self, verdict: Verdict, now: u64, news: Announcement) -> usize {
-        let counts = |c: &&Cast| {
+    fn valid_votes(&self, verdict: Verdict, now: u64, announcement: Announcement) -> usize {
+        let counts = |c: &&CastVote| {
             c.verdict == verdict
-                && c.build == news.build
-                && c.until > now
-                && (verdict == Verdict::Back || c.stage == news.stage)
+                && c.build == announcement.build
+                && c.valid_until > now
+                && (verdict == Verdict::Back || c.stage == announcement.stage)
         };
         self.votes.values().filter(counts).count()
     }
@@ -116,64 +116,91 @@
         })
     }
 
-    /// One event and the decision on it.
-    pub fn read(&mut self, step: &Step) {
-        let (now, wall) = (step.now.steady, step.now.wall);
-        if let Some((steady, before)) = self.last {
-            self.clock_set |= (wall as i64 - before as i64 - (now - steady) as i64).unsigned_abs() > 2 * S;
+    /// Checks one event and the decision on it.
+    pub fn check(&mut self, step: &Step) {
+        let now = step.now.steady;
+        let wall = step.now.wall;
+        self.note_clock(now, wall);
+        if step.reply == Reply::Accepted {
+            self.take_event(step, now);
+        }
+        self.note_first_run(step, now);
+        if step.before != step.after {
+            self.check_change(step, now, wall);
+        }
+        self.check_desired_builds(step);
+    }
+
+    /// Notes whether the wall clock was set since the last event.
+    fn note_clock(&mut self, now: u64, wall: u64) {
+        if let Some((last_now, last_wall)) = self.last {
+            let elapsed = (now - last_now) as i64;
+            let shown = wall as i64 - last_wall as i64;
+            self.clock_set |= (shown - elapsed).unsigned_abs() > 2 * S;
         }
         self.last = Some((now, wall));
-        let ok = step.reply == Reply::Accepted;
+    }
+
+    fn take_event(&mut self, step: &Step, now: u64) {
         match &step.event {
-            Event::Offer(_) if ok => (self.offered, self.since) = (Some(now), now),
-            Event::Vote(v) if ok => {
-                assert_eq!(v.build, step.before.build, "a vote on another build counts");
-                let any = matches!(v.verdict, Verdict::Back | Verdict::Withdraw);
-                assert!(any || v.stage == step.before.stage, "a vote on another stage counts");
-                assert!(v.proxy < self.plan.fleet.proxies);
-                let until = now + self.plan.fleet.vote_ttl;
-                let (verdict, build, stage) = (v.verdict, v.build, v.stage);
-                if verdict == Verdict::Withdraw {
-                    self.votes.remove(&v.proxy);
-                } else {
-                    self.votes.insert(v.proxy, Cast { verdict, build, stage, until });
-                }
+            Event::Offer(_) => {
+                self.offered = Some(now);
+                self.since = now;
             }
-            Event::Sign { who, wave } if ok => {
-                let asked = |s: &&violetseam_plan::SignOff| s.wave == *wave && s.by.contains(who);
-                assert!(self.plan.sign_offs.iter().any(|s| asked(&s)), "{who} was not asked");
+            Event::Vote(vote) => self.take_vote(vote, step.before, now),
+            Event::Sign { who, wave } => {
+                let was_asked = |sign_off: &SignOff| sign_off.wave == *wave && sign_off.by.contains(who);
+                assert!(self.plan.sign_offs.iter().any(was_asked), "{who} was not asked");
                 self.signed.insert((who.clone(), wave.clone()));
             }
-            Event::Unsign { who, wave } if ok => {
+            Event::Unsign { who, wave } => {
                 self.signed.remove(&(who.clone(), wave.clone()));
             }
-            Event::Order { who, order } if ok => self.ordered(who, *order, now, step),
-            Event::Place { place, build, state } if ok => {
-                if *state == PlaceState::Running {
-                    self.runs.insert((*place, *build));
-                } else {
-                    self.runs.remove(&(*place, *build));
-                }
+            Event::Order { who, order } => self.take_order(who, *order, now, step),
+            Event::Place { place, build, state: PlaceState::Running } => {
+                self.runs.insert((*place, *build));
+            }
+            Event::Place { place, build, .. } => {
+                self.runs.remove(&(*place, *build));
             }
             _ => {}
         }
+    }
+
+    fn take_vote(&mut self, vote: &Vote, before: Announcement, now: u64) {
+        assert_eq!(vote.build, before.build, "a vote on another build counts");
+        let counts_in_any_stage = matches!(vote.verdict, Verdict::Back | Verdict::Withdraw);
+        assert!(counts_in_any_stage || vote.stage == before.stage, "a vote on another stage counts");
+        assert!(vote.proxy < self.plan.fleet.proxies);
+        let &Vote { proxy, build, stage, verdict } = vote;
+        if verdict == Verdict::Withdraw {
+            self.votes.remove(&proxy);
+        } else {
+            let valid_until = now + self.plan.fleet.vote_ttl;
+            self.votes.insert(proxy, CastVote { verdict, build, stage, valid_until });
+        }
+    }
+
+    /// Notes when a place of the present wave first ran the build.
+    fn note_first_run(&mut self, step: &Step, now: u64) {
         if step.before.phase == Phase::Trial && self.first_run.is_none() {
             let wave = &self.plan.waves[usize::from(step.before.stage)];
-            let any = wave.places.iter().any(|p| self.runs.contains(&(*p, self.plan.build)));
-            self.first_run = any.then_some(now);
-        }
-        if step.before != step.after {
-            self.changed(step, now, wall);
+            let runs_somewhere =
+                wave.places.iter().any(|place| self.runs.contains(&(*place, self.plan.build)));
+            self.first_run = runs_somewhere.then_some(now);
         }
+    }
+
+    fn check_desired_builds(&self, step: &Step) {
         if step.after.phase == Phase::Trial {
             let wave = &self.plan.waves[usize::from(step.after.stage)];
-            let new: BTreeSet<u32> =
-                step.desired_builds.iter().filter(|w| w.1 == self.plan.build).map(|w| w.0).collect();
-            assert_eq!(new, wave.places, "places other than the wave's are to run the build");
+            let desired = step.desired_builds.iter().filter(|(_, build)| *build == self.plan.build);
+            let places: BTreeSet<u32> = desired.map(|(place, _)| *place).collect();
+            assert_eq!(places, wave.places, "places other than the wave's are to run the build");
         }
     }
 
-    fn ordered(&mut self, who: &str, order: Order, now: u64, step: &Step) {
+    fn take_order(&mut self, who: &str, order: Order, now: u64, step: &Step) {
         let may = |power| self.plan.overrides.iter().any(|o| o.who == who && o.may.contains(&power));
         let next = match step.before.phase {
             Phase::Trial => usize::from(step.before.stage) + 1,
@@ -202,28 +229,40 @@
         }
     }
 
-    fn changed(&mut self, step: &Step, now: u64, wall: u64) {
-        let (a, b) = (step.before, step.after);
+    fn check_change(&mut self, step: &Step, now: u64, wall: u64) {
+        let before = step.before;
+        let after = step.after;
         self.transitions += 1;
-        match (a.phase, b.phase) {
+        match (before.phase, after.phase) {
             (Phase::Released | Phase::Withdrawn, Phase::Trial) => {
-                assert_eq!((b.build, b.stage, b.cap), (self.plan.build, 0, self.plan.waves[0].cap));
-                self.may_begin(0, now, wall);
+                assert_eq!(
+                    (after.build, after.stage, after.cap),
+                    (self.plan.build, 0, self.plan.waves[0].cap)
+                );
+                self.check_begin(0, now, wall);
                 self.enter(now);
             }
             (Phase::Trial, Phase::Trial) => {
-                assert_eq!((a.build, a.stage + 1), (b.build, b.stage), "one wave at a time");
-                let next = usize::from(b.stage);
-                assert_eq!(b.cap, self.plan.waves[next].cap);
-                self.may_leave(a, now, wall);
-                self.may_begin(next, now, wall);
+                assert_eq!(
+                    (before.build, before.stage + 1),
+                    (after.build, after.stage),
+                    "one wave at a time"
+                );
+                let next = usize::from(after.stage);
+                assert_eq!(after.cap, self.plan.waves[next].cap);
+                self.check_leave(before, now, wall);
+                self.check_begin(next, now, wall);
                 self.enter(now);
             }
             (Phase::Trial, Phase::Released) => {
-                assert_eq!(usize::from(a.stage) + 1, self.plan.waves.len(), "released before its last wave");
-                assert_eq!(b.cap, 1.0);
-                self.may_leave(a, now, wall);
-                let last = &self.plan.waves[usize::from(a.stage)];
+                assert_eq!(
+                    usize::from(before.stage) + 1,
+                    self.plan.waves.len(),
+                    "released before its last wave"
+                );
+                assert_eq!(after.cap, 1.0);
+                self.check_leave(before, now, wall);
+                let last = &self.plan.waves[usize::from(before.stage)];
                 assert!(
                     last.on_close == OnClose::Finish || open(&self.plan, wall),
                     "released in a closed window"
@@ -232,14 +271,16 @@
                 *self.outcomes.entry("released".into()).or_default() += 1;
             }
             (Phase::Trial | Phase::Released, Phase::RollingBack) => {
-                let why = self.reason_to_go_back(a, now, wall);
+                let why = self.rollback_reason(before, now, wall);
                 assert!(why.is_some(), "it goes back without a reason: {step:?}");
-                assert!(b.cap <= a.cap);
+                assert!(after.cap <= before.cap);
                 *self.outcomes.entry(format!("back: {}", why.unwrap_or(""))).or_default() += 1;
             }
-            (Phase::RollingBack, Phase::RollingBack) => assert!(b.cap < a.cap, "a cap rose on the way back"),
+            (Phase::RollingBack, Phase::RollingBack) => {
+                assert!(after.cap < before.cap, "a cap rose on the way back");
+            }
             (Phase::RollingBack, Phase::Withdrawn) => {
-                assert_eq!(b.cap, 0.0);
+                assert_eq!(after.cap, 0.0);
                 assert!(self.runs.iter().all(|r| r.1 != self.plan.build), "withdrawn, and still running");
             }
             other => panic!("no plan has this: {other:?} in {step:?}"),
@@ -248,11 +289,14 @@
 
     fn enter(&mut self, now: u64) {
         self.since = now;
-        (self.first_run, self.skipped, self.left, self.clock_set) = (None, false, false, false);
+        self.first_run = None;
+        self.skipped = false;
+        self.left = false;
+        self.clock_set = false;
         self.votes.clear();
     }
 
-    fn may_begin(&self, wave: usize, now: u64, wall: u64) {
+    fn check_begin(&self, wave: usize, now: u64, wall: u64) {
         let name = &self.plan.waves[wave].name;
         assert!(open(&self.plan, wall), "wave {name:?} begins in a closed window");
         assert!(self.signed_off(name), "wave {name:?} begins without its approvals");
@@ -263,19 +307,22 @@
         }
     }
 
-    fn may_leave(&self, news: Announcement, now: u64, wall: u64) {
-        let wave = &self.plan.waves[usize::from(news.stage)];
+    fn check_leave(&self, announcement: Announcement, now: u64, wall: u64) {
+        let wave = &self.plan.waves[usize::from(announcement.stage)];
         let name = &wave.name;
         let back = self.share(wave.gate, self.plan.fleet.votes_back);
-        assert!(self.valid_votes(Verdict::Back, now, news) < back, "wave {name:?} moves on against 'back'");
+        assert!(
+            self.valid_votes(Verdict::Back, now, announcement) < back,
+            "wave {name:?} moves on against 'back'"
+        );
         let needed = self.share(wave.gate, wave.votes);
         if wave.gate == Gate::Timer {
             assert!(
-                self.valid_votes(Verdict::Hold, now, news) < needed,
+                self.valid_votes(Verdict::Hold, now, announcement) < needed,
                 "wave {name:?} moves on against 'hold'"
             );
         } else {
-            let on = self.valid_votes(Verdict::On, now, news);
+            let on = self.valid_votes(Verdict::On, now, announcement);
             assert!(on >= needed, "wave {name:?} moves on with {on} of {needed} votes");
         }
         assert!(self.stopped_until.is_none_or(|until| now >= until), "wave {name:?} moves on under a hold");
@@ -293,14 +340,16 @@
         }
     }
 
-    fn reason_to_go_back(&self, news: Announcement, now: u64, wall: u64) -> Option<&'static str> {
-        let wave = &self.plan.waves[usize::from(news.stage)];
+    fn rollback_reason(&self, announcement: Announcement, now: u64, wall: u64) -> Option<&'static str> {
+        let wave = &self.plan.waves[usize::from(announcement.stage)];
         let offered = self.offered.unwrap_or(now);
-        let ahead = &self.plan.waves[(usize::from(news.stage) + 1).min(self.plan.waves.len())..];
-        let unsigned = |s: &violetseam_plan::SignOff| {
+        let ahead = &self.plan.waves[(usize::from(announcement.stage) + 1).min(self.plan.waves.len())..];
+        let unsigned = |s: &SignOff| {
             ahead.iter().any(|w| w.name == s.wave) && now - offered > s.within && !self.signed_off(&s.wave)
         };
-        if self.valid_votes(Verdict::Back, now, news) >= self.share(wave.gate, self.plan.fleet.votes_back) {
+        if self.valid_votes(Verdict::Back, now, announcement)
+            >= self.share(wave.gate, self.plan.fleet.votes_back)
+        {
             Some("votes")
         } else if self.ordered_back {
             Some("order")
--- a/crates/plan-simulation/tests/courses.rs
+++ b/crates/plan-simulation/tests/courses.rs
@@ -1,4 +1,4 @@
-//! The courses that releases take when something comes at the wrong moment.
+//! What releases do when something comes at the wrong moment.
 
 use violetseam_plan::{Plan, moment_of, read_text};
 use violetseam_plan_simulation::{Sample, Script, SimulationRun, simulate};
@@ -36,20 +36,20 @@
 
 const ALL_ON: &str = "votes(proxies = 4, verdict = \"on\", every = \"10s\")\n";
 
-fn played(plan: &Plan, text: &str) -> SimulationRun {
+fn run_script(plan: &Plan, text: &str) -> SimulationRun {
     simulate(plan, &script(text), &mut |_| {})
 }
 
 /// Minutes from the offer at which the release entered a phase and stage.
-fn minute(played: &SimulationRun, phase: Phase, stage: u8) -> Option<u64> {
+fn minute(run: &SimulationRun, phase: Phase, stage: u8) -> Option<u64> {
     let entered =
-        played.announcements.iter().find(|sample| (sample.value.phase, sample.value.stage) == (phase, stage));
+        run.announcements.iter().find(|sample| (sample.value.phase, sample.value.stage) == (phase, stage));
     entered.map(|sample| sample.at / (60 * S))
 }
 
 #[test]
 fn a_plain_release_takes_its_soaks_and_runs_everywhere() {
-    let p = played(&plan(""), ALL_ON);
+    let p = run_script(&plan(""), ALL_ON);
     assert_eq!(minute(&p, Phase::Trial, 0), Some(0));
     assert_eq!(minute(&p, Phase::Trial, 1), Some(10));
     assert_eq!(minute(&p, Phase::Released, 1), Some(20));
@@ -62,11 +62,11 @@
     // Closes five minutes into the first wave, opens again at ten.
     let windows = "window(days = \"mon-sun\", start = \"08:00\", end = \"08:05\", zone = \"UTC\")\n\
                    window(days = \"mon-sun\", start = \"10:00\", end = \"16:00\", zone = \"UTC\")\n";
-    let held = played(&plan_with("hold", windows), ALL_ON);
+    let held = run_script(&plan_with("hold", windows), ALL_ON);
     assert_eq!(minute(&held, Phase::Trial, 1), Some(125), "five minutes of soak before, five after");
-    let finished = played(&plan_with("finish", windows), ALL_ON);
+    let finished = run_script(&plan_with("finish", windows), ALL_ON);
     assert_eq!(minute(&finished, Phase::Trial, 1), Some(120), "soaked on, and waited for a window to move");
-    let back = played(&plan_with("back", windows), ALL_ON);
+    let back = run_script(&plan_with("back", windows), ALL_ON);
     assert_eq!(minute(&back, Phase::RollingBack, 0), Some(5));
     assert!(
         back.final_status.contains("the window closed") && back.running_places.last().unwrap().value == 0
@@ -80,13 +80,13 @@
     let good = format!(
         "{ALL_ON}sign(at = \"30m\", who = \"qa\", wave = \"all\")\nsign(at = \"40m\", who = \"plant\", wave = \"all\")\n"
     );
-    assert_eq!(minute(&played(&p, &good), Phase::Trial, 1), Some(40));
+    assert_eq!(minute(&run_script(&p, &good), Phase::Trial, 1), Some(40));
     // Withdrawn in the very turn in which the second comes: the gate does not open.
     let withdrawn = format!(
         "{good}unsign(at = \"40m\", who = \"qa\", wave = \"all\")\nsign(at = \"50m\", who = \"qa\", wave = \"all\")\n"
     );
-    assert_eq!(minute(&played(&p, &withdrawn), Phase::Trial, 1), Some(50));
-    let late = played(
+    assert_eq!(minute(&run_script(&p, &withdrawn), Phase::Trial, 1), Some(50));
+    let late = run_script(
         &p,
         &format!(
             "{ALL_ON}sign(at = \"30m\", who = \"qa\", wave = \"all\")\nsign(at = \"121m\", who = \"plant\", wave = \"all\")\n"
@@ -94,7 +94,7 @@
     );
     assert_eq!(minute(&late, Phase::RollingBack, 0), Some(120));
     assert!(late.final_status.contains("not approved in time"), "{}", late.final_status);
-    let called = played(&p, &format!("order(at = \"20m\", who = \"on-call\", what = \"back\")\n{good}"));
+    let called = run_script(&p, &format!("order(at = \"20m\", who = \"on-call\", what = \"back\")\n{good}"));
     assert_eq!(minute(&called, Phase::Trial, 1), None);
     assert!(called.final_status.contains("called back by on-call"));
 }
@@ -103,20 +103,21 @@
 fn wall_clocks_that_step_move_no_soak_and_no_vote() {
     let windows = "window(days = \"mon-sun\", start = \"07:00\", end = \"16:00\", zone = \"UTC\")\n";
     let p = plan(windows);
-    let plain = played(&p, ALL_ON).announcements;
-    let back = played(&p, &format!("{ALL_ON}clock(at = \"5m\", back = \"40m\")\n")).announcements;
+    let plain = run_script(&p, ALL_ON).announcements;
+    let back = run_script(&p, &format!("{ALL_ON}clock(at = \"5m\", back = \"40m\")\n")).announcements;
     let times = |samples: &[Sample<Announcement>]| {
         samples.iter().map(|sample| sample.at / (30 * S)).collect::<Vec<_>>()
     };
     assert_eq!(times(&plain), times(&back), "a step back repeats nothing and delays nothing");
-    // Forwards over the whole window: it is night by that clock, and nothing moves until the clock is set right.
-    let night = played(
+    // Forwards over the whole window: it is night by that clock, and nothing moves until the clock is set
+    // right.
+    let night = run_script(
         &p,
         &format!("{ALL_ON}clock(at = \"5m\", ahead = \"12h\")\nclock(at = \"65m\", back = \"12h\")\n"),
     );
     assert_eq!(minute(&night, Phase::Trial, 1), Some(70));
     // Forwards by weeks: the longest a release may take is not over for that.
-    let weeks = played(&p, &format!("{ALL_ON}clock(at = \"5m\", ahead = \"20d\")\n"));
+    let weeks = run_script(&p, &format!("{ALL_ON}clock(at = \"5m\", ahead = \"20d\")\n"));
     assert_eq!(minute(&weeks, Phase::Released, 1), Some(20));
 }
 
@@ -151,9 +152,9 @@
     // Proxies vote until the controller goes away, five minutes into the first wave, and an hour after it.
     let text = "votes(proxies = 4, verdict = \"on\", every = \"10s\", until = \"5m\")\n\
                 away(at = \"5m\", **{\"for\": \"20m\"})\nvotes(at = \"40m\", proxies = 4, verdict = \"on\", every = \"10s\")\n";
-    let stopped = played(&stops, text);
+    let stopped = run_script(&stops, text);
     assert_eq!(minute(&stopped, Phase::Trial, 1), Some(40));
-    let counted = played(&counts, text);
+    let counted = run_script(&counts, text);
     assert_eq!(
         minute(&counted, Phase::Trial, 1),
         Some(40),
@@ -161,35 +162,35 @@
     );
     let voted =
         "votes(proxies = 4, verdict = \"on\", every = \"10s\")\naway(at = \"5m\", **{\"for\": \"20m\"})\n";
-    assert_eq!(minute(&played(&counts, voted), Phase::Trial, 1), Some(25));
-    let still = minute(&played(&stops, voted), Phase::Trial, 1);
+    assert_eq!(minute(&run_script(&counts, voted), Phase::Trial, 1), Some(25));
+    let still = minute(&run_script(&stops, voted), Phase::Trial, 1);
     assert!(still == Some(30) || still == Some(29), "{still:?}");
 }
 
 #[test]
 fn a_release_that_takes_too_long_goes_back_and_holds_can_be_left() {
-    let never = played(&plan(""), "");
+    let never = run_script(&plan(""), "");
     assert_eq!(minute(&never, Phase::RollingBack, 0), Some(480));
     assert!(never.final_status.contains("longer than its plan permits"));
     let hold = "hold(before = \"all\", leave = [\"lead\"], at_most = \"3h\")\n";
-    assert_eq!(minute(&played(&plan(hold), ALL_ON), Phase::Trial, 1), Some(180));
+    assert_eq!(minute(&run_script(&plan(hold), ALL_ON), Phase::Trial, 1), Some(180));
     let left = format!(
         "{ALL_ON}order(at = \"60m\", who = \"on-call\", what = \"resume\")\norder(at = \"70m\", who = \"lead\", what = \"resume\")\n"
     );
     assert_eq!(
-        minute(&played(&plan(hold), &left), Phase::Trial, 1),
+        minute(&run_script(&plan(hold), &left), Phase::Trial, 1),
         Some(70),
         "on-call may not leave the plan's hold"
     );
     let stopped =
         format!("{ALL_ON}order(at = \"2m\", who = \"on-call\", what = \"hold\", **{{\"for\": \"30m\"}})\n");
     assert_eq!(
-        minute(&played(&plan(""), &stopped), Phase::Trial, 1),
+        minute(&run_script(&plan(""), &stopped), Phase::Trial, 1),
         Some(40),
         "an operator's hold ends by itself"
     );
     let stranger =
-        played(&plan(""), &format!("{ALL_ON}order(at = \"2m\", who = \"stranger\", what = \"back\")\n"));
+        run_script(&plan(""), &format!("{ALL_ON}order(at = \"2m\", who = \"stranger\", what = \"back\")\n"));
     assert_eq!(minute(&stranger, Phase::Released, 1), Some(20));
     assert!(stranger.timeline.iter().any(|e| e.text.contains("does not allow stranger")));
 }
@@ -199,65 +200,66 @@
     let mut p = plan("");
     p.waves[0].places = [0, 1].into();
     let lost = format!("lose(at = \"0s\", place = 0, **{{\"for\": \"7h\"}})\n{ALL_ON}");
-    let minutes = minute(&played(&p, &lost), Phase::Trial, 1);
+    let minutes = minute(&run_script(&p, &lost), Phase::Trial, 1);
     assert_eq!(minutes, Some(15), "five minutes of launch, then the soak");
 }
 
-// From here on past the rehearsal, event by event.
+// From here on without the simulation, event by event.
 
-struct Direct {
+/// A release that gets single events.
+struct DirectRelease {
     release: Release,
     now: Now,
 }
 
-impl Direct {
-    fn new(plan: &Plan) -> Direct {
-        let mut d = Direct { release: Release::new(1), now: Now { wall: start(), steady: 0 } };
-        d.tell(Event::Started);
-        assert_eq!(d.tell(Event::Offer(Box::new(plan.clone()))), Reply::Accepted);
-        d.tell(Event::Tick);
+impl DirectRelease {
+    fn new(plan: &Plan) -> DirectRelease {
+        let mut d = DirectRelease { release: Release::new(1), now: Now { wall: start(), steady: 0 } };
+        d.apply(Event::Started);
+        assert_eq!(d.apply(Event::Offer(Box::new(plan.clone()))), Reply::Accepted);
+        d.apply(Event::Tick);
         for place in 0..4 {
-            d.tell(Event::Place { place, build: 1, state: PlaceState::Running });
+            d.apply(Event::Place { place, build: 1, state: PlaceState::Running });
         }
         d
     }
 
-    fn tell(&mut self, event: Event) -> Reply {
+    fn apply(&mut self, event: Event) -> Reply {
         self.release.on_event(self.now, &event).reply
     }
 
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now = Now { wall: self.now.wall + S, steady: self.now.steady + S };
-            self.tell(Event::Tick);
+            self.apply(Event::Tick);
         }
     }
 
     fn vote(&mut self, proxy: u32, stage: u8, verdict: Verdict) -> Reply {
-        self.tell(Event::Vote(Vote { proxy, build: 7, stage, verdict }))
+        self.apply(Event::Vote(Vote { proxy, build: 7, stage, verdict }))
     }
 
     /// The wave's places run, and it has soaked.
     fn soak(&mut self) {
         for (place, build) in self.release.desired_builds() {
-            self.tell(Event::Place { place, build, state: PlaceState::Running });
+            self.apply(Event::Place { place, build, state: PlaceState::Running });
         }
-        self.pass(610);
+        self.advance(610);
     }
 }
 
 #[test]
-fn late_votes_for_an_earlier_stage_are_moot_and_none_counts_twice() {
-    let mut d = Direct::new(&plan(""));
+fn late_votes_for_an_earlier_stage_are_obsolete_and_none_counts_twice() {
+    let mut d = DirectRelease::new(&plan(""));
     d.soak();
     assert_eq!(d.vote(0, 0, Verdict::On), Reply::Accepted);
     for _ in 0..10 {
         assert_eq!(d.vote(0, 0, Verdict::On), Reply::Accepted);
     }
-    d.pass(1);
+    d.advance(1);
     assert_eq!(d.release.announcement().stage, 0, "one proxy counted twice");
     assert_eq!(d.vote(1, 0, Verdict::On), Reply::Accepted);
-    d.pass(1);
+    d.advance(1);
     assert_eq!(d.release.announcement().stage, 1);
     for proxy in 0..4 {
         assert!(matches!(d.vote(proxy, 0, Verdict::On), Reply::Obsolete(_)));
@@ -270,15 +272,15 @@
         (d.vote(0, 1, Verdict::On), d.vote(2, 1, Verdict::Withdraw)),
         (Reply::Accepted, Reply::Accepted)
     );
-    d.pass(31);
+    d.advance(31);
     d.vote(1, 1, Verdict::On);
-    d.pass(1);
+    d.advance(1);
     assert_eq!(d.release.announcement().phase, Phase::Trial, "a vote outlived its time");
 }
 
 #[test]
 fn on_and_back_in_one_turn_end_in_back() {
-    let mut d = Direct::new(&plan(""));
+    let mut d = DirectRelease::new(&plan(""));
     d.soak();
     // All of one turn, with the tick at its end, as the controller does.
     for proxy in 0..4 {
@@ -286,52 +288,52 @@
     }
     d.vote(0, 0, Verdict::Back);
     d.vote(1, 0, Verdict::Back);
-    d.pass(1);
+    d.advance(1);
     assert_eq!((d.release.announcement().phase, d.release.announcement().stage), (Phase::RollingBack, 0));
     assert!(matches!(d.vote(2, 0, Verdict::On), Reply::Obsolete(_)));
-    assert!(matches!(d.tell(Event::Sign { who: "qa".into(), wave: "all".into() }), Reply::Obsolete(_)));
+    assert!(matches!(d.apply(Event::Sign { who: "qa".into(), wave: "all".into() }), Reply::Obsolete(_)));
 }
 
 #[test]
 fn a_build_offered_while_one_goes_back_waits_for_its_end_and_a_called_back_one_stays_back() {
-    let mut d = Direct::new(&plan(""));
+    let mut d = DirectRelease::new(&plan(""));
     d.soak();
-    d.tell(Event::Order { who: "on-call".into(), order: Order::Back });
+    d.apply(Event::Order { who: "on-call".into(), order: Order::Back });
     assert_eq!(d.release.announcement().phase, Phase::RollingBack);
     let mut next = plan("");
     next.build = 8;
-    assert!(matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Obsolete(_)));
-    assert_eq!(d.tell(Event::Offer(Box::new(next.clone()))), Reply::Accepted);
+    assert!(matches!(d.apply(Event::Offer(Box::new(plan("")))), Reply::Obsolete(_)));
+    assert_eq!(d.apply(Event::Offer(Box::new(next.clone()))), Reply::Accepted);
     let mut third = next.clone();
     third.build = 9;
-    assert!(matches!(d.tell(Event::Offer(Box::new(third))), Reply::Rejected(_)));
-    d.pass(30);
+    assert!(matches!(d.apply(Event::Offer(Box::new(third))), Reply::Rejected(_)));
+    d.advance(30);
     assert_eq!(d.release.announcement().build, 7, "two builds on their way in one place");
     for p in 0..4 {
-        d.tell(Event::Place { place: p, build: 1, state: PlaceState::Running });
-        d.tell(Event::Place { place: p, build: 7, state: PlaceState::Gone });
+        d.apply(Event::Place { place: p, build: 1, state: PlaceState::Running });
+        d.apply(Event::Place { place: p, build: 7, state: PlaceState::Gone });
     }
-    d.pass(2);
+    d.advance(2);
     assert_eq!((d.release.announcement().build, d.release.announcement().phase), (8, Phase::Trial));
-    d.tell(Event::Order { who: "on-call".into(), order: Order::Back });
+    d.apply(Event::Order { who: "on-call".into(), order: Order::Back });
     for p in 0..4 {
-        d.tell(Event::Place { place: p, build: 8, state: PlaceState::Gone });
+        d.apply(Event::Place { place: p, build: 8, state: PlaceState::Gone });
     }
-    d.pass(2);
+    d.advance(2);
     assert_eq!(d.release.announcement().phase, Phase::Withdrawn);
     assert!(
-        matches!(d.tell(Event::Offer(Box::new(plan("")))), Reply::Rejected(w) if w.contains("called back"))
+        matches!(d.apply(Event::Offer(Box::new(plan("")))), Reply::Rejected(w) if w.contains("called back"))
     );
-    assert!(matches!(d.tell(Event::Offer(Box::new(next))), Reply::Rejected(_)));
+    assert!(matches!(d.apply(Event::Offer(Box::new(next))), Reply::Rejected(_)));
 }
 
 #[test]
 fn a_restart_goes_on_in_the_same_stage_with_the_same_state() {
-    let mut d = Direct::new(&plan(""));
+    let mut d = DirectRelease::new(&plan(""));
     d.soak();
     d.vote(0, 0, Verdict::On);
     // What is durable, read again.
-    let text = serde_json_of(&d.release);
+    let text = to_json(&d.release);
     let mut again: Release = serde_json::from_str(&text).unwrap();
     assert_eq!(again, d.release);
     let later = Now { wall: d.now.wall + 5 * S, steady: 77 };
@@ -347,7 +349,7 @@
     assert_eq!(unsure.votes(), 0);
 }
 
-fn serde_json_of(release: &Release) -> String {
+fn to_json(release: &Release) -> String {
     serde_json::to_string(release).unwrap()
 }
 
--- a/crates/plan-simulation/tests/random.rs
+++ b/crates/plan-simulation/tests/random.rs
@@ -1,11 +1,11 @@
-//! Random plans under random scripts: every decision is read against the plan by the tests' own reading.
+//! Random plans under random scripts: every decision is checked against the plan by an independent check.
 //!
-//! The short run is part of the tests; the long one is measured: `cargo test --release -p violetseam-plan-simulation
-//! --test random -- --ignored --nocapture`.
+//! The short run is part of the tests; the long one is measured: `cargo test --release -p
+//! violetseam-plan-simulation --test random -- --ignored --nocapture`.
 
 mod common;
 
-use common::{MINUTE, Reader, S};
+use common::{DecisionChecker, MINUTE, S};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -305,7 +305,7 @@
     let script_text = script_text(rng, plan);
     let script = violetseam_plan_simulation::read_text("script", &script_text)
         .unwrap_or_else(|error| panic!("{error}\n{script_text}"));
-    let mut reader = Reader::new(plan);
+    let mut checker = DecisionChecker::new(plan);
     // What a restarted controller would know: given only the persisted events, it must come to the same.
     let mut restarted = Release::new(1);
     let run = simulate(plan, &script, &mut |step| {
@@ -319,16 +319,16 @@
             step.after,
             "{plan_text}\nscript: {script:?}\nat {at} s: {step:?}"
         );
-        let read = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| reader.read(step)));
-        if let Err(panic) = read {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| checker.check(step)));
+        if let Err(panic) = result {
             eprintln!("plan:\n{plan_text}\nscript: {script:?}\nat {at} s: {step:?}");
             std::panic::resume_unwind(panic);
         }
     });
     assert!(!run.timeline.is_empty());
     counts.simulated += 1;
-    counts.transitions += reader.transitions;
-    for (outcome, count) in reader.outcomes {
+    counts.transitions += checker.transitions;
+    for (outcome, count) in checker.outcomes {
         *counts.outcomes.entry(outcome).or_default() += count;
     }
 }
@@ -349,9 +349,9 @@
     assert!(!counts.faults.contains_key("other"), "{:?}", counts.faults);
 }
 
-/// The reader must be able to find something: told another plan than the one that is played, it does.
+/// The check must be able to fail: against another plan than the one that is simulated, it does.
 #[test]
-fn a_reader_of_a_stricter_plan_objects() {
+fn a_check_against_a_stricter_plan_fails() {
     let start = moment_of("2026-12-01T08:00", "UTC").unwrap();
     let text = "plan(name = \"r\", build = 7, longest = \"60m\")\n\
         fleet(proxies = 4, places = 4, vote_ttl = \"30s\", stage_caps = [0.5, 1.0])\n\
@@ -362,9 +362,9 @@
     let objects = |stricter: &dyn Fn(&mut Plan)| {
         let mut other = plan.clone();
         stricter(&mut other);
-        let mut reader = Reader::new(&other);
+        let mut checker = DecisionChecker::new(&other);
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            simulate(&plan, &script, &mut |step| reader.read(step));
+            simulate(&plan, &script, &mut |step| checker.check(step));
         }))
         .is_err()
     };
--- a/crates/plan/src/calendar.rs
+++ b/crates/plan/src/calendar.rs
@@ -1,9 +1,9 @@
 //! When the windows are open: weekday and time in a time zone, less freezes.
 //!
-//! A window opens on a day at the first moment at which the clocks there show its start, or have jumped over it, and
-//! closes at the first moment at which they show its end, or have jumped over it. So a window is open once on a day
-//! whose clocks go back, with the repeated hour in it where both its ends are outside, and a window that a jump skips
-//! entirely does not open that day.
+//! A window opens on a day at the first moment at which the clocks there show its start, or have jumped over
+//! it, and closes at the first moment at which they show its end, or have jumped over it. So a window is open
+//! once on a day whose clocks go back, with the repeated hour in it where both its ends are outside, and a
+//! window that a jump skips entirely does not open that day.
 //!
 //! `jiff` knows the zones; its database is built in, so that a machine without one reads a plan alike.
 
@@ -67,7 +67,8 @@
     }
 }
 
-/// The most edges that are looked at for one answer. Windows repeat weekly, so that far fewer are ever needed.
+/// The most edges that are looked at for one answer. Windows repeat weekly, so that far fewer are ever
+/// needed.
 const MAX_EDGES: usize = 20_000;
 const DAY: Micros = 86_400_000_000;
 /// An edge is looked for within this span: more than a week, after which windows repeat.
--- a/crates/plan/src/check/mod.rs
+++ b/crates/plan/src/check/mod.rs
@@ -1,7 +1,7 @@
 //! Everything that can be proved wrong about a plan before it runs, each error with the line that it is on.
 //!
-//! What is proved here is proved for a release that is offered at a given moment: windows and freezes make the same plan
-//! possible on Monday and impossible on the day before a freeze.
+//! What is proved here is proved for a release that is offered at a given moment: windows and freezes make
+//! the same plan possible on Monday and impossible on the day before a freeze.
 
 mod fleet;
 mod operators;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,5 +1,5 @@
-//! Release plans as data: waves, windows, freezes, holds, approvals and operators' powers, read from a reviewable script
-//! and checked for contradictions before anything runs.
+//! Release plans as data: waves, windows, freezes, holds, approvals and operators' powers, read from a
+//! reviewable script and checked for contradictions before anything runs.
 //!
 //! - `plan.rs`: the plan
 //! - `sections.rs`: the sections as a script writes them
@@ -8,8 +8,8 @@
 //! - `check/`: everything that can be proved wrong about a plan, each with its line
 //! - `diff.rs`: what differs between two plans
 //!
-//! Nothing here has a clock or does I/O beyond reading the script. Moments are microseconds since 1970 UTC, spans are
-//! microseconds. `docs/plans.md` is the reference.
+//! Nothing here has a clock or does I/O beyond reading the script. Moments are microseconds since 1970 UTC,
+//! spans are microseconds. `docs/plans.md` is the reference.
 
 mod build;
 mod calendar;
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans that are sound, contradictions each with its line and reason, and windows over changes of the clocks.
+//! Plans that are sound, contradictions each with its line and reason, and windows over changes of the
+//! clocks.
 
 use violetseam_plan::{
     Calendar, Freeze, Gate, OpenInterval, Plan, Power, Window, diff, moment_of, read_text,
--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -13,8 +13,8 @@
 ///
 /// # Errors
 ///
-/// A class's budget out of bounds, a `budgets(...)` section without a class that has one, or a division of the
-/// budgets that cannot be kept.
+/// A class's budget out of bounds, a `budgets(...)` section without a class that has one, or a division of
+/// the budgets that cannot be kept.
 pub(super) fn check_budgets(
     fleet: &Located<FleetSection>,
     classes: &[Located<RequestClassSection>],
--- a/crates/settings/src/check/fleet.rs
+++ b/crates/settings/src/check/fleet.rs
@@ -14,8 +14,8 @@
 ///
 /// # Errors
 ///
-/// A name, size or position out of bounds, a control socket without a folder for its state, or a list of peers
-/// of another length than the fleet.
+/// A name, size or position out of bounds, a control socket without a folder for its state, or a list of
+/// peers of another length than the fleet.
 pub(super) fn check_fleet(
     fleet: &Located<FleetSection>,
     peers: Option<&Located<PeersSection>>,
--- a/crates/settings/src/check/members.rs
+++ b/crates/settings/src/check/members.rs
@@ -14,7 +14,8 @@
 ///
 /// # Errors
 ///
-/// There is no member, one is malformed or there twice, or the operator's identity is missing where it is needed.
+/// There is no member, one is malformed or there twice, or the operator's identity is missing where it is
+/// needed.
 pub(crate) fn check_fleet_file(script: &str, sections: &Sections) -> Result<FleetFile, ScriptError> {
     let identity = optional_section("identity", &sections.identity)?.map(|section| section.value.clone());
     let mut members: Vec<Member> = Vec::new();
--- a/crates/settings/src/check/rollout.rs
+++ b/crates/settings/src/check/rollout.rs
@@ -20,8 +20,8 @@
 ///
 /// # Errors
 ///
-/// A value out of bounds, caps that fall, stages in which no class could try a build, or votes that expire before
-/// they are answered.
+/// A value out of bounds, caps that fall, stages in which no class could try a build, or votes that expire
+/// before they are answered.
 pub(super) fn check_rollout(
     rollout: &Located<RolloutSection>,
     classes: &[Located<RequestClassSection>],
--- a/crates/settings/src/check/routes.rs
+++ b/crates/settings/src/check/routes.rs
@@ -11,7 +11,8 @@
 ///
 /// # Errors
 ///
-/// A malformed route, one that an earlier one covers, so that it could never match, or a class without a route.
+/// A malformed route, one that an earlier one covers, so that it could never match, or a class without a
+/// route.
 pub(super) fn check_routes(
     script: &str,
     sections: &[Located<RouteSection>],
--- a/crates/settings/src/sections/connections.rs
+++ b/crates/settings/src/sections/connections.rs
@@ -33,7 +33,8 @@
 /// What it means that a client has closed its sending side.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 pub enum HalfClose {
-    /// The client has left, and its request is cancelled: a closed socket looks the same until it is written to.
+    /// The client has left, and its request is cancelled: a closed socket looks the same until it is written
+    /// to.
     #[default]
     #[serde(rename = "gone")]
     Cancel,
--- a/crates/settings/src/sections/mod.rs
+++ b/crates/settings/src/sections/mod.rs
@@ -1,5 +1,6 @@
-//! The sections as a script writes them: names, types and defaults. Fields have the names that scripts use; what
-//! the sections mean together is checked in `check`, which also gives the fields the names of the program.
+//! The sections as a script writes them: names, types and defaults. Fields have the names that scripts use;
+//! what the sections mean together is checked in `check`, which also gives the fields the names of the
+//! program.
 
 mod connections;
 mod fleet;
--- a/crates/settings/tests/route_table.rs
+++ b/crates/settings/tests/route_table.rs
@@ -4,17 +4,17 @@
 use proptest::prelude::*;
 use violetseam_settings::{Rank, RouteTable, Target};
 
-/// A route as the oracle holds it.
+/// A route of the linear scan that the table is compared with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Plain {
+struct PlainRoute {
     method: Option<Method>,
     prefix: String,
     target: Target,
 }
 
-impl Plain {
+impl PlainRoute {
     fn matches(&self, method: &Method, path: &str) -> bool {
-        path.starts_with(&self.prefix) && self.method.as_ref().is_none_or(|own| own == method)
+        path.starts_with(&self.prefix) && self.method.as_ref().is_none_or(|required| required == method)
     }
 
     /// Every request that the other matches, this one matches.
@@ -41,26 +41,27 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// A script's order: the first that matches counts, one that can never match is refused.
+    /// A script's order: the first that matches counts, one that can never match is rejected.
     #[test]
     fn the_first_route_that_matches_counts(
         routes in routes(),
         requests in prop::collection::vec((method(), path()), 20),
     ) {
-        let (mut table, mut scanned) = (RouteTable::default(), Vec::<Plain>::new());
+        let mut table = RouteTable::default();
+        let mut scanned = Vec::<PlainRoute>::new();
         for (order, (method, prefix)) in routes.into_iter().enumerate() {
-            let covered = scanned.iter().find(|r| r.covers(method.as_ref(), &prefix)).map(|r| r.target);
+            let covered = scanned.iter().find(|route| route.covers(method.as_ref(), &prefix)).map(|route| route.target);
             prop_assert_eq!(table.covering(method.as_ref(), &prefix), covered);
             if covered.is_some() {
                 continue;
             }
             let target = Target { rank: Rank(order as u64), class: order % 5 };
             prop_assert_eq!(table.insert(method.as_ref(), &prefix, target), None);
-            scanned.push(Plain { method, prefix, target });
+            scanned.push(PlainRoute { method, prefix, target });
         }
         prop_assert_eq!(table.len(), scanned.len());
         for (method, path) in requests {
-            let first = scanned.iter().find(|r| r.matches(&method, &path)).map(|r| r.target);
+            let first = scanned.iter().find(|route| route.matches(&method, &path)).map(|route| route.target);
             prop_assert_eq!(table.find(&method, &path), first);
         }
     }
@@ -72,37 +73,39 @@
         changes in prop::collection::vec((any::<bool>(), prop::option::of(method()), path(), 0_usize..5), 0..80),
         requests in prop::collection::vec((method(), path()), 20),
     ) {
-        let (mut table, mut scanned) = (RouteTable::default(), Vec::<Plain>::new());
+        let mut table = RouteTable::default();
+        let mut scanned = Vec::<PlainRoute>::new();
         for (adds, method, prefix, class) in changes {
-            let at = scanned.iter().position(|r| r.method == method && r.prefix == prefix);
+            let at = scanned.iter().position(|route| route.method == method && route.prefix == prefix);
             let before = at.map(|at| scanned.remove(at).target);
             if adds {
                 let target = Target { rank: Rank::by_prefix(method.as_ref(), &prefix), class };
                 prop_assert_eq!(table.insert(method.as_ref(), &prefix, target), before);
-                scanned.push(Plain { method, prefix, target });
+                scanned.push(PlainRoute { method, prefix, target });
             } else {
                 prop_assert_eq!(table.remove(method.as_ref(), &prefix), before);
             }
             prop_assert_eq!(table.len(), scanned.len());
         }
         for (method, path) in requests {
-            let matching = scanned.iter().filter(|r| r.matches(&method, &path));
-            let longest = matching.max_by_key(|r| (r.prefix.len(), r.method.is_some())).map(|r| r.target);
+            let matching = scanned.iter().filter(|route| route.matches(&method, &path));
+            let longest = matching.max_by_key(|route| (route.prefix.len(), route.method.is_some()));
+            let longest = longest.map(|route| route.target);
             prop_assert_eq!(table.find(&method, &path), longest);
         }
-        let mut afresh = RouteTable::default();
+        let mut rebuilt = RouteTable::default();
         for route in &scanned {
-            afresh.insert(route.method.as_ref(), &route.prefix, route.target);
+            rebuilt.insert(route.method.as_ref(), &route.prefix, route.target);
         }
         for route in &scanned {
             // What was removed left no nodes behind.
-            prop_assert_eq!(table.visited(&route.prefix), afresh.visited(&route.prefix));
+            prop_assert_eq!(table.nodes_visited(&route.prefix), rebuilt.nodes_visited(&route.prefix));
         }
         for route in &scanned {
             prop_assert_eq!(table.remove(route.method.as_ref(), &route.prefix), Some(route.target));
         }
         prop_assert!(table.is_empty());
-        prop_assert!(scanned.iter().all(|route| table.visited(&route.prefix) == 1));
+        prop_assert!(scanned.iter().all(|route| table.nodes_visited(&route.prefix) == 1));
     }
 }
 
@@ -127,7 +130,7 @@
     let most_visited = |count: usize| {
         let table = table_of(count);
         let paths = (0..count).map(|number| prefix_of(number) + "part/of/an/item");
-        paths.map(|path| table.visited(&path)).max().unwrap()
+        paths.map(|path| table.nodes_visited(&path)).max().unwrap()
     };
     // Each further digit of a number may be a node; the path stays as long as it is.
     let (few, many) = (most_visited(300), most_visited(30_000));
@@ -139,7 +142,7 @@
 fn a_path_that_no_route_lies_along_visits_little_of_a_large_table() {
     let table = table_of(30_000);
     assert_eq!(table.find(&Method::GET, "/other"), None);
-    assert!(table.visited("/other") <= 2, "{}", table.visited("/other"));
+    assert!(table.nodes_visited("/other") <= 2, "{}", table.nodes_visited("/other"));
     let far = "/".repeat(100_000);
-    assert!(table.visited(&far) <= 2, "{}", table.visited(&far));
+    assert!(table.nodes_visited(&far) <= 2, "{}", table.nodes_visited(&far));
 }
--- a/crates/settings/tests/scripts.rs
+++ b/crates/settings/tests/scripts.rs
@@ -1,4 +1,5 @@
-//! Settings scripts: a sound one is taken whole, and each kind of fault is refused with file, line and reason.
+//! Settings scripts: a sound one is read completely, and each kind of error is rejected with file, line and
+//! reason.
 
 use std::path::PathBuf;
 use violetseam::interface::{GateMode, Idempotency};
@@ -40,36 +41,40 @@
 }
 
 /// Replaces a piece of the sound script and expects the reason, at the line that holds the piece.
-fn refused(piece: &str, by: &str, reason: &str) {
+fn assert_rejected(piece: &str, by: &str, reason: &str) {
     let at = SOUND.find(piece).unwrap_or_else(|| panic!("{piece:?} is not in the script"));
     let line = SOUND[..at].matches('\n').count() + 1;
-    let fault = read_text("s.star", &SOUND.replacen(piece, by, 1), &[]).expect_err(by).to_string();
-    assert!(fault.contains(reason), "{by}: {fault}");
-    assert!(fault.starts_with(&format!("s.star:{line}:")), "{by}: {fault}, wanted line {line}");
+    let error = read_text("s.star", &SOUND.replacen(piece, by, 1), &[]).expect_err(by).to_string();
+    assert!(error.contains(reason), "{by}: {error}");
+    assert!(error.starts_with(&format!("s.star:{line}:")), "{by}: {error}, wanted line {line}");
 }
 
 #[test]
-fn faults_are_refused_at_their_line() {
-    refused("worth = 3", "wrth = 3", "unknown field `wrth`");
-    refused("worth = 3", "worth = \"3\"", "worth: invalid type");
-    refused("aim = \"300ms\"", "aim = 300", "aim: invalid type");
-    refused("aim = \"300ms\"", "aim = \"300 ms\"", "is no span of time");
-    refused("aim = \"300ms\"", "aim = \"2s\"", "the aim is past the deadline");
-    refused(", window = \"2s\"", "", "a keyed class, and no other, has a window");
-    refused("0.5, 1.0]", "0.5, 1.5]", "a stage cap of 1.5");
-    refused("0.5, 1.0]", "0.1, 1.0]", "stage_caps fall");
-    refused("to = \"log\"", "to = \"lag\"", "no class \"lag\"");
-    refused("prefix = \"/log\"", "prefix = \"log\"", "starts with /");
-    refused("range(3)", "range(2)", "2 addresses for a fleet of 3");
-    refused("position = option(\"position\", 0)", "position = 3", "position 3 in a fleet of 3");
-    refused("cold_from = 0.31", "cold_from = 0", "cold_from is over 0");
-    refused("half_close = \"serve\"", "half_close = \"maybe\"", "unknown variant");
-    refused("half_close = \"serve\"", "keep_body = 100, max_body = 10", "keep_body is over max_body");
-    refused("tenant(name = \"a\", quota = 10)", "tenant(name = \"a\", quota = nope)", "nope");
-    refused("PORT = 7000", "PORT = 7000 +", "Parse error");
-    refused("connections(half_close = \"serve\"", "budgets(lease = \"1s\"", "no request_class has a budget");
-    refused("worth = 3", "worth = 3, further = -1", "further is 0 to");
-    refused("worth = 3", "worth = 3, further = 1", "never saves up one token");
+fn errors_name_their_line() {
+    assert_rejected("worth = 3", "wrth = 3", "unknown field `wrth`");
+    assert_rejected("worth = 3", "worth = \"3\"", "worth: invalid type");
+    assert_rejected("aim = \"300ms\"", "aim = 300", "aim: invalid type");
+    assert_rejected("aim = \"300ms\"", "aim = \"300 ms\"", "is no span of time");
+    assert_rejected("aim = \"300ms\"", "aim = \"2s\"", "the aim is past the deadline");
+    assert_rejected(", window = \"2s\"", "", "a keyed class, and no other, has a window");
+    assert_rejected("0.5, 1.0]", "0.5, 1.5]", "a stage cap of 1.5");
+    assert_rejected("0.5, 1.0]", "0.1, 1.0]", "stage_caps fall");
+    assert_rejected("to = \"log\"", "to = \"lag\"", "no class \"lag\"");
+    assert_rejected("prefix = \"/log\"", "prefix = \"log\"", "starts with /");
+    assert_rejected("range(3)", "range(2)", "2 addresses for a fleet of 3");
+    assert_rejected("position = option(\"position\", 0)", "position = 3", "position 3 in a fleet of 3");
+    assert_rejected("cold_from = 0.31", "cold_from = 0", "cold_from is over 0");
+    assert_rejected("half_close = \"serve\"", "half_close = \"maybe\"", "unknown variant");
+    assert_rejected("half_close = \"serve\"", "keep_body = 100, max_body = 10", "keep_body is over max_body");
+    assert_rejected("tenant(name = \"a\", quota = 10)", "tenant(name = \"a\", quota = nope)", "nope");
+    assert_rejected("PORT = 7000", "PORT = 7000 +", "Parse error");
+    assert_rejected(
+        "connections(half_close = \"serve\"",
+        "budgets(lease = \"1s\"",
+        "no request_class has a budget",
+    );
+    assert_rejected("worth = 3", "worth = 3, further = -1", "further is 0 to");
+    assert_rejected("worth = 3", "worth = 3, further = 1", "never saves up one token");
 }
 
 #[test]
@@ -81,14 +86,14 @@
 }
 
 #[test]
-fn missing_sections_unknown_options_and_routes_that_cannot_match_are_refused() {
+fn missing_sections_unknown_options_and_routes_that_cannot_match_are_rejected() {
     let without = |piece: &str| SOUND.replacen(piece, "", 1);
-    let fault = |text: &str| read_text("s.star", text, &[]).unwrap_err().to_string();
-    assert!(fault(&without("desk(addr = \"127.0.0.1:7200\")")).contains("no desk(...)"));
-    assert!(fault(&without("route(prefix = \"/log\", to = \"log\")")).contains("no route leads to class"));
+    let error = |text: &str| read_text("s.star", text, &[]).unwrap_err().to_string();
+    assert!(error(&without("desk(addr = \"127.0.0.1:7200\")")).contains("no desk(...)"));
+    assert!(error(&without("route(prefix = \"/log\", to = \"log\")")).contains("no route leads to class"));
     let hidden = SOUND
         .replace("route(prefix = \"/log\"", "route(prefix = \"/\", to = \"read\")\nroute(prefix = \"/log\"");
-    assert!(fault(&hidden).contains("can never match"));
+    assert!(error(&hidden).contains("can never match"));
     let unknown = read_text("s.star", SOUND, &options(&[("positon", "1")])).unwrap_err().to_string();
     assert!(unknown.contains("asks for no option \"positon\""));
     assert!(
@@ -113,8 +118,8 @@
     let sound = write("load(\"common.star\", \"CAPS\")", "CAPS").unwrap();
     assert_eq!(sound.decisions.rollout.stage_caps, [0.1, 1.0]);
     for outside in ["../common.star", "/etc/hostname", ".hidden", "sub/common.star"] {
-        let fault = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().to_string();
-        assert!(fault.contains("only plain names"), "{fault}");
+        let error = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().to_string();
+        assert!(error.contains("only plain names"), "{error}");
     }
     assert!(write("load(\"round.star\", \"X\")", "[1.0]").unwrap_err().to_string().contains("in a circle"));
     assert!(write("load(\"none.star\", \"X\")", "[1.0]").is_err());
--- a/crates/starlark-config/src/call.rs
+++ b/crates/starlark-config/src/call.rs
@@ -73,7 +73,8 @@
 ///
 /// # Errors
 ///
-/// [`ScriptError::MissingSection`] if there is no call, [`ScriptError::DuplicateSection`] if there is more than one.
+/// [`ScriptError::MissingSection`] if there is no call, [`ScriptError::DuplicateSection`] if there is more
+/// than one.
 pub fn required_section<'a, T>(
     script: &str,
     section: &str,
--- a/crates/starlark-config/src/duration.rs
+++ b/crates/starlark-config/src/duration.rs
@@ -8,7 +8,8 @@
 const MICROS_PER_HOUR: f64 = 60.0 * MICROS_PER_MINUTE;
 const MICROS_PER_DAY: f64 = 24.0 * MICROS_PER_HOUR;
 
-/// The longest duration of a script, in microseconds: 90 days, so that sums of durations stay far from overflow.
+/// The longest duration of a script, in microseconds: 90 days, so that sums of durations stay far from
+/// overflow.
 const MAX_DURATION_MICROS: f64 = 90.0 * MICROS_PER_DAY;
 
 /// A duration in whole microseconds, read from a number with its unit: us, ms, s, m, h or d. At most 90 days.
--- a/crates/starlark-config/src/evaluate.rs
+++ b/crates/starlark-config/src/evaluate.rs
@@ -20,7 +20,8 @@
 /// The most bytes of one file.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Evaluates a file: the calls that it made, in order. `options` are the names and values that `option(...)` returns.
+/// Evaluates a file: the calls that it made, in order. `options` are the names and values that `option(...)`
+/// returns.
 ///
 /// # Errors
 ///
@@ -43,13 +44,13 @@
     if folder.as_os_str().is_empty() { PathBuf::from(".") } else { folder.to_owned() }
 }
 
-/// Evaluates a text: the calls that it made, in order. `name` stands for the file in errors; without a folder the script
-/// can load no files.
+/// Evaluates a text: the calls that it made, in order. `name` stands for the file in errors; without a folder
+/// the script can load no files.
 ///
 /// # Errors
 ///
-/// [`ScriptError::Evaluation`] if the script does not parse, fails or goes past a bound, and [`ScriptError::UnknownOption`]
-/// if it does not read one of the options.
+/// [`ScriptError::Evaluation`] if the script does not parse, fails or goes past a bound, and
+/// [`ScriptError::UnknownOption`] if it does not read one of the options.
 pub fn evaluate(
     name: &str,
     text: String,
--- a/crates/starlark-config/src/lib.rs
+++ b/crates/starlark-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Configuration scripts in Starlark. A script calls one function for each section of what it describes; every call is
-//! recorded with its file and line, so that an error found later can name the place.
+//! Configuration scripts in Starlark. A script calls one function for each section of what it describes;
+//! every call is recorded with its file and line, so that an error found later can name the place.
 //!
-//! A script has no clock, no network and no files but those that it loads from its own folder; its steps and memory are
-//! bounded. What the sections mean is up to the caller ([`Call::read`]).
+//! A script has no clock, no network and no files but those that it loads from its own folder; its steps and
+//! memory are bounded. What the sections mean is up to the caller ([`Call::read`]).
 
 mod call;
 mod duration;
--- a/crates/starlark-config/src/recorder.rs
+++ b/crates/starlark-config/src/recorder.rs
@@ -29,8 +29,8 @@
 }
 
 thread_local! {
-    /// Of the script under evaluation on this thread. The evaluator's own place for such state (`extra`) takes only types
-    /// with an `unsafe` trait, which this project forbids.
+    /// Of the script under evaluation on this thread. The evaluator's own place for such state (`extra`)
+    /// takes only types with an `unsafe` trait, which this project forbids.
     static RECORDER: RefCell<Recorder> = RefCell::default();
 }
 
@@ -69,7 +69,8 @@
 }
 
 /// Defines a function `$register` that gives a script these section functions; for
-/// [`evaluate`](crate::evaluate()). The package that uses it depends on `starlark` and `anyhow`, which the expansion names.
+/// [`evaluate`](crate::evaluate()). The package that uses it depends on `starlark` and `anyhow`, which the
+/// expansion names.
 #[macro_export]
 macro_rules! functions {
     ($register:ident: $($name:ident),* $(,)?) => {
@@ -99,8 +100,8 @@
 /// The functions that every script has.
 #[starlark_module]
 pub(crate) fn common_functions(globals: &mut GlobalsBuilder) {
-    /// The value given on the command line (`--set name=value`), else the default, which also determines whether a text, a
-    /// boolean or a number is expected.
+    /// The value given on the command line (`--set name=value`), else the default, which also determines
+    /// whether a text, a boolean or a number is expected.
     fn option<'v>(
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] default: Value<'v>,
