--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -1,5 +1,6 @@
 //! Budgets of further attempts that the whole fleet keeps.
 
+use super::value_or_default;
 use crate::sections::{BudgetsSection, FleetSection, RequestClassSection};
 use violetseam_fleet_state::fleet_quotas::QuotaPlan;
 use violetseam_starlark_config::{Located, ScriptError};
@@ -34,7 +35,7 @@
             None => Ok(None),
         };
     }
-    let budgets = section.map(|section| section.value.clone()).unwrap_or_default();
+    let budgets = value_or_default(section);
     let plan = QuotaPlan {
         members: fleet.value.size,
         position: fleet.value.position,
--- a/crates/settings/src/check/connections.rs
+++ b/crates/settings/src/check/connections.rs
@@ -1,5 +1,6 @@
 //! Header fields that carry what the decisions look at, and bounds of connections.
 
+use super::value_or_default;
 use crate::sections::{ConnectionsSection, HeadersSection};
 use crate::settings::{ConnectionLimits, HeaderNames};
 use http::HeaderName;
@@ -19,7 +20,7 @@
 ///
 /// A name that HTTP does not permit, or one that stands for two request fields.
 pub(super) fn check_headers(section: Option<&Located<HeadersSection>>) -> Result<HeaderNames, ScriptError> {
-    let texts = section.map(|section| section.value.clone()).unwrap_or_default();
+    let texts = value_or_default(section);
     let location = section.map_or("headers", |section| section.location.as_str());
     let parse = |text: &str| {
         HeaderName::from_bytes(text.as_bytes())
@@ -59,7 +60,7 @@
     if let Some(section) = section {
         check_connection_bounds(section)?;
     }
-    Ok(connection_limits(section.map(|section| section.value.clone()).unwrap_or_default()))
+    Ok(connection_limits(value_or_default(section)))
 }
 
 fn check_connection_bounds(section: &Located<ConnectionsSection>) -> Result<(), ScriptError> {
--- a/crates/settings/src/check/decisions.rs
+++ b/crates/settings/src/check/decisions.rs
@@ -1,41 +1,40 @@
 //! The balancer's settings, from sections that were checked.
 
+use super::{SingleSections, value_or_default};
 use crate::collect::Sections;
 use crate::sections::{
-    ContractSection, DedupGroupName, FleetSection, GateName, IdempotencyName, LimitsSection,
-    RequestClassSection, RolloutSection,
+    ContractSection, DedupGroupName, GateName, IdempotencyName, LimitsSection, RequestClassSection,
+    RolloutSection, TenantSection,
 };
 use violetseam::interface;
-use violetseam_starlark_config::{Located, ScriptDuration};
+use violetseam_starlark_config::ScriptDuration;
 
 /// The balancer's settings. The sections have passed their checks.
-pub(super) fn balancer_settings(
-    sections: &Sections,
-    fleet: &FleetSection,
-    rollout_section: &RolloutSection,
-    contract: &ContractSection,
-    limits_section: Option<&Located<LimitsSection>>,
-    has_peers: bool,
-) -> interface::Settings {
-    let limits_section = limits_section.map(|section| section.value.clone()).unwrap_or_default();
-    let tenants = sections.tenants.iter().map(|tenant| interface::Tenant { quota_per_s: tenant.value.quota });
+pub(super) fn balancer_settings(sections: &Sections, single: &SingleSections<'_>) -> interface::Settings {
+    let fleet = &single.fleet.value;
+    let limits = value_or_default(single.limits);
+    let has_peers = single.peers.is_some();
     interface::Settings {
         classes: sections.classes.iter().map(|class| request_class(&class.value)).collect(),
-        tenants: tenants.collect(),
-        rollout: rollout(rollout_section),
-        limits: limits(&limits_section, has_peers),
-        rules: rules(contract),
+        tenants: sections.tenants.iter().map(|section| tenant(&section.value)).collect(),
+        rollout: rollout(&single.rollout.value),
+        limits: attempt_limits(&limits, has_peers),
+        rules: service_rules(&single.contract.value),
         // The list is always subscribed to: the balancer opens a broken watch again.
         subscribes_to_list: true,
         fleet_size: fleet.size,
         position: fleet.position,
         zone: fleet.zone,
-        tick: limits_section.tick.as_micros(),
-        over_quota_weight: limits_section.over_share_worth,
+        tick: limits.tick.as_micros(),
+        over_quota_weight: limits.over_share_worth,
         sizes_known: fleet.sizes_known,
     }
 }
 
+fn tenant(section: &TenantSection) -> interface::Tenant {
+    interface::Tenant { quota_per_s: section.quota }
+}
+
 fn request_class(section: &RequestClassSection) -> interface::RequestClass {
     interface::RequestClass {
         latency_objective: section.aim.as_micros(),
@@ -80,7 +79,7 @@
     }
 }
 
-fn limits(section: &LimitsSection, has_peers: bool) -> interface::Limits {
+fn attempt_limits(section: &LimitsSection, has_peers: bool) -> interface::Limits {
     interface::Limits {
         max_attempts: section.max_attempts,
         hedging: section.second_copies,
@@ -92,7 +91,7 @@
     }
 }
 
-fn rules(section: &ContractSection) -> interface::ServiceRules {
+fn service_rules(section: &ContractSection) -> interface::ServiceRules {
     interface::ServiceRules {
         deadline_grace: section.answer_grace.as_micros(),
         poll_interval_max: section.ask_within.as_micros(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! A proxy's settings: a Starlark script, evaluated and checked whole before anything is bound.
+//! A proxy's settings: a Starlark script, evaluated and checked completely before anything is bound.
 //!
-//! A script calls one function for each section (`fleet(...)`, `request_class(...)`, `route(...)` ...).
-//! Starlark, as a fleet's many proxies share all but a few words, and a script can say so with a function
-//! or a loaded file where plain data would be copied. A script has no clock, no network and no files but
-//! `load` of its own folder, and its steps and memory are bounded. `docs/settings.md` lists the sections.
+//! A script calls one function for each section (`fleet(...)`, `request_class(...)`, `route(...)` ...). It is in
+//! Starlark because the proxies of a fleet share almost all of their settings: a function or a loaded file says
+//! once what plain data would repeat. A script has no clock, no network and no files but `load` of its own folder,
+//! and its steps and memory are bounded. `docs/settings.md` lists the sections.
 
 mod check;
 mod collect;
--- a/crates/settings/src/sections/fleet.rs
+++ b/crates/settings/src/sections/fleet.rs
@@ -97,6 +97,13 @@
     pub reconnect: ScriptDuration,
 }
 
+impl ReleaseServiceSection {
+    /// The addresses in the order in which they are tried.
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
+        std::iter::once(self.addr).chain(self.standby.iter().copied()).collect()
+    }
+}
+
 fn default_reconnect_delay() -> ScriptDuration {
     ScriptDuration::from_millis(200)
 }
