--- a/crates/simulated-site/src/scenario/mod.rs
+++ b/crates/simulated-site/src/scenario/mod.rs
@@ -15,7 +15,7 @@
 pub use rollout::{BuildDefect, GateMode, Release, Rollout};
 
 use serde::{Deserialize, Serialize};
-use violetseam_invariants::record::{Class as RuleClass, Effect as RuleEffect, Group, Rules};
+use violetseam_invariants::{DedupGroup, Idempotency as RuleIdempotency, RequestClass as RuleClass, Rules};
 
 /// The most proxies in a scenario.
 const MAX_PROXIES: usize = 200;
@@ -101,21 +101,21 @@
         let per_thousand_seconds = |rate: &f64| (rate * 1e3).round() as u64;
         Rules {
             classes: self.classes.iter().map(rule_class).collect(),
-            answer_grace: self.service_rules.deadline_grace,
-            second_copies: self.service_rules.hedging,
+            deadline_grace: self.service_rules.deadline_grace,
+            hedging: self.service_rules.hedging,
             drain_grace: self.service_rules.drain_grace,
-            ask_within: self.service_rules.poll_interval_max,
-            fall_multiple: self.service_rules.overload_multiple,
-            fall_span: self.service_rules.overload_span,
-            counted_over: self.rollout.exposure_window,
-            uncounted: self.rollout.exposure_slack,
-            per_class: self.rollout.exposure_per_class,
-            first_cap: self.rollout.caps.first().copied().unwrap_or(0.0),
-            guarded_stages: self.rollout.idempotent_only_stages,
-            one_way: self.rollout.sticky_to_new_build,
-            slack,
-            further: retries_per_second.iter().map(per_thousand_seconds).collect(),
-            further_burst: quotas.map_or(0, |quotas| quotas.burst),
+            poll_interval_max: self.service_rules.poll_interval_max,
+            overload_multiple: self.service_rules.overload_multiple,
+            overload_span: self.service_rules.overload_span,
+            exposure_window: self.rollout.exposure_window,
+            exposure_slack: self.rollout.exposure_slack,
+            exposure_per_class: self.rollout.exposure_per_class,
+            first_stage_cap: self.rollout.caps.first().copied().unwrap_or(0.0),
+            idempotent_only_stages: self.rollout.idempotent_only_stages,
+            sticky_to_new_build: self.rollout.sticky_to_new_build,
+            observation_slack: slack,
+            fleet_retry_rates: retries_per_second.iter().map(per_thousand_seconds).collect(),
+            fleet_retry_burst: quotas.map_or(0, |quotas| quotas.burst),
         }
     }
 
@@ -179,12 +179,12 @@
 
 /// A class as the checker of the invariants knows it.
 fn rule_class(class: &ClassSpec) -> RuleClass {
-    let effect = match class.idempotency {
-        Idempotency::Idempotent => RuleEffect::Safe,
-        Idempotency::KeyedAll => RuleEffect::Keyed(Group::All),
-        Idempotency::KeyedZone => RuleEffect::Keyed(Group::Zone),
-        Idempotency::KeyedCell => RuleEffect::Keyed(Group::Cell),
-        Idempotency::NonIdempotent => RuleEffect::Unsafe,
+    let idempotency = match class.idempotency {
+        Idempotency::Idempotent => RuleIdempotency::Idempotent,
+        Idempotency::KeyedAll => RuleIdempotency::Keyed(DedupGroup::All),
+        Idempotency::KeyedZone => RuleIdempotency::Keyed(DedupGroup::Zone),
+        Idempotency::KeyedCell => RuleIdempotency::Keyed(DedupGroup::Cell),
+        Idempotency::NonIdempotent => RuleIdempotency::NonIdempotent,
     };
-    RuleClass { effect, window: class.dedup_window, stream: false }
+    RuleClass { idempotency, dedup_window: class.dedup_window, streaming: false }
 }
