--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -160,7 +160,8 @@
 ) -> Result<Vec<SimulatedProxy>, SimulationError> {
     // No files are opened in simulated time.
     let state_dir = Path::new("/nonexistent");
-    let script = violetseam_scenarios::script::settings(scenario, AddressPlan::of_process(0), state_dir);
+    let script =
+        violetseam_scenarios::proxy_settings::script(scenario, AddressPlan::of_process(0), state_dir);
     let start = |position: usize| {
         let options = [("position".to_owned(), position.to_string())];
         let settings = violetseam_settings::read_text("day", &script, &options)
