--- a/crates/cli/src/plan/mod.rs
+++ b/crates/cli/src/plan/mod.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use violetseam_plan::{Micros, Plan, moment_of};
-use violetseam_plan_simulation::{chart, play};
+use violetseam_plan_simulation::chart;
 
 #[derive(ClapArgs)]
 pub struct Source {
@@ -134,11 +134,12 @@
     };
     let plan = source.read(at)?;
     let build_before = plan.build.checked_sub(1).unwrap_or(1);
-    let script = script.unwrap_or_else(|| violetseam_plan_simulation::healthy(&plan, at, build_before));
-    let played = play(&plan, &script, &mut |_| {});
-    text::print_timeline(&played);
+    let script =
+        script.unwrap_or_else(|| violetseam_plan_simulation::default_script(&plan, at, build_before));
+    let run = violetseam_plan_simulation::simulate(&plan, &script, &mut |_| {});
+    text::print_timeline(&run);
     if let Some(path) = chart {
-        let svg = chart::svg(&plan, &played).map_err(anyhow::Error::msg)?;
+        let svg = chart::draw_svg(&plan, &run)?;
         std::fs::write(path, svg).with_context(|| path.display().to_string())?;
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/plan/text.rs
+++ b/crates/cli/src/plan/text.rs
@@ -1,7 +1,7 @@
 //! Plans and simulated releases as text.
 
 use violetseam_plan::{Micros, Plan, Wave};
-use violetseam_plan_simulation::Played;
+use violetseam_plan_simulation::SimulationRun;
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 /// How many of the calendar's open windows are printed.
@@ -17,9 +17,11 @@
         println!("  {} may {:?}", permission.who, permission.may);
     }
     println!("  open, from the moment of the offer on:");
-    let windows = plan.calendar.open_spans(offered_at, offered_at + plan.longest);
-    for (from, to) in windows.into_iter().take(MAX_PRINTED_WINDOWS) {
-        println!("    +{} to +{}", span_text(from - offered_at), span_text(to - offered_at));
+    let windows = plan.calendar.open_intervals(offered_at, offered_at + plan.longest);
+    for window in windows.into_iter().take(MAX_PRINTED_WINDOWS) {
+        let start = span_text(window.start - offered_at);
+        let end = span_text(window.end - offered_at);
+        println!("    +{start} to +{end}");
     }
 }
 
@@ -33,8 +35,8 @@
         wave.cap,
         span_text(wave.soak),
         format!("{:?}", wave.gate).to_lowercase(),
-        plan.votes_of(wave),
-        plan.votes_back(wave),
+        plan.deciding_votes(wave),
+        plan.votes_to_roll_back(wave),
         format!("{:?}", wave.on_close).to_lowercase()
     );
     for hold in plan.holds.iter().filter(|hold| hold.before == wave.name) {
@@ -51,11 +53,11 @@
 }
 
 /// Prints what happened in a simulated release.
-pub fn print_timeline(played: &Played) {
-    for entry in &played.entries {
+pub fn print_timeline(run: &SimulationRun) {
+    for entry in &run.timeline {
         println!("+{}  {}", span_text(entry.at), entry.text);
     }
-    println!("end: {}", played.standing);
+    println!("end: {}", run.final_status);
 }
 
 /// A span as hours, minutes and seconds.
--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -98,8 +98,8 @@
     let file = args.settings.as_ref().context("--settings is wanted")?;
     let settings = read_file(file, &args.set)?;
     let set_log = logs::start_changeable(&args.log, args.log_format)?;
-    let name = format!("{}-{}", settings.name, settings.decisions.position);
-    let inherited = match (args.takeover, &settings.control) {
+    let name = format!("{}-{}", settings.fleet_name, settings.decisions.position);
+    let inherited = match (args.takeover, &settings.control_socket) {
         (false, _) => None,
         (true, Some(control)) => Some(inherit(control)?),
         (true, None) => bail!("--takeover needs a control socket in the settings"),
--- a/crates/cli/src/serve/operators.rs
+++ b/crates/cli/src/serve/operators.rs
@@ -7,7 +7,7 @@
 use violetseam_fleet::wall_clock;
 use violetseam_operator_store::{OpenedStore, Store, StoreError};
 use violetseam_proxy::driver::{Operators, Reloaded, Reopened, SetLog};
-use violetseam_settings::{Identity, ProxySettings, read_file};
+use violetseam_settings::{ControlTls, Identity, ProxySettings, read_file};
 use violetseam_tls_config::{EXPIRY_WARNING_S, KeyFileError, KeyFiles};
 
 /// How long a takeover waits for the other process to close the store.
@@ -27,7 +27,8 @@
     settings: &ProxySettings,
     set_log: SetLog,
 ) -> anyhow::Result<Option<Operators>> {
-    let (Some(socket), Some(state_dir)) = (settings.control.clone(), settings.state_dir.clone()) else {
+    let (Some(socket), Some(state_dir)) = (settings.control_socket.clone(), settings.state_dir.clone())
+    else {
         return Ok(None);
     };
     let position = settings.decisions.position;
@@ -69,7 +70,7 @@
 
 /// The TLS settings of control over TCP, checked; `None` where the settings name no address for it.
 fn control_tls(settings: &ProxySettings) -> Result<Option<Arc<rustls::ServerConfig>>, ControlTlsError> {
-    let Some((_, identity)) = &settings.control_tls else { return Ok(None) };
+    let Some(ControlTls { identity, .. }) = &settings.control_tls else { return Ok(None) };
     let now_s = (wall_clock() / MICROS_PER_SECOND) as i64;
     let loaded = violetseam_tls_config::server_tls(&key_files(identity), now_s).map_err(ControlTlsError)?;
     if loaded.expires_at_s - now_s < EXPIRY_WARNING_S {
--- a/crates/emulator/src/simulation/release_service.rs
+++ b/crates/emulator/src/simulation/release_service.rs
@@ -7,7 +7,7 @@
 use violetseam::interface as decisions;
 use violetseam_invariants::{ObservedEvent, Phase as ObservedPhase};
 use violetseam_plan::moment_of;
-use violetseam_plan_simulation::platform::Platform;
+use violetseam_plan_simulation::platform::{PlaceReport, Platform};
 use violetseam_release::{
     Announcement, Event, Now, Order, Phase, PlaceState, Release, Reply, Vote, VoteRateLimit,
 };
@@ -54,7 +54,7 @@
     pub fn start(&mut self) -> Announcement {
         let now = self.clocks(0);
         self.release.on_event(now, &Event::Started);
-        for (place, build, state) in self.platform.all() {
+        for PlaceReport { place, build, state } in self.platform.reports() {
             self.release.on_event(now, &Event::Place { place, build, state });
         }
         self.release.announcement()
@@ -75,7 +75,7 @@
     /// The platform moves on, and the controller looks at the time.
     pub(super) fn on_controller_tick(&mut self) {
         let now = self.cluster.now;
-        for (place, build, state) in self.release_service.platform.advance(now) {
+        for PlaceReport { place, build, state } in self.release_service.platform.advance(now) {
             match state {
                 PlaceState::Running => self.cluster.start_server(place, build),
                 PlaceState::Gone => self.cluster.end_server(place, build),
@@ -86,7 +86,8 @@
         self.apply_release_event(&Event::Tick);
         let desired = self.release_service.release.desired_builds();
         if !desired.is_empty() {
-            for (place, build, state) in self.release_service.platform.want(now, &desired) {
+            for PlaceReport { place, build, state } in self.release_service.platform.reconcile(now, &desired)
+            {
                 if state == PlaceState::Draining {
                     self.cluster.drain_server(place, build);
                 }
--- a/crates/proxy/src/driver/clients/bodies.rs
+++ b/crates/proxy/src/driver/clients/bodies.rs
@@ -9,7 +9,7 @@
 impl Proxy {
     /// Bytes of a body have arrived.
     pub(super) fn on_body(&mut self, key: usize, bytes: Vec<u8>) {
-        let max_buffered = self.settings.connections.keep_body;
+        let max_buffered = self.settings.connections.max_retained_body_bytes;
         let Some(client) = self.clients.get_mut(key) else { return };
         match &mut client.state {
             ClientState::ReceivingBody(pending) => {
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -48,7 +48,7 @@
 
     /// How long a connection may be idle that has carried no request yet.
     pub(super) fn first_request_timeout(&self) -> Micros {
-        let idle = self.settings.connections.client_idle;
+        let idle = self.settings.connections.client_idle_timeout;
         if self.lifecycle.is_draining() { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
@@ -166,7 +166,7 @@
             ClientState::AwaitingResponse(_) => None,
             ClientState::ReceivingBody(_) => Some(settings.body_timeout),
             ClientState::Idle if client.http.is_receiving() => Some(settings.head_timeout),
-            ClientState::Idle if client.has_received_request => Some(settings.client_idle),
+            ClientState::Idle if client.has_received_request => Some(settings.client_idle_timeout),
             ClientState::Idle => Some(first_request_timeout),
             ClientState::Closing => Some(settings.head_timeout),
             ClientState::Lingering => Some(LINGER_TIMEOUT),
@@ -188,7 +188,7 @@
         let server = latest_server.and_then(|&key| self.servers.get(key));
         let is_server_slow =
             server.is_none_or(|server| server.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK);
-        is_server_slow && request.body.len() > self.settings.connections.keep_body
+        is_server_slow && request.body.len() > self.settings.connections.max_retained_body_bytes
     }
 
     /// A client connection's time-out may have expired.
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -38,7 +38,7 @@
     fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
         let settings = &self.settings;
         let path = head.target.split(['?', '#']).next().unwrap_or("");
-        if path == settings.connections.flag_path {
+        if path == settings.connections.wrong_answer_path {
             return match head.method {
                 Method::POST => RequestPurpose::AnswerReport,
                 _ => RequestPurpose::RespondWithError {
@@ -54,7 +54,7 @@
         };
         // Without its key no server could drop a repeat.
         let needs_key = settings.decisions.classes[route.class].idempotency == Idempotency::Keyed;
-        if needs_key && !head.headers.contains_key(&settings.headers.key) {
+        if needs_key && !head.headers.contains_key(&settings.headers.idempotency_key) {
             return RequestPurpose::RespondWithError {
                 status: StatusCode::BAD_REQUEST,
                 reason: "a request of this class needs its key",
@@ -116,7 +116,7 @@
 fn server_request_head(settings: &ProxySettings, head: &RequestHead, via: &str, framing: Framing) -> Vec<u8> {
     let names = &settings.headers;
     let forwarded = [
-        names.key.clone(),
+        names.idempotency_key.clone(),
         names.tenant.clone(),
         names.cost.clone(),
         names.deadline.clone(),
@@ -141,7 +141,7 @@
         deadline: arrived_at + wait,
         class,
         cost_hint: number(&names.cost).filter(|us| *us > 0 && *us < MAX_COST_HINT),
-        key: head.headers.get(&names.key).map(|value| key_number(value.as_bytes())),
+        key: head.headers.get(&names.idempotency_key).map(|value| key_number(value.as_bytes())),
         tenant: tenant.unwrap_or(unknown_tenant),
         is_retry: head.headers.contains_key(&names.retry),
     }
--- a/crates/proxy/src/driver/servers/attempts.rs
+++ b/crates/proxy/src/driver/servers/attempts.rs
@@ -79,7 +79,8 @@
         let Some(in_flight) = self.in_flight.get(&request) else { return self.close_server(key) };
         server.http.expect_answer(in_flight.is_head_request);
         write_request(server.socket.write_buffer(), in_flight);
-        if !in_flight.is_complete || in_flight.body.len() > self.settings.connections.keep_body {
+        if !in_flight.is_complete || in_flight.body.len() > self.settings.connections.max_retained_body_bytes
+        {
             // What arrives of the body from here on goes to this server alone and is not buffered.
             self.engine.mark_not_repeatable(request);
         }
--- a/crates/proxy/src/driver/servers/connections.rs
+++ b/crates/proxy/src/driver/servers/connections.rs
@@ -33,10 +33,10 @@
                 let client = self.in_flight.get(&active.id.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
                 reads = !client.is_some_and(Client::is_slow);
-                Some(settings.stream_idle)
+                Some(settings.stream_idle_timeout)
             }
             ConnectionState::Busy(_) => None,
-            ConnectionState::Discarding { .. } | ConnectionState::Idle => Some(settings.server_idle),
+            ConnectionState::Discarding { .. } | ConnectionState::Idle => Some(settings.server_idle_timeout),
         };
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
@@ -137,7 +137,7 @@
 
     /// Keeps a connection idle for later attempts, if it can carry them and not too many are idle.
     pub(super) fn pool_or_close(&mut self, key: usize, reusable: bool) {
-        let max_idle = self.settings.connections.idle_per_server;
+        let max_idle = self.settings.connections.max_idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
         let has_room = self.idle_servers.count(&server.id) < max_idle;
         if reusable && has_room {
--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -223,7 +223,7 @@
     /// Ends a stream on which nothing has come since the last check, and otherwise checks again later.
     fn check_stream_silence(&mut self, id: ConnectionId) {
         let now = self.now();
-        let max_silence = self.settings.desk_silence.unwrap_or(0);
+        let max_silence = self.settings.release_idle_timeout.unwrap_or(0);
         let Some(call) = self.site_calls.get_mut(id) else { return };
         if std::mem::take(&mut call.received_since_check) {
             self.timers.set(now + max_silence.max(MIN_STREAM_SPAN), TimerKind::Call(id));
--- a/crates/proxy/src/driver/site_calls/list_updates.rs
+++ b/crates/proxy/src/driver/site_calls/list_updates.rs
@@ -28,8 +28,8 @@
     }
 
     fn call_discovery(&mut self, purpose: CallPurpose, path: &str) -> Option<usize> {
-        let request = HttpRequest::get(self.settings.roster, path);
-        let timeout = Some(self.settings.roster_timeout);
+        let request = HttpRequest::get(self.settings.discovery, path);
+        let timeout = Some(self.settings.discovery_timeout);
         let call = self.start_call(&CallRequest { purpose, request, timeout });
         if call.is_none() {
             self.on_list_failed(&CallError::NoDiscovery);
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -20,7 +20,7 @@
         self.site_calls.release_stream = self.start_call(&CallRequest {
             purpose: CallPurpose::WatchRelease,
             request: HttpRequest::get(self.release_service(), &path),
-            timeout: self.settings.desk_silence,
+            timeout: self.settings.release_idle_timeout,
         });
         if self.site_calls.release_stream.is_none() {
             self.on_release_stream_lost();
@@ -29,7 +29,7 @@
 
     /// The address of the release service that is called.
     pub(super) fn release_service(&self) -> SocketAddr {
-        let addresses = &self.settings.desks;
+        let addresses = &self.settings.release_services;
         addresses[self.site_calls.release_service_index % addresses.len()]
     }
 
@@ -38,9 +38,9 @@
         self.site_calls.release_stream = None;
         // A standby may have become the leader.
         let next_index = self.site_calls.release_service_index + 1;
-        self.site_calls.release_service_index = next_index % self.settings.desks.len();
+        self.site_calls.release_service_index = next_index % self.settings.release_services.len();
         // Drawn, as all proxies lose the release service together.
-        let span = self.settings.desk_reconnect.max(MIN_STREAM_SPAN);
+        let span = self.settings.release_reconnect_delay.max(MIN_STREAM_SPAN);
         let wait = span / 2 + self.draw() % span;
         self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
     }
--- a/crates/starlark-config/src/recorder.rs
+++ b/crates/starlark-config/src/recorder.rs
@@ -2,6 +2,7 @@
 
 use crate::call::Call;
 use crate::error::OptionError;
+use crate::evaluate::file_and_line;
 use starlark::collections::SmallMap;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -28,8 +29,8 @@
 }
 
 thread_local! {
-    /// Of the script under evaluation on this thread. The evaluator's own place for such state (`extra`) takes only types
-    /// with an `unsafe` trait, which this project forbids.
+    /// Of the script under evaluation on this thread. The evaluator's own place for such state (`extra`)
+    /// takes only types with an `unsafe` trait, which this project forbids.
     static RECORDER: RefCell<Recorder> = RefCell::default();
 }
 
@@ -54,23 +55,22 @@
     function: &'static str,
     args: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<NoneType> {
-    let mut object = serde_json::Map::new();
+    let mut arguments = serde_json::Map::new();
     for (name, value) in args {
-        object.insert(name, value.to_json_value()?);
+        arguments.insert(name, value.to_json_value()?);
     }
-    let at = match eval.call_stack_top_location() {
-        Some(span) => {
-            let place = span.resolve();
-            format!("{}:{}", place.file, place.span.begin.line + 1)
-        }
+    let location = match eval.call_stack_top_location() {
+        Some(span) => file_and_line(&span),
         None => "script".to_owned(),
     };
-    RECORDER.with_borrow_mut(|recorder| recorder.calls.push(Call { function, at, args: object }));
+    let call = Call { function, location, arguments };
+    RECORDER.with_borrow_mut(|recorder| recorder.calls.push(call));
     Ok(NoneType)
 }
 
 /// Defines a function `$register` that gives a script these section functions; for
-/// [`evaluate`](crate::evaluate()). The package that uses it depends on `starlark` and `anyhow`, which the expansion names.
+/// [`evaluate`](crate::evaluate()). The package that uses it depends on `starlark` and `anyhow`, which the
+/// expansion names.
 #[macro_export]
 macro_rules! functions {
     ($register:ident: $($name:ident),* $(,)?) => {
@@ -100,8 +100,8 @@
 /// The functions that every script has.
 #[starlark_module]
 pub(crate) fn common_functions(globals: &mut GlobalsBuilder) {
-    /// The value given on the command line (`--set name=value`), else the default, which also determines whether a text, a
-    /// boolean or a number is expected.
+    /// The value given on the command line (`--set name=value`), else the default, which also determines
+    /// whether a text, a boolean or a number is expected.
     fn option<'v>(
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] default: Value<'v>,
