--- a/crates/controller/src/serve/requests.rs
+++ b/crates/controller/src/serve/requests.rs
@@ -42,7 +42,7 @@
         let steady = self.steady_micros();
         let Some(term) = &mut self.term else { return };
         if !term.vote_limit.try_take(steady) {
-            return self.respond_to_vote(id, VoteOutcome::Full);
+            return self.respond_to_vote(id, VoteOutcome::RateLimited);
         }
         match release_service::Vote::parse(body) {
             Ok(vote) => {
--- a/crates/controller/src/serve/responses.rs
+++ b/crates/controller/src/serve/responses.rs
@@ -47,7 +47,7 @@
             Origin::Vote(id) => {
                 let outcome = match reply {
                     Ok(Reply::Accepted) => VoteOutcome::Ok,
-                    Ok(Reply::Obsolete(_)) => VoteOutcome::Moot,
+                    Ok(Reply::Obsolete(_)) => VoteOutcome::Obsolete,
                     Ok(Reply::Rejected(_)) | Err(_) => VoteOutcome::Error,
                 };
                 self.respond_to_vote(id, outcome);
@@ -63,8 +63,8 @@
 
     pub(super) fn respond_to_vote(&mut self, id: ConnectionId, outcome: VoteOutcome) {
         if self.is_open(id) {
-            let news = self.announcement().filter(|_| outcome == VoteOutcome::Ok);
-            self.respond(id.key, StatusCode::OK, &VoteReply { outcome, news }.write());
+            let release = self.announcement().filter(|_| outcome == VoteOutcome::Ok);
+            self.respond(id.key, StatusCode::OK, &VoteReply { outcome, release }.write());
         }
     }
 }
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -120,5 +120,5 @@
 }
 
 fn desired_builds_line(term: &Term) -> Vec<u8> {
-    DesiredBuilds { fence: term.number, wanted: term.desired_builds.iter().copied().collect() }.write()
+    DesiredBuilds { fence: term.number, builds: term.desired_builds.iter().copied().collect() }.write()
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -518,7 +518,7 @@
         self.proxies[n].version = Some(message.version);
         // A list that does not apply is asked for whole again, as the driver does.
         match self.proxies[n].held.apply(now, &message) {
-            Ok((kind, entries)) => self.proxies[n].engine.on_server_list(now, kind, &entries),
+            Ok(applied) => self.proxies[n].engine.on_server_list(now, applied.kind, &applied.entries),
             Err(_) => {
                 self.proxies[n].held.forget_version();
                 self.proxies[n].engine.on_server_list(now, v::ListKind::Failed, &[]);
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -5,7 +5,7 @@
 use calloop::{Interest, Mode, PostAction};
 use std::net::UdpSocket;
 use std::rc::Rc;
-use violetseam_site_protocol::peer_datagram::{self, PayloadKind};
+use violetseam_site_protocol::peer_datagram::{self, Datagram, PayloadKind};
 
 /// Datagrams received in one turn of the event loop; more wait for the next, or are dropped by the kernel.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
@@ -41,10 +41,10 @@
             let now = self.now();
             match peer_datagram::decode(self.settings.site, &bytes[..length]) {
                 // A position that does not come from its own address is somebody else's message.
-                Ok((number, kind, payload))
-                    if self.settings.peers.get(usize::from(number)) == Some(&from) =>
+                Ok(Datagram { sender, kind, payload })
+                    if self.settings.peers.get(usize::from(sender)) == Some(&from) =>
                 {
-                    let number = usize::from(number);
+                    let number = usize::from(sender);
                     self.peers_heard_at.insert(number, now);
                     match kind {
                         PayloadKind::Gossip => self.engine.on_peer_message(now, number, payload),
@@ -52,7 +52,7 @@
                     }
                     self.pump();
                 }
-                Ok((number, ..)) => {
+                Ok(Datagram { sender: number, .. }) => {
                     if self.log_limit.allows(now) {
                         tracing::warn!(number, %from, "datagram from an address that is not this peer's");
                     }
--- a/crates/proxy/src/driver/saved_list.rs
+++ b/crates/proxy/src/driver/saved_list.rs
@@ -12,7 +12,7 @@
     #[error("no time of saving")]
     NoTime,
     #[error("{0}")]
-    Malformed(#[source] violetseam_site_protocol::Malformed),
+    Malformed(#[source] violetseam_site_protocol::MessageError),
 }
 
 impl Proxy {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -10,6 +10,7 @@
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
+use violetseam_site_protocol::release_service::{FencedRelease, VoteResult};
 use violetseam_site_protocol::{endpoint_list, release_service};
 
 /// The least wait for another try on the release service's stream, or for a line on it.
@@ -310,7 +311,7 @@
         let now = self.now();
         let applied = self.server_list.apply(now, &message);
         #[allow(unused_mut)]
-        let (kind, mut entries) = match applied {
+        let endpoint_list::AppliedUpdate { kind, mut entries } = match applied {
             Ok(applied) => applied,
             Err(fault) => {
                 // Whatever discovery lost, its whole list is asked for next and must be newer.
@@ -343,7 +344,8 @@
     }
 
     fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
-        let (release, fence) = release_service::ReleaseUpdate::parse(line).map_err(CallError::malformed)?;
+        let FencedRelease { status: release, fence } =
+            FencedRelease::parse(line).map_err(CallError::malformed)?;
         if fence < self.release_fence {
             // A controller that stood still while another took its place: not obeyed, and left.
             return Err(CallError::Fenced { fence, highest: self.release_fence });
@@ -369,22 +371,22 @@
     }
 
     fn on_vote_ended(&mut self, outcome: Outcome, body: &[u8]) {
-        let (outcome, release) = match outcome {
-            Outcome::Ok => release_service::VoteReply::parse(body).unwrap_or_else(|fault| {
-                tracing::warn!("{fault}");
+        let VoteResult { outcome, release } = match outcome {
+            Outcome::Ok => VoteResult::parse(body).unwrap_or_else(|error| {
+                tracing::warn!("{error}");
                 // It was taken by something that does not speak the protocol; whether it counts is open.
-                (Outcome::Timeout, None)
+                VoteResult { outcome: Outcome::Timeout, release: None }
             }),
-            other => (other, None),
+            outcome => VoteResult { outcome, release: None },
         };
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
         let (outcome, release) = match release {
             // What an older controller counts, counts nowhere.
-            Some((_, fence)) if fence < self.release_fence => (Outcome::Error, None),
-            Some((release, fence)) => {
-                self.release_fence = fence;
-                (outcome, Some(release))
+            Some(release) if release.fence < self.release_fence => (Outcome::Error, None),
+            Some(release) => {
+                self.release_fence = release.fence;
+                (outcome, Some(release.status))
             }
             None => (outcome, None),
         };
--- a/crates/scale-bench/src/hollow_engine.rs
+++ b/crates/scale-bench/src/hollow_engine.rs
@@ -301,8 +301,10 @@
     pub fn deliver(&mut self, now: Micros, to: usize, datagram: &[u8]) {
         let proxy = &mut self.proxies[to];
         proxy.traffic.received.add(datagram.len());
-        if let Ok((from, PayloadKind::Gossip, payload)) = peer_datagram::decode(SITE, datagram) {
-            proxy.engine.on_peer_message(now, usize::from(from), payload);
+        if let Ok(message) = peer_datagram::decode(SITE, datagram)
+            && message.kind == PayloadKind::Gossip
+        {
+            proxy.engine.on_peer_message(now, usize::from(message.sender), message.payload);
             self.follow_orders(now, to);
         }
     }
--- a/crates/scale-bench/src/hollow_release.rs
+++ b/crates/scale-bench/src/hollow_release.rs
@@ -17,7 +17,7 @@
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::client::{ClientConn, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
-use violetseam_site_protocol::release_service::{MAX_LINE_BYTES, ReleaseUpdate, Vote, VoteReply};
+use violetseam_site_protocol::release_service::{FencedRelease, MAX_LINE_BYTES, Vote, VoteResult};
 
 /// Most hollow proxies: each holds a descriptor here and one in the controller, and votes take more.
 const PROXIES_MOST: u64 = 6_000;
@@ -429,11 +429,11 @@
             let proxy = call.proxy;
             let news = match call.lines.next_line() {
                 Ok(Some([])) => continue,
-                Ok(Some(line)) => ReleaseUpdate::parse(line),
+                Ok(Some(line)) => FencedRelease::parse(line),
                 Ok(None) => return,
                 Err(fault) => Err(fault),
             };
-            let Ok((news, _)) = news else { return self.call_lost(key) };
+            let Ok(FencedRelease { status: news, .. }) = news else { return self.call_lost(key) };
             self.watching[proxy] = true;
             self.told[proxy] |= news.build == super::hollow_engine::TRIAL;
             self.fleet.stage(now, proxy, news);
@@ -443,7 +443,9 @@
     fn vote_replied(&mut self, key: usize) {
         let call = self.calls.remove(key);
         call.socket.remove(&self.handle);
-        let Ok((outcome, news)) = VoteReply::parse(&call.body) else { return self.vote_failed(call.proxy) };
+        let Ok(VoteResult { outcome, release }) = VoteResult::parse(&call.body) else {
+            return self.vote_failed(call.proxy);
+        };
         match outcome {
             Outcome::Ok => self.counts.accepted += 1,
             Outcome::Rejected => self.counts.over_allowance += 1,
@@ -451,7 +453,7 @@
         }
         self.vote_times.saturating_record((call.began.elapsed().as_micros() as u64).max(1));
         let now = self.now();
-        self.fleet.vote_reply(now, call.proxy, outcome, news.map(|(news, _)| news));
+        self.fleet.vote_reply(now, call.proxy, outcome, release.map(|release| release.status));
     }
 
     fn call_lost(&mut self, key: usize) {
--- a/crates/scale-bench/src/server_list.rs
+++ b/crates/scale-bench/src/server_list.rs
@@ -57,7 +57,7 @@
 
 /// Times and memory of a list that is taken.
 fn costs(size: u64, whole: &[u8], one: &[u8], zone: &[u8]) -> Result<Vec<Measurement>, ScaleError> {
-    let failed = |e: violetseam_site_protocol::Malformed| ScaleError::Failed(e.to_string());
+    let failed = |e: violetseam_site_protocol::MessageError| ScaleError::Failed(e.to_string());
     let before = resident_bytes()?;
     let message = ListUpdate::parse(whole).map_err(failed)?;
     let mut roster = EndpointList::default();
--- a/crates/scale-bench/src/simulated.rs
+++ b/crates/scale-bench/src/simulated.rs
@@ -76,7 +76,7 @@
 /// [`ScaleError`] if the list does not read.
 pub fn entries(servers: u64, seed: u64) -> Result<Vec<ServerEntry>, ScaleError> {
     let applied = EndpointList::default().apply(1, &whole_list(servers, seed));
-    applied.map(|(_, entries)| entries).map_err(|e| ScaleError::Failed(e.to_string()))
+    applied.map(|applied| applied.entries).map_err(|e| ScaleError::Failed(e.to_string()))
 }
 
 /// A message that the decisions asked to be sent.
--- a/crates/scale-bench/tests/scale.rs
+++ b/crates/scale-bench/tests/scale.rs
@@ -118,7 +118,7 @@
     assert_eq!(zone.servers.len(), 100);
     let mut roster = violetseam_site_protocol::endpoint_list::EndpointList::default();
     roster.apply(1, &ListUpdate::parse(&whole.write()).unwrap()).unwrap();
-    let (_, entries) = roster.apply(2, &ListUpdate::parse(&zone.write()).unwrap()).unwrap();
+    let entries = roster.apply(2, &ListUpdate::parse(&zone.write()).unwrap()).unwrap().entries;
     assert_eq!(entries.len(), 100);
 }
 
--- a/crates/simulated-site/src/drive/desk_http.rs
+++ b/crates/simulated-site/src/drive/desk_http.rs
@@ -36,7 +36,7 @@
     /// A vote; no reply while the desk is silent, though half of them count.
     fn vote(&mut self, now: u64, key: usize, generation: u64, body: &[u8]) -> Option<VoteReply> {
         let Ok(vote) = Vote::parse(body) else {
-            return Some(VoteReply { outcome: VoteOutcome::Error, news: None });
+            return Some(VoteReply { outcome: VoteOutcome::Error, release: None });
         };
         if self.cut_off(Kind::DeskCut, vote.proxy as u32) {
             return None;
@@ -46,7 +46,7 @@
             return None;
         }
         if self.active(Kind::DeskErrors).is_some() {
-            return Some(VoteReply { outcome: VoteOutcome::Error, news: None });
+            return Some(VoteReply { outcome: VoteOutcome::Error, release: None });
         }
         let outcome = match &mut self.desk {
             Releases::StandIn(desk) => desk.vote(now, &vote),
@@ -68,7 +68,7 @@
         if let Some(news) = news.filter(|_| !silent) {
             self.see_news(vote.proxy as u32, news);
         }
-        (!silent).then_some(VoteReply { outcome, news })
+        (!silent).then_some(VoteReply { outcome, release: news })
     }
 
     /// Replies of the controller's go on to the proxies that wait for them.
@@ -87,8 +87,8 @@
             }
             let Some((key, generation)) = waits else { continue };
             // All news are equally late here: a reply ahead of the stream would be followed by older news.
-            reply.news = reply.news.map(|_| self.news_told(now));
-            if let Some(news) = reply.news {
+            reply.release = reply.release.map(|_| self.news_told(now));
+            if let Some(news) = reply.release {
                 self.see_news(vote.proxy as u32, news);
             }
             self.kept.at(now, Later::Reply(key, generation, reply.write()));
--- a/crates/simulated-site/src/drive/remote.rs
+++ b/crates/simulated-site/src/drive/remote.rs
@@ -130,7 +130,7 @@
             named("watch").spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let _ = watch(addr, path, &|line| {
-                        let news = ReleaseUpdate::read(line).map(Heard::ReleaseUpdate).ok();
+                        let news = ReleaseUpdate::from_json(line).map(Heard::ReleaseUpdate).ok();
                         let wanted = || DesiredBuilds::parse(line).map(Heard::DesiredBuilds).ok();
                         let _ = news.or_else(wanted).map(|heard| tell.send(heard));
                     });
@@ -146,7 +146,7 @@
                 loop {
                     let next = votes.lock().unwrap_or_else(PoisonError::into_inner).recv();
                     let Ok((token, body)) = next else { return };
-                    let reply = post(addr, "/v1/vote", &body).and_then(|r| VoteReply::read(&r).ok());
+                    let reply = post(addr, "/v1/vote", &body).and_then(|r| VoteReply::from_json(&r).ok());
                     if tell.send(Heard::Reply(token, reply)).is_err() {
                         return;
                     }
@@ -187,9 +187,9 @@
             match heard {
                 Heard::ReleaseUpdate(news) if news.fence >= self.news.fence => self.heard_news(now, news),
                 Heard::DesiredBuilds(wanted)
-                    if wanted.fence >= self.news.fence && !wanted.wanted.is_empty() =>
+                    if wanted.fence >= self.news.fence && !wanted.builds.is_empty() =>
                 {
-                    self.wanted = wanted.wanted.into_iter().collect();
+                    self.wanted = wanted.builds.into_iter().collect();
                 }
                 Heard::Reply(token, reply) => self.replies.push_back((token, reply)),
                 Heard::ReleaseUpdate(_) | Heard::DesiredBuilds(_) => {}
--- a/crates/simulated-site/src/model/desk.rs
+++ b/crates/simulated-site/src/model/desk.rs
@@ -338,7 +338,7 @@
         self.allowance += now.saturating_sub(self.refilled) as f64 / 1e6 * rate;
         (self.allowance, self.refilled) = (self.allowance.min(2.0 * rate), now);
         if self.allowance < 1.0 {
-            return VoteOutcome::Full;
+            return VoteOutcome::RateLimited;
         }
         self.allowance -= 1.0;
         if vote.proxy >= self.proxies {
@@ -358,7 +358,7 @@
             PhaseName::RollingBack | PhaseName::Withdrawn => false,
         };
         if !(known && here && open) {
-            return VoteOutcome::Moot;
+            return VoteOutcome::Obsolete;
         }
         if vote.verdict == VerdictName::Withdraw {
             self.votes.remove(&vote.proxy);
--- a/crates/site-protocol/src/answer_report.rs
+++ b/crates/site-protocol/src/answer_report.rs
@@ -1,34 +1,43 @@
 //! Clients' reports of wrong answers: the id that came with the answer, as JSON.
 
-use crate::{Malformed, malformed};
+use crate::json::from_json;
+use crate::{MessageError, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// The longest body that is taken, in bytes.
+/// The maximum length of a report's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 256;
+/// The hexadecimal digits of an answer's id.
+const ID_DIGITS: usize = 16;
 
-/// A report.
+/// A client's report that an answer is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerReport {
-    /// The answer's id: 16 hexadecimal digits, as its header gave it.
+    /// The answer's id: 16 hexadecimal digits, as in the header that came with the answer.
     pub answer: String,
 }
 
-/// Reads a report's body: the answer's id.
+/// Parses a report's body and returns the answer's id.
 ///
 /// # Errors
-/// [`Malformed`] if the body is not a report.
-pub fn parse(body: &[u8]) -> Result<u64, Malformed> {
+/// [`MessageError`] if the body is too long or no report.
+pub fn parse(body: &[u8]) -> Result<u64, MessageError> {
     if body.len() > MAX_BODY_BYTES {
-        return malformed("flag: too long");
+        return Err(MessageError::ReportTooLong);
     }
-    let flag: AnswerReport = serde_json::from_slice(body).map_err(|e| Malformed(format!("flag: {e}")))?;
-    if flag.answer.len() != 16 || !flag.answer.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return malformed("flag: an answer id has 16 hexadecimal digits");
+    let report: AnswerReport = from_json(MessageType::AnswerReport, body)?;
+    parse_id(&report.answer).ok_or(MessageError::InvalidAnswerId)
+}
+
+fn parse_id(digits: &str) -> Option<u64> {
+    // `from_str_radix` would accept a sign.
+    let is_id = digits.len() == ID_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if !is_id {
+        return None;
     }
-    u64::from_str_radix(&flag.answer, 16).map_err(|_| Malformed("flag: not a number".into()))
+    u64::from_str_radix(digits, 16).ok()
 }
 
-/// Writes an answer's id.
+/// Formats an answer's id.
 pub fn write_id(id: u64) -> String {
     format!("{id:016x}")
 }
--- a/crates/site-protocol/src/lib.rs
+++ b/crates/site-protocol/src/lib.rs
@@ -1,35 +1,23 @@
-//! What a proxy and its site say to each other, without I/O: bytes and lines in, plain types out.
+//! The protocols between a proxy and its site, without I/O: bytes and lines in, typed messages out.
 //!
-//! The roster and the release desk speak JSON lines over HTTP, as people read them; peers speak binary
-//! datagrams. `docs/protocols.md` is the published description. Whatever is malformed becomes an error
-//! with a reason here and never reaches the decisions.
+//! The endpoint list and the release service use JSON lines over HTTP, which people can read; peers exchange
+//! binary datagrams. `docs/protocols.md` is the published description. A malformed message becomes a
+//! [`MessageError`] or a [`peer_datagram::DatagramError`] here and never reaches the decision module.
 
 pub mod answer_report;
 pub mod endpoint_list;
+mod error;
+mod json;
 pub mod line_reader;
 pub mod peer_datagram;
 pub mod placement;
 pub mod release_service;
 
-use std::hash::{DefaultHasher, Hash, Hasher};
-
-/// Why a message was not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
-
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
+pub use error::{MessageError, MessageType};
 
-impl std::error::Error for Malformed {}
-
-pub(crate) fn malformed<T>(reason: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(reason.into()))
-}
+use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A key as the decisions know it: a number that is the same for the same bytes, never 0.
+/// The number by which the decision module knows a key: the same for the same bytes, and never 0.
 pub fn key_number(key: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/crates/site-protocol/src/line_reader.rs
+++ b/crates/site-protocol/src/line_reader.rs
@@ -1,44 +1,57 @@
-//! Lines out of a byte stream, bounded.
+//! Splits a byte stream into lines of bounded length.
 
-use crate::{Malformed, malformed};
+use crate::MessageError;
 
-/// Collects bytes and gives whole lines; a line past the bound is an error, after which nothing is given.
+/// Buffers bytes and returns complete lines. A line over the bound is an error, after which all further input
+/// is dropped.
 #[derive(Debug)]
 pub struct LineReader {
-    held: Vec<u8>,
-    used: usize,
-    most: usize,
-    broken: bool,
+    buffer: Vec<u8>,
+    /// Bytes at the front of the buffer that have been returned already.
+    consumed: usize,
+    max_line_bytes: usize,
+    failed: bool,
 }
 
 impl LineReader {
-    /// Lines of at most `most` bytes.
-    pub fn new(most: usize) -> Self {
-        LineReader { held: Vec::new(), used: 0, most, broken: false }
+    /// A reader of lines of at most `max_line_bytes`, the line end not counted.
+    pub fn new(max_line_bytes: usize) -> Self {
+        LineReader { buffer: Vec::new(), consumed: 0, max_line_bytes, failed: false }
     }
 
-    /// Hands over bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.held.drain(..self.used);
-        self.used = 0;
-        if !self.broken {
-            self.held.extend_from_slice(bytes);
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        if !self.failed {
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// The next whole line without its end.
+    /// The next complete line without its end.
     ///
     /// # Errors
-    /// [`Malformed`] if a line is over the limit.
-    pub fn next_line(&mut self) -> Result<Option<&[u8]>, Malformed> {
-        let end = self.held[self.used..].iter().position(|&b| b == b'\n');
-        if end.unwrap_or(self.held.len() - self.used) > self.most {
-            (self.held, self.used, self.broken) = (Vec::new(), 0, true);
-            return malformed(format!("line over {} bytes", self.most));
+    /// [`MessageError::LineTooLong`] if a line is over the bound.
+    pub fn next_line(&mut self) -> Result<Option<&[u8]>, MessageError> {
+        let unread = &self.buffer[self.consumed..];
+        let line_end = find_newline(unread);
+        if line_end.unwrap_or(unread.len()) > self.max_line_bytes {
+            self.fail();
+            return Err(MessageError::LineTooLong { max_bytes: self.max_line_bytes });
         }
-        let Some(length) = end else { return Ok(None) };
-        let line = &self.held[self.used..self.used + length];
-        self.used += length + 1;
+        let Some(length) = line_end else { return Ok(None) };
+        let line = &self.buffer[self.consumed..self.consumed + length];
+        self.consumed += length + 1;
         Ok(Some(line.strip_suffix(b"\r").unwrap_or(line)))
     }
+
+    fn fail(&mut self) {
+        self.buffer = Vec::new();
+        self.consumed = 0;
+        self.failed = true;
+    }
+}
+
+fn find_newline(bytes: &[u8]) -> Option<usize> {
+    bytes.iter().position(|&byte| byte == b'\n')
 }
--- a/crates/site-protocol/src/peer_datagram.rs
+++ b/crates/site-protocol/src/peer_datagram.rs
@@ -1,81 +1,144 @@
-//! Peers' datagrams: a header, at most 256 bytes of payload, a checksum.
+//! Datagrams between peers: a header, at most 256 bytes of payload, a checksum.
 //!
 //! ```text
 //! 0  2  "VS"
 //! 2  1  version, 1
-//! 3  1  kind: 0 the decisions' words, 1 rights (`violetseam-fleet-state`)
+//! 3  1  kind: 0 gossip of the decision module, 1 quota leases (`violetseam-fleet-state`)
 //! 4  4  site: a number that all proxies of one fleet share (little-endian, as all that follow)
-//! 8  2  from: the sender's number in the fleet
+//! 8  2  sender: its number in the fleet
 //! 10 2  length of the payload
 //! 12 n  payload
 //! .. 4  CRC-32 (IEEE) of all before
 //! ```
 //!
-//! A datagram may be lost, repeated or late: the payload's own counters are made for that. Anything that
-//! does not read exactly so is dropped.
+//! A datagram may be lost, repeated or late: the counters in the payload allow for that. A datagram that does
+//! not have exactly this form is dropped.
 
-use crate::{Malformed, malformed};
+use thiserror::Error;
 
-/// The version written and taken.
+/// The version that is written and accepted.
 pub const VERSION: u8 = 1;
-/// The most payload bytes.
+/// The maximum length of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 256;
-/// The longest datagram.
-pub const MAX_DATAGRAM_BYTES: usize = HEADER_BYTES + MAX_PAYLOAD_BYTES + 4;
+/// The maximum length of a datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = HEADER_BYTES + MAX_PAYLOAD_BYTES + CHECKSUM_BYTES;
+const MAGIC: [u8; 2] = *b"VS";
 const HEADER_BYTES: usize = 12;
+const CHECKSUM_BYTES: usize = 4;
 
-/// Whose words a payload carries.
+// Offsets in the header.
+const VERSION_OFFSET: usize = 2;
+const KIND_OFFSET: usize = 3;
+const SITE_OFFSET: usize = 4;
+const SENDER_OFFSET: usize = 8;
+const LENGTH_OFFSET: usize = 10;
+
+/// The part of the software that a payload is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
-    /// The decisions'.
+    /// The decision module.
     Gossip = 0,
-    /// Asks and grants of the fleet's budgets.
+    /// The leases of the fleet's quotas: requests and grants.
     QuotaLeases = 1,
 }
 
-/// Writes a datagram; none for a payload past the bound.
-pub fn encode(site: u32, from: u16, kind: PayloadKind, payload: &[u8]) -> Option<Vec<u8>> {
-    let length = u16::try_from(payload.len()).ok().filter(|&n| usize::from(n) <= MAX_PAYLOAD_BYTES)?;
-    let mut out = Vec::with_capacity(HEADER_BYTES + payload.len() + 4);
-    out.extend_from_slice(&[b'V', b'S', VERSION, kind as u8]);
-    out.extend_from_slice(&site.to_le_bytes());
-    out.extend_from_slice(&from.to_le_bytes());
-    out.extend_from_slice(&length.to_le_bytes());
-    out.extend_from_slice(payload);
-    let sum = crc32fast::hash(&out);
-    out.extend_from_slice(&sum.to_le_bytes());
-    Some(out)
+impl TryFrom<u8> for PayloadKind {
+    type Error = DatagramError;
+
+    fn try_from(byte: u8) -> Result<Self, DatagramError> {
+        match byte {
+            0 => Ok(PayloadKind::Gossip),
+            1 => Ok(PayloadKind::QuotaLeases),
+            other => Err(DatagramError::UnknownKind(other)),
+        }
+    }
 }
 
-/// Reads a datagram: the sender's number, the payload's kind and the payload.
+/// A decoded datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Datagram<'a> {
+    /// The sender's number in its fleet.
+    pub sender: u16,
+    /// What the payload is for.
+    pub kind: PayloadKind,
+    /// The payload.
+    pub payload: &'a [u8],
+}
+
+/// Why a datagram was dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DatagramError {
+    /// Shorter than a header and a checksum, or too long.
+    #[error("peer: wrong size")]
+    InvalidSize,
+    /// Does not start as the datagrams of this protocol do.
+    #[error("peer: not a peer's datagram")]
+    InvalidMagic,
+    /// Of another version of the protocol.
+    #[error("peer: version {0}")]
+    UnsupportedVersion(u8),
+    /// Of a kind that does not exist.
+    #[error("peer: kind {0}")]
+    UnknownKind(u8),
+    /// The checksum does not match.
+    #[error("peer: checksum")]
+    ChecksumMismatch,
+    /// From a proxy of another site.
+    #[error("peer: another site")]
+    SiteMismatch,
+    /// The payload does not have the length that the header states.
+    #[error("peer: length")]
+    LengthMismatch,
+}
+
+/// Encodes a datagram from the proxy with the number `sender`; none for a payload over the bound.
+pub fn encode(site: u32, sender: u16, kind: PayloadKind, payload: &[u8]) -> Option<Vec<u8>> {
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return None;
+    }
+    let length = u16::try_from(payload.len()).ok()?;
+    let mut datagram = Vec::with_capacity(HEADER_BYTES + payload.len() + CHECKSUM_BYTES);
+    datagram.extend_from_slice(&MAGIC);
+    datagram.push(VERSION);
+    datagram.push(kind as u8);
+    datagram.extend_from_slice(&site.to_le_bytes());
+    datagram.extend_from_slice(&sender.to_le_bytes());
+    datagram.extend_from_slice(&length.to_le_bytes());
+    datagram.extend_from_slice(payload);
+    let checksum = crc32fast::hash(&datagram);
+    datagram.extend_from_slice(&checksum.to_le_bytes());
+    Some(datagram)
+}
+
+/// Decodes a datagram that reached a proxy of this site.
 ///
 /// # Errors
-/// [`Malformed`] if the datagram is of another version or site, or is cut short.
-pub fn decode(site: u32, bytes: &[u8]) -> Result<(u16, PayloadKind, &[u8]), Malformed> {
-    if bytes.len() < HEADER_BYTES + 4 || bytes.len() > MAX_DATAGRAM_BYTES {
-        return malformed("peer: wrong size");
+/// [`DatagramError`] if the datagram is of another version or site, or is damaged.
+pub fn decode(site: u32, bytes: &[u8]) -> Result<Datagram<'_>, DatagramError> {
+    if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DatagramError::InvalidSize);
     }
-    if &bytes[..2] != b"VS" {
-        return malformed("peer: not a peer's datagram");
+    let (body, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
+    let (header, payload) = body.split_at(HEADER_BYTES);
+    if !header.starts_with(&MAGIC) {
+        return Err(DatagramError::InvalidMagic);
     }
-    if bytes[2] != VERSION {
-        return malformed(format!("peer: version {}", bytes[2]));
+    if header[VERSION_OFFSET] != VERSION {
+        return Err(DatagramError::UnsupportedVersion(header[VERSION_OFFSET]));
     }
-    let kind = match bytes[3] {
-        0 => PayloadKind::Gossip,
-        1 => PayloadKind::QuotaLeases,
-        other => return malformed(format!("peer: kind {other}")),
-    };
-    let (body, sum) = bytes.split_at(bytes.len() - 4);
-    let word = |at: usize| u16::from_le_bytes([body[at], body[at + 1]]);
-    if crc32fast::hash(body).to_le_bytes() != sum {
-        return malformed("peer: checksum");
+    let kind = PayloadKind::try_from(header[KIND_OFFSET])?;
+    if crc32fast::hash(body).to_le_bytes() != checksum {
+        return Err(DatagramError::ChecksumMismatch);
     }
-    if body[4..8] != site.to_le_bytes() {
-        return malformed("peer: another site");
+    if header[SITE_OFFSET..SENDER_OFFSET] != site.to_le_bytes() {
+        return Err(DatagramError::SiteMismatch);
     }
-    if usize::from(word(10)) != body.len() - HEADER_BYTES {
-        return malformed("peer: length");
+    if usize::from(read_u16(header, LENGTH_OFFSET)) != payload.len() {
+        return Err(DatagramError::LengthMismatch);
     }
-    Ok((word(8), kind, &body[HEADER_BYTES..]))
+    Ok(Datagram { sender: read_u16(header, SENDER_OFFSET), kind, payload })
+}
+
+fn read_u16(header: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes([header[offset], header[offset + 1]])
 }
--- a/crates/site-protocol/src/placement.rs
+++ b/crates/site-protocol/src/placement.rs
@@ -1,47 +1,45 @@
-//! Places: what each is to run, from the controller, and what it runs, from the platform. JSON lines and calls.
+//! Places: the builds that they are to run, from the controller, and those that they run, from the platform.
 //!
-//! What is wanted is told whole each time, so that a lost line needs no repair.
+//! The controller sends JSON lines, the platform posts JSON. Each line has all desired builds, so that a lost
+//! line needs no repair.
 
-use crate::{Malformed, malformed};
+use crate::json::{from_json, to_json, to_json_line};
+use crate::{MessageError, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// The longest line or body that is taken, in bytes.
+/// The maximum length of a line or body, in bytes.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
-/// The most places.
+/// The maximum number of places. Places are numbered from 0.
 pub const MAX_PLACES: u32 = 20_000;
 
-/// What is to run, whole.
+/// All builds that are to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DesiredBuilds {
-    /// The controller's fencing number: a line with a lower one than heard before is not obeyed.
+    /// The controller's fence. A line with a lower fence than an earlier one is ignored.
     pub fence: u64,
-    /// Places with the builds that each is to run.
-    pub wanted: Vec<(u32, u16)>,
+    /// Pairs of a place and a build that it is to run.
+    #[serde(rename = "wanted")]
+    pub builds: Vec<(u32, u16)>,
 }
 
 impl DesiredBuilds {
-    /// Reads one line.
+    /// Parses and validates one line.
     ///
     /// # Errors
-    /// [`Malformed`] if the line is not JSON of this form.
-    pub fn parse(line: &[u8]) -> Result<DesiredBuilds, Malformed> {
-        let wanted: DesiredBuilds =
-            serde_json::from_slice(line).map_err(|e| Malformed(format!("places: {e}")))?;
-        if wanted.wanted.iter().any(|w| w.0 >= MAX_PLACES) {
-            return malformed("places: a place past the most there are");
-        }
-        Ok(wanted)
+    /// [`MessageError`] if the line is not JSON of this form, or a place is out of range.
+    pub fn parse(line: &[u8]) -> Result<DesiredBuilds, MessageError> {
+        let desired: DesiredBuilds = from_json(MessageType::Placement, line)?;
+        desired.builds.iter().try_for_each(|&(place, _)| check_place(place))?;
+        Ok(desired)
     }
 
-    /// Writes one line, its end included.
+    /// Serializes the message as one line, including the line end.
     pub fn write(&self) -> Vec<u8> {
-        let mut line = serde_json::to_vec(self).unwrap_or_default();
-        line.push(b'\n');
-        line
+        to_json_line(self)
     }
 }
 
-/// How a build is in a place.
+/// The state of a build at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlaceStateName {
@@ -49,13 +47,13 @@
     Starting,
     /// Running.
     Running,
-    /// Finishing its work.
+    /// Finishing its requests.
     Draining,
-    /// Not there.
+    /// No longer there.
     Gone,
 }
 
-/// What a place runs.
+/// The platform's report on a build at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlaceReport {
@@ -63,24 +61,25 @@
     pub place: u32,
     /// The build.
     pub build: u16,
-    /// How it is there.
+    /// The build's state there.
     pub state: PlaceStateName,
 }
 
-/// Reads a call's body: reports, and nothing else.
+/// Parses the body of a call: a list of reports.
 ///
 /// # Errors
-/// [`Malformed`] if the body is not JSON of this form, or has too many reports.
-pub fn parse_reports(body: &[u8]) -> Result<Vec<PlaceReport>, Malformed> {
-    let reports: Vec<PlaceReport> =
-        serde_json::from_slice(body).map_err(|e| Malformed(format!("places: {e}")))?;
-    if reports.iter().any(|r| r.place >= MAX_PLACES) {
-        return malformed("places: a place past the most there are");
-    }
+/// [`MessageError`] if the body is not JSON of this form, or a place is out of range.
+pub fn parse_reports(body: &[u8]) -> Result<Vec<PlaceReport>, MessageError> {
+    let reports: Vec<PlaceReport> = from_json(MessageType::Placement, body)?;
+    reports.iter().try_for_each(|report| check_place(report.place))?;
     Ok(reports)
 }
 
-/// Writes a call's body.
+/// Serializes the body of a call.
 pub fn write_reports(reports: &[PlaceReport]) -> Vec<u8> {
-    serde_json::to_vec(reports).unwrap_or_default()
+    to_json(reports)
+}
+
+fn check_place(place: u32) -> Result<(), MessageError> {
+    if place < MAX_PLACES { Ok(()) } else { Err(MessageError::PlaceOutOfRange) }
 }
--- a/crates/site-protocol/src/release_service.rs
+++ b/crates/site-protocol/src/release_service.rs
@@ -1,136 +1,160 @@
-//! The release desk: stage news as JSON lines, votes as JSON calls.
+//! The release service: its status as JSON lines, votes as JSON calls.
+//!
+//! [`ReleaseUpdate`] and [`VoteReply`] are the wire forms, for programs that forward them. [`FencedRelease`]
+//! and [`VoteResult`] are what a proxy needs of them, with the values validated.
 
-use crate::{Malformed, malformed};
+use crate::json::{from_json, to_json, to_json_line};
+use crate::{MessageError, MessageType};
 use serde::{Deserialize, Serialize};
 use violetseam::interface::{Build, Outcome, Phase, ReleaseStatus, Verdict};
 
-/// The longest line that is taken, in bytes.
+/// The maximum length of a line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4096;
 
-/// Where a build stands.
+/// A release's phase, as it is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PhaseName {
     /// On trial.
     Trial,
-    /// Going back.
+    /// Being rolled back.
     RollingBack,
     /// Released.
     Released,
-    /// Taken off.
+    /// Withdrawn.
     Withdrawn,
 }
 
-/// The desk's word on the newest build.
+impl From<PhaseName> for Phase {
+    fn from(name: PhaseName) -> Phase {
+        match name {
+            PhaseName::Trial => Phase::Trial,
+            PhaseName::RollingBack => Phase::RollingBack,
+            PhaseName::Released => Phase::Released,
+            PhaseName::Withdrawn => Phase::Withdrawn,
+        }
+    }
+}
+
+/// The release service's status of the newest build, as it is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseUpdate {
     /// The newest build.
     pub build: Build,
     /// Its stage, from 0.
     pub stage: u8,
-    /// Where it stands.
+    /// Its phase.
     pub phase: PhaseName,
     /// The exposure cap, 0 to 1.
     pub cap: f64,
-    /// The fencing number of the controller that says so; 0: a desk without one. ReleaseUpdate with a lower number
-    /// than heard before are not obeyed.
+    /// The fence of the controller that sent the update; 0 from a release service without fences. Updates with
+    /// a lower fence than an earlier one are ignored.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub fence: u64,
 }
 
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+fn is_zero(number: &u64) -> bool {
+    *number == 0
 }
 
 impl ReleaseUpdate {
-    /// Reads one line: the news and the fencing number of whoever says so.
+    /// Deserializes one line. The values are not validated; [`FencedRelease::parse`] does that.
     ///
     /// # Errors
-    /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
-    pub fn parse(line: &[u8]) -> Result<(ReleaseStatus, u64), Malformed> {
-        let news = ReleaseUpdate::read(line)?;
-        Ok((news.check()?, news.fence))
+    /// [`MessageError`] if the line is not JSON of this form.
+    pub fn from_json(line: &[u8]) -> Result<ReleaseUpdate, MessageError> {
+        from_json(MessageType::ReleaseStatus, line)
     }
 
-    /// Reads one line as it is, for who passes it on.
-    ///
-    /// # Errors
-    /// [`Malformed`] if the line is not JSON of this form, or a figure is out of bounds.
-    pub fn read(line: &[u8]) -> Result<ReleaseUpdate, Malformed> {
-        serde_json::from_slice(line).map_err(|e| Malformed(format!("desk: {e}")))
-    }
-
-    fn check(self) -> Result<ReleaseStatus, Malformed> {
+    fn validate(self) -> Result<FencedRelease, MessageError> {
         if !(0.0..=1.0).contains(&self.cap) {
-            return malformed("desk: a cap outside 0 to 1");
+            return Err(MessageError::CapOutOfRange);
         }
-        let phase = match self.phase {
-            PhaseName::Trial => Phase::Trial,
-            PhaseName::RollingBack => Phase::RollingBack,
-            PhaseName::Released => Phase::Released,
-            PhaseName::Withdrawn => Phase::Withdrawn,
-        };
-        Ok(ReleaseStatus { build: self.build, stage: self.stage, phase, cap: self.cap })
+        let status =
+            ReleaseStatus { build: self.build, stage: self.stage, phase: self.phase.into(), cap: self.cap };
+        Ok(FencedRelease { status, fence: self.fence })
     }
 
-    /// Writes one line, its end included.
+    /// Serializes the update as one line, including the line end.
     pub fn write(&self) -> Vec<u8> {
-        let mut line = serde_json::to_vec(self).unwrap_or_default();
-        line.push(b'\n');
-        line
+        to_json_line(self)
+    }
+}
+
+/// A validated release status with the fence of the controller that sent it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FencedRelease {
+    /// The status.
+    pub status: ReleaseStatus,
+    /// The fence; 0 from a release service without fences.
+    pub fence: u64,
+}
+
+impl FencedRelease {
+    /// Parses and validates one line.
+    ///
+    /// # Errors
+    /// [`MessageError`] if the line is not JSON of this form, or a value is out of bounds.
+    pub fn parse(line: &[u8]) -> Result<FencedRelease, MessageError> {
+        ReleaseUpdate::from_json(line)?.validate()
     }
 }
 
-/// A verdict's name on the wire.
+/// A verdict, as it is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VerdictName {
-    /// Move on.
+    /// Promote to the next stage.
     On,
-    /// Stop the clock.
+    /// Hold the stage's clock.
     Hold,
-    /// Send back.
+    /// Roll back.
     Back,
-    /// No vote.
+    /// Withdraw the earlier vote.
     Withdraw,
 }
 
+impl From<Verdict> for VerdictName {
+    fn from(verdict: Verdict) -> VerdictName {
+        match verdict {
+            Verdict::Promote => VerdictName::On,
+            Verdict::Hold => VerdictName::Hold,
+            Verdict::RollBack => VerdictName::Back,
+            Verdict::Withdraw => VerdictName::Withdraw,
+        }
+    }
+}
+
 /// A vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// The proxy's number in its fleet.
+    /// The voting proxy's number in its fleet.
     pub proxy: usize,
     /// The build.
     pub build: Build,
-    /// The stage meant.
+    /// The stage that the vote is on.
     pub stage: u8,
     /// The verdict.
     pub verdict: VerdictName,
 }
 
 impl Vote {
-    /// A vote of the decisions.
+    /// A vote with a verdict of the decision module.
     pub fn new(proxy: usize, build: Build, stage: u8, verdict: Verdict) -> Self {
-        let verdict = match verdict {
-            Verdict::Promote => VerdictName::On,
-            Verdict::Hold => VerdictName::Hold,
-            Verdict::RollBack => VerdictName::Back,
-            Verdict::Withdraw => VerdictName::Withdraw,
-        };
-        Vote { proxy, build, stage, verdict }
+        Vote { proxy, build, stage, verdict: verdict.into() }
     }
 
-    /// Reads a call's body.
+    /// Parses the body of a call.
     ///
     /// # Errors
-    /// [`Malformed`] if the body is not a vote.
-    pub fn parse(body: &[u8]) -> Result<Vote, Malformed> {
-        serde_json::from_slice(body).map_err(|e| Malformed(format!("vote: {e}")))
+    /// [`MessageError`] if the body is not a vote.
+    pub fn parse(body: &[u8]) -> Result<Vote, MessageError> {
+        from_json(MessageType::Vote, body)
     }
 
-    /// Writes a call's body.
+    /// Serializes the body of a call.
     pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).unwrap_or_default()
+        to_json(self)
     }
 }
 
@@ -140,52 +164,72 @@
 pub enum VoteOutcome {
     /// It counts.
     Ok,
-    /// Not the present build or stage, or no such verdict here.
-    Moot,
-    /// Over the allowance that all proxies share.
-    Full,
-    /// The desk failed.
+    /// It is not on the current build and stage, or its verdict does not exist there.
+    #[serde(rename = "moot")]
+    Obsolete,
+    /// It is over the rate that all proxies share.
+    #[serde(rename = "full")]
+    RateLimited,
+    /// The release service failed.
     Error,
 }
 
-/// A vote's reply.
+impl From<VoteOutcome> for Outcome {
+    fn from(outcome: VoteOutcome) -> Outcome {
+        match outcome {
+            VoteOutcome::Ok => Outcome::Ok,
+            VoteOutcome::Obsolete => Outcome::NotSent,
+            VoteOutcome::RateLimited => Outcome::Rejected,
+            VoteOutcome::Error => Outcome::Error,
+        }
+    }
+}
+
+/// The response to a vote, as it is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// What became of it.
+    /// What became of the vote.
     pub outcome: VoteOutcome,
-    /// The present news, with a vote that counts.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub news: Option<ReleaseUpdate>,
+    /// The current release status, with a vote that counts.
+    #[serde(rename = "news", default, skip_serializing_if = "Option::is_none")]
+    pub release: Option<ReleaseUpdate>,
 }
 
 impl VoteReply {
-    /// Reads a reply: how it ended and the news that came with it.
+    /// Deserializes the body of a response. The values are not validated; [`VoteResult::parse`] does that.
     ///
     /// # Errors
-    /// [`Malformed`] if the body is not a reply, or its news is out of bounds.
-    pub fn parse(body: &[u8]) -> Result<(Outcome, Option<(ReleaseStatus, u64)>), Malformed> {
-        let reply = VoteReply::read(body)?;
-        let outcome = match reply.outcome {
-            VoteOutcome::Ok => Outcome::Ok,
-            VoteOutcome::Moot => Outcome::NotSent,
-            VoteOutcome::Full => Outcome::Rejected,
-            VoteOutcome::Error => Outcome::Error,
-        };
-        let news = reply.news.filter(|_| outcome == Outcome::Ok);
-        let news = news.map(|n| n.check().map(|news| (news, n.fence))).transpose()?;
-        Ok((outcome, news))
+    /// [`MessageError`] if the body is not JSON of this form.
+    pub fn from_json(body: &[u8]) -> Result<VoteReply, MessageError> {
+        from_json(MessageType::VoteReply, body)
     }
 
-    /// Reads a reply as it is, for who passes it on.
-    ///
-    /// # Errors
-    /// [`Malformed`] if the body is not a reply.
-    pub fn read(body: &[u8]) -> Result<VoteReply, Malformed> {
-        serde_json::from_slice(body).map_err(|e| Malformed(format!("vote reply: {e}")))
+    /// Serializes the body of a response.
+    pub fn write(&self) -> Vec<u8> {
+        to_json(self)
     }
+}
 
-    /// Writes a reply's body.
-    pub fn write(&self) -> Vec<u8> {
-        serde_json::to_vec(self).unwrap_or_default()
+/// A validated response to a vote.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct VoteResult {
+    /// How the call ended, as the decision module knows it.
+    pub outcome: Outcome,
+    /// The current release status; none unless the vote counts.
+    pub release: Option<FencedRelease>,
+}
+
+impl VoteResult {
+    /// Parses and validates the body of a response.
+    ///
+    /// # Errors
+    /// [`MessageError`] if the body is not a response, or the release status in it is out of bounds.
+    pub fn parse(body: &[u8]) -> Result<VoteResult, MessageError> {
+        let reply = VoteReply::from_json(body)?;
+        let release = match reply.outcome {
+            VoteOutcome::Ok => reply.release.map(ReleaseUpdate::validate).transpose()?,
+            _ => None,
+        };
+        Ok(VoteResult { outcome: reply.outcome.into(), release })
     }
 }
--- a/crates/site-protocol/tests/protocols.rs
+++ b/crates/site-protocol/tests/protocols.rs
@@ -2,9 +2,11 @@
 
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, ServerStatus};
-use violetseam_site_protocol::{
-    answer_report, endpoint_list, line_reader::LineReader, peer_datagram, release_service,
-};
+use violetseam_site_protocol::answer_report;
+use violetseam_site_protocol::endpoint_list::{AppliedUpdate, EndpointList, ListUpdate};
+use violetseam_site_protocol::line_reader::LineReader;
+use violetseam_site_protocol::peer_datagram::{self, Datagram, DatagramError, PayloadKind};
+use violetseam_site_protocol::release_service::{FencedRelease, VoteResult};
 
 fn message(kind: &str, version: u64, base: u64, servers: &str) -> String {
     format!(r#"{{"kind":"{kind}","version":{version},"base":{base},"servers":[{servers}]}}"#)
@@ -14,26 +16,26 @@
 
 #[test]
 fn a_whole_list_and_changes_on_top_of_it_are_taken() {
-    let mut held = endpoint_list::EndpointList::default();
-    let full = endpoint_list::ListUpdate::parse(message("full", 4, 0, ONE).as_bytes()).unwrap();
-    let (kind, entries) = held.apply(10_000, &full).unwrap();
+    let mut list = EndpointList::default();
+    let full = ListUpdate::parse(message("full", 4, 0, ONE).as_bytes()).unwrap();
+    let AppliedUpdate { kind, entries } = list.apply(10_000, &full).unwrap();
     assert_eq!((kind, entries[0].id, entries[0].build, entries[0].started_at), (ListKind::Full, 7, 3, 9_500));
     let gone = ONE.replace("ready", "gone");
-    let delta = endpoint_list::ListUpdate::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
-    let (kind, entries) = held.apply(20_000, &delta).unwrap();
-    assert_eq!((kind, entries[0].status, held.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
-    assert!(held.address(7).is_some(), "attempts may still be out at a server that left");
+    let delta = ListUpdate::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
+    let AppliedUpdate { kind, entries } = list.apply(20_000, &delta).unwrap();
+    assert_eq!((kind, entries[0].status, list.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
+    assert!(list.address(7).is_some(), "attempts may still be out at a server that left");
 }
 
 #[test]
 fn versions_that_go_back_and_changes_past_a_gap_leave_the_list_as_it_was() {
-    let mut held = endpoint_list::EndpointList::default();
-    let at = |version| endpoint_list::ListUpdate::parse(message("full", version, 0, ONE).as_bytes()).unwrap();
-    held.apply(0, &at(9)).unwrap();
-    assert!(held.apply(0, &at(8)).is_err());
-    let gap = endpoint_list::ListUpdate::parse(message("delta", 12, 11, ONE).as_bytes()).unwrap();
-    assert!(held.apply(0, &gap).is_err());
-    assert_eq!(held.version(), Some(9));
+    let mut list = EndpointList::default();
+    let at = |version| ListUpdate::parse(message("full", version, 0, ONE).as_bytes()).unwrap();
+    list.apply(0, &at(9)).unwrap();
+    assert!(list.apply(0, &at(8)).is_err());
+    let gap = ListUpdate::parse(message("delta", 12, 11, ONE).as_bytes()).unwrap();
+    assert!(list.apply(0, &gap).is_err());
+    assert_eq!(list.version(), Some(9));
 }
 
 #[test]
@@ -49,22 +51,15 @@
         String::new(),
     ];
     for text in rosters {
-        assert!(endpoint_list::ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
+        assert!(ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
-    assert!(
-        release_service::ReleaseUpdate::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err()
-    );
-    assert!(
-        release_service::ReleaseUpdate::parse(br#"{"build":70000,"stage":0,"phase":"trial","cap":0.5}"#)
-            .is_err()
-    );
-    assert!(
-        release_service::ReleaseUpdate::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":0.5}"#).is_ok()
-    );
-    assert!(release_service::VoteReply::parse(br#"{"outcome":"maybe"}"#).is_err());
-    let full = release_service::VoteReply::parse(br#"{"outcome":"full"}"#).unwrap();
-    assert_eq!(full, (Outcome::Rejected, None));
-    assert_eq!(answer_report::parse(br#"{"answer":"00000000000000ff"}"#), Ok(255));
+    assert!(FencedRelease::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err());
+    assert!(FencedRelease::parse(br#"{"build":70000,"stage":0,"phase":"trial","cap":0.5}"#).is_err());
+    assert!(FencedRelease::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":0.5}"#).is_ok());
+    assert!(VoteResult::parse(br#"{"outcome":"maybe"}"#).is_err());
+    let full = VoteResult::parse(br#"{"outcome":"full"}"#).unwrap();
+    assert_eq!(full, VoteResult { outcome: Outcome::Rejected, release: None });
+    assert_eq!(answer_report::parse(br#"{"answer":"00000000000000ff"}"#).unwrap(), 255);
     for text in [&br#"{"answer":"ff"}"#[..], br#"{"answer":"+0000000000000ff"}"#, b"[]", &[b' '; 300]] {
         assert!(answer_report::parse(text).is_err());
     }
@@ -85,23 +80,25 @@
 
 #[test]
 fn datagrams_of_another_version_site_or_length_are_dropped() {
-    let sound = peer_datagram::encode(5, 3, peer_datagram::PayloadKind::QuotaLeases, b"payload").unwrap();
+    let sound = peer_datagram::encode(5, 3, PayloadKind::QuotaLeases, b"payload").unwrap();
     assert_eq!(
         peer_datagram::decode(5, &sound),
-        Ok((3, peer_datagram::PayloadKind::QuotaLeases, &b"payload"[..]))
+        Ok(Datagram { sender: 3, kind: PayloadKind::QuotaLeases, payload: b"payload" })
     );
     assert!(peer_datagram::decode(6, &sound).is_err());
-    assert!(peer_datagram::encode(5, 3, peer_datagram::PayloadKind::Gossip, &[0; 257]).is_none());
+    assert!(peer_datagram::encode(5, 3, PayloadKind::Gossip, &[0; 257]).is_none());
     let mut other = sound.clone();
     other[2] = 2;
-    assert!(peer_datagram::decode(5, &other).unwrap_err().0.contains("version 2"));
+    let error = peer_datagram::decode(5, &other).unwrap_err();
+    assert_eq!(error, DatagramError::UnsupportedVersion(2));
+    assert_eq!(error.to_string(), "peer: version 2");
     assert!(peer_datagram::decode(5, &sound[..sound.len() - 1]).is_err());
 }
 
 proptest! {
     #[test]
     fn any_single_damage_to_a_datagram_is_noticed(at in 0usize..23, flip in 1u8..) {
-        let mut bytes = peer_datagram::encode(5, 3, peer_datagram::PayloadKind::Gossip, b"payload").unwrap();
+        let mut bytes = peer_datagram::encode(5, 3, PayloadKind::Gossip, b"payload").unwrap();
         let at = at % bytes.len();
         bytes[at] ^= flip;
         prop_assert!(peer_datagram::decode(5, &bytes).is_err());
@@ -109,9 +106,9 @@
 
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = endpoint_list::ListUpdate::parse(&bytes);
-        let _ = release_service::ReleaseUpdate::parse(&bytes);
-        let _ = release_service::VoteReply::parse(&bytes);
+        let _ = ListUpdate::parse(&bytes);
+        let _ = FencedRelease::parse(&bytes);
+        let _ = VoteResult::parse(&bytes);
         let _ = answer_report::parse(&bytes);
         let _ = peer_datagram::decode(1, &bytes);
     }
