--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -12,7 +12,7 @@
     Change, Message, Report, Resource, ResourceKey, RouteKey, Subscribe, Term, Version,
 };
 use violetseam_http1::Limits;
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_publisher::client::Client;
 
 /// What a test waits for at most.
@@ -142,7 +142,7 @@
 /// One connection that a subscriber calls on.
 pub struct Watch {
     stream: TcpStream,
-    http: ClientConn,
+    http: ClientConnection,
     pub status: u16,
     /// The header `retry-after-ms`.
     pub retry_after_ms: Option<u64>,
@@ -176,8 +176,8 @@
     /// Sends a request of any kind.
     pub fn request(mut stream: TcpStream, request: &str) -> Watch {
         stream.write_all(request.as_bytes()).unwrap();
-        let mut http = ClientConn::new(Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(Limits::default());
+        http.expect_response(false);
         let mut watch = Watch {
             stream,
             http,
@@ -259,7 +259,7 @@
                     self.ended = true;
                     return;
                 }
-                ClientEvent::Fault(fault) => panic!("{fault:?}"),
+                ClientEvent::Error(fault) => panic!("{fault:?}"),
             }
         }
     }
--- a/crates/controller/src/serve/connections.rs
+++ b/crates/controller/src/serve/connections.rs
@@ -3,11 +3,11 @@
 use super::Controller;
 use super::watches::Watch;
 use calloop::{Interest, Readiness};
-use http::{HeaderMap, StatusCode};
+use http::StatusCode;
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
 use violetseam_event_io::{ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
 use violetseam_site_protocol::{placement, release_service};
 
@@ -29,7 +29,7 @@
 pub(super) struct Connection {
     pub generation: u64,
     pub socket: Socket,
-    pub http: ServerConn,
+    pub http: ServerConnection,
     /// The head of the request that is being read.
     pub head: Option<Box<RequestHead>>,
     pub body: Vec<u8>,
@@ -59,7 +59,10 @@
         entry.insert(Connection {
             generation: self.last_generation,
             socket,
-            http: ServerConn::new(Limits { body: placement::MAX_LINE_BYTES as u64, ..Limits::default() }),
+            http: ServerConnection::new(Limits {
+                max_body_bytes: placement::MAX_LINE_BYTES as u64,
+                ..Limits::default()
+            }),
             head: None,
             body: Vec::new(),
             watch: Watch::None,
@@ -116,7 +119,7 @@
                     connection.body.extend_from_slice(&bytes);
                 }
                 Some(ServerEvent::End) => self.on_request(key),
-                Some(ServerEvent::Fault(_)) => return self.close(key),
+                Some(ServerEvent::Error(_)) => return self.close(key),
             }
         }
     }
@@ -125,9 +128,9 @@
     pub(super) fn respond(&mut self, key: usize, status: StatusCode, body: &[u8]) {
         let Some(Connection { socket, http, .. }) = self.connections.get_mut(key) else { return };
         let framing = Framing::Length(body.len() as u64);
-        http.start_answer(socket.out(), status, &HeaderMap::new(), &[], framing, false);
+        http.start_response(socket.out(), ResponseStart::new(status, framing));
         http.write_body(socket.out(), body);
-        let keep_alive = http.finish_answer(socket.out());
+        let keep_alive = http.finish_response(socket.out());
         self.flush(key);
         if !keep_alive && let Some(connection) = self.connections.get(key) {
             connection.socket.close_write();
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -3,9 +3,10 @@
 use super::Controller;
 use super::connections::Connection;
 use super::leadership::Term;
-use http::{HeaderMap, StatusCode};
+use http::StatusCode;
 use std::time::{Duration, Instant};
 use violetseam_http1::Framing;
+use violetseam_http1::server::ResponseStart;
 use violetseam_release::{Announcement, Phase};
 use violetseam_site_protocol::placement::DesiredBuilds;
 use violetseam_site_protocol::release_service::{self, PhaseName};
@@ -59,7 +60,7 @@
         connection.watch = watch;
         connection.last_active = Instant::now();
         let Connection { socket, http, .. } = connection;
-        http.start_answer(socket.out(), StatusCode::OK, &HeaderMap::new(), &[], Framing::Chunked, false);
+        http.start_response(socket.out(), ResponseStart::new(StatusCode::OK, Framing::Chunked));
         http.write_body(socket.out(), line);
         self.flush(key);
     }
--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -1,175 +1,175 @@
-//! The side that faces servers: writes requests, reads their answers one at a time.
+//! The side that faces servers: writes requests and reads their responses, one at a time.
 
-use crate::body::{BodyReader, Framing};
-use crate::head::{
-    Fault, Limits, RequestHead, ResponseHead, Scan, end_to_end, parse_response, scan_head, write_field,
-    write_framing,
-};
+use crate::body::BodyReader;
+use crate::fields::{end_to_end, write_field, write_framing};
+use crate::head::{Limits, RequestHead, ResponseHead, parse_response};
+use crate::input::InputBuffer;
+use crate::{Framing, FramingError, HeadScan, scan_head};
 use http::header::HeaderName;
+use http::{Method, StatusCode};
 
-/// Appends a request's head as it goes to a server: HTTP/1.1, fields of one connection dropped, the body
-/// framed by `framing`.
+/// Appends a request's head as it goes to a server: HTTP/1.1, hop-by-hop fields dropped, the body framed by
+/// `framing`. Fields in `protected` are kept even if `Connection` names them.
 pub fn write_request_head(
     out: &mut Vec<u8>,
     head: &RequestHead,
-    kept: &[HeaderName],
-    extra: &[(&str, &[u8])],
+    protected: &[HeaderName],
+    extra_fields: &[(&str, &[u8])],
     framing: Framing,
 ) {
     out.extend_from_slice(head.method.as_str().as_bytes());
     out.push(b' ');
     out.extend_from_slice(head.target.as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    for (name, value) in end_to_end(&head.headers, kept) {
+    for (name, value) in end_to_end(&head.headers, protected) {
         write_field(out, name.as_str(), value.as_bytes());
     }
-    for (name, value) in extra {
+    for (name, value) in extra_fields {
         write_field(out, name, value);
     }
-    if framing != Framing::Length(0) || head.method == http::Method::POST || head.method == http::Method::PUT
-    {
+    let usually_has_body = head.method == Method::POST || head.method == Method::PUT;
+    if framing != Framing::Length(0) || usually_has_body {
         write_framing(out, framing);
     }
     out.extend_from_slice(b"\r\n");
 }
 
-/// What the input gave.
+/// What the input contained.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// An answer's head; its body follows, if it has one.
+    /// A response's head; its body follows, if it has one.
     Head(Box<ResponseHead>),
     /// Bytes of the body.
     Body(Vec<u8>),
-    /// The answer is complete; `reusable` tells whether another request may follow.
+    /// The response is complete.
     End {
-        /// Another request may follow on the connection.
+        /// Whether the connection may carry another request.
         reusable: bool,
     },
-    /// The input cannot be understood: close.
-    Fault(Fault),
+    /// The input is malformed: close the connection.
+    Error(FramingError),
 }
 
+/// What is expected from the server.
 #[derive(Debug)]
-enum Reading {
-    /// No request is out: anything that comes is a fault.
+enum State {
+    /// Nothing, as no request has been sent.
     Idle,
-    Head {
-        from: usize,
-    },
+    /// A response's head, which has been scanned up to this offset.
+    Head { scanned: usize },
+    /// A response's body.
     Body(BodyReader),
+    /// Nothing more.
     Closed,
 }
 
-/// One server connection's framing.
+/// The framing of one connection to a server.
 #[derive(Debug)]
-pub struct ClientConn {
+pub struct ClientConnection {
     limits: Limits,
-    input: Vec<u8>,
-    used: usize,
-    reading: Reading,
-    to_head: bool,
+    input: InputBuffer,
+    state: State,
+    is_head_request: bool,
     keep_alive: bool,
 }
 
-impl ClientConn {
-    /// A fresh connection. The body limit does not apply to answers.
+impl ClientConnection {
+    /// A new connection. The limit on bodies does not apply to responses.
     pub fn new(limits: Limits) -> Self {
-        let limits = Limits { body: u64::MAX, ..limits };
-        ClientConn {
-            limits,
-            input: Vec::new(),
-            used: 0,
-            reading: Reading::Idle,
-            to_head: false,
+        ClientConnection {
+            limits: Limits { max_body_bytes: u64::MAX, ..limits },
+            input: InputBuffer::default(),
+            state: State::Idle,
+            is_head_request: false,
             keep_alive: true,
         }
     }
 
-    /// A request has been written whose answer is awaited now.
-    pub fn expect_answer(&mut self, to_head: bool) {
-        self.reading = Reading::Head { from: 0 };
-        self.to_head = to_head;
+    /// A request has been written; its response is expected.
+    pub fn expect_response(&mut self, is_head_request: bool) {
+        self.state = State::Head { scanned: 0 };
+        self.is_head_request = is_head_request;
     }
 
-    /// Hands over bytes from the server.
+    /// Appends bytes from the server.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.used > 0 {
-            self.input.drain(..self.used);
-            self.used = 0;
-        }
-        self.input.extend_from_slice(bytes);
+        self.input.append(bytes);
     }
 
-    /// Bytes held that no event has given yet.
-    pub fn held(&self) -> usize {
-        self.input.len() - self.used
+    /// How many received bytes no event has returned yet.
+    pub fn buffered_bytes(&self) -> usize {
+        self.input.len()
     }
 
-    /// The next event of the input held, if it gives one.
+    /// The next event of the received input, if it is complete.
     pub fn next_event(&mut self) -> Option<ClientEvent> {
-        match self.step() {
-            Ok(event) => event,
-            Err(fault) => {
-                self.reading = Reading::Closed;
-                Some(ClientEvent::Fault(fault))
-            }
+        self.advance().unwrap_or_else(|error| {
+            self.state = State::Closed;
+            Some(ClientEvent::Error(error))
+        })
+    }
+
+    fn advance(&mut self) -> Result<Option<ClientEvent>, FramingError> {
+        match self.state {
+            State::Closed => Ok(None),
+            State::Idle if !self.input.is_empty() => Err(FramingError::UnexpectedResponse),
+            State::Idle => Ok(None),
+            State::Head { scanned } => self.read_head(scanned),
+            State::Body(_) => self.read_body(),
         }
     }
 
-    fn step(&mut self) -> Result<Option<ClientEvent>, Fault> {
-        match &mut self.reading {
-            Reading::Closed => Ok(None),
-            Reading::Idle if self.input.len() > self.used => Err(Fault::bad("an answer to no request")),
-            Reading::Idle => Ok(None),
-            Reading::Head { from } => {
-                let input = &self.input[self.used..];
-                let length = match scan_head(input, *from, &self.limits)? {
-                    Scan::More(next) => {
-                        *from = next;
-                        return Ok(None);
-                    }
-                    Scan::Ends(length) => length,
-                };
-                let head = parse_response(&input[..length], &self.limits, self.to_head)?;
-                self.used += length;
-                if head.status.is_informational() {
-                    if head.status.as_u16() == 101 {
-                        return Err(Fault::bad("an upgrade that nobody asked for"));
-                    }
-                    *from = 0;
-                    return self.step();
-                }
-                self.keep_alive = head.keep_alive;
-                self.reading = Reading::Body(BodyReader::new(head.framing, self.limits.body));
-                Ok(Some(ClientEvent::Head(Box::new(head))))
-            }
-            Reading::Body(body) => {
-                let out = body.drain(&self.input, &mut self.used)?;
-                if !out.is_empty() {
-                    return Ok(Some(ClientEvent::Body(out)));
-                }
-                if !body.is_done() {
+    /// Reads a final response's head and passes over the informational ones before it.
+    fn read_head(&mut self, mut scanned: usize) -> Result<Option<ClientEvent>, FramingError> {
+        loop {
+            let length = match scan_head(self.input.unread(), scanned, &self.limits)? {
+                HeadScan::Incomplete(scanned) => {
+                    self.state = State::Head { scanned };
                     return Ok(None);
                 }
-                // Bytes past the answer belong to no request: such a connection is not used again.
-                let reusable = self.keep_alive && self.held() == 0;
-                self.reading = if reusable { Reading::Idle } else { Reading::Closed };
-                Ok(Some(ClientEvent::End { reusable }))
+                HeadScan::Complete(length) => length,
+            };
+            let head = parse_response(&self.input.unread()[..length], &self.limits, self.is_head_request)?;
+            self.input.consume(length);
+            if head.status == StatusCode::SWITCHING_PROTOCOLS {
+                return Err(FramingError::UnexpectedUpgrade);
+            }
+            if !head.status.is_informational() {
+                self.keep_alive = head.keep_alive;
+                self.state = State::Body(BodyReader::new(head.framing, self.limits.max_body_bytes));
+                return Ok(Some(ClientEvent::Head(Box::new(head))));
             }
+            scanned = 0;
+        }
+    }
+
+    fn read_body(&mut self) -> Result<Option<ClientEvent>, FramingError> {
+        let State::Body(reader) = &mut self.state else { return Ok(None) };
+        let body = reader.read_buffered(&mut self.input)?;
+        if !body.is_empty() {
+            return Ok(Some(ClientEvent::Body(body)));
+        }
+        if !reader.is_done() {
+            return Ok(None);
         }
+        // Bytes after the response belong to no request: such a connection is not used again.
+        let reusable = self.keep_alive && self.input.is_empty();
+        self.state = if reusable { State::Idle } else { State::Closed };
+        Ok(Some(ClientEvent::End { reusable }))
     }
 
-    /// The server closed: the end of an answer framed so, a fault within any other.
+    /// The server closed the connection. This ends a response that is framed so, and is an error within any
+    /// other.
     pub fn close(&mut self) -> Option<ClientEvent> {
-        let event = match &mut self.reading {
-            Reading::Idle | Reading::Closed => return None,
-            Reading::Head { .. } => ClientEvent::Fault(Fault::bad("closed before an answer")),
-            Reading::Body(body) => match body.close() {
+        let event = match &mut self.state {
+            State::Idle | State::Closed => return None,
+            State::Head { .. } => ClientEvent::Error(FramingError::ClosedBeforeResponse),
+            State::Body(reader) => match reader.close() {
                 Ok(()) => ClientEvent::End { reusable: false },
-                Err(fault) => ClientEvent::Fault(fault),
+                Err(error) => ClientEvent::Error(error),
             },
         };
-        self.reading = Reading::Closed;
+        self.state = State::Closed;
         Some(event)
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,15 +1,25 @@
 //! HTTP/1.1 framing without I/O (RFC 9112): bytes in, events out, for both sides of a proxy.
 //!
-//! [`server::ServerConn`] reads requests and writes answers, [`client::ClientConn`] writes requests and
-//! reads answers. Neither touches a socket or a clock, and any cut of the input gives the same events.
-//! Heads are parsed by `httparse`; what that crate lets pass and a proxy must not (bare line feeds, two
-//! framings at once) is refused here, since a disagreement about where a message ends is how requests
-//! are smuggled past a proxy.
+//! [`server::ServerConnection`] parses requests and writes responses, [`client::ClientConnection`] parses
+//! responses to requests that [`client::write_request_head`] writes. Neither touches a socket or a clock, and
+//! any division of the input into pieces gives the same events.
+//!
+//! Heads are parsed by `httparse`. What that crate accepts and a proxy must not (bare line feeds, two framings
+//! at once) is rejected here, as a disagreement about where a message ends allows request smuggling.
 
 pub mod body;
 pub mod client;
+mod error;
+mod fields;
+mod framing;
 pub mod head;
+mod input;
+mod scan;
 pub mod server;
 
-pub use body::{BodyReader, Framing, write_chunk, write_last_chunk};
-pub use head::{Fault, Limits, RequestHead, ResponseHead, Scan, is_hop_by_hop, scan_head};
+pub use body::{BodyReader, write_chunk, write_last_chunk};
+pub use error::FramingError;
+pub use fields::is_hop_by_hop;
+pub use framing::Framing;
+pub use head::{Limits, RequestHead, ResponseHead};
+pub use scan::{HeadScan, scan_head};
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,16 +1,18 @@
-//! The side that faces clients: reads requests one at a time, writes their answers.
+//! The side that faces clients: reads requests one at a time and writes their responses.
 //!
-//! Pipelined requests wait in the input buffer until the one before them is answered. After a fault or a
-//! request that asks for it the connection closes once its answer is written.
+//! Pipelined requests wait in the input buffer until the one before them has its response. After an error, or a
+//! request that asks for it, the connection closes once its response is written.
 
-use crate::body::{BodyReader, Framing, write_chunk, write_last_chunk};
-use crate::head::{
-    Fault, Limits, RequestHead, Scan, end_to_end, parse_request, scan_head, write_field, write_framing,
-};
+use crate::body::{BodyReader, write_chunk, write_last_chunk};
+use crate::fields::{end_to_end, write_field, write_framing};
+use crate::framing::has_body;
+use crate::head::{Limits, RequestHead, parse_request};
+use crate::input::InputBuffer;
+use crate::{Framing, FramingError, HeadScan, scan_head};
 use http::header::{HeaderMap, HeaderName};
 use http::{Method, StatusCode, Version};
 
-/// What the input gave.
+/// What the input contained.
 #[derive(Debug)]
 pub enum ServerEvent {
     /// A request's head; its body follows, if it has one.
@@ -19,132 +21,151 @@
     Body(Vec<u8>),
     /// The request is complete.
     End,
-    /// The input cannot be understood: answer with the status and close.
-    Fault(Fault),
+    /// The input is malformed: respond with the error's status and close the connection.
+    Error(FramingError),
 }
 
+/// The start of a response.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseStart<'a> {
+    /// The status.
+    pub status: StatusCode,
+    /// Fields to forward; hop-by-hop fields among them are dropped.
+    pub headers: Option<&'a HeaderMap>,
+    /// Further fields, written as they are.
+    pub extra_fields: &'a [(HeaderName, &'a [u8])],
+    /// How the body is framed.
+    pub framing: Framing,
+    /// Whether the connection closes after the response.
+    pub close: bool,
+}
+
+impl ResponseStart<'_> {
+    /// A response without fields of its own, after which the connection may carry another request.
+    pub fn new(status: StatusCode, framing: Framing) -> Self {
+        ResponseStart { status, headers: None, extra_fields: &[], framing, close: false }
+    }
+}
+
+/// What is expected from the client.
 #[derive(Debug)]
-enum Reading {
-    Head {
-        from: usize,
-    },
+enum State {
+    /// A request's head, which has been scanned up to this offset.
+    Head { scanned: usize },
+    /// A request's body.
     Body(BodyReader),
-    /// The request is complete and waits for its answer.
-    Waiting,
-    /// Nothing more is read.
+    /// Nothing until the request, which is complete, has its response.
+    AwaitingResponse,
+    /// Nothing more.
     Closed,
 }
 
-/// One client connection's framing.
+/// The framing of one connection to a client.
 #[derive(Debug)]
-pub struct ServerConn {
+pub struct ServerConnection {
     limits: Limits,
-    input: Vec<u8>,
-    used: usize,
-    reading: Reading,
-    /// The present request: answered with HTTP/1.0 rules, is a HEAD, allows another request after it.
-    old: bool,
-    to_head: bool,
+    input: InputBuffer,
+    state: State,
+    /// The current request's version is HTTP/1.0.
+    is_http10: bool,
+    /// The current request's method is HEAD.
+    is_head_request: bool,
+    /// The connection may carry another request after the current one.
     keep_alive: bool,
-    /// How the present answer is framed, once started.
-    writing: Option<Framing>,
+    /// How the current response's body is framed, once it has started.
+    response_framing: Option<Framing>,
 }
 
-impl ServerConn {
-    /// A fresh connection.
+impl ServerConnection {
+    /// A new connection.
     pub fn new(limits: Limits) -> Self {
-        ServerConn {
+        ServerConnection {
             limits,
-            input: Vec::new(),
-            used: 0,
-            reading: Reading::Head { from: 0 },
-            old: false,
-            to_head: false,
+            input: InputBuffer::default(),
+            state: State::Head { scanned: 0 },
+            is_http10: false,
+            is_head_request: false,
             keep_alive: true,
-            writing: None,
+            response_framing: None,
         }
     }
 
-    /// Hands over bytes from the client.
+    /// Appends bytes from the client.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.used > 0 {
-            self.input.drain(..self.used);
-            self.used = 0;
-        }
-        if !matches!(self.reading, Reading::Closed) {
-            self.input.extend_from_slice(bytes);
+        self.input.drop_consumed();
+        if !matches!(self.state, State::Closed) {
+            self.input.append(bytes);
         }
     }
 
-    /// Bytes held that no event has given yet. A driver stops reading while this is large.
-    pub fn held(&self) -> usize {
-        self.input.len() - self.used
+    /// How many received bytes no event has returned yet. A driver stops reading while this is large.
+    pub fn buffered_bytes(&self) -> usize {
+        self.input.len()
     }
 
-    /// Between requests, with nothing received of the next one.
+    /// Whether the connection is between requests, with nothing received of the next one.
     pub fn is_idle(&self) -> bool {
-        matches!(self.reading, Reading::Head { .. }) && self.held() == 0
+        matches!(self.state, State::Head { .. }) && self.input.is_empty()
     }
 
-    /// Part of a request's head or body has come, and the rest has not.
+    /// Whether a part of a request has arrived and the rest has not.
     pub fn is_receiving(&self) -> bool {
-        match self.reading {
-            Reading::Head { .. } => self.held() > 0,
-            Reading::Body(_) => true,
-            Reading::Waiting | Reading::Closed => false,
+        match self.state {
+            State::Head { .. } => !self.input.is_empty(),
+            State::Body(_) => true,
+            State::AwaitingResponse | State::Closed => false,
         }
     }
 
-    /// The next event of the input held, if it gives one.
+    /// The next event of the received input, if it is complete.
     pub fn next_event(&mut self) -> Option<ServerEvent> {
-        match self.step() {
-            Ok(event) => event,
-            Err(fault) => {
-                (self.reading, self.keep_alive) = (Reading::Closed, false);
-                self.input = Vec::new();
-                self.used = 0;
-                Some(ServerEvent::Fault(fault))
-            }
+        self.advance().unwrap_or_else(|error| {
+            self.close_input();
+            self.keep_alive = false;
+            Some(ServerEvent::Error(error))
+        })
+    }
+
+    fn advance(&mut self) -> Result<Option<ServerEvent>, FramingError> {
+        match self.state {
+            State::AwaitingResponse | State::Closed => Ok(None),
+            State::Head { scanned } => self.read_head(scanned),
+            State::Body(_) => self.read_body(),
         }
     }
 
-    fn step(&mut self) -> Result<Option<ServerEvent>, Fault> {
-        match &mut self.reading {
-            Reading::Waiting | Reading::Closed => Ok(None),
-            Reading::Head { from } => {
-                // One empty line before a request is passed over (RFC 9112, 2.2).
-                if *from == 0 && self.input[self.used..].starts_with(b"\r\n") {
-                    self.used += 2;
-                }
-                let input = &self.input[self.used..];
-                match scan_head(input, *from, &self.limits)? {
-                    Scan::More(next) => {
-                        *from = next;
-                        Ok(None)
-                    }
-                    Scan::Ends(length) => {
-                        let head = parse_request(&input[..length], &self.limits)?;
-                        self.used += length;
-                        self.reading = Reading::Body(BodyReader::new(head.framing, self.limits.body));
-                        (self.old, self.to_head) =
-                            (head.version == Version::HTTP_10, head.method == Method::HEAD);
-                        self.keep_alive = head.keep_alive;
-                        Ok(Some(ServerEvent::Head(Box::new(head))))
-                    }
-                }
-            }
-            Reading::Body(body) => {
-                let out = body.drain(&self.input, &mut self.used)?;
-                if !out.is_empty() {
-                    return Ok(Some(ServerEvent::Body(out)));
-                }
-                if body.is_done() {
-                    self.reading = Reading::Waiting;
-                    return Ok(Some(ServerEvent::End));
-                }
-                Ok(None)
+    fn read_head(&mut self, scanned: usize) -> Result<Option<ServerEvent>, FramingError> {
+        // One empty line before a request is ignored (RFC 9112, 2.2).
+        if scanned == 0 && self.input.unread().starts_with(b"\r\n") {
+            self.input.consume(2);
+        }
+        let length = match scan_head(self.input.unread(), scanned, &self.limits)? {
+            HeadScan::Incomplete(scanned) => {
+                self.state = State::Head { scanned };
+                return Ok(None);
             }
+            HeadScan::Complete(length) => length,
+        };
+        let head = parse_request(&self.input.unread()[..length], &self.limits)?;
+        self.input.consume(length);
+        self.is_http10 = head.version == Version::HTTP_10;
+        self.is_head_request = head.method == Method::HEAD;
+        self.keep_alive = head.keep_alive;
+        self.state = State::Body(BodyReader::new(head.framing, self.limits.max_body_bytes));
+        Ok(Some(ServerEvent::Head(Box::new(head))))
+    }
+
+    fn read_body(&mut self) -> Result<Option<ServerEvent>, FramingError> {
+        let State::Body(reader) = &mut self.state else { return Ok(None) };
+        let body = reader.read_buffered(&mut self.input)?;
+        if !body.is_empty() {
+            return Ok(Some(ServerEvent::Body(body)));
+        }
+        if !reader.is_done() {
+            return Ok(None);
         }
+        self.state = State::AwaitingResponse;
+        Ok(Some(ServerEvent::End))
     }
 
     /// Appends `100 Continue`.
@@ -152,73 +173,88 @@
         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
     }
 
-    /// Starts an answer. `framing` is the body's; `close`: nothing may follow it. Fields that concern one
-    /// connection are dropped. An answer before the request is complete closes the connection, as what is
+    /// Appends a response's head. A response before the request is complete closes the connection, as what is
     /// left of the request cannot be told from a next one.
-    pub fn start_answer(
-        &mut self,
-        out: &mut Vec<u8>,
-        status: StatusCode,
-        headers: &HeaderMap,
-        extra: &[(HeaderName, &[u8])],
-        framing: Framing,
-        close: bool,
-    ) {
-        let early = !matches!(self.reading, Reading::Waiting);
-        self.keep_alive &= !close && !early;
-        let bodiless = self.to_head || status.is_informational() || matches!(status.as_u16(), 204 | 304);
-        let framing = match framing {
-            // A client of HTTP/1.0 knows no chunks: the body ends with the connection.
-            Framing::Chunked if self.old => Framing::UntilClose,
-            other => other,
-        };
-        self.keep_alive &= framing != Framing::UntilClose || bodiless;
-        let version = if self.old { "HTTP/1.0 " } else { "HTTP/1.1 " };
-        out.extend_from_slice(version.as_bytes());
-        out.extend_from_slice(status.as_str().as_bytes());
-        out.push(b' ');
-        out.extend_from_slice(status.canonical_reason().unwrap_or("").as_bytes());
-        out.extend_from_slice(b"\r\n");
-        for (name, value) in end_to_end(headers, &[]) {
-            write_field(out, name.as_str(), value.as_bytes());
+    pub fn start_response(&mut self, out: &mut Vec<u8>, response: ResponseStart<'_>) {
+        let status = response.status;
+        let has_body = has_body(status, self.is_head_request);
+        let framing = self.supported_framing(response.framing);
+        let request_is_complete = matches!(self.state, State::AwaitingResponse);
+        let ends_with_connection = framing == Framing::UntilClose && has_body;
+        if response.close || !request_is_complete || ends_with_connection {
+            self.keep_alive = false;
+        }
+        self.write_status_line(out, status);
+        if let Some(headers) = response.headers {
+            for (name, value) in end_to_end(headers, &[]) {
+                write_field(out, name.as_str(), value.as_bytes());
+            }
         }
-        for (name, value) in extra {
+        for (name, value) in response.extra_fields {
             write_field(out, name.as_str(), value);
         }
-        if !(bodiless && matches!(status.as_u16(), 100..200 | 204)) {
+        // Responses to HEAD and of 304 state the length that a body would have; these must not.
+        let forbids_framing = status.is_informational() || status == StatusCode::NO_CONTENT;
+        if !forbids_framing {
             write_framing(out, framing);
         }
+        self.write_connection_field(out);
+        out.extend_from_slice(b"\r\n");
+        self.response_framing = Some(if has_body { framing } else { Framing::Length(0) });
+    }
+
+    /// A client of HTTP/1.0 does not know chunks: the body ends with the connection instead.
+    fn supported_framing(&self, framing: Framing) -> Framing {
+        match framing {
+            Framing::Chunked if self.is_http10 => Framing::UntilClose,
+            other => other,
+        }
+    }
+
+    fn write_status_line(&self, out: &mut Vec<u8>, status: StatusCode) {
+        let version: &[u8] = if self.is_http10 { b"HTTP/1.0 " } else { b"HTTP/1.1 " };
+        out.extend_from_slice(version);
+        out.extend_from_slice(status.as_str().as_bytes());
+        out.push(b' ');
+        out.extend_from_slice(status.canonical_reason().unwrap_or("").as_bytes());
+        out.extend_from_slice(b"\r\n");
+    }
+
+    /// Writes whether the connection persists, where that differs from the version's default.
+    fn write_connection_field(&self, out: &mut Vec<u8>) {
         if !self.keep_alive {
             out.extend_from_slice(b"connection: close\r\n");
-        } else if self.old {
+        } else if self.is_http10 {
             out.extend_from_slice(b"connection: keep-alive\r\n");
         }
-        out.extend_from_slice(b"\r\n");
-        self.writing = Some(if bodiless { Framing::Length(0) } else { framing });
     }
 
-    /// Appends bytes of the answer's body.
+    /// Appends bytes of the response's body.
     pub fn write_body(&mut self, out: &mut Vec<u8>, bytes: &[u8]) {
-        match self.writing {
+        match self.response_framing {
             Some(Framing::Chunked) => write_chunk(out, bytes),
             Some(Framing::Length(0)) | None => {}
             Some(_) => out.extend_from_slice(bytes),
         }
     }
 
-    /// Ends the answer. Returns whether the connection carries on; then the next request is read.
-    pub fn finish_answer(&mut self, out: &mut Vec<u8>) -> bool {
-        if self.writing.take() == Some(Framing::Chunked) {
+    /// Ends the response. Returns whether the connection persists; then the next request is read.
+    pub fn finish_response(&mut self, out: &mut Vec<u8>) -> bool {
+        if self.response_framing.take() == Some(Framing::Chunked) {
             write_last_chunk(out);
         }
-        if self.keep_alive && matches!(self.reading, Reading::Waiting) {
-            self.reading = Reading::Head { from: 0 };
-            true
+        let persists = self.keep_alive && matches!(self.state, State::AwaitingResponse);
+        if persists {
+            self.state = State::Head { scanned: 0 };
         } else {
-            self.reading = Reading::Closed;
-            self.input = Vec::new();
-            self.used = 0;
-            false
+            self.close_input();
         }
+        persists
+    }
+
+    /// Reads nothing more, and frees what has been received.
+    fn close_input(&mut self) {
+        self.state = State::Closed;
+        self.input.clear();
     }
 }
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,14 +1,13 @@
 //! Framing under any cut of the bytes, and the messages that must be refused.
 
-use http::header::HeaderMap;
 use proptest::prelude::*;
-use violetseam_http1::client::{ClientConn, ClientEvent, write_request_head};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent, write_request_head};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits};
 
 /// Feeds `input` cut at `cuts`; answers each request at once; returns a line per event, bodies joined.
 fn serve(input: &[u8], cuts: &[usize], limits: Limits) -> Vec<String> {
-    let mut conn = ServerConn::new(limits);
+    let mut conn = ServerConnection::new(limits);
     let (mut seen, mut body, mut out) = (Vec::new(), Vec::new(), Vec::new());
     for piece in pieces(input, cuts) {
         conn.feed(piece);
@@ -23,13 +22,13 @@
                 ServerEvent::Body(bytes) => body.extend(bytes),
                 ServerEvent::End => {
                     seen.push(format!("end {:?}", String::from_utf8_lossy(&std::mem::take(&mut body))));
-                    let none = HeaderMap::new();
-                    conn.start_answer(&mut out, http::StatusCode::OK, &none, &[], Framing::Length(0), false);
-                    if !conn.finish_answer(&mut out) {
+                    let response = ResponseStart::new(http::StatusCode::OK, Framing::Length(0));
+                    conn.start_response(&mut out, response);
+                    if !conn.finish_response(&mut out) {
                         seen.push("closed".into());
                     }
                 }
-                ServerEvent::Fault(fault) => seen.push(format!("fault {fault}")),
+                ServerEvent::Error(error) => seen.push(format!("fault {error}")),
             }
         }
     }
@@ -45,8 +44,8 @@
 
 /// The same for answers; `heads` says which requests were HEAD.
 fn receive(input: &[u8], cuts: &[usize], to_head: bool) -> Vec<String> {
-    let mut conn = ClientConn::new(Limits::default());
-    conn.expect_answer(to_head);
+    let mut conn = ClientConnection::new(Limits::default());
+    conn.expect_response(to_head);
     let (mut seen, mut body) = (Vec::new(), Vec::new());
     let note = |event: ClientEvent, body: &mut Vec<u8>, seen: &mut Vec<String>| match event {
         ClientEvent::Head(h) => seen.push(format!("{} {:?}", h.status.as_u16(), h.framing)),
@@ -54,7 +53,7 @@
         ClientEvent::End { .. } => {
             seen.push(format!("end {:?}", String::from_utf8_lossy(&std::mem::take(body))));
         }
-        ClientEvent::Fault(fault) => seen.push(format!("fault {}", fault.reason)),
+        ClientEvent::Error(error) => seen.push(format!("fault {}", error.reason())),
     };
     for piece in pieces(input, cuts) {
         conn.feed(piece);
@@ -133,7 +132,7 @@
 
 #[test]
 fn heads_past_their_limits_are_431_before_they_are_complete() {
-    let limits = Limits { head: 256, fields: 4, ..Limits::default() };
+    let limits = Limits { max_head_bytes: 256, max_fields: 4, ..Limits::default() };
     let long = format!("GET / HTTP/1.1\r\nHost: x\r\nA: {}", "a".repeat(300));
     assert!(serve(long.as_bytes(), &[], limits)[0].starts_with("fault 431"));
     let many = "GET / HTTP/1.1\r\nHost: x\r\nA: 1\r\nB: 1\r\nC: 1\r\nD: 1\r\n\r\n";
@@ -142,7 +141,7 @@
 
 #[test]
 fn chunked_bodies_past_the_limit_are_413() {
-    let limits = Limits { body: 10, ..Limits::default() };
+    let limits = Limits { max_body_bytes: 10, ..Limits::default() };
     let input = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nB\r\n0123456789A\r\n";
     assert!(serve(input.as_bytes(), &[], limits)[1].starts_with("fault 413"));
 }
@@ -165,7 +164,7 @@
 
 #[test]
 fn what_concerns_one_connection_is_not_forwarded_and_a_key_cannot_be_stripped() {
-    let mut conn = ServerConn::new(Limits::default());
+    let mut conn = ServerConnection::new(Limits::default());
     conn.feed(
         b"POST /x HTTP/1.1\r\nHost: h\r\nConnection: idempotency-key, x-hop\r\nX-Hop: 1\r\nTE: trailers\r\n\
         Idempotency-Key: 7\r\nKeep-Alive: 5\r\nContent-Length: 2\r\n\r\nhi",
@@ -183,12 +182,12 @@
 
 #[test]
 fn an_answer_before_the_request_is_complete_closes_the_connection() {
-    let mut conn = ServerConn::new(Limits::default());
+    let mut conn = ServerConnection::new(Limits::default());
     conn.feed(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
     while conn.next_event().is_some() {}
     let mut out = Vec::new();
-    conn.start_answer(&mut out, http::StatusCode::OK, &HeaderMap::new(), &[], Framing::Length(0), false);
-    assert!(!conn.finish_answer(&mut out));
+    conn.start_response(&mut out, ResponseStart::new(http::StatusCode::OK, Framing::Length(0)));
+    assert!(!conn.finish_response(&mut out));
     assert!(String::from_utf8(out).unwrap().contains("connection: close"));
 }
 
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -59,8 +59,8 @@
                     }
                 }
                 Some(ClientEvent::End { reusable }) => return self.finish_exchange(generation, reusable),
-                Some(ClientEvent::Fault(fault)) => {
-                    return self.fail_query(generation, QueryFailure::InvalidHttp(fault.reason));
+                Some(ClientEvent::Error(fault)) => {
+                    return self.fail_query(generation, QueryFailure::InvalidHttp(fault.reason()));
                 }
             }
         }
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 use violetseam::interface::Micros;
 use violetseam_event_io::Socket;
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 use violetseam_platform_protocol::ListError;
 
 /// The status of an answer that carries a list.
@@ -24,7 +24,7 @@
     /// Tells it from earlier exchanges; one on a connection that is used again keeps that connection's number.
     pub generation: u64,
     pub socket: Socket,
-    pub http: ClientConn,
+    pub http: ClientConnection,
     pub body: Vec<u8>,
     /// The answer's status, once its head has arrived.
     pub status: Option<u16>,
@@ -98,7 +98,7 @@
         Exchange {
             generation,
             socket,
-            http: ClientConn::new(violetseam_http1::Limits::default()),
+            http: ClientConnection::new(violetseam_http1::Limits::default()),
             body: Vec::new(),
             status: None,
             timeout_at: 0,
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -209,7 +209,7 @@
         };
         let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         exchange.socket.out().extend_from_slice(head.as_bytes());
-        exchange.http.expect_answer(false);
+        exchange.http.expect_response(false);
         exchange.status = None;
         exchange.socket.want_connected(&self.handle);
         exchange.began_at = self.now();
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -123,14 +123,14 @@
                 ServerEvent::Head(head) => self.on_head(key, *head),
                 ServerEvent::Body(bytes) => self.on_body(key, bytes),
                 ServerEvent::End => self.on_end(key),
-                ServerEvent::Fault(fault) => {
+                ServerEvent::Error(fault) => {
                     tracing::debug!("request refused: {fault}");
                     if let State::Waiting(id) = client.state {
                         client.state = State::Idle;
                         let now = self.now();
                         self.engine.on_client_disconnected(now, id);
                     }
-                    self.decline(key, fault.status, fault.reason);
+                    self.decline(key, fault.status(), fault.reason());
                 }
             }
         }
@@ -150,7 +150,7 @@
         let is_body_stuck = self.is_body_stuck(key);
         let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get(key) else { return };
-        let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
+        let is_full = client.http.buffered_bytes() > MAX_INPUT_BYTES || client.is_slow();
         // While a process takes over, what comes next on a connection is for whoever has it then.
         let reads = !client.half_closed && !is_body_stuck && !is_full && !is_handing_over;
         client.socket.want(&self.handle, reads);
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use violetseam::interface::Micros;
 use violetseam_event_io::{Socket, listen};
-use violetseam_http1::server::ServerConn;
+use violetseam_http1::server::ServerConnection;
 
 /// Connections that may wait in a listener's queue.
 const LISTEN_BACKLOG: i32 = 4_096;
@@ -144,7 +144,7 @@
         stream.set_nodelay(true)?;
         let generation = self.next_generation();
         let timeout_at = self.now() + self.first_request_timeout();
-        let http = ServerConn::new(self.head_limits);
+        let http = ServerConnection::new(self.head_limits);
         let entry = self.clients.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -11,7 +11,7 @@
 use violetseam::interface::{Micros, RequestId};
 use violetseam_event_io::{HIGH_WATER, Socket};
 use violetseam_http1::RequestHead;
-use violetseam_http1::server::ServerConn;
+use violetseam_http1::server::ServerConnection;
 
 /// While draining, a connection that has carried no request yet may take so long to begin its first one.
 const FIRST_REQUEST_TIMEOUT: Micros = 1_000_000;
@@ -20,7 +20,7 @@
 pub(super) struct Client {
     generation: u64,
     socket: Socket,
-    http: ServerConn,
+    http: ServerConnection,
     state: State,
     /// A request's head has come on it.
     used: bool,
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -4,9 +4,10 @@
 use super::State;
 use crate::engine::LocalResponse;
 use http::StatusCode;
-use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
+use http::header::{HeaderName, RETRY_AFTER, VIA};
 use violetseam::interface::RequestId;
 use violetseam_event_io::HIGH_WATER;
+use violetseam_http1::server::ResponseStart;
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_site_protocol::answer_report;
 
@@ -37,7 +38,8 @@
         }
         fields.extend_from_slice(extra_fields);
         let framing = Framing::Length(body.len() as u64);
-        client.http.start_answer(client.socket.out(), status, &HeaderMap::new(), &fields, framing, close);
+        let response = ResponseStart { status, headers: None, extra_fields: &fields, framing, close };
+        client.http.start_response(client.socket.out(), response);
         client.http.write_body(client.socket.out(), body.as_bytes());
         self.finish_answer(key);
     }
@@ -88,7 +90,14 @@
             (OUTCOME_HEADER, &b"served"[..]),
         ];
         let out = client.socket.out();
-        client.http.start_answer(out, head.status, &head.headers, &fields, framing, leaving);
+        let response = ResponseStart {
+            status: head.status,
+            headers: Some(&head.headers),
+            extra_fields: &fields,
+            framing,
+            close: leaving,
+        };
+        client.http.start_response(out, response);
         Some(key)
     }
 
@@ -101,7 +110,7 @@
     /// The present answer is complete: the connection carries on or closes once all is written.
     pub(in super::super) fn finish_answer(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let carries_on = client.http.finish_answer(client.socket.out()) && !client.half_closed;
+        let carries_on = client.http.finish_response(client.socket.out()) && !client.half_closed;
         client.state = if carries_on { State::Idle } else { State::Closing };
         self.flush_client(key);
     }
@@ -131,7 +140,7 @@
             }
             // A pipelined request may be waiting in the input: it gets its turn from `pump`, as to handle it
             // from here would go a level deeper with each one that is answered at once.
-            State::Idle if client.http.held() > 0 => {
+            State::Idle if client.http.buffered_bytes() > 0 => {
                 self.resumed_clients.push(ConnectionId { key, generation: client.generation });
             }
             _ => {}
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -5,7 +5,7 @@
 use calloop::{Interest, Readiness};
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 
 /// What an exchange with the publisher is for.
@@ -21,7 +21,7 @@
 pub(super) struct Exchange {
     pub(super) generation: u64,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     pub(super) lines: LineReader,
     /// The answer's status has come and the body is worth reading.
     accepted: bool,
@@ -115,7 +115,7 @@
                     self.publisher_lines(generation);
                 }
                 Some(ClientEvent::Body(_)) => {}
-                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => self.exchange_ended(purpose),
+                Some(ClientEvent::End { .. } | ClientEvent::Error(_)) => self.exchange_ended(purpose),
             }
         }
     }
--- a/crates/proxy/src/driver/http_request.rs
+++ b/crates/proxy/src/driver/http_request.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use violetseam_event_io::Socket;
 use violetseam_http1::Limits;
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 
 /// Queues a request on a new connection to `to`; gives the reader of its answer.
 pub(super) fn queue_request(
@@ -12,14 +12,14 @@
     method: &str,
     path: &str,
     body: &[u8],
-) -> ClientConn {
+) -> ClientConnection {
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
     socket.out().extend_from_slice(head.as_bytes());
     socket.out().extend_from_slice(body);
-    let mut http = ClientConn::new(Limits::default());
-    http.expect_answer(false);
+    let mut http = ClientConnection::new(Limits::default());
+    http.expect_response(false);
     http
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -302,9 +302,9 @@
 /// The bounds of a client's request.
 fn head_limits(settings: &ProxySettings) -> HeadLimits {
     HeadLimits {
-        head: settings.connections.max_head,
-        fields: settings.connections.max_fields,
-        body: settings.connections.max_body,
+        max_head_bytes: settings.connections.max_head,
+        max_fields: settings.connections.max_fields,
+        max_body_bytes: settings.connections.max_body,
     }
 }
 
--- a/crates/proxy/src/driver/servers/answers.rs
+++ b/crates/proxy/src/driver/servers/answers.rs
@@ -40,7 +40,7 @@
                         return;
                     }
                 }
-                ClientEvent::Fault(fault) => {
+                ClientEvent::Error(fault) => {
                     let id = server.id;
                     tracing::debug!(server = id, "malformed answer: {fault}");
                     return self.on_server_lost(key);
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
 use violetseam_event_io::{Socket, connect};
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 use violetseam_http1::{ResponseHead, write_chunk, write_last_chunk};
 
 /// A connection to a server.
@@ -20,7 +20,7 @@
     generation: u64,
     id: ServerId,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     state: State,
     timeout: StateTimeout,
 }
@@ -147,7 +147,7 @@
             generation,
             id,
             socket,
-            http: ClientConn::new(self.head_limits),
+            http: ClientConnection::new(self.head_limits),
             state: State::Connecting(active),
             timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
@@ -164,7 +164,7 @@
         let Some(in_flight) = self.in_flight.get(&active.request) else { return self.close_server(key) };
         let request = active.request;
         let buffered = in_flight.body.len();
-        server.http.expect_answer(in_flight.is_head_request);
+        server.http.expect_response(in_flight.is_head_request);
         let out = server.socket.out();
         out.extend_from_slice(&in_flight.head);
         if in_flight.is_chunked {
--- a/crates/proxy/src/driver/site_calls.rs
+++ b/crates/proxy/src/driver/site_calls.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::release_service::{FencedRelease, VoteResult};
 use violetseam_site_protocol::{endpoint_list, release_service};
@@ -77,7 +77,7 @@
     generation: u64,
     purpose: CallPurpose,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     lines: LineReader,
     /// A vote's reply as it comes.
     body: Vec<u8>,
@@ -274,7 +274,7 @@
                     self.call_complete(key);
                     return self.call_ended(key, &CallError::Closed);
                 }
-                Some(ClientEvent::Fault(_)) => return self.call_ended(key, &CallError::MalformedAnswer),
+                Some(ClientEvent::Error(_)) => return self.call_ended(key, &CallError::MalformedAnswer),
             }
         }
     }
--- a/crates/publisher/src/client.rs
+++ b/crates/publisher/src/client.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use thiserror::Error;
-use violetseam_http1::client::{ClientConn, ClientEvent, write_request_head};
+use violetseam_http1::client::{ClientConnection, ClientEvent, write_request_head};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
 /// The longest body of a response, in bytes.
@@ -112,8 +112,8 @@
         stream.set_write_timeout(Some(self.timeout))?;
         // The publisher may respond before it has read everything; that response counts.
         let sent = stream.write_all(&request);
-        let mut http = ClientConn::new(Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(Limits::default());
+        http.expect_response(false);
         match (read_response(&mut stream, &mut http, deadline), sent) {
             (Ok(response), _) => Ok(response),
             (Err(_), Err(error)) => Err(error.into()),
@@ -148,7 +148,7 @@
 
 fn read_response(
     stream: &mut TcpStream,
-    http: &mut ClientConn,
+    http: &mut ClientConnection,
     deadline: Instant,
 ) -> Result<Response, ExchangeError> {
     let mut response = Response { status: StatusCode::OK, body: Vec::new() };
@@ -161,8 +161,8 @@
             }
             Some(ClientEvent::Body(part)) => response.body.extend_from_slice(&part),
             Some(ClientEvent::End { .. }) => return Ok(response),
-            Some(ClientEvent::Fault(fault)) => {
-                return Err(ExchangeError::InvalidHttp { reason: fault.reason });
+            Some(ClientEvent::Error(fault)) => {
+                return Err(ExchangeError::InvalidHttp { reason: fault.reason() });
             }
             None => {
                 let count = read_before(stream, deadline, &mut bytes)?;
--- a/crates/publisher/src/connection.rs
+++ b/crates/publisher/src/connection.rs
@@ -4,11 +4,11 @@
 use crate::protocol::ACKNOWLEDGE_PATH;
 use crate::watch::Watch;
 use http::StatusCode;
-use http::header::{HeaderMap, HeaderName};
+use http::header::HeaderName;
 use violetseam_distribution::Micros;
 use violetseam_distribution::message::{Line, MAX_REPORT_BYTES};
 use violetseam_event_io::{HIGH_WATER, ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
 /// Bytes that are read at once.
@@ -25,7 +25,7 @@
     pub(crate) watch: Option<Watch>,
     /// Differs from that of an earlier connection under the same key.
     generation: u64,
-    http: ServerConn,
+    http: ServerConnection,
     head: Option<Box<RequestHead>>,
     body: Vec<u8>,
     used_at: Micros,
@@ -45,12 +45,12 @@
 
 impl Connection {
     pub(crate) fn new(generation: u64, socket: Socket, max_body_bytes: usize, now: Micros) -> Connection {
-        let limits = Limits { body: max_body_bytes as u64, ..Limits::default() };
+        let limits = Limits { max_body_bytes: max_body_bytes as u64, ..Limits::default() };
         Connection {
             socket,
             watch: None,
             generation,
-            http: ServerConn::new(limits),
+            http: ServerConnection::new(limits),
             head: None,
             body: Vec::new(),
             used_at: now,
@@ -130,15 +130,17 @@
             response.headers.iter().map(|(name, value)| (name.clone(), value.as_bytes())).collect();
         let framing = Framing::Length(response.body.len() as u64);
         let out = self.socket.out();
-        self.http.start_answer(out, response.status, &HeaderMap::new(), &headers, framing, close);
+        let start =
+            ResponseStart { status: response.status, headers: None, extra_fields: &headers, framing, close };
+        self.http.start_response(out, start);
         self.http.write_body(out, &response.body);
-        self.closing |= !self.http.finish_answer(out);
+        self.closing |= !self.http.finish_response(out);
     }
 
     /// Begins the endless response of a watch with these lines.
     pub(crate) fn begin_watch(&mut self, now: Micros, subscriber: String, lines: Vec<Line>) {
         let out = self.socket.out();
-        self.http.start_answer(out, StatusCode::OK, &HeaderMap::new(), &[], Framing::Chunked, false);
+        self.http.start_response(out, ResponseStart::new(StatusCode::OK, Framing::Chunked));
         self.watch = Some(Watch::new(now, subscriber, lines));
     }
 
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -225,8 +225,8 @@
                     }
                 }
                 Some(ServerEvent::End) => self.finish_request(key),
-                Some(ServerEvent::Fault(fault)) => {
-                    return self.refuse_and_close(key, fault.status, fault.reason);
+                Some(ServerEvent::Error(fault)) => {
+                    return self.refuse_and_close(key, fault.status(), fault.reason());
                 }
             }
         }
--- a/crates/publisher/src/watch.rs
+++ b/crates/publisher/src/watch.rs
@@ -5,7 +5,7 @@
 use violetseam_distribution::message::Line;
 use violetseam_distribution::subscriber::HEARTBEAT_INTERVAL;
 use violetseam_event_io::Socket;
-use violetseam_http1::server::ServerConn;
+use violetseam_http1::server::ServerConnection;
 
 /// Bytes that are copied for the socket ahead of what it accepts, up to twice as many; the backlog beyond them
 /// is shared among all watches.
@@ -84,7 +84,7 @@
     pub(crate) fn write(
         &mut self,
         now: Micros,
-        http: &mut ServerConn,
+        http: &mut ServerConnection,
         socket: &mut Socket,
     ) -> std::io::Result<()> {
         let mut written = 0;
@@ -106,7 +106,7 @@
     }
 
     /// Copies pieces of lines, so that a long line takes no more room in each watch than a short one.
-    fn write_ahead(&mut self, http: &mut ServerConn, socket: &mut Socket) {
+    fn write_ahead(&mut self, http: &mut ServerConnection, socket: &mut Socket) {
         while socket.unwritten() < WRITE_AHEAD_BYTES {
             let Some(line) = self.backlog.front() else { return };
             let end = line.len().min(self.written_of_first + WRITE_AHEAD_BYTES);
--- a/crates/scale-bench/src/distribution/subscriber.rs
+++ b/crates/scale-bench/src/distribution/subscriber.rs
@@ -11,7 +11,7 @@
 use violetseam_distribution::subscriber::{Effect, Proposal, Subscriber};
 use violetseam_distribution::{Message, Micros, Report, Subscribe};
 use violetseam_http1::Limits;
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_publisher::protocol::{ACKNOWLEDGE_PATH, WATCH_PATH};
 
 const STACK_BYTES: usize = 192 * 1024;
@@ -177,7 +177,7 @@
                     return Ok(());
                 }
             }
-            Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => return Ok(()),
+            Some(ClientEvent::End { .. } | ClientEvent::Error(_)) => return Ok(()),
             None if !subscriber.on_tick(shared.now()).is_empty() => return Ok(()),
             None => {}
         }
@@ -260,7 +260,7 @@
 struct Connection<'a> {
     counters: &'a Counters,
     stream: TcpStream,
-    http: ClientConn,
+    http: ClientConnection,
 }
 
 impl<'a> Connection<'a> {
@@ -269,13 +269,13 @@
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.set_write_timeout(Some(ANSWER_TIMEOUT))?;
-        Ok(Connection { counters: &shared.counters, stream, http: ClientConn::new(Limits::default()) })
+        Ok(Connection { counters: &shared.counters, stream, http: ClientConnection::new(Limits::default()) })
     }
 
     fn send(&mut self, head: &str, body: &[u8]) -> io::Result<()> {
         let mut request = head.as_bytes().to_vec();
         request.extend_from_slice(body);
-        self.http.expect_answer(false);
+        self.http.expect_response(false);
         self.stream.write_all(&request)?;
         self.counters.bytes_out.fetch_add(request.len() as u64, Ordering::Relaxed);
         Ok(())
@@ -291,7 +291,7 @@
         loop {
             match self.next_event()? {
                 Some(ClientEvent::End { reusable }) => return Ok(reusable),
-                Some(ClientEvent::Fault(_)) => return Ok(false),
+                Some(ClientEvent::Error(_)) => return Ok(false),
                 Some(ClientEvent::Head(_) | ClientEvent::Body(_)) => {}
                 None => return Err(ErrorKind::TimedOut.into()),
             }
--- a/crates/scale-bench/src/hollow_registry.rs
+++ b/crates/scale-bench/src/hollow_registry.rs
@@ -6,7 +6,7 @@
 use calloop::channel::{Event as Heard, Sender, channel};
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
-use http::{HeaderMap, StatusCode};
+use http::StatusCode;
 use slab::Slab;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use violetseam_event_io::{ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits};
 use violetseam_simulated_site::model::roster::Roster;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
@@ -137,7 +137,7 @@
 
 struct Conn {
     socket: Socket,
-    http: ServerConn,
+    http: ServerConnection,
     target: String,
     /// It is a call to the registry: its bytes count.
     counted: bool,
@@ -236,7 +236,7 @@
         let key = entry.key();
         let on_ready = move |ready: Readiness, server: &mut Server| server.on_conn(key, ready);
         let Ok(socket) = Socket::register(&self.handle, stream, Interest::READ, on_ready) else { return };
-        let http = ServerConn::new(Limits::default());
+        let http = ServerConnection::new(Limits::default());
         entry.insert(Conn { socket, http, target: String::new(), counted: false, received: 0, watch: None });
     }
 
@@ -275,7 +275,7 @@
                 Some(ServerEvent::Head(head)) => conn.target = head.target.clone(),
                 Some(ServerEvent::Body(_)) => {}
                 Some(ServerEvent::End) => self.answer(key),
-                Some(ServerEvent::Fault(_)) => return self.close(key),
+                Some(ServerEvent::Error(_)) => return self.close(key),
             }
         }
     }
@@ -346,12 +346,12 @@
 
     fn begin_answer(&mut self, key: usize, line: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let out = conn.socket.out();
         let framing = if whole { Framing::Length(line.len() as u64) } else { Framing::Chunked };
-        conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
+        conn.http.start_response(out, ResponseStart::new(StatusCode::OK, framing));
         conn.http.write_body(out, line);
         if whole {
-            conn.http.finish_answer(out);
+            conn.http.finish_response(out);
         }
         self.flush(key);
     }
--- a/crates/scale-bench/src/hollow_release.rs
+++ b/crates/scale-bench/src/hollow_release.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use violetseam::interface::{Micros, Outcome};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::release_service::{FencedRelease, MAX_LINE_BYTES, Vote, VoteResult};
 
@@ -177,7 +177,7 @@
     proxy: usize,
     purpose: Purpose,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     lines: LineReader,
     body: Vec<u8>,
     began: Instant,
@@ -369,8 +369,8 @@
         if purpose == Purpose::Vote {
             self.counts.voted += socket.unwritten() as u64;
         }
-        let mut http = ClientConn::new(violetseam_http1::Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(violetseam_http1::Limits::default());
+        http.expect_response(false);
         let (lines, began) = (LineReader::new(MAX_LINE_BYTES), Instant::now());
         entry.insert(Call { proxy, purpose, socket, http, lines, body: Vec::new(), began });
         Ok(())
--- a/crates/simulated-site/src/drive/clients.rs
+++ b/crates/simulated-site/src/drive/clients.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_http1::Limits;
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_invariants::record::Answer;
 use violetseam_invariants::{Entry, Record};
 
@@ -37,7 +37,7 @@
     generation: u64,
     proxy: usize,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     work: Work,
     connected: bool,
 }
@@ -287,7 +287,7 @@
                 let Ok(socket) = Socket::register(&self.handle, stream, Interest::BOTH, on_ready) else {
                     return self.unreachable(op, proxy);
                 };
-                let http = ClientConn::new(Limits::default());
+                let http = ClientConnection::new(Limits::default());
                 entry.insert(Conn { generation, proxy, socket, http, work, connected: false });
                 self.at(deadline + PATIENCE, Later::GiveUp(key, generation));
             }
@@ -323,7 +323,7 @@
         }
         text += if method == "POST" { "content-length: 4\r\n\r\nwork" } else { "\r\n" };
         conn.socket.out().extend_from_slice(text.as_bytes());
-        conn.http.expect_answer(false);
+        conn.http.expect_response(false);
         // The deadline as told: what the milliseconds cut off is not the proxy's to lose.
         let (proxy, class_index) = (conn.proxy as u32, wish.class);
         self.see(Record::Sent { request, proxy, class: class_index, deadline: now + left * 1_000 });
@@ -419,7 +419,7 @@
                     self.complete(key, reusable);
                     return;
                 }
-                Some(ClientEvent::Fault(_)) => return self.lost(key),
+                Some(ClientEvent::Error(_)) => return self.lost(key),
             }
         }
     }
@@ -428,7 +428,7 @@
     fn complete(&mut self, key: usize, reusable: bool) {
         let conn = &mut self.conns[key];
         let work = std::mem::replace(&mut conn.work, Work::Idle);
-        let (proxy, surplus) = (conn.proxy, conn.http.held() > 0);
+        let (proxy, surplus) = (conn.proxy, conn.http.buffered_bytes() > 0);
         // Its time-outs are of the try before: a new generation makes them void.
         self.generation += 1;
         self.conns[key].generation = self.generation;
@@ -578,8 +578,8 @@
             body.len()
         );
         socket.out().extend_from_slice(text.as_bytes());
-        let mut http = ClientConn::new(Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(Limits::default());
+        http.expect_response(false);
         entry.insert(Conn { generation, proxy, socket, http, work: Work::Flag, connected: false });
         self.at(self.clock.now() + 1_000_000, Later::GiveUp(key, generation));
     }
--- a/crates/simulated-site/src/drive/connection.rs
+++ b/crates/simulated-site/src/drive/connection.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use violetseam_event_io::Socket;
 use violetseam_http1::RequestHead;
-use violetseam_http1::server::ServerConn;
+use violetseam_http1::server::ServerConnection;
 use violetseam_site_protocol::release_service::{ReleaseUpdate, Vote};
 
 /// What a connection is to.
@@ -19,7 +19,7 @@
     pub(super) generation: u64,
     pub(super) role: Role,
     pub(super) socket: Socket,
-    pub(super) http: ServerConn,
+    pub(super) http: ServerConnection,
     pub(super) head: Option<Box<RequestHead>>,
     pub(super) body: Vec<u8>,
     /// The attempt that is out on it.
--- a/crates/simulated-site/src/drive/site_http.rs
+++ b/crates/simulated-site/src/drive/site_http.rs
@@ -9,10 +9,10 @@
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use http::StatusCode;
-use http::header::{HeaderMap, HeaderName};
+use http::header::HeaderName;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use violetseam_event_io::{ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits};
 use violetseam_invariants::{Arrival, End, Record};
 
@@ -61,7 +61,7 @@
         let interest = if wait.is_some() { Interest::EMPTY } else { Interest::READ };
         let on_ready = move |readiness: Readiness, site: &mut Site| site.on_conn(key, readiness);
         let Ok(socket) = Socket::register(&self.handle, stream, interest, on_ready) else { return };
-        let http = ServerConn::new(Limits::default());
+        let http = ServerConnection::new(Limits::default());
         entry.insert(Conn {
             generation,
             role,
@@ -121,7 +121,7 @@
                     Role::Roster => self.serve_roster(key),
                     Role::Desk => self.serve_desk(key),
                 },
-                Some(ServerEvent::Fault(_)) => return self.close(key),
+                Some(ServerEvent::Error(_)) => return self.close(key),
             }
         }
     }
@@ -216,10 +216,11 @@
             return self.sever(key);
         }
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
-        conn.http.start_answer(out, status, &none, &fields, Framing::Length(3), false);
+        let out = conn.socket.out();
+        let start = ResponseStart::new(status, Framing::Length(3));
+        conn.http.start_response(out, ResponseStart { extra_fields: &fields, ..start });
         conn.http.write_body(out, b"ok\n");
-        conn.http.finish_answer(out);
+        conn.http.finish_response(out);
         self.flush(key);
         self.events(key);
     }
--- a/crates/simulated-site/src/drive/streams.rs
+++ b/crates/simulated-site/src/drive/streams.rs
@@ -4,8 +4,8 @@
 use super::state::Site;
 use crate::day::{Kind, Trouble};
 use http::StatusCode;
-use http::header::HeaderMap;
 use violetseam_http1::Framing;
+use violetseam_http1::server::ResponseStart;
 use violetseam_invariants::record::Call;
 use violetseam_invariants::{End, Record};
 
@@ -113,12 +113,12 @@
     /// Starts an answer of lines; `whole`: it ends with them.
     pub(super) fn stream(&mut self, key: usize, lines: &[u8], whole: bool) {
         let Some(conn) = self.conns.get_mut(key) else { return };
-        let (out, none) = (conn.socket.out(), HeaderMap::new());
+        let out = conn.socket.out();
         let framing = if whole { Framing::Length(lines.len() as u64) } else { Framing::Chunked };
-        conn.http.start_answer(out, StatusCode::OK, &none, &[], framing, false);
+        conn.http.start_response(out, ResponseStart::new(StatusCode::OK, framing));
         conn.http.write_body(out, lines);
         if whole {
-            conn.http.finish_answer(out);
+            conn.http.finish_response(out);
         }
         self.flush(key);
     }
