--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,7 +12,7 @@
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use violetseam_recorder::Interest;
+use violetseam_recorder::{Difference, ReplayFilter};
 
 #[derive(Parser)]
 #[command(version, about = "Release controller and the router that moves traffic between builds")]
@@ -89,7 +89,7 @@
             })
         }
         .map_err(|fault| fault.to_string()),
-        Command::Replay { file, request, build } => replay(&file, Interest { request, build }),
+        Command::Replay { file, request, build } => replay(&file, ReplayFilter { request, build }),
         Command::Lab(command) => lab::run(&command),
     };
     result.unwrap_or_else(|why| {
@@ -98,22 +98,22 @@
     })
 }
 
-fn replay(file: &std::path::Path, interest: Interest) -> Result<ExitCode, String> {
-    let report = violetseam_recorder::replay(file, interest, &mut |line| println!("{line}"))
+fn replay(file: &std::path::Path, filter: ReplayFilter) -> Result<ExitCode, String> {
+    let report = violetseam_recorder::replay(file, filter, &mut |line| println!("{line}"))
         .map_err(|fault| fault.to_string())?;
     println!("{} events, {} actions, {} starts", report.events, report.actions, report.starts);
     for (kind, count) in &report.kinds {
         println!("  {kind}: {count}");
     }
-    if report.full {
+    if report.reached_size_limit {
         println!("the recording ended at its bound");
     }
-    if let Some((event, recorded, again)) = report.difference {
-        println!("different at event {event}:\n  recorded: {recorded}\n  now:      {again}");
+    if let Some(Difference { event_number, recorded, replayed }) = report.difference {
+        println!("different at event {event_number}:\n  recorded: {recorded}\n  now:      {replayed}");
         return Ok(ExitCode::FAILURE);
     }
-    if let Some(fault) = report.fault {
-        println!("stopped: {fault}; all before it is the same");
+    if let Some(error) = report.read_error {
+        println!("stopped: {error}; all before it is the same");
         return Ok(ExitCode::FAILURE);
     }
     println!("every action is the same");
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -11,7 +11,7 @@
 use tracing_subscriber::{Layer, Registry, reload};
 use violetseam_operator_store::{OpenedStore, Store, StoreError};
 use violetseam_proxy::driver::{Operators, Options, Reloaded, Reopened, SetLog, inherit, serve_operated};
-use violetseam_recorder::Bounds;
+use violetseam_recorder::RecordingLimits;
 use violetseam_settings::{Identity, ProxySettings, read_file};
 use violetseam_tls_config::KeyFiles;
 
@@ -30,7 +30,7 @@
     #[arg(long)]
     record: Option<PathBuf>,
     /// The most bytes a recording may take; it ends there
-    #[arg(long, default_value_t = Bounds::default().total)]
+    #[arg(long, default_value_t = RecordingLimits::default().max_total_bytes)]
     record_most: u64,
     /// How log lines are written, to standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
@@ -83,9 +83,9 @@
     let file = args.settings.as_ref().ok_or("--settings is wanted")?;
     let settings = read_file(file, &args.set).map_err(|e| e.to_string())?;
     let set_log = start_logs(args)?;
-    let bounds = Bounds { total: args.record_most, ..Bounds::default() };
+    let limits = RecordingLimits { max_total_bytes: args.record_most, ..RecordingLimits::default() };
     let options = Options {
-        record: args.record.clone().map(|path| (path, bounds)),
+        record: args.record.clone().map(|path| (path, limits)),
         time_module: args.time_module,
         stop_after: args.stop_after.map(Duration::from_secs),
         stop: None,
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
-use violetseam_recorder::{Interest, replay};
+use violetseam_recorder::{ReplayFilter, replay};
 use violetseam_scenarios::{Lab, Outcome, days, report};
 use violetseam_simulated_site::day::Day;
 
@@ -44,8 +44,8 @@
     // What the proxies decided on the way can be decided again, action by action.
     for position in 0..day.proxies.len() {
         let path = folder(0, &day).join(format!("flight-{position}"));
-        let replayed = replay(&path, Interest::default(), &mut |_| {}).unwrap();
-        assert!(replayed.difference.is_none() && replayed.fault.is_none(), "{replayed:?}");
+        let replayed = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
+        assert!(replayed.difference.is_none() && replayed.read_error.is_none(), "{replayed:?}");
         assert!(replayed.events > 1_000, "{replayed:?}");
     }
 }
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -20,7 +20,7 @@
 use violetseam_controller::journal::{Record, StateDir, encode};
 use violetseam_distribution::Message;
 use violetseam_operator_store::Store;
-use violetseam_recorder::{Interest, replay};
+use violetseam_recorder::{ReplayFilter, replay};
 use violetseam_release::{Event, Now, Phase};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -225,8 +225,11 @@
 
 #[test]
 fn a_stored_flight_recording_replays_without_a_difference() {
-    let report = replay(&stored("flight"), Interest::default(), &mut |_| {}).unwrap();
-    assert!(report.difference.is_none() && report.fault.is_none() && !report.full, "{report:?}");
+    let report = replay(&stored("flight"), ReplayFilter::default(), &mut |_| {}).unwrap();
+    assert!(
+        report.difference.is_none() && report.read_error.is_none() && !report.reached_size_limit,
+        "{report:?}"
+    );
     assert_eq!((report.events, report.starts), (2_180, 1));
 }
 
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -10,6 +10,7 @@
 use crate::snapshot_assembly::SnapshotAssembly;
 use crate::subscription::Subscribe;
 use crate::version::Version;
+use thiserror::Error;
 
 pub use crate::subscriber_table::Rejection;
 
@@ -33,8 +34,20 @@
     Replacement(&'a Configuration),
 }
 
-/// Validates the meaning of a proposal. The reason of a rejection is reported to the publisher as it is.
-pub type Validator<'a> = dyn FnMut(Proposal<'_>) -> Result<(), String> + 'a;
+/// Why a [`Validator`] rejects a proposal. The text of its cause is reported to the publisher as it is.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct InvalidProposal(Box<dyn std::error::Error + Send + Sync>);
+
+impl InvalidProposal {
+    /// A rejection with this cause.
+    pub fn new(cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
+        InvalidProposal(cause.into())
+    }
+}
+
+/// Validates the meaning of a proposal.
+pub type Validator<'a> = dyn FnMut(Proposal<'_>) -> Result<(), InvalidProposal> + 'a;
 
 /// What the caller has to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
@@ -235,8 +248,8 @@
         if let Err(error) = current.validate_delta(&merged) {
             return self.reject_and_request_snapshot(now, delta.version, &error.to_string());
         }
-        if let Err(reason) = validate(Proposal::Changes(&merged.changes)) {
-            let report = self.reject(delta.version, &reason);
+        if let Err(error) = validate(Proposal::Changes(&merged.changes)) {
+            let report = self.reject(delta.version, &error.to_string());
             rejected.push(delta);
             return self.retain_rejected(now, rejected, report);
         }
@@ -294,9 +307,9 @@
         validate: &mut Validator<'_>,
     ) -> Vec<Effect> {
         let version = candidate.version();
-        if let Err(reason) = validate(Proposal::Replacement(&candidate)) {
+        if let Err(error) = validate(Proposal::Replacement(&candidate)) {
             self.rejected = Rejected::Snapshot(candidate);
-            return vec![self.reject(version, &reason)];
+            return vec![self.reject(version, &error.to_string())];
         }
         self.current = Some(candidate);
         self.snapshot_required = false;
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of subscribers share.
 
-use violetseam_distribution::subscriber::{Effect, Proposal, Subscriber};
+use violetseam_distribution::subscriber::{Effect, InvalidProposal, Proposal, Subscriber};
 use violetseam_distribution::{Change, Configuration, Message, Micros, Resource};
 
 pub const SECOND: Micros = 1_000_000;
@@ -9,7 +9,7 @@
 pub const UNKNOWN_CLASS: &str = "unknown";
 
 /// The check of meaning that these tests use: no route to [`UNKNOWN_CLASS`].
-pub fn validate(proposal: Proposal<'_>) -> Result<(), String> {
+pub fn validate(proposal: Proposal<'_>) -> Result<(), InvalidProposal> {
     let is_unknown = |class: &str| class == UNKNOWN_CLASS;
     let refused = match proposal {
         Proposal::Changes(changes) => changes.iter().any(
@@ -19,7 +19,7 @@
             configuration.routes().any(|(_, value)| is_unknown(&value.class))
         }
     };
-    if refused { Err(format!("no class {UNKNOWN_CLASS:?}")) } else { Ok(()) }
+    if refused { Err(InvalidProposal::new(format!("no class {UNKNOWN_CLASS:?}"))) } else { Ok(()) }
 }
 
 /// Hands a message over with the check of these tests.
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -19,7 +19,7 @@
 /// The commands that were parsed from a connection's input.
 struct ParsedCommands<'a> {
     /// Each command's words.
-    commands: Vec<command::Words<'a>>,
+    commands: Vec<Vec<&'a [u8]>>,
     /// Bytes that they took.
     consumed: usize,
     /// Why the input after them cannot be parsed, if it cannot.
@@ -31,9 +31,9 @@
     let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, fault: None };
     loop {
         match command::parse(&input[parsed.consumed..], bounds) {
-            Ok(Some((words, length))) => {
-                parsed.consumed += length;
-                parsed.commands.push(words);
+            Ok(Some(command)) => {
+                parsed.consumed += command.length;
+                parsed.commands.push(command.arguments);
             }
             Ok(None) => return parsed,
             Err(fault) => {
--- a/crates/proxy/src/driver/configuration.rs
+++ b/crates/proxy/src/driver/configuration.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use violetseam::interface::Micros;
-use violetseam_distribution::subscriber::{Effect, Subscriber};
+use violetseam_distribution::subscriber::{Effect, InvalidProposal, Subscriber};
 use violetseam_distribution::{Message, Report, Subscribe, Version};
 use violetseam_operator_commands::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_settings::RouteTable;
@@ -271,7 +271,7 @@
             let Subscription { subscriber, routes, .. } = &mut **subscription;
             let effects = match line {
                 Ok(message) => subscriber.on_message(now, message, &mut |proposal| {
-                    routes.check(proposal).map_err(|error| error.to_string())
+                    routes.check(proposal).map_err(InvalidProposal::new)
                 }),
                 Err(error) => {
                     tracing::warn!("publisher: {error}");
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -68,7 +68,7 @@
 
     fn finish_recording(&mut self) {
         let Some(recorder) = self.engine.take_recorder() else { return };
-        if let Some(why) = recorder.ended() {
+        if let Some(why) = recorder.stop_reason() {
             tracing::warn!("recording ended early: {why}");
         }
         if let Err(error) = recorder.finish() {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -57,7 +57,7 @@
 use violetseam::interface::{Micros, RequestId, ServerId};
 use violetseam_event_io::quiet::RateLimit;
 use violetseam_http1::Limits as HeadLimits;
-use violetseam_recorder::{Bounds, Recorder};
+use violetseam_recorder::{Recorder, RecordingLimits};
 use violetseam_settings::ProxySettings;
 use violetseam_site_protocol::endpoint_list::{self, EndpointList};
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Records every event and action there.
-    pub record: Option<(PathBuf, Bounds)>,
+    pub record: Option<(PathBuf, RecordingLimits)>,
     /// Measures the time spent in the module.
     pub time_module: bool,
     /// Stops by itself after this span.
@@ -286,7 +286,7 @@
     inherited: Option<&Inherited>,
 ) -> std::io::Result<Engine> {
     let recorder = match &options.record {
-        Some((path, bounds)) => Some(Recorder::start(path, *bounds, &settings.decisions, seed)?),
+        Some((path, limits)) => Some(Recorder::start(path, *limits, &settings.decisions, seed)?),
         None => None,
     };
     let mut engine = match inherited {
--- a/crates/recorder/src/frame.rs
+++ b/crates/recorder/src/frame.rs
@@ -1,39 +1,41 @@
-//! What a recording is made of, and how a frame is laid out.
+//! The frames that a recording consists of, and their encoding.
 
 use serde::{Deserialize, Serialize};
 use violetseam::interface::*;
 
-/// First bytes of a recording.
-pub const MAGIC: [u8; 5] = [b'V', b'S', b'F', b'R', 1];
-/// The longest frame that is read; a roster of 20,000 servers stays under it.
-pub const FRAME_MOST: usize = 4 << 20;
-/// Bytes before a frame's content.
-pub const FRAME_HEAD: usize = 8;
+/// The version of the format.
+pub(crate) const VERSION: u8 = 1;
+/// The first bytes of each segment.
+pub(crate) const MAGIC: [u8; 5] = [b'V', b'S', b'F', b'R', VERSION];
+/// The maximum length of a frame's content that is read, in bytes. A list of 20,000 servers is shorter.
+pub(crate) const MAX_FRAME_BYTES: usize = 4 << 20;
+/// The length of a frame's header, in bytes.
+pub(crate) const FRAME_HEADER_BYTES: usize = 8;
 
-/// One frame.
+/// One frame. The order of variants and fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A module's start.
+    /// The start of a decision module.
     Start {
         /// Its settings.
         settings: Box<RecordedSettings>,
         /// Its seed.
         seed: u64,
     },
-    /// An event and what came of it.
+    /// An event and the actions that it caused.
     Event {
-        /// The clock given with it, in microseconds.
+        /// The module's clock at the event, in microseconds.
         now: Micros,
         /// The event.
         event: OwnedEvent,
         /// The actions.
         actions: Vec<Action>,
     },
-    /// The bound was reached; nothing follows.
+    /// The recording has reached its size limit; nothing follows.
     Full,
 }
 
-/// Settings as recorded; compared by their text, as they hold floating-point figures.
+/// Recorded settings. Compared by their debug text, as the settings do not implement `PartialEq`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordedSettings(pub Settings);
 
@@ -43,41 +45,103 @@
     }
 }
 
-/// An [`Event`] that owns what it carries.
+/// An [`Event`] that owns its data. The order of variants and fields is part of the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OwnedEvent {
     /// See [`Event::ServerList`].
-    ServerList(ListKind, Vec<ServerEntry>),
+    ServerList {
+        /// Whether the entries are all servers.
+        kind: ListKind,
+        /// The servers.
+        entries: Vec<ServerEntry>,
+    },
     /// See [`Event::Request`].
     Request(Request),
     /// See [`Event::Timer`].
-    Timer(u64),
+    Timer {
+        /// The timer's token.
+        token: u64,
+    },
     /// See [`Event::AttemptEnded`].
     AttemptEnded(AttemptEnd),
     /// See [`Event::StreamStarted`].
-    StreamStarted(RequestId, usize),
+    StreamStarted {
+        /// The request.
+        request: RequestId,
+        /// The attempt's number.
+        attempt: usize,
+    },
     /// See [`Event::AnswerFlagged`].
-    AnswerFlagged(ServerId, usize, Micros),
+    AnswerFlagged {
+        /// The server.
+        server: ServerId,
+        /// The request's class.
+        class: usize,
+        /// The time since that attempt was sent, in microseconds.
+        since: Micros,
+    },
     /// See [`Event::ClientDisconnected`].
-    ClientDisconnected(RequestId),
+    ClientDisconnected {
+        /// The request.
+        request: RequestId,
+    },
     /// See [`Event::Release`].
     Release(ReleaseStatus),
     /// See [`Event::VoteReply`].
-    VoteReply(Outcome, Option<ReleaseStatus>),
+    VoteReply {
+        /// The outcome.
+        outcome: Outcome,
+        /// The release status that came with it.
+        release: Option<ReleaseStatus>,
+    },
     /// See [`Event::PeerMessage`].
-    PeerMessage(usize, Vec<u8>),
+    PeerMessage {
+        /// The sender's number.
+        from: usize,
+        /// The payload.
+        payload: Vec<u8>,
+    },
     /// See [`Event::HealthChecked`].
-    HealthChecked(ServerId, Outcome),
-    /// See [`Event::LoadReport`]: build, class, attempts, failed, mean, age.
-    LoadReport(Build, usize, u32, u32, Micros, Micros),
+    HealthChecked {
+        /// The server.
+        server: ServerId,
+        /// The outcome.
+        outcome: Outcome,
+    },
+    /// See [`Event::LoadReport`].
+    LoadReport {
+        /// The build.
+        build: Build,
+        /// The request's class.
+        class: usize,
+        /// The number of attempts.
+        attempts: u32,
+        /// The number of failed attempts.
+        failed: u32,
+        /// The mean latency of the other attempts, in microseconds.
+        mean: Micros,
+        /// The time since the report's period ended, in microseconds.
+        age: Micros,
+    },
     /// See [`Event::Operator`].
     Operator(OperatorCommand),
     /// See [`Event::ReadyToSend`].
-    ReadyToSend(RequestId, usize),
+    ReadyToSend {
+        /// The request.
+        request: RequestId,
+        /// The attempt's number.
+        attempt: usize,
+    },
     /// See [`Event::ListLease`].
-    ListLease(Micros),
+    ListLease {
+        /// Until when, in microseconds.
+        until: Micros,
+    },
     /// See [`Event::ShutdownAt`].
-    ShutdownAt(Micros),
+    ShutdownAt {
+        /// When, in microseconds.
+        at: Micros,
+    },
 }
 
 impl PartialEq for OwnedEvent {
@@ -86,88 +150,124 @@
     }
 }
 
-impl OwnedEvent {
-    /// A copy of an event.
-    pub fn of(event: &Event<'_>) -> Self {
+impl From<&Event<'_>> for OwnedEvent {
+    fn from(event: &Event<'_>) -> Self {
         match *event {
-            Event::ServerList { kind, entries } => OwnedEvent::ServerList(kind, entries.to_vec()),
-            Event::Request(request) => OwnedEvent::Request(request),
-            Event::Timer { token } => OwnedEvent::Timer(token),
-            Event::AttemptEnded(end) => OwnedEvent::AttemptEnded(end),
-            Event::StreamStarted { request, attempt } => OwnedEvent::StreamStarted(request, attempt),
-            Event::AnswerFlagged { server, class, since } => OwnedEvent::AnswerFlagged(server, class, since),
-            Event::ClientDisconnected { request } => OwnedEvent::ClientDisconnected(request),
-            Event::Release(news) => OwnedEvent::Release(news),
-            Event::VoteReply { outcome, release: news } => OwnedEvent::VoteReply(outcome, news),
-            Event::PeerMessage { from, payload } => OwnedEvent::PeerMessage(from, payload.to_vec()),
-            Event::Operator(word) => OwnedEvent::Operator(word),
-            Event::ReadyToSend { request, attempt } => OwnedEvent::ReadyToSend(request, attempt),
-            Event::ListLease { until } => OwnedEvent::ListLease(until),
-            Event::ShutdownAt { at } => OwnedEvent::ShutdownAt(at),
-            Event::HealthChecked { server, outcome } => OwnedEvent::HealthChecked(server, outcome),
+            Event::ServerList { kind, entries } => OwnedEvent::ServerList { kind, entries: entries.to_vec() },
+            Event::Request(data) => OwnedEvent::Request(data),
+            Event::Timer { token } => OwnedEvent::Timer { token },
+            Event::AttemptEnded(data) => OwnedEvent::AttemptEnded(data),
+            Event::StreamStarted { request, attempt } => OwnedEvent::StreamStarted { request, attempt },
+            Event::AnswerFlagged { server, class, since } => {
+                OwnedEvent::AnswerFlagged { server, class, since }
+            }
+            Event::ClientDisconnected { request } => OwnedEvent::ClientDisconnected { request },
+            Event::Release(data) => OwnedEvent::Release(data),
+            Event::VoteReply { outcome, release } => OwnedEvent::VoteReply { outcome, release },
+            Event::PeerMessage { from, payload } => {
+                OwnedEvent::PeerMessage { from, payload: payload.to_vec() }
+            }
+            Event::HealthChecked { server, outcome } => OwnedEvent::HealthChecked { server, outcome },
             Event::LoadReport { build, class, attempts, failed, mean, age } => {
-                OwnedEvent::LoadReport(build, class, attempts, failed, mean, age)
+                OwnedEvent::LoadReport { build, class, attempts, failed, mean, age }
+            }
+            Event::Operator(data) => OwnedEvent::Operator(data),
+            Event::ReadyToSend { request, attempt } => OwnedEvent::ReadyToSend { request, attempt },
+            Event::ListLease { until } => OwnedEvent::ListLease { until },
+            Event::ShutdownAt { at } => OwnedEvent::ShutdownAt { at },
+        }
+    }
+}
+
+impl OwnedEvent {
+    /// The event as the decision module takes it.
+    pub fn event(&self) -> Event<'_> {
+        match *self {
+            OwnedEvent::ServerList { kind, ref entries } => Event::ServerList { kind, entries },
+            OwnedEvent::Request(data) => Event::Request(data),
+            OwnedEvent::Timer { token } => Event::Timer { token },
+            OwnedEvent::AttemptEnded(data) => Event::AttemptEnded(data),
+            OwnedEvent::StreamStarted { request, attempt } => Event::StreamStarted { request, attempt },
+            OwnedEvent::AnswerFlagged { server, class, since } => {
+                Event::AnswerFlagged { server, class, since }
             }
+            OwnedEvent::ClientDisconnected { request } => Event::ClientDisconnected { request },
+            OwnedEvent::Release(data) => Event::Release(data),
+            OwnedEvent::VoteReply { outcome, release } => Event::VoteReply { outcome, release },
+            OwnedEvent::PeerMessage { from, ref payload } => Event::PeerMessage { from, payload },
+            OwnedEvent::HealthChecked { server, outcome } => Event::HealthChecked { server, outcome },
+            OwnedEvent::LoadReport { build, class, attempts, failed, mean, age } => {
+                Event::LoadReport { build, class, attempts, failed, mean, age }
+            }
+            OwnedEvent::Operator(data) => Event::Operator(data),
+            OwnedEvent::ReadyToSend { request, attempt } => Event::ReadyToSend { request, attempt },
+            OwnedEvent::ListLease { until } => Event::ListLease { until },
+            OwnedEvent::ShutdownAt { at } => Event::ShutdownAt { at },
         }
     }
 
-    /// Its kind, in words.
+    /// The plural name of its kind, for people.
     pub fn kind(&self) -> &'static str {
         match self {
-            OwnedEvent::ServerList(..) => "server lists",
+            OwnedEvent::ServerList { .. } => "server lists",
             OwnedEvent::Request(..) => "requests",
-            OwnedEvent::Timer(..) => "timers",
+            OwnedEvent::Timer { .. } => "timers",
             OwnedEvent::AttemptEnded(..) => "attempts ended",
-            OwnedEvent::StreamStarted(..) => "streams started",
-            OwnedEvent::AnswerFlagged(..) => "answers flagged",
-            OwnedEvent::ClientDisconnected(..) => "clients gone",
+            OwnedEvent::StreamStarted { .. } => "streams started",
+            OwnedEvent::AnswerFlagged { .. } => "answers flagged",
+            OwnedEvent::ClientDisconnected { .. } => "clients gone",
             OwnedEvent::Release(..) => "stage news",
-            OwnedEvent::VoteReply(..) => "vote replies",
-            OwnedEvent::PeerMessage(..) => "peer messages",
-            OwnedEvent::HealthChecked(..) => "probes",
-            OwnedEvent::LoadReport(..) => "platform counts",
+            OwnedEvent::VoteReply { .. } => "vote replies",
+            OwnedEvent::PeerMessage { .. } => "peer messages",
+            OwnedEvent::HealthChecked { .. } => "probes",
+            OwnedEvent::LoadReport { .. } => "platform counts",
             OwnedEvent::Operator(..) => "operators' words",
-            OwnedEvent::ReadyToSend(..) => "attempts about to leave",
-            OwnedEvent::ListLease(..) => "leases on the list",
-            OwnedEvent::ShutdownAt(..) => "ends of the process",
+            OwnedEvent::ReadyToSend { .. } => "attempts about to leave",
+            OwnedEvent::ListLease { .. } => "leases on the list",
+            OwnedEvent::ShutdownAt { .. } => "ends of the process",
         }
     }
+}
 
-    /// The event again.
-    pub fn event(&self) -> Event<'_> {
-        match *self {
-            OwnedEvent::ServerList(kind, ref entries) => Event::ServerList { kind, entries },
-            OwnedEvent::Request(request) => Event::Request(request),
-            OwnedEvent::Timer(token) => Event::Timer { token },
-            OwnedEvent::AttemptEnded(end) => Event::AttemptEnded(end),
-            OwnedEvent::StreamStarted(request, attempt) => Event::StreamStarted { request, attempt },
-            OwnedEvent::AnswerFlagged(server, class, since) => Event::AnswerFlagged { server, class, since },
-            OwnedEvent::ClientDisconnected(request) => Event::ClientDisconnected { request },
-            OwnedEvent::Release(news) => Event::Release(news),
-            OwnedEvent::VoteReply(outcome, news) => Event::VoteReply { outcome, release: news },
-            OwnedEvent::PeerMessage(from, ref payload) => Event::PeerMessage { from, payload },
-            OwnedEvent::Operator(word) => Event::Operator(word),
-            OwnedEvent::ReadyToSend(request, attempt) => Event::ReadyToSend { request, attempt },
-            OwnedEvent::ListLease(until) => Event::ListLease { until },
-            OwnedEvent::ShutdownAt(at) => Event::ShutdownAt { at },
-            OwnedEvent::HealthChecked(server, outcome) => Event::HealthChecked { server, outcome },
-            OwnedEvent::LoadReport(build, class, attempts, failed, mean, age) => {
-                Event::LoadReport { build, class, attempts, failed, mean, age }
-            }
+/// The header of a frame: length and CRC-32 of its content, each four bytes, little-endian.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FrameHeader {
+    /// The length of the content, in bytes.
+    pub length: usize,
+    /// The checksum of the content.
+    pub checksum: u32,
+}
+
+impl FrameHeader {
+    fn of(content: &[u8]) -> FrameHeader {
+        FrameHeader { length: content.len(), checksum: crc32fast::hash(content) }
+    }
+
+    pub fn decode(bytes: [u8; FRAME_HEADER_BYTES]) -> FrameHeader {
+        let [length @ .., c0, c1, c2, c3] = bytes;
+        FrameHeader {
+            length: u32::from_le_bytes(length) as usize,
+            checksum: u32::from_le_bytes([c0, c1, c2, c3]),
         }
     }
+
+    fn encode(self) -> [u8; FRAME_HEADER_BYTES] {
+        let mut bytes = [0; FRAME_HEADER_BYTES];
+        bytes[..4].copy_from_slice(&(self.length as u32).to_le_bytes());
+        bytes[4..].copy_from_slice(&self.checksum.to_le_bytes());
+        bytes
+    }
 }
 
-/// Appends a frame with its head.
-pub fn write_frame(out: &mut Vec<u8>, frame: &Frame) {
+/// Appends a frame with its header.
+pub(crate) fn write_frame(out: &mut Vec<u8>, frame: &Frame) {
     let start = out.len();
-    out.extend_from_slice(&[0; FRAME_HEAD]);
+    let content_start = start + FRAME_HEADER_BYTES;
+    out.resize(content_start, 0);
     // Encoding into memory fails for no type here.
-    if let Ok(longer) = postcard::to_extend(frame, std::mem::take(out)) {
-        *out = longer;
+    if let Ok(extended) = postcard::to_extend(frame, std::mem::take(out)) {
+        *out = extended;
     }
-    let length = (out.len() - start - FRAME_HEAD) as u32;
-    let sum = crc32fast::hash(&out[start + FRAME_HEAD..]);
-    out[start..start + 4].copy_from_slice(&length.to_le_bytes());
-    out[start + 4..start + FRAME_HEAD].copy_from_slice(&sum.to_le_bytes());
+    let header = FrameHeader::of(&out[content_start..]);
+    out[start..content_start].copy_from_slice(&header.encode());
 }
--- a/crates/recorder/src/read.rs
+++ b/crates/recorder/src/read.rs
@@ -1,120 +1,174 @@
-//! Reading: frames in order over all segments, stopping at the first damaged one.
+//! Reads the frames of all segments in order, up to the first damaged one.
 
-use crate::frame::{FRAME_HEAD, FRAME_MOST, Frame, MAGIC};
+use crate::frame::{FRAME_HEADER_BYTES, Frame, FrameHeader, MAGIC, MAX_FRAME_BYTES, VERSION};
 use crate::write::segment_path;
 use std::fs::File;
-use std::io::{BufReader, Read};
+use std::io::{self, BufReader, Read};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// Why reading stopped before the end.
-#[derive(Debug)]
-pub struct ReadFault {
+/// The size of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 1 << 20;
+
+/// Where and why reading stopped before the end.
+#[derive(Debug, Error)]
+#[error("{} at byte {offset}: {reason}", .file.display())]
+pub struct ReadError {
     /// The file.
     pub file: PathBuf,
-    /// Where in it, in bytes.
-    pub at: u64,
+    /// The offset in it, in bytes.
+    pub offset: u64,
     /// What is wrong there.
-    pub reason: String,
+    #[source]
+    pub reason: ReadErrorKind,
 }
 
-impl std::fmt::Display for ReadFault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} at byte {}: {}", self.file.display(), self.at, self.reason)
-    }
+/// What is wrong with a recording.
+#[derive(Debug, Error)]
+pub enum ReadErrorKind {
+    /// The file cannot be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The file does not start as a recording does.
+    #[error("not a recording")]
+    NotARecording,
+    /// The recording has another version.
+    #[error("a recording of version {0}")]
+    UnsupportedVersion(u8),
+    /// The file ends within a frame's header.
+    #[error("the file ends within a frame's head")]
+    TruncatedHeader,
+    /// A frame's header states a length over the bound.
+    #[error("a frame of {length} bytes")]
+    OversizedFrame {
+        /// The stated length.
+        length: usize,
+    },
+    /// The file ends within a frame's content.
+    #[error("the file ends after {available} of a frame's {length} bytes")]
+    TruncatedFrame {
+        /// The bytes that there are.
+        available: usize,
+        /// The stated length.
+        length: usize,
+    },
+    /// A frame's content does not have the checksum that its header states.
+    #[error("a frame whose checksum does not fit")]
+    ChecksumMismatch,
+    /// A frame's content cannot be decoded.
+    #[error("a frame that cannot be read: {0}")]
+    MalformedFrame(#[source] postcard::Error),
 }
 
-impl std::error::Error for ReadFault {}
-
 /// Reads a recording.
 #[derive(Debug)]
 pub struct Reader {
     path: PathBuf,
     segment: u32,
     file: BufReader<File>,
-    at: u64,
+    /// Where the next frame starts in the segment, in bytes.
+    offset: u64,
 }
 
 impl Reader {
     /// Opens a recording's first segment.
     ///
     /// # Errors
-    /// [`ReadFault`] if the file cannot be read, is no recording, or of another version.
-    pub fn open(path: &Path) -> Result<Self, ReadFault> {
-        let (file, at) = open_segment(path)?;
-        Ok(Reader { path: path.to_owned(), segment: 0, file, at })
-    }
-
-    fn fault<T>(&self, reason: impl Into<String>) -> Result<T, ReadFault> {
-        let file = segment_path(&self.path, self.segment);
-        Err(ReadFault { file, at: self.at, reason: reason.into() })
+    /// [`ReadError`] if the file cannot be read, is not a recording, or has another version.
+    pub fn open(path: &Path) -> Result<Self, ReadError> {
+        let file = open_segment(path)?;
+        Ok(Reader { path: path.to_owned(), segment: 0, file, offset: MAGIC.len() as u64 })
     }
 
     /// The next frame; none at the end.
     ///
     /// # Errors
-    /// [`ReadFault`] if the file cannot be read, is cut short, or the frame is damaged.
-    pub fn next_frame(&mut self) -> Result<Option<Frame>, ReadFault> {
-        let mut head = [0; FRAME_HEAD];
+    /// [`ReadError`] if the file cannot be read, is cut short, or the frame is damaged.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, ReadError> {
         loop {
-            match read_whole(&mut self.file, &mut head) {
-                Ok(FRAME_HEAD) => break,
-                Ok(0) => {}
-                Ok(_) => return self.fault("the file ends within a frame's head"),
-                Err(e) => return self.fault(e.to_string()),
+            if let Some(header) = self.read_header().map_err(|reason| self.error(reason))? {
+                let frame = self.read_content(header).map_err(|reason| self.error(reason))?;
+                self.offset += (FRAME_HEADER_BYTES + header.length) as u64;
+                return Ok(Some(frame));
             }
-            let next = segment_path(&self.path, self.segment + 1);
-            if !next.exists() {
+            if !self.open_next_segment()? {
                 return Ok(None);
             }
-            (self.file, self.at) = open_segment(&next)?;
-            self.segment += 1;
         }
-        let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let (length, sum) = (word(0) as usize, word(4));
-        if length > FRAME_MOST {
-            return self.fault(format!("a frame of {length} bytes"));
+    }
+
+    /// Reads a frame's header; none at the end of the segment.
+    fn read_header(&mut self) -> Result<Option<FrameHeader>, ReadErrorKind> {
+        let mut bytes = [0; FRAME_HEADER_BYTES];
+        match read_up_to(&mut self.file, &mut bytes)? {
+            FRAME_HEADER_BYTES => Ok(Some(FrameHeader::decode(bytes))),
+            0 => Ok(None),
+            _ => Err(ReadErrorKind::TruncatedHeader),
         }
-        let mut body = vec![0; length];
-        match read_whole(&mut self.file, &mut body) {
-            Ok(n) if n == length => {}
-            Ok(n) => return self.fault(format!("the file ends after {n} of a frame's {length} bytes")),
-            Err(e) => return self.fault(e.to_string()),
+    }
+
+    fn read_content(&mut self, header: FrameHeader) -> Result<Frame, ReadErrorKind> {
+        let length = header.length;
+        if length > MAX_FRAME_BYTES {
+            return Err(ReadErrorKind::OversizedFrame { length });
         }
-        if crc32fast::hash(&body) != sum {
-            return self.fault("a frame whose checksum does not fit");
+        let mut content = vec![0; length];
+        let available = read_up_to(&mut self.file, &mut content)?;
+        if available < length {
+            return Err(ReadErrorKind::TruncatedFrame { available, length });
         }
-        match postcard::from_bytes(&body) {
-            Ok(frame) => {
-                self.at += (FRAME_HEAD + length) as u64;
-                Ok(Some(frame))
-            }
-            Err(e) => self.fault(format!("a frame that cannot be read: {e}")),
+        if crc32fast::hash(&content) != header.checksum {
+            return Err(ReadErrorKind::ChecksumMismatch);
         }
+        postcard::from_bytes(&content).map_err(ReadErrorKind::MalformedFrame)
     }
+
+    /// Continues with the next segment. Returns false if there is none.
+    fn open_next_segment(&mut self) -> Result<bool, ReadError> {
+        let next = segment_path(&self.path, self.segment + 1);
+        if !next.exists() {
+            return Ok(false);
+        }
+        self.file = open_segment(&next)?;
+        self.offset = MAGIC.len() as u64;
+        self.segment += 1;
+        Ok(true)
+    }
+
+    fn error(&self, reason: ReadErrorKind) -> ReadError {
+        ReadError { file: segment_path(&self.path, self.segment), offset: self.offset, reason }
+    }
+}
+
+/// Opens a segment and checks its first bytes.
+fn open_segment(path: &Path) -> Result<BufReader<File>, ReadError> {
+    open_checked(path).map_err(|reason| ReadError { file: path.to_owned(), offset: 0, reason })
 }
 
-fn open_segment(path: &Path) -> Result<(BufReader<File>, u64), ReadFault> {
-    let fault = |reason: String| ReadFault { file: path.to_owned(), at: 0, reason };
-    let mut file = BufReader::with_capacity(1 << 20, File::open(path).map_err(|e| fault(e.to_string()))?);
+fn open_checked(path: &Path) -> Result<BufReader<File>, ReadErrorKind> {
+    let mut file = BufReader::with_capacity(READ_BUFFER_BYTES, File::open(path)?);
     let mut magic = [0; MAGIC.len()];
-    match read_whole(&mut file, &mut magic) {
-        Ok(_) if magic == MAGIC => Ok((file, MAGIC.len() as u64)),
-        Ok(_) if magic[..4] == MAGIC[..4] => Err(fault(format!("a recording of version {}", magic[4]))),
-        Ok(_) => Err(fault("not a recording".into())),
-        Err(e) => Err(fault(e.to_string())),
+    read_up_to(&mut file, &mut magic)?;
+    let (name, version) = (&magic[..MAGIC.len() - 1], magic[MAGIC.len() - 1]);
+    if !MAGIC.starts_with(name) {
+        return Err(ReadErrorKind::NotARecording);
+    }
+    if version != VERSION {
+        return Err(ReadErrorKind::UnsupportedVersion(version));
     }
+    Ok(file)
 }
 
-/// Reads until the buffer is full or the file ends; how much it read.
-fn read_whole(file: &mut impl Read, buffer: &mut [u8]) -> std::io::Result<usize> {
-    let mut done = 0;
-    while done < buffer.len() {
-        match file.read(&mut buffer[done..]) {
+/// Reads until the buffer is full or the file ends. Returns how much it read.
+fn read_up_to(file: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match file.read(&mut buffer[filled..]) {
             Ok(0) => break,
-            Ok(n) => done += n,
-            Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Ok(count) => filled += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
-    Ok(done)
+    Ok(filled)
 }
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -1,133 +1,159 @@
-//! Replaying: a fresh module gets the recorded events, and its actions are compared with the recorded ones.
+//! Replays recordings: a new decision module gets the recorded events, and its actions are compared with the
+//! recorded ones.
 
 use crate::frame::{Frame, OwnedEvent};
-use crate::read::{ReadFault, Reader};
+use crate::read::{ReadError, Reader};
 use std::collections::BTreeMap;
 use std::path::Path;
 use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Build, Micros, RequestId};
 
-/// What to print of a replay.
+/// Which events and actions of a replay are printed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Interest {
-    /// All that concerns this request.
+pub struct ReplayFilter {
+    /// Those that concern this request.
     pub request: Option<RequestId>,
-    /// Votes, news and notes on this build.
+    /// Release statuses, votes and log lines about this build.
     pub build: Option<Build>,
 }
 
 /// What a replay found.
 #[derive(Debug, Default)]
-pub struct Report {
-    /// Events fed.
+pub struct ReplayReport {
+    /// The number of replayed events.
     pub events: u64,
-    /// The same by kind.
+    /// The number of replayed events of each kind.
     pub kinds: BTreeMap<&'static str, u64>,
-    /// Actions compared.
+    /// The number of recorded actions.
     pub actions: u64,
-    /// Module starts.
+    /// How often the module was started.
     pub starts: u64,
-    /// The first event whose actions differ: its number, what was recorded, what came now.
-    pub difference: Option<(u64, String, String)>,
-    /// Where the recording is damaged or cut off; what comes before it was replayed.
-    pub fault: Option<ReadFault>,
-    /// The recording ended at its bound.
-    pub full: bool,
+    /// The first event whose actions differ; the replay ends there.
+    pub difference: Option<Difference>,
+    /// Where the recording is damaged or cut off; all before it was replayed.
+    pub read_error: Option<ReadError>,
+    /// Whether the recording ended at its size limit.
+    pub reached_size_limit: bool,
 }
 
-/// Replays a recording; `print` gets the lines asked for.
+/// An event that did not cause the recorded actions.
+#[derive(Debug)]
+pub struct Difference {
+    /// The event's number, from 1; 0 for an event before the start of a module.
+    pub event_number: u64,
+    /// What was recorded.
+    pub recorded: String,
+    /// What the replay gave.
+    pub replayed: String,
+}
+
+/// Replays a recording; `print` gets the lines that the filter selects.
 ///
 /// # Errors
-/// [`ReadFault`] if the recording cannot be opened; damage further on is part of the report.
-pub fn replay(path: &Path, interest: Interest, print: &mut dyn FnMut(String)) -> Result<Report, ReadFault> {
+/// [`ReadError`] if the recording cannot be opened. Damage further on is part of the report.
+pub fn replay(
+    path: &Path,
+    filter: ReplayFilter,
+    print: &mut dyn FnMut(String),
+) -> Result<ReplayReport, ReadError> {
     let mut reader = Reader::open(path)?;
-    let mut report = Report::default();
-    let mut module: Option<Balancer> = None;
-    let mut begun = None;
-    loop {
-        let frame = match reader.next_frame() {
-            Ok(Some(frame)) => frame,
-            Ok(None) => return Ok(report),
-            Err(fault) => {
-                report.fault = Some(fault);
-                return Ok(report);
+    let mut replay =
+        Replay { filter, print, module: None, first_event_at: None, report: ReplayReport::default() };
+    while replay.report.difference.is_none() {
+        match reader.next_frame() {
+            Ok(Some(frame)) => replay.on_frame(frame),
+            Ok(None) => break,
+            Err(error) => {
+                replay.report.read_error = Some(error);
+                break;
             }
-        };
+        }
+    }
+    Ok(replay.report)
+}
+
+/// A replay that is under way.
+struct Replay<'a> {
+    filter: ReplayFilter,
+    print: &'a mut dyn FnMut(String),
+    module: Option<Balancer>,
+    /// The clock of the first event, in microseconds.
+    first_event_at: Option<Micros>,
+    report: ReplayReport,
+}
+
+impl Replay<'_> {
+    fn on_frame(&mut self, frame: Frame) {
         match frame {
             Frame::Start { settings, seed } => {
-                report.starts += 1;
-                module = Some(Balancer::new(settings.0, seed));
-            }
-            Frame::Full => report.full = true,
-            Frame::Event { now, event, actions } => {
-                let Some(module) = &mut module else {
-                    report.difference = Some((0, "an event before a start".into(), String::new()));
-                    return Ok(report);
-                };
-                let began = *begun.get_or_insert(now);
-                let mut again = Vec::new();
-                module.on_event(now, event.event(), &mut again);
-                report.events += 1;
-                *report.kinds.entry(event.kind()).or_default() += 1;
-                report.actions += actions.len() as u64;
-                tell(interest, now - began.min(now), &event, &actions, print);
-                if again != actions {
-                    let recorded = format!("{event:?} gave {actions:?}");
-                    report.difference = Some((report.events, recorded, format!("{again:?}")));
-                    return Ok(report);
-                }
+                self.report.starts += 1;
+                self.module = Some(Balancer::new(settings.0, seed));
             }
+            Frame::Event { now, event, actions } => self.on_event(now, &event, &actions),
+            Frame::Full => self.report.reached_size_limit = true,
         }
     }
-}
 
-fn tell(
-    interest: Interest,
-    since: Micros,
-    event: &OwnedEvent,
-    actions: &[Action],
-    print: &mut dyn FnMut(String),
-) {
-    let at = format!("{:>12.6} s", since as f64 / 1e6);
-    if let Some(id) = interest.request {
-        if event_request(event) == Some(id) {
-            print(format!("{at}  event   {event:?}"));
-        }
-        for action in actions.iter().filter(|a| action_request(a) == Some(id)) {
-            print(format!("{at}  action  {action:?}"));
+    fn on_event(&mut self, now: Micros, event: &OwnedEvent, recorded: &[Action]) {
+        let Some(module) = &mut self.module else {
+            self.report.difference = Some(Difference {
+                event_number: 0,
+                recorded: "an event before a start".to_owned(),
+                replayed: String::new(),
+            });
+            return;
+        };
+        let mut replayed = Vec::new();
+        module.on_event(now, event.event(), &mut replayed);
+        self.report.events += 1;
+        *self.report.kinds.entry(event.kind()).or_default() += 1;
+        self.report.actions += recorded.len() as u64;
+        self.print_selected(now, event, recorded);
+        if replayed != recorded {
+            self.report.difference = Some(Difference {
+                event_number: self.report.events,
+                recorded: format!("{event:?} gave {recorded:?}"),
+                replayed: format!("{replayed:?}"),
+            });
         }
     }
-    if let Some(build) = interest.build {
-        let news = match event {
-            OwnedEvent::Release(news) => Some(news),
-            OwnedEvent::VoteReply(_, news) => news.as_ref(),
-            _ => None,
-        };
-        if news.is_some_and(|n| n.build == build) {
-            print(format!("{at}  event   {event:?}"));
+
+    /// Prints what the filter selects, with the time since the first event.
+    fn print_selected(&mut self, now: Micros, event: &OwnedEvent, actions: &[Action]) {
+        let first_event_at = *self.first_event_at.get_or_insert(now);
+        let time = format!("{:>12.6} s", now.saturating_sub(first_event_at) as f64 / 1e6);
+        if let Some(request) = self.filter.request {
+            if event_request(event) == Some(request) {
+                (self.print)(format!("{time}  event   {event:?}"));
+            }
+            for action in actions.iter().filter(|action| action_request(action) == Some(request)) {
+                (self.print)(format!("{time}  action  {action:?}"));
+            }
         }
-        for action in actions {
-            let said = match action {
-                Action::Vote { build: b, .. } => *b == build,
-                Action::Log(text) => text.contains(&format!("build {build} ")),
-                _ => false,
-            };
-            if said {
-                print(format!("{at}  action  {action:?}"));
+        if let Some(build) = self.filter.build {
+            if event_build(event) == Some(build) {
+                (self.print)(format!("{time}  event   {event:?}"));
+            }
+            for action in actions.iter().filter(|action| concerns_build(action, build)) {
+                (self.print)(format!("{time}  action  {action:?}"));
             }
         }
     }
 }
 
+/// The request that an event concerns.
 fn event_request(event: &OwnedEvent) -> Option<RequestId> {
     match event {
-        OwnedEvent::Request(r) => Some(r.id),
+        OwnedEvent::Request(request) => Some(request.id),
         OwnedEvent::AttemptEnded(end) => Some(end.request),
-        OwnedEvent::StreamStarted(id, _) | OwnedEvent::ClientDisconnected(id) => Some(*id),
+        OwnedEvent::StreamStarted { request, .. } | OwnedEvent::ClientDisconnected { request } => {
+            Some(*request)
+        }
         _ => None,
     }
 }
 
+/// The request that an action concerns.
 fn action_request(action: &Action) -> Option<RequestId> {
     match action {
         Action::Send { request, .. }
@@ -137,3 +163,21 @@
         _ => None,
     }
 }
+
+/// The build whose release status an event has.
+fn event_build(event: &OwnedEvent) -> Option<Build> {
+    match event {
+        OwnedEvent::Release(release) => Some(release.build),
+        OwnedEvent::VoteReply { release, .. } => release.as_ref().map(|release| release.build),
+        _ => None,
+    }
+}
+
+/// Whether an action is a vote on a build or a log line about it.
+fn concerns_build(action: &Action, build: Build) -> bool {
+    match action {
+        Action::Vote { build: voted, .. } => *voted == build,
+        Action::Log(text) => text.contains(&format!("build {build} ")),
+        _ => false,
+    }
+}
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use violetseam::balancer::Balancer;
 use violetseam::interface::*;
-use violetseam_recorder::{Bounds, Interest, Reader, Recorder, replay};
+use violetseam_recorder::{Reader, Recorder, RecordingLimits, ReplayFilter, replay};
 
 fn settings() -> Settings {
     let class = RequestClass {
@@ -21,12 +21,12 @@
 }
 
 /// Records `count` requests over three servers and returns the recording's path.
-fn record(name: &str, count: u64, bounds: Bounds) -> PathBuf {
+fn record(name: &str, count: u64, limits: RecordingLimits) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("violetseam-recording-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("flight");
     let (mut module, seed) = (Balancer::new(settings(), 9), 9);
-    let mut recorder = Recorder::start(&path, bounds, &settings(), seed).unwrap();
+    let mut recorder = Recorder::start(&path, limits, &settings(), seed).unwrap();
     let mut feed = |now: Micros, event: Event<'_>| {
         let mut actions = Vec::new();
         module.on_event(now, event, &mut actions);
@@ -71,51 +71,55 @@
 
 #[test]
 fn a_recording_over_several_segments_replays_the_same() {
-    let bounds = Bounds { segment: 200_000, total: 1 << 30 };
-    let path = record("same", 20_000, bounds);
+    let limits = RecordingLimits { max_segment_bytes: 200_000, max_total_bytes: 1 << 30 };
+    let path = record("same", 20_000, limits);
     assert!(path.with_extension("1").exists(), "no second segment was written");
     let mut lines = Vec::new();
-    let interest = Interest { request: Some(77), build: None };
-    let report = replay(&path, interest, &mut |line| lines.push(line)).unwrap();
+    let filter = ReplayFilter { request: Some(77), build: None };
+    let report = replay(&path, filter, &mut |line| lines.push(line)).unwrap();
     assert_eq!((report.events, report.starts), (40_001, 1));
-    assert!(report.difference.is_none() && report.fault.is_none() && !report.full);
+    assert!(report.difference.is_none() && report.read_error.is_none() && !report.reached_size_limit);
     assert_eq!(lines.len(), 3, "the request, its send and its end: {lines:?}");
     remove(&path);
 }
 
 #[test]
 fn a_recording_past_its_bound_ends_there_and_says_so() {
-    let path = record("bound", 20_000, Bounds { segment: 1 << 30, total: 300_000 });
-    let report = replay(&path, Interest::default(), &mut |_| {}).unwrap();
-    assert!(report.full && report.difference.is_none() && report.events < 40_000);
+    let path =
+        record("bound", 20_000, RecordingLimits { max_segment_bytes: 1 << 30, max_total_bytes: 300_000 });
+    let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
+    assert!(report.reached_size_limit && report.difference.is_none() && report.events < 40_000);
     assert!(std::fs::metadata(&path).unwrap().len() < 310_000);
     remove(&path);
 }
 
 #[test]
 fn damaged_and_cut_frames_stop_a_replay_with_their_place() {
-    let path = record("damage", 500, Bounds::default());
+    let path = record("damage", 500, RecordingLimits::default());
     let sound = std::fs::read(&path).unwrap();
     for (cut, reason) in [(sound.len() - 3, "ends after"), (5 + 4, "within a frame's head")] {
         std::fs::write(&path, &sound[..cut]).unwrap();
-        let report = replay(&path, Interest::default(), &mut |_| {}).unwrap();
-        assert!(report.fault.as_ref().is_some_and(|f| f.reason.contains(reason)), "{report:?}");
+        let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
+        assert!(
+            report.read_error.as_ref().is_some_and(|e| e.reason.to_string().contains(reason)),
+            "{report:?}"
+        );
         assert!(report.difference.is_none());
     }
     let mut flipped = sound.clone();
     flipped[sound.len() / 2] ^= 0x10;
     std::fs::write(&path, &flipped).unwrap();
-    assert!(replay(&path, Interest::default(), &mut |_| {}).unwrap().fault.is_some());
+    assert!(replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap().read_error.is_some());
     std::fs::write(&path, b"VSFR\x09").unwrap();
-    assert!(Reader::open(&path).unwrap_err().reason.contains("version 9"));
+    assert!(Reader::open(&path).unwrap_err().reason.to_string().contains("version 9"));
     std::fs::write(&path, b"hello").unwrap();
-    assert!(Reader::open(&path).unwrap_err().reason.contains("not a recording"));
+    assert!(Reader::open(&path).unwrap_err().reason.to_string().contains("not a recording"));
     remove(&path);
 }
 
 #[test]
 fn a_module_that_decides_otherwise_is_noticed() {
-    let path = record("other", 50, Bounds::default());
+    let path = record("other", 50, RecordingLimits::default());
     // The same events recorded with actions of another seed.
     let mut reader = Reader::open(&path).unwrap();
     let mut bytes = b"VSFR\x01".to_vec();
@@ -131,7 +135,7 @@
         bytes.extend(body);
     }
     std::fs::write(&path, bytes).unwrap();
-    let report = replay(&path, Interest::default(), &mut |_| {}).unwrap();
+    let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
     assert!(report.difference.is_some());
     remove(&path);
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -9,8 +9,11 @@
 //! on a declared length; the tests compare the two on messages within the bounds.
 
 pub mod command;
+mod cursor;
 pub mod reply;
 
+pub(crate) use cursor::{Cursor, parse_length};
+
 use thiserror::Error;
 
 /// Bounds on what a peer can make this side buffer.
@@ -54,64 +57,6 @@
     TooLong,
 }
 
-/// A cursor over the buffered bytes. `None` means that more are needed.
-pub(crate) struct Cursor<'a> {
-    bytes: &'a [u8],
-    pub at: usize,
-}
-
-impl<'a> Cursor<'a> {
-    pub fn new(bytes: &'a [u8]) -> Self {
-        Cursor { bytes, at: 0 }
-    }
-
-    /// The next byte, which is not consumed.
-    pub fn peek(&self) -> Option<u8> {
-        self.bytes.get(self.at).copied()
-    }
-
-    /// The rest of the current line, its kind byte and end left out.
-    pub fn line(&mut self, max_bytes: usize) -> Result<Option<&'a [u8]>, FramingError> {
-        let rest = &self.bytes[self.at..];
-        let window = &rest[..rest.len().min(max_bytes)];
-        let Some(end) = memchr::memchr(b'\n', window) else {
-            return if rest.len() >= max_bytes { Err(FramingError::UnterminatedLine) } else { Ok(None) };
-        };
-        if end < 2 || window[end - 1] != b'\r' || memchr::memchr(b'\r', &window[..end - 1]).is_some() {
-            return Err(FramingError::UnterminatedLine);
-        }
-        self.at += end + 1;
-        Ok(Some(&window[1..end - 1]))
-    }
-
-    /// The bytes of a bulk string of this length, its line end checked.
-    pub fn bulk(&mut self, length: usize) -> Result<Option<&'a [u8]>, FramingError> {
-        let rest = &self.bytes[self.at..];
-        // Wrong line ends are rejected as soon as they can be seen.
-        for (offset, want) in [(length, b'\r'), (length + 1, b'\n')] {
-            match rest.get(offset) {
-                None => return Ok(None),
-                Some(byte) if *byte != want => return Err(FramingError::InvalidLength),
-                Some(_) => {}
-            }
-        }
-        self.at += length + 2;
-        Ok(Some(&rest[..length]))
-    }
-}
-
-/// Reads a length as RESP writes it: digits, or `-1` for null, which is `None`.
-pub(crate) fn parse_length(digits: &[u8], max: usize) -> Result<Option<usize>, FramingError> {
-    if digits == b"-1" {
-        return Ok(None);
-    }
-    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(FramingError::InvalidLength);
-    }
-    let length = digits.iter().try_fold(0usize, |n, d| n.checked_mul(10)?.checked_add(usize::from(d - b'0')));
-    length.filter(|n| *n <= max).map(Some).ok_or(FramingError::TooLong)
-}
-
 /// Appends a bulk string.
 pub fn write_bulk(out: &mut Vec<u8>, value: &[u8]) {
     out.extend_from_slice(format!("${}\r\n", value.len()).as_bytes());
@@ -119,16 +64,18 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line. Line ends within the text are dropped, as they would end the error.
+/// Appends an error. Line ends within the text are dropped, as they would end the error.
 pub fn write_error(out: &mut Vec<u8>, text: &str) {
-    out.push(b'-');
-    out.extend(text.bytes().filter(|b| !matches!(b, b'\r' | b'\n')));
-    out.extend_from_slice(b"\r\n");
+    write_line(out, b'-', text);
 }
 
-/// Appends a simple string.
+/// Appends a simple string. Line ends within the text are dropped, as they would end the string.
 pub fn write_simple(out: &mut Vec<u8>, text: &str) {
-    out.push(b'+');
-    out.extend(text.bytes().filter(|b| !matches!(b, b'\r' | b'\n')));
+    write_line(out, b'+', text);
+}
+
+fn write_line(out: &mut Vec<u8>, kind: u8, text: &str) {
+    out.push(kind);
+    out.extend(text.bytes().filter(|byte| !matches!(byte, b'\r' | b'\n')));
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -26,59 +26,69 @@
     Single(Reply<'a>, usize),
     /// A complete array and its length in bytes.
     Array(Vec<Reply<'a>>, usize),
-    /// The valid elements at the start of an array, and the fault in what follows them.
+    /// The valid elements at the start of an array, and the error in what follows them.
     Malformed(Vec<Reply<'a>>, FramingError),
 }
 
 /// Parses the reply at the front of `input`. An array within an array does not belong to this protocol.
 ///
 /// # Errors
-/// A [`FramingError`] if the input is no reply, or one over the bounds. A fault after the head of an array is a
-/// [`ParsedReply::Malformed`] instead.
+/// A [`FramingError`] if the input is no reply, or one over the bounds. An error after the head of an array is
+/// a [`ParsedReply::Malformed`] instead.
 pub fn parse<'a>(input: &'a [u8], bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let mut cursor = Cursor::new(input);
-    if cursor.peek() != Some(b'*') {
-        let one = element(&mut cursor, bounds)?;
-        return Ok(one.map_or(ParsedReply::Incomplete, |reply| ParsedReply::Single(reply, cursor.at)));
+    if cursor.peek() == Some(b'*') {
+        return parse_array(&mut cursor, bounds);
     }
+    Ok(match parse_element(&mut cursor, bounds)? {
+        None => ParsedReply::Incomplete,
+        Some(reply) => ParsedReply::Single(reply, cursor.offset),
+    })
+}
+
+fn parse_array<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let Some(digits) = cursor.line(bounds.max_line_bytes)? else { return Ok(ParsedReply::Incomplete) };
     let Some(count) = parse_length(digits, bounds.max_elements)? else {
-        return Ok(ParsedReply::Single(Reply::Null, cursor.at));
+        return Ok(ParsedReply::Single(Reply::Null, cursor.offset));
     };
     let mut elements = Vec::with_capacity(count);
     while elements.len() < count {
-        match element(&mut cursor, bounds) {
+        match parse_element(cursor, bounds) {
             Ok(Some(reply)) => elements.push(reply),
             Ok(None) => return Ok(ParsedReply::Incomplete),
-            Err(fault) => return Ok(ParsedReply::Malformed(elements, fault)),
+            Err(error) => return Ok(ParsedReply::Malformed(elements, error)),
         }
     }
-    Ok(ParsedReply::Array(elements, cursor.at))
+    Ok(ParsedReply::Array(elements, cursor.offset))
 }
 
-fn element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, FramingError> {
+fn parse_element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, FramingError> {
     let kind = match cursor.peek() {
         None => return Ok(None),
         Some(kind @ (b'+' | b'-' | b':' | b'$')) => kind,
         Some(other) => return Err(FramingError::UnexpectedByte(other)),
     };
     let Some(line) = cursor.line(bounds.max_line_bytes)? else { return Ok(None) };
-    Ok(Some(match kind {
-        b'+' => Reply::Simple(line),
-        b'-' => Reply::Error(line),
-        b':' => {
-            let number = std::str::from_utf8(line).ok().and_then(|text| text.parse().ok());
-            Reply::Integer(number.ok_or(FramingError::InvalidLength)?)
-        }
-        _ => match parse_length(line, bounds.max_bulk_bytes)? {
-            None => Reply::Null,
-            Some(length) if cursor.at + length + 2 > bounds.max_message_bytes => {
-                return Err(FramingError::TooLong);
-            }
-            Some(length) => match cursor.bulk(length)? {
-                None => return Ok(None),
-                Some(bytes) => Reply::Bulk(bytes),
-            },
-        },
-    }))
+    match kind {
+        b'+' => Ok(Some(Reply::Simple(line))),
+        b'-' => Ok(Some(Reply::Error(line))),
+        b':' => parse_integer(line).map(Some),
+        _ => parse_bulk(cursor, line, bounds),
+    }
+}
+
+fn parse_integer(digits: &[u8]) -> Result<Reply<'static>, FramingError> {
+    let number = std::str::from_utf8(digits).ok().and_then(|text| text.parse().ok());
+    number.map(Reply::Integer).ok_or(FramingError::InvalidLength)
+}
+
+/// Parses a bulk string, the line with its length having been consumed.
+fn parse_bulk<'a>(
+    cursor: &mut Cursor<'a>,
+    digits: &[u8],
+    bounds: &Bounds,
+) -> Result<Option<Reply<'a>>, FramingError> {
+    let Some(length) = parse_length(digits, bounds.max_bulk_bytes)? else { return Ok(Some(Reply::Null)) };
+    cursor.check_message_bound(length, bounds)?;
+    Ok(cursor.bulk(length)?.map(Reply::Bulk))
 }
--- a/crates/resp/tests/framing.rs
+++ b/crates/resp/tests/framing.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
+use violetseam_resp::command::ParsedCommand;
 use violetseam_resp::reply::{ParsedReply, Reply};
 use violetseam_resp::{Bounds, FramingError, command, reply};
 
@@ -13,8 +14,9 @@
 #[test]
 fn a_command_is_taken_off_the_front() {
     let input = b"*2\r\n$3\r\nfoo\r\n$0\r\n\r\nrest";
-    let (words, used) = command::parse(input, &BOUNDS).unwrap().unwrap();
-    assert_eq!((words, used), (vec![&b"foo"[..], b""], input.len() - 4));
+    let command = command::parse(input, &BOUNDS).unwrap().unwrap();
+    let expected = ParsedCommand { arguments: vec![&b"foo"[..], b""], length: input.len() - 4 };
+    assert_eq!(command, expected);
 }
 
 /// What is announced and not allowed is refused as soon as the line that announces it is there.
@@ -87,14 +89,14 @@
         for cut in 0..input.len() {
             prop_assert_eq!(command::parse(&input[..cut], &BOUNDS), Ok(None));
         }
-        prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some((words, input.len()))));
+        prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some(ParsedCommand { arguments: words, length: input.len() })));
     }
 
     /// Nothing panics, and what is taken lies within the input.
     #[test]
     fn any_bytes_are_survived(input in prop::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()], 0..80)) {
-        if let Ok(Some((_, used))) = command::parse(&input, &BOUNDS) {
-            prop_assert!(used <= input.len());
+        if let Ok(Some(command)) = command::parse(&input, &BOUNDS) {
+            prop_assert!(command.length <= input.len());
         }
         if let Ok(ParsedReply::Array(_, used) | ParsedReply::Single(_, used)) = reply::parse(&input, &BOUNDS) {
             prop_assert!(used <= input.len());
