--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn ambiguous_requests_are_refused() {
+fn ambiguous_requests_are_rejected() {
     let cases: [(&str, &str); 17] = [
         ("GET / HTTP/1.1\nHost: x\r\n\r\n", "400: bare line feed in a head"),
         ("GET / HTTP/1.1\r\nHost: x\ry\r\n\r\n", "400: bare carriage return in a head"),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn heads_past_their_limits_are_431_before_they_are_complete() {
+fn heads_over_their_limits_are_431_before_they_are_complete() {
     let limits = Limits { max_head_bytes: 256, max_fields: 4, ..Limits::default() };
     let long = format!("GET / HTTP/1.1\r\nHost: x\r\nA: {}", "a".repeat(300));
     assert!(serve(long.as_bytes(), &[], limits)[0].starts_with("fault 431"));
@@ -140,14 +140,14 @@
 }
 
 #[test]
-fn chunked_bodies_past_the_limit_are_413() {
+fn chunked_bodies_over_the_limit_are_413() {
     let limits = Limits { max_body_bytes: 10, ..Limits::default() };
     let input = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nB\r\n0123456789A\r\n";
     assert!(serve(input.as_bytes(), &[], limits)[1].starts_with("fault 413"));
 }
 
 #[test]
-fn answers_are_framed_by_length_chunks_or_close_and_head_has_none() {
+fn responses_are_framed_by_length_chunks_or_close_and_head_has_no_body() {
     let length = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     assert_eq!(receive(length, &[], false), ["200 Length(2)", "end \"ok\""]);
     assert_eq!(
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_forwarded_and_a_key_cannot_be_stripped() {
+fn hop_by_hop_fields_are_not_forwarded_and_a_key_cannot_be_stripped() {
     let mut conn = ServerConnection::new(Limits::default());
     conn.feed(
         b"POST /x HTTP/1.1\r\nHost: h\r\nConnection: idempotency-key, x-hop\r\nX-Hop: 1\r\nTE: trailers\r\n\
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_answer_before_the_request_is_complete_closes_the_connection() {
+fn a_response_before_the_request_is_complete_closes_the_connection() {
     let mut conn = ServerConnection::new(Limits::default());
     conn.feed(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
     while conn.next_event().is_some() {}
@@ -198,7 +198,7 @@
     }
 
     #[test]
-    fn any_cut_gives_the_same_answers(cuts in prop::collection::vec(any::<usize>(), 0..40)) {
+    fn any_cut_gives_the_same_responses(cuts in prop::collection::vec(any::<usize>(), 0..40)) {
         let chunked = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n2\r\nef\r\n0\r\n\r\n";
         prop_assert_eq!(receive(chunked, &cuts, false), receive(chunked, &[], false));
     }
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_recording_past_its_bound_ends_there_and_says_so() {
+fn a_recording_ends_at_its_size_limit_and_reports_it() {
     let path =
         record("bound", 20_000, RecordingLimits { max_segment_bytes: 1 << 30, max_total_bytes: 300_000 });
     let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn damaged_and_cut_frames_stop_a_replay_with_their_place() {
+fn damaged_and_truncated_frames_stop_a_replay_and_are_reported() {
     let path = record("damage", 500, RecordingLimits::default());
     let sound = std::fs::read(&path).unwrap();
     for (cut, reason) in [(sound.len() - 3, "ends after"), (5 + 4, "within a frame's head")] {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_module_that_decides_otherwise_is_noticed() {
+fn a_module_that_decides_differently_is_detected() {
     let path = record("other", 50, RecordingLimits::default());
     // The same events recorded with actions of another seed.
     let mut reader = Reader::open(&path).unwrap();
--- a/crates/resp/tests/framing.rs
+++ b/crates/resp/tests/framing.rs
@@ -1,5 +1,5 @@
-//! Framing of both sides: what is taken, what is refused and when, cut at every byte, and beside another
-//! implementation of the protocol.
+//! Framing of both sides: what is accepted, what is rejected and when, with the input cut at every byte, and compared
+//! with another implementation of the protocol.
 
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode;
@@ -19,9 +19,9 @@
     assert_eq!(command, expected);
 }
 
-/// What is announced and not allowed is refused as soon as the line that announces it is there.
+/// A length that is not allowed is rejected as soon as its line is there.
 #[test]
-fn commands_are_refused_before_what_they_announce_is_held() {
+fn commands_over_the_bounds_are_rejected_before_their_content_is_buffered() {
     let refused: [(&[u8], FramingError); 15] = [
         (b"GET / HTTP/1.1\r\n", FramingError::UnexpectedByte(b'G')),
         (b"\x00", FramingError::UnexpectedByte(0)),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn replies_are_told_apart() {
+fn replies_of_each_kind_are_parsed() {
     use ParsedReply::{Array, Incomplete, Malformed, Single};
     let cases: [(&[u8], Result<ParsedReply, FramingError>); 11] = [
         (b"+OK\r\n", Ok(Single(Reply::Simple(b"OK"), 5))),
@@ -82,7 +82,7 @@
 proptest! {
     /// Whatever the cut, a command is taken at its last byte and not before.
     #[test]
-    fn a_command_is_whole_at_its_last_byte(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6)) {
+    fn a_command_is_complete_at_its_last_byte(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6)) {
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         let mut input = Vec::new();
         command::write(&mut input, &words);
@@ -94,7 +94,7 @@
 
     /// Nothing panics, and what is taken lies within the input.
     #[test]
-    fn any_bytes_are_survived(input in prop::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()], 0..80)) {
+    fn any_bytes_are_parsed_without_a_panic(input in prop::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()], 0..80)) {
         if let Ok(Some(command)) = command::parse(&input, &BOUNDS) {
             prop_assert!(command.length <= input.len());
         }
@@ -105,7 +105,7 @@
 
     /// Where another implementation sees a whole flat reply within the bounds, this one sees the same.
     #[test]
-    fn whole_replies_agree_with_another_implementation(input in prop_oneof![
+    fn complete_replies_agree_with_another_implementation(input in prop_oneof![
         prop::collection::vec(any::<u8>(), 0..60).prop_map(|v| { let mut out = Vec::new(); violetseam_resp::write_bulk(&mut out, &v); out }),
         "[ -~]{0,20}".prop_map(|text| format!("-{text}\r\n").into_bytes()),
         any::<i64>().prop_map(|n| format!(":{n}\r\n").into_bytes()),
--- a/crates/site-protocol/src/endpoint_list/local_copy.rs
+++ b/crates/site-protocol/src/endpoint_list/local_copy.rs
@@ -10,7 +10,7 @@
 /// Addresses of removed servers are forgotten at the next full list once there are more than this.
 const MAX_REMEMBERED_ADDRESSES: usize = 2 * MAX_SERVERS;
 
-/// What the decision module is told of an update that has been applied.
+/// An applied update, in the form in which the decision module gets it.
 #[derive(Clone, Debug)]
 pub struct AppliedUpdate {
     /// Whether the entries are all servers or those that changed.
--- a/crates/site-protocol/tests/protocols.rs
+++ b/crates/site-protocol/tests/protocols.rs
@@ -1,26 +1,31 @@
-//! The site's protocols: what is taken, what is refused, and that nothing panics.
+//! The site's protocols: which messages are accepted and which rejected, and that no input panics.
 
 use proptest::prelude::*;
-use violetseam::interface::{ListKind, Outcome, ServerStatus};
+use violetseam::interface::{ListKind, Outcome, ServerStatus, Verdict};
 use violetseam_site_protocol::answer_report;
 use violetseam_site_protocol::endpoint_list::{AppliedUpdate, EndpointList, ListUpdate};
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::peer_datagram::{self, Datagram, DatagramError, PayloadKind};
-use violetseam_site_protocol::release_service::{FencedRelease, VoteResult};
+use violetseam_site_protocol::placement::{
+    DesiredBuilds, PlaceReport, PlaceStateName, parse_reports, write_reports,
+};
+use violetseam_site_protocol::release_service::{
+    FencedRelease, PhaseName, ReleaseUpdate, Vote, VoteOutcome, VoteReply, VoteResult,
+};
 
 fn message(kind: &str, version: u64, base: u64, servers: &str) -> String {
     format!(r#"{{"kind":"{kind}","version":{version},"base":{base},"servers":[{servers}]}}"#)
 }
 
-const ONE: &str = r#"{"id":7,"addr":"127.0.0.1:9000","build":3,"state":"ready","age_us":500}"#;
+const ENDPOINT: &str = r#"{"id":7,"addr":"127.0.0.1:9000","build":3,"state":"ready","age_us":500}"#;
 
 #[test]
-fn a_whole_list_and_changes_on_top_of_it_are_taken() {
+fn a_full_list_and_a_delta_on_top_of_it_are_applied() {
     let mut list = EndpointList::default();
-    let full = ListUpdate::parse(message("full", 4, 0, ONE).as_bytes()).unwrap();
+    let full = ListUpdate::parse(message("full", 4, 0, ENDPOINT).as_bytes()).unwrap();
     let AppliedUpdate { kind, entries } = list.apply(10_000, &full).unwrap();
     assert_eq!((kind, entries[0].id, entries[0].build, entries[0].started_at), (ListKind::Full, 7, 3, 9_500));
-    let gone = ONE.replace("ready", "gone");
+    let gone = ENDPOINT.replace("ready", "gone");
     let delta = ListUpdate::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
     let AppliedUpdate { kind, entries } = list.apply(20_000, &delta).unwrap();
     assert_eq!((kind, entries[0].status, list.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
@@ -28,29 +33,29 @@
 }
 
 #[test]
-fn versions_that_go_back_and_changes_past_a_gap_leave_the_list_as_it_was() {
+fn regressed_versions_and_deltas_after_a_gap_leave_the_list_unchanged() {
     let mut list = EndpointList::default();
-    let at = |version| ListUpdate::parse(message("full", version, 0, ONE).as_bytes()).unwrap();
+    let at = |version| ListUpdate::parse(message("full", version, 0, ENDPOINT).as_bytes()).unwrap();
     list.apply(0, &at(9)).unwrap();
     assert!(list.apply(0, &at(8)).is_err());
-    let gap = ListUpdate::parse(message("delta", 12, 11, ONE).as_bytes()).unwrap();
+    let gap = ListUpdate::parse(message("delta", 12, 11, ENDPOINT).as_bytes()).unwrap();
     assert!(list.apply(0, &gap).is_err());
     assert_eq!(list.version(), Some(9));
 }
 
 #[test]
-fn malformed_rosters_news_votes_and_flags_are_refused() {
-    let twice = format!("{ONE},{ONE}");
-    let rosters = [
-        message("full", 1, 0, &ONE.replace("ready", "gone")),
+fn malformed_lists_statuses_votes_and_reports_are_rejected() {
+    let twice = format!("{ENDPOINT},{ENDPOINT}");
+    let lists = [
+        message("full", 1, 0, &ENDPOINT.replace("ready", "gone")),
         message("full", 1, 0, &twice),
-        message("full", 1, 0, &ONE.replace(r#""age_us":500"#, r#""size":0"#)),
-        message("full", 1, 0, &ONE.replace("127.0.0.1:9000", "nowhere")),
-        message("half", 1, 0, ONE),
+        message("full", 1, 0, &ENDPOINT.replace(r#""age_us":500"#, r#""size":0"#)),
+        message("full", 1, 0, &ENDPOINT.replace("127.0.0.1:9000", "nowhere")),
+        message("half", 1, 0, ENDPOINT),
         "{".into(),
         String::new(),
     ];
-    for text in rosters {
+    for text in lists {
         assert!(ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
     assert!(FencedRelease::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err());
@@ -65,8 +70,35 @@
     }
 }
 
+/// The names in the code may change; those on the wire may not.
 #[test]
-fn lines_come_whole_and_a_line_past_the_bound_breaks_the_stream() {
+fn messages_have_their_published_json_form() {
+    let desired = DesiredBuilds { fence: 3, builds: vec![(7, 2)] };
+    assert_eq!(desired.write(), b"{\"fence\":3,\"wanted\":[[7,2]]}\n");
+    assert_eq!(DesiredBuilds::parse(&desired.write()).unwrap(), desired);
+    let release = ReleaseUpdate { build: 2, stage: 1, phase: PhaseName::RollingBack, cap: 0.5, fence: 0 };
+    let status = r#"{"build":2,"stage":1,"phase":"rolling_back","cap":0.5}"#;
+    assert_eq!(release.write(), format!("{status}\n").into_bytes());
+    let replies = [
+        (VoteOutcome::Ok, Some(release), format!(r#"{{"outcome":"ok","news":{status}}}"#)),
+        (VoteOutcome::Obsolete, None, r#"{"outcome":"moot"}"#.to_owned()),
+        (VoteOutcome::RateLimited, None, r#"{"outcome":"full"}"#.to_owned()),
+        (VoteOutcome::Error, None, r#"{"outcome":"error"}"#.to_owned()),
+    ];
+    for (outcome, release, text) in replies {
+        let reply = VoteReply { outcome, release };
+        assert_eq!(String::from_utf8(reply.write()).unwrap(), text);
+        assert_eq!(VoteReply::from_json(text.as_bytes()).unwrap(), reply);
+    }
+    let vote = Vote::new(4, 2, 1, Verdict::RollBack);
+    assert_eq!(vote.write(), br#"{"proxy":4,"build":2,"stage":1,"verdict":"back"}"#);
+    let reports = [PlaceReport { place: 7, build: 2, state: PlaceStateName::Running }];
+    assert_eq!(write_reports(&reports), br#"[{"place":7,"build":2,"state":"running"}]"#);
+    assert_eq!(parse_reports(&write_reports(&reports)).unwrap(), reports);
+}
+
+#[test]
+fn only_complete_lines_are_returned_and_a_line_over_the_bound_ends_the_stream() {
     let mut lines = LineReader::new(8);
     lines.feed(b"one\ntw");
     assert_eq!(lines.next_line().unwrap(), Some(&b"one"[..]));
@@ -97,7 +129,7 @@
 
 proptest! {
     #[test]
-    fn any_single_damage_to_a_datagram_is_noticed(at in 0usize..23, flip in 1u8..) {
+    fn any_single_damaged_byte_of_a_datagram_is_detected(at in 0usize..23, flip in 1u8..) {
         let mut bytes = peer_datagram::encode(5, 3, PayloadKind::Gossip, b"payload").unwrap();
         let at = at % bytes.len();
         bytes[at] ^= flip;
