--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -151,7 +151,8 @@
         &self.configuration
     }
 
-    /// The oldest version from which the log leads to the newest one, which it is itself where the log is empty.
+    /// The oldest version from which the log leads to the newest one, which it is itself where the log is
+    /// empty.
     pub fn oldest_known(&self) -> Version {
         self.log.oldest_base().unwrap_or(self.version())
     }
@@ -174,7 +175,8 @@
         Ok(Delta { base: self.version(), version, changes, digest })
     }
 
-    /// Applies a proposed delta to the configuration and appends it to the log; to be sent to all open watches.
+    /// Applies a proposed delta to the configuration and appends it to the log; to be sent to all open
+    /// watches.
     ///
     /// # Errors
     /// The delta does not apply; nothing has changed.
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -108,7 +108,8 @@
 
 impl Subscriber {
     /// A subscriber with the configuration that it had stored, if that is intact. Its first call is drawn
-    /// within [`INITIAL_BACKOFF`], so that a fleet does not call all at once; each subscriber has its own seed.
+    /// within [`INITIAL_BACKOFF`], so that a fleet does not call all at once; each subscriber has its own
+    /// seed.
     pub fn new(now: Micros, name: &str, seed: u64, stored: Option<Configuration>) -> Subscriber {
         let mut backoff = Backoff::new(seed);
         let next_call = now + backoff.jittered(INITIAL_BACKOFF);
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -147,9 +147,8 @@
     let mut publisher = publisher();
     publisher.publish(vec![put("a", 1.0)]).unwrap();
     let known = version(2);
-    assert!(
-        matches!(publisher.subscribe(0, &call(Some(known))), SubscribeResponse::Ahead { known: k } if k == known)
-    );
+    let response = publisher.subscribe(0, &call(Some(known)));
+    assert!(matches!(response, SubscribeResponse::Ahead { known: k } if k == known));
     let later = Version::new(Term(4), 0);
     assert!(matches!(
         publisher.subscribe(0, &call(Some(later))),
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -36,8 +36,8 @@
     Intact,
     /// With nothing: under a higher term. The one before may still run somewhere.
     LogLost,
-    /// Without the newest versions, as from an old copy of its disk. Where a term began among them, it goes on
-    /// under the term before.
+    /// Without the newest versions, as from an old copy of its disk. Where a term began among them, it goes
+    /// on under the term before.
     EndLost(usize),
 }
 
--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -4,7 +4,8 @@
 use crate::fields::{end_to_end, write_field, write_framing};
 use crate::head::{Limits, RequestHead, ResponseHead, parse_response};
 use crate::input::InputBuffer;
-use crate::{Framing, FramingError, HeadScan, scan_head};
+use crate::scan::{HeadScan, scan_head};
+use crate::{Framing, FramingError};
 use http::header::HeaderName;
 use http::{Method, StatusCode};
 
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -18,8 +18,8 @@
     *name == header::TRANSFER_ENCODING || NAMES.contains(&name.as_str())
 }
 
-/// The fields to forward, without those that frame the body. `Connection` may name further fields to drop, but
-/// not those in `protected`: a client must not be able to strip an idempotency key, say.
+/// The fields to forward, without those that frame the body. `Connection` may name further fields to drop,
+/// but not those in `protected`: a client must not be able to strip an idempotency key, say.
 pub(crate) fn end_to_end<'a>(
     headers: &'a HeaderMap,
     protected: &'a [HeaderName],
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -59,11 +59,11 @@
     pub keep_alive: bool,
 }
 
-/// Parses a complete request head, as [`crate::scan_head`] delimited it.
+/// Parses a complete request head, as [`crate::scan::scan_head`] delimited it.
 ///
 /// # Errors
 /// [`FramingError`] if the head does not parse, or is ambiguous about the body's length.
-pub fn parse_request(head: &[u8], limits: &Limits) -> Result<RequestHead, FramingError> {
+pub(crate) fn parse_request(head: &[u8], limits: &Limits) -> Result<RequestHead, FramingError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_PARSED_FIELDS];
     let max_fields = limits.max_fields.min(MAX_PARSED_FIELDS);
     let mut parsed = httparse::Request::new(&mut fields[..max_fields]);
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// [`FramingError`] if the head does not parse, or is ambiguous about the body's length.
-pub fn parse_response(
+pub(crate) fn parse_response(
     head: &[u8],
     limits: &Limits,
     is_response_to_head: bool,
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -4,15 +4,15 @@
 //! responses to requests that [`client::write_request_head`] writes. Neither touches a socket or a clock, and
 //! any division of the input into pieces gives the same events.
 //!
-//! Heads are parsed by `httparse`. What that crate accepts and a proxy must not (bare line feeds, two framings
-//! at once) is rejected here, as a disagreement about where a message ends allows request smuggling.
+//! Heads are parsed by `httparse`. What that crate accepts and a proxy must not (bare line feeds, two
+//! framings at once) is rejected here, as a disagreement about where a message ends allows request smuggling.
 
-pub mod body;
+mod body;
 pub mod client;
 mod error;
 mod fields;
 mod framing;
-pub mod head;
+mod head;
 mod input;
 mod scan;
 pub mod server;
@@ -22,4 +22,3 @@
 pub use fields::is_hop_by_hop;
 pub use framing::Framing;
 pub use head::{Limits, RequestHead, ResponseHead};
-pub use scan::{HeadScan, scan_head};
--- a/crates/http1/src/scan.rs
+++ b/crates/http1/src/scan.rs
@@ -4,7 +4,7 @@
 
 /// What a scan for the end of a head found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeadScan {
+pub(crate) enum HeadScan {
     /// The head is complete. Its length in bytes, including its empty line.
     Complete(usize),
     /// More input is needed. The offset from which the next scan may start.
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// [`FramingError`] if the head is over its limits or has a bare CR or LF.
-pub fn scan_head(input: &[u8], start: usize, limits: &Limits) -> Result<HeadScan, FramingError> {
+pub(crate) fn scan_head(input: &[u8], start: usize, limits: &Limits) -> Result<HeadScan, FramingError> {
     let mut scanned = start;
     while let Some(distance) = memchr::memchr2(b'\r', b'\n', &input[scanned..]) {
         let line_end = scanned + distance;
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,14 +1,15 @@
 //! The side that faces clients: reads requests one at a time and writes their responses.
 //!
-//! Pipelined requests wait in the input buffer until the one before them has its response. After an error, or a
-//! request that asks for it, the connection closes once its response is written.
+//! Pipelined requests wait in the input buffer until the one before them has its response. After an error, or
+//! a request that asks for it, the connection closes once its response is written.
 
 use crate::body::{BodyReader, write_chunk, write_last_chunk};
 use crate::fields::{end_to_end, write_field, write_framing};
 use crate::framing::has_body;
 use crate::head::{Limits, RequestHead, parse_request};
 use crate::input::InputBuffer;
-use crate::{Framing, FramingError, HeadScan, scan_head};
+use crate::scan::{HeadScan, scan_head};
+use crate::{Framing, FramingError};
 use http::header::{HeaderMap, HeaderName};
 use http::{Method, StatusCode, Version};
 
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -69,7 +69,8 @@
 
 const PIPELINED: &[u8] = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello\
     GET /b?q=1 HTTP/1.1\r\nHost: x\r\n\r\n\
-    PUT /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;ext=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\n\
+    PUT /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n\
+    3;ext=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\n\
     GET http://host/d HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
 #[test]
@@ -199,7 +200,8 @@
 
     #[test]
     fn any_cut_gives_the_same_responses(cuts in prop::collection::vec(any::<usize>(), 0..40)) {
-        let chunked = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n2\r\nef\r\n0\r\n\r\n";
+        let chunked = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\
+            Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n2\r\nef\r\n0\r\n\r\n";
         prop_assert_eq!(receive(chunked, &cuts, false), receive(chunked, &[], false));
     }
 
--- a/crates/platform-protocol/src/answer.rs
+++ b/crates/platform-protocol/src/answer.rs
@@ -34,24 +34,24 @@
 pub fn parse_answer<'a>(input: &'a [u8], bounds: &Bounds) -> Answer<'a> {
     match parse(input, bounds) {
         Ok(ParsedReply::Incomplete) => Answer::Incomplete,
-        Ok(ParsedReply::Single(Reply::Error(text), used)) => {
+        Ok(ParsedReply::Single { reply: Reply::Error(text), length }) => {
             let is_busy = text == b"BUSY" || text.starts_with(b"BUSY ");
             let outcome = if is_busy { Outcome::Rejected } else { Outcome::Error };
-            Answer::NotServed { outcome, reusable: used == input.len() }
+            Answer::NotServed { outcome, reusable: length == input.len() }
         }
-        Ok(ParsedReply::Single(..)) => Answer::Malformed(AnswerError::UnexpectedReply),
-        Ok(ParsedReply::Array(elements, used)) => match elements[..] {
+        Ok(ParsedReply::Single { .. }) => Answer::Malformed(AnswerError::UnexpectedReply),
+        Ok(ParsedReply::Array { elements, length }) => match elements[..] {
             [Reply::Bulk(value), Reply::Null, Reply::Null | Reply::Bulk(_)] => {
-                Answer::Served { value, reusable: used == input.len() }
+                Answer::Served { value, reusable: length == input.len() }
             }
             [Reply::Bulk(value), Reply::Null, _] => Answer::Served { value, reusable: false },
             _ => Answer::Malformed(AnswerError::UnexpectedArray),
         },
-        Ok(ParsedReply::Malformed(elements, fault)) => match elements[..] {
+        Ok(ParsedReply::Malformed { elements, error }) => match elements[..] {
             [Reply::Bulk(value), Reply::Null] => Answer::Served { value, reusable: false },
-            _ => Answer::Malformed(AnswerError::Framing(fault)),
+            _ => Answer::Malformed(AnswerError::Framing(error)),
         },
-        Err(fault) => Answer::Malformed(AnswerError::Framing(fault)),
+        Err(error) => Answer::Malformed(AnswerError::Framing(error)),
     }
 }
 
--- a/crates/proxy/src/engine/dispatch.rs
+++ b/crates/proxy/src/engine/dispatch.rs
@@ -61,7 +61,7 @@
         self.module.on_event(now, *event, &mut actions);
         self.module_time += began.map_or(Duration::ZERO, |began| began.elapsed());
         if let Some(recorder) = &mut self.recorder {
-            recorder.event(now, event, &actions);
+            recorder.record_event(now, event, &actions);
         }
         for action in actions.drain(..) {
             self.apply(now, action);
--- a/crates/recorder/src/write.rs
+++ b/crates/recorder/src/write.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records an event at `now` and the actions that it caused.
-    pub fn event(&mut self, now: Micros, event: &Event<'_>, actions: &[Action]) {
+    pub fn record_event(&mut self, now: Micros, event: &Event<'_>, actions: &[Action]) {
         if self.stop_reason.is_some() {
             return;
         }
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Sends the buffered frames to the writer's thread. Called from time to time, it limits what a crash loses.
+    /// Sends the buffered frames to the writer's thread. Called from time to time, it limits what a crash
+    /// loses.
     pub fn flush(&mut self) {
         if self.stop_reason.is_none() && !self.chunk.is_empty() {
             self.send_chunk();
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -30,7 +30,7 @@
     let mut feed = |now: Micros, event: Event<'_>| {
         let mut actions = Vec::new();
         module.on_event(now, event, &mut actions);
-        recorder.event(now, &event, &actions);
+        recorder.record_event(now, &event, &actions);
         actions
     };
     let entry = |id| ServerEntry {
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,12 +1,13 @@
 //! RESP2 framing without I/O: bytes in, commands or replies out, for both sides of a proxy.
 //!
 //! [`command::parse`] is for the side that faces clients, [`reply::parse`] for the side that faces servers.
-//! Both look at the bytes buffered so far and either take one complete message off their front, ask for more, or
-//! return an error: a declared length is checked against its bound as soon as its line is there, before any byte of
-//! what it announces is buffered. What a caller buffers is therefore bounded by [`Bounds`] and one read.
+//! Both look at the bytes buffered so far and either take one complete message off their front, ask for more,
+//! or return an error: a declared length is checked against its bound as soon as its line is there, before
+//! any byte of what it announces is buffered. What a caller buffers is therefore bounded by [`Bounds`] and
+//! one read.
 //!
-//! `redis-protocol` frames both sides, too, but returns a message only once all of it is buffered and has no bound
-//! on a declared length; the tests compare the two on messages within the bounds.
+//! `redis-protocol` frames both sides, too, but returns a message only once all of it is buffered and has no
+//! bound on a declared length; the tests compare the two on messages within the bounds.
 
 pub mod command;
 mod cursor;
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -22,19 +22,34 @@
 pub enum ParsedReply<'a> {
     /// More input is needed.
     Incomplete,
-    /// A reply that is no array, and its length in bytes.
-    Single(Reply<'a>, usize),
-    /// A complete array and its length in bytes.
-    Array(Vec<Reply<'a>>, usize),
-    /// The valid elements at the start of an array, and the error in what follows them.
-    Malformed(Vec<Reply<'a>>, FramingError),
+    /// A reply that is no array.
+    Single {
+        /// The reply.
+        reply: Reply<'a>,
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// A complete array.
+    Array {
+        /// Its elements.
+        elements: Vec<Reply<'a>>,
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// An array that is malformed after some valid elements.
+    Malformed {
+        /// The valid elements.
+        elements: Vec<Reply<'a>>,
+        /// What is wrong with what follows them.
+        error: FramingError,
+    },
 }
 
 /// Parses the reply at the front of `input`. An array within an array does not belong to this protocol.
 ///
 /// # Errors
-/// A [`FramingError`] if the input is no reply, or one over the bounds. An error after the head of an array is
-/// a [`ParsedReply::Malformed`] instead.
+/// A [`FramingError`] if the input is no reply, or one over the bounds. An error after the head of an array
+/// is a [`ParsedReply::Malformed`] instead.
 pub fn parse<'a>(input: &'a [u8], bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let mut cursor = Cursor::new(input);
     if cursor.peek() == Some(b'*') {
@@ -42,24 +57,24 @@
     }
     Ok(match parse_element(&mut cursor, bounds)? {
         None => ParsedReply::Incomplete,
-        Some(reply) => ParsedReply::Single(reply, cursor.offset),
+        Some(reply) => ParsedReply::Single { reply, length: cursor.offset },
     })
 }
 
 fn parse_array<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let Some(digits) = cursor.line(bounds.max_line_bytes)? else { return Ok(ParsedReply::Incomplete) };
     let Some(count) = parse_length(digits, bounds.max_elements)? else {
-        return Ok(ParsedReply::Single(Reply::Null, cursor.offset));
+        return Ok(ParsedReply::Single { reply: Reply::Null, length: cursor.offset });
     };
     let mut elements = Vec::with_capacity(count);
     while elements.len() < count {
         match parse_element(cursor, bounds) {
             Ok(Some(reply)) => elements.push(reply),
             Ok(None) => return Ok(ParsedReply::Incomplete),
-            Err(error) => return Ok(ParsedReply::Malformed(elements, error)),
+            Err(error) => return Ok(ParsedReply::Malformed { elements, error }),
         }
     }
-    Ok(ParsedReply::Array(elements, cursor.offset))
+    Ok(ParsedReply::Array { elements, length: cursor.offset })
 }
 
 fn parse_element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, FramingError> {
--- a/crates/resp/tests/framing.rs
+++ b/crates/resp/tests/framing.rs
@@ -1,5 +1,5 @@
-//! Framing of both sides: what is accepted, what is rejected and when, with the input cut at every byte, and compared
-//! with another implementation of the protocol.
+//! Framing of both sides: what is accepted, what is rejected and when, with the input cut at every byte, and
+//! compared with another implementation of the protocol.
 
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode;
@@ -54,22 +54,21 @@
 
 #[test]
 fn replies_of_each_kind_are_parsed() {
-    use ParsedReply::{Array, Incomplete, Malformed, Single};
+    let single = |reply, length| Ok(ParsedReply::Single { reply, length });
+    let array = |elements, length| Ok(ParsedReply::Array { elements, length });
+    let malformed = |elements, error| Ok(ParsedReply::Malformed { elements, error });
     let cases: [(&[u8], Result<ParsedReply, FramingError>); 11] = [
-        (b"+OK\r\n", Ok(Single(Reply::Simple(b"OK"), 5))),
-        (b"-BUSY 20\r\n", Ok(Single(Reply::Error(b"BUSY 20"), 10))),
-        (b":-7\r\n", Ok(Single(Reply::Integer(-7), 5))),
-        (b"$-1\r\n", Ok(Single(Reply::Null, 5))),
-        (
-            b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n",
-            Ok(Array(vec![Reply::Bulk(b"a"), Reply::Null, Reply::Null], 21)),
-        ),
-        (b"*3\r\n$1\r\na\r\n$-1\r\n", Ok(Incomplete)),
+        (b"+OK\r\n", single(Reply::Simple(b"OK"), 5)),
+        (b"-BUSY 20\r\n", single(Reply::Error(b"BUSY 20"), 10)),
+        (b":-7\r\n", single(Reply::Integer(-7), 5)),
+        (b"$-1\r\n", single(Reply::Null, 5)),
+        (b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n", array(vec![Reply::Bulk(b"a"), Reply::Null, Reply::Null], 21)),
+        (b"*3\r\n$1\r\na\r\n$-1\r\n", Ok(ParsedReply::Incomplete)),
         (
             b"*3\r\n$1\r\na\r\n$-1\r\nnoise",
-            Ok(Malformed(vec![Reply::Bulk(b"a"), Reply::Null], FramingError::UnexpectedByte(b'n'))),
+            malformed(vec![Reply::Bulk(b"a"), Reply::Null], FramingError::UnexpectedByte(b'n')),
         ),
-        (b"*3\r\n$4\r\nabcdefgh\r\n", Ok(Malformed(vec![], FramingError::InvalidLength))),
+        (b"*3\r\n$4\r\nabcdefgh\r\n", malformed(vec![], FramingError::InvalidLength)),
         (b"$3000000000\r\n", Err(FramingError::TooLong)),
         (b"$-7\r\n", Err(FramingError::InvalidLength)),
         (b"*1000000000\r\n", Err(FramingError::TooLong)),
@@ -82,31 +81,46 @@
 proptest! {
     /// Whatever the cut, a command is taken at its last byte and not before.
     #[test]
-    fn a_command_is_complete_at_its_last_byte(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6)) {
+    fn a_command_is_complete_at_its_last_byte(
+        words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6),
+    ) {
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         let mut input = Vec::new();
         command::write(&mut input, &words);
         for cut in 0..input.len() {
             prop_assert_eq!(command::parse(&input[..cut], &BOUNDS), Ok(None));
         }
-        prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some(ParsedCommand { arguments: words, length: input.len() })));
+        let expected = ParsedCommand { arguments: words, length: input.len() };
+        prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some(expected)));
     }
 
     /// Nothing panics, and what is taken lies within the input.
     #[test]
-    fn any_bytes_are_parsed_without_a_panic(input in prop::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()], 0..80)) {
+    fn any_bytes_are_parsed_without_a_panic(
+        input in prop::collection::vec(
+            prop_oneof![
+                Just(b'*'), Just(b'$'), Just(b'-'), Just(b'1'), Just(b'\r'), Just(b'\n'), any::<u8>()
+            ],
+            0..80,
+        ),
+    ) {
         if let Ok(Some(command)) = command::parse(&input, &BOUNDS) {
             prop_assert!(command.length <= input.len());
         }
-        if let Ok(ParsedReply::Array(_, used) | ParsedReply::Single(_, used)) = reply::parse(&input, &BOUNDS) {
-            prop_assert!(used <= input.len());
+        let parsed = reply::parse(&input, &BOUNDS);
+        if let Ok(ParsedReply::Array { length, .. } | ParsedReply::Single { length, .. }) = parsed {
+            prop_assert!(length <= input.len());
         }
     }
 
     /// Where another implementation sees a whole flat reply within the bounds, this one sees the same.
     #[test]
     fn complete_replies_agree_with_another_implementation(input in prop_oneof![
-        prop::collection::vec(any::<u8>(), 0..60).prop_map(|v| { let mut out = Vec::new(); violetseam_resp::write_bulk(&mut out, &v); out }),
+        prop::collection::vec(any::<u8>(), 0..60).prop_map(|value| {
+            let mut out = Vec::new();
+            violetseam_resp::write_bulk(&mut out, &value);
+            out
+        }),
         "[ -~]{0,20}".prop_map(|text| format!("-{text}\r\n").into_bytes()),
         any::<i64>().prop_map(|n| format!(":{n}\r\n").into_bytes()),
         prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..6).prop_map(|parts| {
@@ -115,7 +129,7 @@
             out
         }),
     ]) {
-        let (theirs, length) = decode(&input).unwrap().unwrap();
+        let (theirs, their_length) = decode(&input).unwrap().unwrap();
         let same = |ours: &Reply, theirs: &OwnedFrame| match (ours, theirs) {
             (Reply::Simple(a), OwnedFrame::SimpleString(b)) => *a == &b[..],
             (Reply::Error(a), OwnedFrame::Error(b)) => *a == b.as_bytes(),
@@ -125,10 +139,12 @@
             _ => false,
         };
         match reply::parse(&input, &BOUNDS).unwrap() {
-            ParsedReply::Single(ours, used) => prop_assert!(used == length && same(&ours, &theirs)),
-            ParsedReply::Array(ours, used) => {
+            ParsedReply::Single { reply, length } => {
+                prop_assert!(length == their_length && same(&reply, &theirs));
+            }
+            ParsedReply::Array { elements: ours, length } => {
                 let OwnedFrame::Array(theirs) = theirs else { panic!("no array: {theirs:?}") };
-                prop_assert!(used == length && ours.len() == theirs.len());
+                prop_assert!(length == their_length && ours.len() == theirs.len());
                 prop_assert!(ours.iter().zip(&theirs).all(|(a, b)| same(a, b)));
             }
             other => prop_assert!(false, "{other:?}"),
--- a/crates/site-protocol/src/endpoint_list/update.rs
+++ b/crates/site-protocol/src/endpoint_list/update.rs
@@ -80,7 +80,8 @@
     /// Parses and validates one line.
     ///
     /// # Errors
-    /// [`MessageError`] if the line is not JSON of this form, lists a server twice, or a value is out of bounds.
+    /// [`MessageError`] if the line is not JSON of this form, lists a server twice, or a value is out of
+    /// bounds.
     pub fn parse(line: &[u8]) -> Result<ListUpdate, MessageError> {
         let update: ListUpdate = from_json(MessageType::EndpointList, line)?;
         update.validate()?;
--- a/crates/site-protocol/src/release_service.rs
+++ b/crates/site-protocol/src/release_service.rs
@@ -47,8 +47,8 @@
     pub phase: PhaseName,
     /// The exposure cap, 0 to 1.
     pub cap: f64,
-    /// The fence of the controller that sent the update; 0 from a release service without fences. Updates with
-    /// a lower fence than an earlier one are ignored.
+    /// The fence of the controller that sent the update; 0 from a release service without fences. Updates
+    /// with a lower fence than an earlier one are ignored.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub fence: u64,
 }
