--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -60,8 +60,8 @@
         connection.watch = watch;
         connection.last_active = Instant::now();
         let Connection { socket, http, .. } = connection;
-        http.start_response(socket.out(), ResponseStart::new(StatusCode::OK, Framing::Chunked));
-        http.write_body(socket.out(), line);
+        http.start_response(socket.write_buffer(), ResponseStart::new(StatusCode::OK, Framing::Chunked));
+        http.write_body(socket.write_buffer(), line);
         self.flush(key);
     }
 
@@ -94,7 +94,7 @@
                 Watch::Release(_) | Watch::DesiredBuilds(_) => continue,
             };
             connection.last_active = now;
-            connection.http.write_body(connection.socket.out(), &line);
+            connection.http.write_body(connection.socket.write_buffer(), &line);
             written.push(key);
         }
         for key in written {
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -8,7 +8,7 @@
 //! - `saved_list.rs`: the server list on disk
 //! - `configuration.rs`: the subscription to a publisher, and reports to it
 //! - `configuration_store.rs`: the last good configuration on disk
-//! - `operators/`: the control sockets, commands and the reading of the state
+//! - `operators/`: the control sockets, commands and the state that they read
 //! - `http_request.rs`: a request of the proxy's own on a connection of its own
 //! - `peers.rs`: datagrams
 //! - `takeover.rs`: a new process takes the sockets and what the module learned
@@ -41,13 +41,13 @@
 use clients::{Client, InFlightRequest};
 use configuration::Subscription;
 use operators::ControlServer;
-use operators::reading::AttemptsByBuild;
+use operators::daemon_state::AttemptsByBuild;
 use rand::{Rng, RngExt, SeedableRng};
 use servers::Server;
 use site_calls::Call;
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
-use std::net::{TcpListener, UdpSocket};
+use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -55,7 +55,8 @@
 use std::time::{Duration, Instant};
 use timers::Timers;
 use violetseam::interface::{Micros, RequestId, ServerId};
-use violetseam_event_io::quiet::RateLimit;
+use violetseam_event_io::log_rate_limit::LogRateLimit;
+use violetseam_event_io::{IdleConnections, Listener};
 use violetseam_http1::Limits as HeadLimits;
 use violetseam_recorder::{Recorder, RecordingLimits};
 use violetseam_settings::ProxySettings;
@@ -117,12 +118,6 @@
     generation: u64,
 }
 
-/// A listener for clients.
-struct ClientListener {
-    listener: Rc<TcpListener>,
-    token: RegistrationToken,
-}
-
 /// An entry of the server list, and when it was received.
 struct ListedServer {
     received_at: Micros,
@@ -143,13 +138,13 @@
     handed_over: bool,
     /// Idle connections that were offered to it.
     offered_clients: Vec<usize>,
-    listeners: Vec<ClientListener>,
+    listeners: Vec<Listener>,
     clients: Slab<Client>,
     servers: Slab<Server>,
     calls: Slab<Call>,
     in_flight: HashMap<RequestId, InFlightRequest>,
     /// Connections to servers that are ready for an attempt.
-    idle_servers: BTreeMap<ServerId, Vec<usize>>,
+    idle_servers: IdleConnections<ServerId>,
     timers: Timers,
     server_list: EndpointList,
     /// The entries of the server list as discovery stated them.
@@ -180,10 +175,10 @@
     /// Ends once nothing is left in flight.
     ending: bool,
     stopping: bool,
-    log_limit: RateLimit,
+    log_limit: LogRateLimit,
     /// Clients whose input waits for its turn.
-    resumed_clients: Vec<ConnectionId>,
-    pumping: bool,
+    clients_to_resume: Vec<ConnectionId>,
+    is_running_actions: bool,
     /// Sockets were ready in this turn.
     had_socket_events: bool,
     last_vote: Option<String>,
@@ -222,7 +217,7 @@
             servers: Slab::new(),
             calls: Slab::new(),
             in_flight: HashMap::new(),
-            idle_servers: BTreeMap::new(),
+            idle_servers: IdleConnections::default(),
             timers: Timers::default(),
             server_list: EndpointList::default(),
             listed_servers: BTreeMap::new(),
@@ -243,9 +238,9 @@
             listen_until: 0,
             ending: false,
             stopping: false,
-            log_limit: RateLimit::default(),
-            resumed_clients: Vec::new(),
-            pumping: false,
+            log_limit: LogRateLimit::default(),
+            clients_to_resume: Vec::new(),
+            is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
             last_finding: None,
