--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -1,4 +1,4 @@
-//! The reading of the state that operators ask for.
+//! The state that operators read.
 
 use super::super::Proxy;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
     BuildAttempts, ConnectionCounts, DaemonState, PauseState, QuotaState, ReleaseState, RequestCounts,
 };
 
-/// Peers heard from so recently count as heard.
+/// A peer counts as heard if a datagram of it arrived within this span.
 const RECENT_PEER_SPAN: Micros = 10_000_000;
 /// The span over which attempts are counted by build.
 const BUILD_COUNT_SPAN: Micros = 10_000_000;
@@ -48,17 +48,17 @@
         format!("{}-{}", self.settings.name, self.settings.decisions.position)
     }
 
-    /// Records the latest vote for the reading.
+    /// Records the latest vote for the state that operators read.
     pub(in super::super) fn record_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         self.last_vote = Some(format!("{verdict:?} on build {build}, stage {stage}").to_lowercase());
     }
 
-    /// Counts an attempt for the reading, by the build that its server is listed with.
+    /// Counts an attempt for the state that operators read, by the build that its server is listed with.
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
-        if let Some(listed) = self.listed_servers.get(&server) {
-            self.attempts_by_build.count(listed.entry.build);
+        if let Some(build) = self.server_list.build(server) {
+            self.attempts_by_build.count(build);
         }
     }
 
@@ -71,8 +71,8 @@
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
-            uptime_us: self.started.elapsed().as_micros() as u64,
-            draining: self.draining,
+            uptime_us: self.clock.uptime().as_micros() as u64,
+            draining: self.lifecycle.is_draining(),
             release: self.engine.release().map(release_state),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
@@ -85,9 +85,9 @@
             },
             pending_responses: self.engine.pending_responses() as u64,
             peers: recent_peers.count() as u64,
-            endpoint_list_age_us: self.list_received_at.map(|at| now.saturating_sub(at)),
-            servers: self.listed_servers.len() as u64,
-            configuration: self.configuration_reading(),
+            endpoint_list_age_us: self.server_list.received_at().map(|at| now.saturating_sub(at)),
+            servers: self.server_list.len() as u64,
+            configuration: self.configuration_state(),
             quotas: self.engine.budgets(now).into_iter().map(|status| self.quota_state(status)).collect(),
         }
     }
