--- a/crates/emulator/src/simulation/release_service.rs
+++ b/crates/emulator/src/simulation/release_service.rs
@@ -180,7 +180,7 @@
     /// A release is offered, and again later if it is rejected. A release on trial is sent back for it.
     pub(super) fn on_release_offer(&mut self, release: usize) -> Result<(), SimulationError> {
         let now = self.release_service.clocks(self.cluster.now);
-        let script = violetseam_scenarios::plan(&self.cluster.scenario, release);
+        let script = violetseam_scenarios::release_plan::script(&self.cluster.scenario, release);
         let plan = violetseam_plan::read_text("day", &script, &[], now.wall)
             .map_err(|faults| SimulationError::Plan { release, faults })?;
         let reply = self.apply_release_event(&Event::Offer(Box::new(plan)));
