--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use violetseam_proxy::driver::{Options, Recording, Summary, inherit, serve_operated};
-use violetseam_recorder::Bounds;
+use violetseam_recorder::RecordingLimits;
 use violetseam_settings::read_file;
 
 #[derive(ClapArgs)]
@@ -30,7 +30,7 @@
     #[arg(long)]
     record: Option<PathBuf>,
     /// The most bytes a recording may take; it ends there
-    #[arg(long, default_value_t = Bounds::default().total)]
+    #[arg(long, default_value_t = RecordingLimits::default().max_total_bytes)]
     record_most: u64,
     /// How log lines are written, to standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
@@ -76,9 +76,9 @@
 
 impl Args {
     fn options(&self) -> Options {
-        let bounds = Bounds { total: self.record_most, ..Bounds::default() };
+        let limits = RecordingLimits { max_total_bytes: self.record_most, ..RecordingLimits::default() };
         Options {
-            record: self.record.clone().map(|path| Recording { path, bounds }),
+            record: self.record.clone().map(|path| Recording { path, limits }),
             time_module: self.time_module,
             stop_after: self.stop_after.map(Duration::from_secs),
             stop: None,
--- a/crates/emulator/src/simulation/discovery.rs
+++ b/crates/emulator/src/simulation/discovery.rs
@@ -77,7 +77,7 @@
         let now = self.cluster.now;
         let proxy = &mut self.proxies[proxy];
         match proxy.endpoint_list.apply(now, update) {
-            Ok((kind, entries)) => proxy.engine.on_server_list(now, kind, &entries),
+            Ok(applied) => proxy.engine.on_server_list(now, applied.kind, &applied.entries),
             Err(_) => {
                 proxy.endpoint_list.forget_version();
                 proxy.engine.on_server_list(now, decisions::ListKind::Failed, &[]);
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -210,7 +210,7 @@
         };
         let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         exchange.socket.write_buffer().extend_from_slice(head.as_bytes());
-        exchange.http.expect_answer(false);
+        exchange.http.expect_response(false);
         exchange.status = None;
         exchange.socket.set_connect_interest(&self.handle);
         exchange.began_at = self.now();
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -123,14 +123,14 @@
                 ServerEvent::Head(head) => self.on_head(key, *head),
                 ServerEvent::Body(bytes) => self.on_body(key, bytes),
                 ServerEvent::End => self.on_end(key),
-                ServerEvent::Fault(fault) => {
+                ServerEvent::Error(fault) => {
                     tracing::debug!("request refused: {fault}");
                     if let ClientState::AwaitingResponse(id) = client.state {
                         client.state = ClientState::Idle;
                         let now = self.now();
                         self.engine.on_client_disconnected(now, id);
                     }
-                    self.respond_with_error(key, fault.status, fault.reason);
+                    self.respond_with_error(key, fault.status(), fault.reason());
                 }
             }
         }
@@ -150,7 +150,7 @@
         let is_body_backpressured = self.is_body_backpressured(key);
         let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get(key) else { return };
-        let is_full = client.http.held() > MAX_INPUT_BYTES || client.is_slow();
+        let is_full = client.http.buffered_bytes() > MAX_INPUT_BYTES || client.is_slow();
         // While a process takes over, what arrives next on a connection is for the process that has it then.
         let wants_read = !client.half_closed && !is_body_backpressured && !is_full && !is_handing_over;
         client.socket.set_read_interest(&self.handle, wants_read);
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -4,9 +4,10 @@
 use super::ClientState;
 use crate::engine::LocalResponse;
 use http::StatusCode;
-use http::header::{HeaderMap, HeaderName, RETRY_AFTER, VIA};
+use http::header::{HeaderName, RETRY_AFTER, VIA};
 use violetseam::interface::RequestId;
 use violetseam_event_io::WRITE_BUFFER_HIGH_WATERMARK;
+use violetseam_http1::server::ResponseStart;
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_site_protocol::answer_report;
 
@@ -37,14 +38,8 @@
         }
         fields.extend_from_slice(extra_fields);
         let framing = Framing::Length(body.len() as u64);
-        client.http.start_answer(
-            client.socket.write_buffer(),
-            status,
-            &HeaderMap::new(),
-            &fields,
-            framing,
-            close,
-        );
+        let response = ResponseStart { status, headers: None, extra_fields: &fields, framing, close };
+        client.http.start_response(client.socket.write_buffer(), response);
         client.http.write_body(client.socket.write_buffer(), body.as_bytes());
         self.finish_response(key);
     }
@@ -95,7 +90,14 @@
             (OUTCOME_HEADER, &b"served"[..]),
         ];
         let out = client.socket.write_buffer();
-        client.http.start_answer(out, head.status, &head.headers, &fields, framing, leaving);
+        let response = ResponseStart {
+            status: head.status,
+            headers: Some(&head.headers),
+            extra_fields: &fields,
+            framing,
+            close: leaving,
+        };
+        client.http.start_response(out, response);
         Some(key)
     }
 
@@ -108,7 +110,7 @@
     /// Completes the present response: the connection carries on, or closes once all is written.
     pub(in super::super) fn finish_response(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let carries_on = client.http.finish_answer(client.socket.write_buffer()) && !client.half_closed;
+        let carries_on = client.http.finish_response(client.socket.write_buffer()) && !client.half_closed;
         client.state = if carries_on { ClientState::Idle } else { ClientState::Closing };
         self.flush_client(key);
     }
@@ -141,7 +143,7 @@
             }
             // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as
             // to handle it from here would go a level deeper with each one that is answered at once.
-            ClientState::Idle if client.http.held() > 0 => {
+            ClientState::Idle if client.http.buffered_bytes() > 0 => {
                 self.clients_to_resume.push(ConnectionId { key, generation: client.generation });
             }
             _ => {}
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use violetseam_distribution::message::{MAX_LINE_BYTES, MAX_REPORT_BYTES};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 
 /// What an exchange with the publisher is for.
@@ -29,7 +29,7 @@
 pub(super) struct Exchange {
     pub(super) id: ExchangeId,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     pub(super) lines: LineReader,
     /// The answer's status has come, and its body is to be read.
     reads_body: bool,
@@ -124,7 +124,7 @@
                     self.process_publisher_lines(id);
                 }
                 Some(ClientEvent::Body(_)) => {}
-                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => self.exchange_ended(id.purpose),
+                Some(ClientEvent::End { .. } | ClientEvent::Error(_)) => self.exchange_ended(id.purpose),
             }
         }
     }
--- a/crates/proxy/src/driver/configuration/updates.rs
+++ b/crates/proxy/src/driver/configuration/updates.rs
@@ -2,7 +2,7 @@
 
 use super::super::Proxy;
 use super::{ExchangeId, ExchangePurpose, Subscription};
-use violetseam_distribution::subscriber::Effect;
+use violetseam_distribution::subscriber::{Effect, InvalidProposal};
 use violetseam_distribution::{Change, Message, Report, Version};
 
 impl Proxy {
@@ -20,7 +20,7 @@
             let Subscription { subscriber, routes, .. } = &mut **subscription;
             let effects = match message {
                 Ok(message) => subscriber.on_message(now, message, &mut |proposal| {
-                    routes.check(proposal).map_err(|error| error.to_string())
+                    routes.check(proposal).map_err(InvalidProposal::new)
                 }),
                 Err(error) => {
                     tracing::warn!("publisher: {error}");
--- a/crates/proxy/src/driver/http_request.rs
+++ b/crates/proxy/src/driver/http_request.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use violetseam_event_io::Socket;
 use violetseam_http1::Limits;
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 
 /// An HTTP request of the proxy's own.
 pub(super) struct HttpRequest<'a> {
@@ -26,7 +26,7 @@
     }
 
     /// Queues the request on a new connection; gives the reader of its response.
-    pub(super) fn queue(&self, socket: &mut Socket) -> ClientConn {
+    pub(super) fn queue(&self, socket: &mut Socket) -> ClientConnection {
         let HttpRequest { to, method, path, body } = self;
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
@@ -34,8 +34,8 @@
         );
         socket.write_buffer().extend_from_slice(head.as_bytes());
         socket.write_buffer().extend_from_slice(body);
-        let mut http = ClientConn::new(Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(Limits::default());
+        http.expect_response(false);
         http
     }
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -210,7 +210,7 @@
     inherited: Option<&Inherited>,
 ) -> std::io::Result<Engine> {
     let recorder = match &options.record {
-        Some(Recording { path, bounds }) => Some(Recorder::start(path, *bounds, &settings.decisions, seed)?),
+        Some(Recording { path, limits }) => Some(Recorder::start(path, *limits, &settings.decisions, seed)?),
         None => None,
     };
     let mut engine = match inherited {
@@ -226,9 +226,9 @@
 /// The bounds of a client's request.
 fn head_limits(settings: &ProxySettings) -> HeadLimits {
     HeadLimits {
-        head: settings.connections.max_head_bytes,
-        fields: settings.connections.max_header_fields,
-        body: settings.connections.max_body_bytes,
+        max_head_bytes: settings.connections.max_head_bytes,
+        max_fields: settings.connections.max_header_fields,
+        max_body_bytes: settings.connections.max_body_bytes,
     }
 }
 
--- a/crates/proxy/src/driver/options.rs
+++ b/crates/proxy/src/driver/options.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
-use violetseam_recorder::Bounds;
+use violetseam_recorder::RecordingLimits;
 
 /// Where a proxy records its events and actions.
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     /// The file.
     pub path: PathBuf,
     /// How much is recorded.
-    pub bounds: Bounds,
+    pub limits: RecordingLimits,
 }
 
 /// How a proxy is started beside its settings.
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -5,7 +5,7 @@
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
-use violetseam_site_protocol::peer_datagram::{self, PayloadKind};
+use violetseam_site_protocol::peer_datagram::{self, Datagram, PayloadKind};
 
 /// Datagrams received in one turn of the event loop; more wait for the next, or are dropped by the kernel.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
@@ -56,15 +56,17 @@
 
     fn on_datagram(&mut self, sender: SocketAddr, datagram: &[u8]) {
         let now = self.now();
-        let (position, kind, payload) = match peer_datagram::decode(self.settings.site, datagram) {
-            Ok((position, kind, payload)) => (usize::from(position), kind, payload),
-            Err(error) => {
-                if self.log_limit.allows(now) {
-                    tracing::warn!(from = %sender, "datagram dropped: {error}");
+        let Datagram { sender: position, kind, payload } =
+            match peer_datagram::decode(self.settings.site, datagram) {
+                Ok(datagram) => datagram,
+                Err(error) => {
+                    if self.log_limit.allows(now) {
+                        tracing::warn!(from = %sender, "datagram dropped: {error}");
+                    }
+                    return;
                 }
-                return;
-            }
-        };
+            };
+        let position = usize::from(position);
         // A position that does not come from its own address is somebody else's message.
         if self.settings.peers.get(position) != Some(&sender) {
             if self.log_limit.allows(now) {
--- a/crates/proxy/src/driver/saved_list.rs
+++ b/crates/proxy/src/driver/saved_list.rs
@@ -4,7 +4,7 @@
 use super::operators::wall_clock;
 use std::path::Path;
 use violetseam::interface::Micros;
-use violetseam_site_protocol::Malformed;
+use violetseam_site_protocol::MessageError;
 use violetseam_site_protocol::endpoint_list::ListUpdate;
 
 /// Why a saved list is not used.
@@ -13,7 +13,7 @@
     #[error("no time of saving")]
     NoTime,
     #[error("{0}")]
-    Malformed(#[source] Malformed),
+    Malformed(#[source] MessageError),
 }
 
 impl Proxy {
--- a/crates/proxy/src/driver/server_list.rs
+++ b/crates/proxy/src/driver/server_list.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use violetseam::interface::{Build, ListKind, Micros, ServerEntry, ServerId};
-use violetseam_site_protocol::Malformed;
+use violetseam_site_protocol::MessageError;
 use violetseam_site_protocol::endpoint_list::{
-    Endpoint, EndpointList, EndpointState, ListUpdate, UpdateKind,
+    AppliedUpdate, Endpoint, EndpointList, EndpointState, ListUpdate, UpdateKind,
 };
 
 /// A change of the list, in the decision module's terms.
@@ -64,13 +64,13 @@
     /// # Errors
     ///
     /// If it does not fit the version that the list has; the list stays as it was.
-    pub(super) fn apply(&mut self, now: Micros, update: ListUpdate) -> Result<ListChange, Malformed> {
+    pub(super) fn apply(&mut self, now: Micros, update: ListUpdate) -> Result<ListChange, MessageError> {
         let applied = self.endpoints.apply(now, &update);
         if applied.is_err() && update.kind == UpdateKind::Delta {
             // Whatever discovery lost, its complete list is fetched next and must be newer.
             self.endpoints.forget_version();
         }
-        let (kind, entries) = applied?;
+        let AppliedUpdate { kind, entries } = applied?;
         if kind == ListKind::Full {
             self.listed.clear();
         }
--- a/crates/proxy/src/driver/servers/attempts.rs
+++ b/crates/proxy/src/driver/servers/attempts.rs
@@ -7,7 +7,7 @@
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Outcome, RequestId, ServerId};
 use violetseam_event_io::{Socket, connect};
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 use violetseam_http1::{write_chunk, write_last_chunk};
 
 impl Proxy {
@@ -63,7 +63,7 @@
             generation,
             id,
             socket,
-            http: ClientConn::new(self.head_limits),
+            http: ClientConnection::new(self.head_limits),
             state: ConnectionState::Connecting(ActiveAttempt::new(attempt)),
             timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
@@ -77,7 +77,7 @@
         let Some(active) = server.active() else { return };
         let request = active.id.request;
         let Some(in_flight) = self.in_flight.get(&request) else { return self.close_server(key) };
-        server.http.expect_answer(in_flight.is_head_request);
+        server.http.expect_response(in_flight.is_head_request);
         write_request(server.socket.write_buffer(), in_flight);
         if !in_flight.is_complete || in_flight.body.len() > self.settings.connections.max_retained_body_bytes
         {
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -16,14 +16,14 @@
 use violetseam::interface::{RequestId, ServerId};
 use violetseam_event_io::Socket;
 use violetseam_http1::ResponseHead;
-use violetseam_http1::client::ClientConn;
+use violetseam_http1::client::ClientConnection;
 
 /// A connection to a server.
 pub(super) struct Server {
     generation: u64,
     id: ServerId,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     state: ConnectionState,
     timeout: StateTimeout,
 }
--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use violetseam::interface::Micros;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::{endpoint_list, release_service};
 
@@ -25,7 +25,7 @@
     pub(super) generation: u64,
     pub(super) purpose: CallPurpose,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     lines: LineReader,
     /// A vote's reply as it comes.
     reply: Vec<u8>,
@@ -38,7 +38,7 @@
 }
 
 impl Call {
-    fn new(generation: u64, purpose: CallPurpose, socket: Socket, http: ClientConn) -> Self {
+    fn new(generation: u64, purpose: CallPurpose, socket: Socket, http: ClientConnection) -> Self {
         Call {
             generation,
             purpose,
@@ -174,7 +174,7 @@
                     self.on_answer_end(key);
                     return self.end_call(key, &CallError::Closed);
                 }
-                Some(ClientEvent::Fault(_)) => return self.end_call(key, &CallError::MalformedAnswer),
+                Some(ClientEvent::Error(_)) => return self.end_call(key, &CallError::MalformedAnswer),
             }
         }
     }
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -7,7 +7,7 @@
 use super::{CallError, CallPurpose, MIN_STREAM_SPAN};
 use std::net::SocketAddr;
 use violetseam::interface::ReleaseStatus;
-use violetseam_site_protocol::release_service::ReleaseUpdate;
+use violetseam_site_protocol::release_service::FencedRelease;
 
 impl Proxy {
     /// Opens the stream of the release's status; lost, it is opened again after a while.
@@ -47,7 +47,8 @@
 
     /// Passes a new status to the engine.
     pub(super) fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
-        let (release, fence) = ReleaseUpdate::parse(line).map_err(CallError::malformed)?;
+        let FencedRelease { status: release, fence } =
+            FencedRelease::parse(line).map_err(CallError::malformed)?;
         let highest = self.site_calls.highest_fence;
         if fence < highest {
             // A controller that was superseded while it was suspended: it is not followed, and left.
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -4,8 +4,8 @@
 use super::super::http_request::HttpRequest;
 use super::call::CallRequest;
 use super::{CallError, CallPurpose};
-use violetseam::interface::{Build, Outcome, ReleaseStatus, Verdict};
-use violetseam_site_protocol::release_service::{Vote, VoteReply};
+use violetseam::interface::{Build, Outcome, Verdict};
+use violetseam_site_protocol::release_service::{FencedRelease, Vote, VoteResult};
 
 /// Where the release service receives votes.
 const VOTE_PATH: &str = "/v1/vote";
@@ -28,10 +28,10 @@
 
     /// The reply to a vote is complete.
     pub(super) fn on_vote_reply(&mut self, reply: &[u8]) {
-        let (outcome, release) = VoteReply::parse(reply).unwrap_or_else(|error| {
+        let VoteResult { outcome, release } = VoteResult::parse(reply).unwrap_or_else(|error| {
             tracing::warn!("{error}");
             // It was received by something that does not speak the protocol; whether it counts is open.
-            (Outcome::Timeout, None)
+            VoteResult { outcome: Outcome::Timeout, release: None }
         });
         self.on_vote_ended(outcome, release);
     }
@@ -45,10 +45,10 @@
 
     /// Reports a vote's end to the engine, with the release's status and its fencing number where a reply had
     /// them.
-    fn on_vote_ended(&mut self, outcome: Outcome, release: Option<(ReleaseStatus, u64)>) {
+    fn on_vote_ended(&mut self, outcome: Outcome, release: Option<FencedRelease>) {
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
-        let Some((status, fence)) = release else {
+        let Some(FencedRelease { status, fence }) = release else {
             return self.engine.on_vote_reply(now, outcome, None);
         };
         if fence < self.site_calls.highest_fence {
--- a/crates/scale-bench/src/distribution/connection.rs
+++ b/crates/scale-bench/src/distribution/connection.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use violetseam_http1::Limits;
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_publisher::protocol::{ACKNOWLEDGE_PATH, WATCH_PATH};
 
 const READ_BYTES: usize = 16 * 1024;
@@ -17,7 +17,7 @@
 pub struct Connection<'a> {
     counters: &'a Counters,
     stream: TcpStream,
-    http: ClientConn,
+    http: ClientConnection,
 }
 
 impl<'a> Connection<'a> {
@@ -30,7 +30,7 @@
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         stream.set_write_timeout(Some(RESPONSE_TIMEOUT))?;
-        Ok(Connection { counters: &fleet.counters, stream, http: ClientConn::new(Limits::default()) })
+        Ok(Connection { counters: &fleet.counters, stream, http: ClientConnection::new(Limits::default()) })
     }
 
     /// Starts a watch; [`Connection::next_event`] returns nothing each time `read_timeout` passes without
@@ -56,7 +56,7 @@
         loop {
             match self.next_event()? {
                 Some(ClientEvent::End { reusable }) => return Ok(reusable),
-                Some(ClientEvent::Fault(_)) => return Ok(false),
+                Some(ClientEvent::Error(_)) => return Ok(false),
                 Some(ClientEvent::Head(_) | ClientEvent::Body(_)) => {}
                 None => return Err(ErrorKind::TimedOut.into()),
             }
@@ -90,7 +90,7 @@
     fn send(&mut self, head: &str, body: &[u8]) -> io::Result<()> {
         let mut request = head.as_bytes().to_vec();
         request.extend_from_slice(body);
-        self.http.expect_answer(false);
+        self.http.expect_response(false);
         self.stream.write_all(&request)?;
         self.counters.bytes_out.fetch_add(request.len() as u64, Ordering::Relaxed);
         Ok(())
--- a/crates/scale-bench/src/distribution/subscriber.rs
+++ b/crates/scale-bench/src/distribution/subscriber.rs
@@ -64,7 +64,7 @@
                         return Ok(());
                     }
                 }
-                Some(ClientEvent::End { .. } | ClientEvent::Fault(_)) => return Ok(()),
+                Some(ClientEvent::End { .. } | ClientEvent::Error(_)) => return Ok(()),
                 None if !self.subscriber.on_tick(self.fleet.now()).is_empty() => return Ok(()),
                 None => {}
             }
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -8,7 +8,7 @@
 use violetseam_controller::control::{ControlError, Response};
 use violetseam_publisher::client::ClientError;
 use violetseam_settings::ScriptError;
-use violetseam_site_protocol::Malformed;
+use violetseam_site_protocol::MessageError;
 
 /// Why nothing could be measured.
 #[derive(Debug, Error)]
@@ -82,7 +82,7 @@
     TimeOutOfBounds(#[from] hdrhistogram::RecordError),
     /// An endpoint list is not accepted by the product's parser.
     #[error("{0}")]
-    EndpointList(#[from] Malformed),
+    EndpointList(#[from] MessageError),
     /// The state of a balancer cannot be encoded.
     #[error("{0}")]
     EncodeState(#[source] postcard::Error),
--- a/crates/scale-bench/src/lightweight_proxies/registry/server.rs
+++ b/crates/scale-bench/src/lightweight_proxies/registry/server.rs
@@ -5,13 +5,13 @@
 use calloop::channel::{Channel, Event as ChannelEvent};
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
-use http::{HeaderMap, StatusCode};
+use http::StatusCode;
 use slab::Slab;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
 use violetseam_event_io::{ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits};
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
@@ -34,7 +34,7 @@
 
 struct Connection {
     socket: Socket,
-    http: ServerConn,
+    http: ServerConnection,
     /// Path and query of the call.
     target: String,
     /// It is a call for the list: its bytes count.
@@ -125,7 +125,7 @@
         let Ok(socket) = Socket::register(&self.handle, stream, Interest::READ, on_ready) else { return };
         entry.insert(Connection {
             socket,
-            http: ServerConn::new(Limits::default()),
+            http: ServerConnection::new(Limits::default()),
             target: String::new(),
             is_counted: false,
             received_bytes: 0,
@@ -173,7 +173,7 @@
                 Some(ServerEvent::Head(head)) => connection.target = head.target.clone(),
                 Some(ServerEvent::Body(_)) => {}
                 Some(ServerEvent::End) => self.respond(key),
-                Some(ServerEvent::Fault(_)) => return self.close(key),
+                Some(ServerEvent::Error(_)) => return self.close(key),
             }
         }
     }
@@ -241,10 +241,10 @@
             ResponseBody::Stream => Framing::Chunked,
         };
         let out = connection.socket.write_buffer();
-        connection.http.start_answer(out, StatusCode::OK, &HeaderMap::new(), &[], framing, false);
+        connection.http.start_response(out, ResponseStart::new(StatusCode::OK, framing));
         connection.http.write_body(out, line);
         if body == ResponseBody::Complete {
-            connection.http.finish_answer(out);
+            connection.http.finish_response(out);
         }
         self.flush(key);
     }
--- a/crates/scale-bench/src/lightweight_proxies/release/clients.rs
+++ b/crates/scale-bench/src/lightweight_proxies/release/clients.rs
@@ -11,9 +11,9 @@
 use std::time::Instant;
 use violetseam::interface::{Micros, Outcome};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_site_protocol::line_reader::LineReader;
-use violetseam_site_protocol::release_service::{MAX_LINE_BYTES, ReleaseUpdate, Vote, VoteReply};
+use violetseam_site_protocol::release_service::{FencedRelease, MAX_LINE_BYTES, Vote, VoteResult};
 
 /// A watch that was lost is opened again after this span, spread over as much again.
 const REOPEN_DELAY: Micros = 1_000_000;
@@ -65,7 +65,7 @@
     proxy: usize,
     purpose: CallPurpose,
     socket: Socket,
-    http: ClientConn,
+    http: ClientConnection,
     lines: LineReader,
     body: Vec<u8>,
     started: Instant,
@@ -207,8 +207,8 @@
         if request.purpose == CallPurpose::Vote {
             self.counts.vote_bytes += socket.unwritten_bytes() as u64;
         }
-        let mut http = ClientConn::new(violetseam_http1::Limits::default());
-        http.expect_answer(false);
+        let mut http = ClientConnection::new(violetseam_http1::Limits::default());
+        http.expect_response(false);
         entry.insert(Call {
             proxy: request.proxy,
             purpose: request.purpose,
@@ -285,11 +285,11 @@
             let proxy = call.proxy;
             let update = match call.lines.next_line() {
                 Ok(Some([])) => continue,
-                Ok(Some(line)) => ReleaseUpdate::parse(line),
+                Ok(Some(line)) => FencedRelease::parse(line),
                 Ok(None) => return,
                 Err(error) => Err(error),
             };
-            let Ok((status, _)) = update else { return self.on_call_lost(key) };
+            let Ok(FencedRelease { status, .. }) = update else { return self.on_call_lost(key) };
             let watch = &mut self.watches[proxy];
             watch.is_open = true;
             watch.has_trial_status |= status.build == TRIAL_BUILD;
@@ -300,7 +300,7 @@
     fn on_vote_replied(&mut self, key: usize) {
         let call = self.calls.remove(key);
         call.socket.remove(&self.handle);
-        let Ok((outcome, update)) = VoteReply::parse(&call.body) else {
+        let Ok(VoteResult { outcome, release }) = VoteResult::parse(&call.body) else {
             return self.on_vote_failed(call.proxy);
         };
         match outcome {
@@ -311,7 +311,7 @@
         let micros = call.started.elapsed().as_micros() as u64;
         self.vote_micros.saturating_record(micros.max(1));
         let now = self.now();
-        self.fleet.on_vote_reply(now, call.proxy, outcome, update.map(|(status, _)| status));
+        self.fleet.on_vote_reply(now, call.proxy, outcome, release.map(|release| release.status));
     }
 
     fn on_call_lost(&mut self, key: usize) {
--- a/crates/scale-bench/src/simulated_proxy.rs
+++ b/crates/scale-bench/src/simulated_proxy.rs
@@ -98,8 +98,8 @@
 /// # Errors
 /// [`ScaleError`] if the list is not accepted.
 pub fn server_entries(servers: u64, seed: u64) -> Result<Vec<ServerEntry>, ScaleError> {
-    let (_, entries) = EndpointList::default().apply(1, &full_list(servers, seed))?;
-    Ok(entries)
+    let applied = EndpointList::default().apply(1, &full_list(servers, seed))?;
+    Ok(applied.entries)
 }
 
 /// A gossip message that the decision module asked to be sent.
--- a/crates/scale-bench/tests/scale.rs
+++ b/crates/scale-bench/tests/scale.rs
@@ -121,7 +121,7 @@
     assert_eq!(zone.servers.len(), 100);
     let mut list = EndpointList::default();
     list.apply(1, &ListUpdate::parse(&full.write()).unwrap()).unwrap();
-    let (_, entries) = list.apply(2, &ListUpdate::parse(&zone.write()).unwrap()).unwrap();
+    let entries = list.apply(2, &ListUpdate::parse(&zone.write()).unwrap()).unwrap().entries;
     assert_eq!(entries.len(), 100);
 }
 
--- a/crates/simulated-site/src/model/release_service/mod.rs
+++ b/crates/simulated-site/src/model/release_service/mod.rs
@@ -180,13 +180,13 @@
     /// Counts a vote.
     pub fn vote(&mut self, now: u64, vote: &Vote) -> VoteOutcome {
         if !self.rate_limit.try_take(now) {
-            return VoteOutcome::Full;
+            return VoteOutcome::RateLimited;
         }
         if vote.proxy >= self.proxies {
             return VoteOutcome::Error;
         }
         if !self.is_vote_open(vote) {
-            return VoteOutcome::Moot;
+            return VoteOutcome::Obsolete;
         }
         if vote.verdict == VerdictName::Withdraw {
             self.votes.remove(vote.proxy);
--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -6,7 +6,7 @@
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_http1::client::{ClientConn, ClientEvent};
+use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_http1::{Limits, ResponseHead};
 use violetseam_invariants::FinalResponse;
 use violetseam_invariants::ObservedEvent;
@@ -28,7 +28,7 @@
     pub(super) generation: u64,
     pub(super) proxy: usize,
     pub(super) socket: Socket,
-    pub(super) http: ClientConn,
+    pub(super) http: ClientConnection,
     pub(super) exchange: Exchange,
     pub(super) is_connected: bool,
 }
@@ -104,7 +104,7 @@
         let key = slot.key();
         let on_ready = move |readiness: Readiness, clients: &mut Clients| clients.on_ready(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let http = ClientConn::new(Limits::default());
+        let http = ClientConnection::new(Limits::default());
         slot.insert(Connection { generation, proxy, socket, http, exchange, is_connected: false });
         Some(ConnectionId { key, generation })
     }
@@ -172,7 +172,7 @@
                 Some(ClientEvent::Head(head)) => self.on_response_head(key, &head),
                 Some(ClientEvent::Body(_)) => {}
                 Some(ClientEvent::End { reusable }) => return self.on_response_end(key, reusable),
-                Some(ClientEvent::Fault(_)) => return self.on_connection_lost(key),
+                Some(ClientEvent::Error(_)) => return self.on_connection_lost(key),
             }
         }
     }
@@ -195,7 +195,7 @@
         connection.generation = generation;
         let exchange = std::mem::replace(&mut connection.exchange, Exchange::Idle);
         let proxy = connection.proxy;
-        if connection.http.held() > 0 {
+        if connection.http.buffered_bytes() > 0 {
             self.record(ObservedEvent::UnexpectedBytes { proxy: proxy as u32 });
         }
         if is_reusable {
@@ -274,7 +274,7 @@
         );
         if let Some(connection) = self.connections.get_mut(id.key) {
             connection.socket.write_buffer().extend_from_slice(text.as_bytes());
-            connection.http.expect_answer(false);
+            connection.http.expect_response(false);
         }
         self.schedule(self.clock.now() + REPORT_TIMEOUT, TimerKind::Timeout(id));
     }
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -140,7 +140,7 @@
         let class = &self.scenario.classes[request.class];
         let text = encode(pending, number, class, tenant, timeout_ms);
         connection.socket.write_buffer().extend_from_slice(text.as_bytes());
-        connection.http.expect_answer(false);
+        connection.http.expect_response(false);
         let id = ConnectionId { key, generation: connection.generation };
         // The deadline as stated: the proxy may not use what rounding to milliseconds cuts off.
         let sent = ObservedEvent::RequestSent {
--- a/crates/simulated-site/src/network/site/controller_link/mod.rs
+++ b/crates/simulated-site/src/network/site/controller_link/mod.rs
@@ -125,8 +125,8 @@
                 }
             }
             ControllerMessage::DesiredBuilds(desired) => {
-                if desired.fence >= self.status.fence && !desired.wanted.is_empty() {
-                    self.desired = desired.wanted.into_iter().collect();
+                if desired.fence >= self.status.fence && !desired.builds.is_empty() {
+                    self.desired = desired.builds.into_iter().collect();
                 }
             }
             ControllerMessage::Reply(reply) => self.replies.push_back(reply),
--- a/crates/simulated-site/src/network/site/controller_link/threads.rs
+++ b/crates/simulated-site/src/network/site/controller_link/threads.rs
@@ -51,7 +51,7 @@
 
 /// Forwards a line of a watch, unless it is of no known kind.
 fn forward_line(line: &[u8], messages: &Sender<ControllerMessage>) {
-    if let Ok(status) = ReleaseUpdate::read(line) {
+    if let Ok(status) = ReleaseUpdate::from_json(line) {
         let _ = messages.send(ControllerMessage::Status(status));
     } else if let Ok(desired) = DesiredBuilds::parse(line) {
         let _ = messages.send(ControllerMessage::DesiredBuilds(desired));
@@ -82,7 +82,7 @@
         let next = votes.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(EncodedVote { token, body }) = next else { return };
         let response = post(address, VOTE_PATH, &body);
-        let reply = response.and_then(|response| VoteReply::read(&response).ok());
+        let reply = response.and_then(|response| VoteReply::from_json(&response).ok());
         if messages.send(ControllerMessage::Reply(ReplyToVote { token, reply })).is_err() {
             return;
         }
--- a/crates/simulated-site/src/network/site/listeners.rs
+++ b/crates/simulated-site/src/network/site/listeners.rs
@@ -9,7 +9,7 @@
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use violetseam_event_io::{ReadOutcome, Socket};
-use violetseam_http1::server::{ServerConn, ServerEvent};
+use violetseam_http1::server::{ServerConnection, ServerEvent};
 use violetseam_http1::{Limits, RequestHead};
 
 /// Connections that wait in the kernel to be accepted.
@@ -79,7 +79,7 @@
             generation,
             role,
             socket,
-            http: ServerConn::new(Limits::default()),
+            http: ServerConnection::new(Limits::default()),
             head: None,
             body: Vec::new(),
             attempt: None,
@@ -131,7 +131,7 @@
                     Role::Discovery => self.serve_discovery(key),
                     Role::ReleaseService => self.serve_release_service(key),
                 },
-                Some(ServerEvent::Fault(_)) => return self.close(key),
+                Some(ServerEvent::Error(_)) => return self.close(key),
             }
         }
     }
--- a/crates/simulated-site/src/network/site/release_http.rs
+++ b/crates/simulated-site/src/network/site/release_http.rs
@@ -13,7 +13,7 @@
 const UNRESPONSIVE_VOTE_SHARE: f64 = 0.5;
 
 /// The reply to a vote that failed.
-const ERROR_REPLY: VoteReply = VoteReply { outcome: VoteOutcome::Error, news: None };
+const ERROR_REPLY: VoteReply = VoteReply { outcome: VoteOutcome::Error, release: None };
 
 impl Site {
     pub(super) fn serve_release_service(&mut self, key: usize) {
@@ -73,7 +73,7 @@
             }
         };
         if outcome != VoteOutcome::Ok {
-            return (!is_unresponsive).then_some(VoteReply { outcome, news: None });
+            return (!is_unresponsive).then_some(VoteReply { outcome, release: None });
         }
         self.on_vote_counted(&vote);
         if is_unresponsive {
@@ -81,7 +81,7 @@
         }
         let status = self.releases.status();
         self.record_status(vote.proxy as u32, status);
-        Some(VoteReply { outcome, news: Some(status) })
+        Some(VoteReply { outcome, release: Some(status) })
     }
 
     fn on_vote_counted(&mut self, vote: &Vote) {
@@ -109,11 +109,11 @@
         }
         let Some(connection) = pending.waiting else { return };
         // As late as on the watches: a status that is ahead of them would be followed by older ones.
-        let status = reply.news.map(|_| self.delayed_status(now));
+        let status = reply.release.map(|_| self.delayed_status(now));
         if let Some(status) = status {
             self.record_status(pending.vote.proxy as u32, status);
         }
-        self.schedule_reply(now, connection, &VoteReply { news: status, ..reply });
+        self.schedule_reply(now, connection, &VoteReply { release: status, ..reply });
     }
 
     /// Sends the release status to each proxy when it changes, and again after a while.
--- a/crates/simulated-site/src/network/site/server_http.rs
+++ b/crates/simulated-site/src/network/site/server_http.rs
@@ -5,7 +5,8 @@
 use crate::model::server::{Reply, Server, ServerRequest};
 use crate::network::headers::{BUILD, NOT_RUN, REQUEST, WORK, WRONG, class_of, key_of, number, proxy_of};
 use http::StatusCode;
-use http::header::{HeaderMap, HeaderName};
+use http::header::HeaderName;
+use violetseam_http1::server::ResponseStart;
 use violetseam_http1::{Framing, RequestHead};
 use violetseam_invariants::{AttemptArrival, AttemptOutcome, ObservedEvent};
 
@@ -97,11 +98,11 @@
             }
         };
         let out = connection.socket.write_buffer();
-        let no_headers = HeaderMap::new();
         let framing = Framing::Length(RESPONSE_BODY.len() as u64);
-        connection.http.start_answer(out, status, &no_headers, &fields, framing, false);
+        let start = ResponseStart::new(status, framing);
+        connection.http.start_response(out, ResponseStart { extra_fields: &fields, ..start });
         connection.http.write_body(out, RESPONSE_BODY);
-        connection.http.finish_answer(out);
+        connection.http.finish_response(out);
     }
 }
 
--- a/crates/simulated-site/src/network/site/streams.rs
+++ b/crates/simulated-site/src/network/site/streams.rs
@@ -4,8 +4,8 @@
 use super::state::Site;
 use crate::scenario::{Fault, FaultKind};
 use http::StatusCode;
-use http::header::HeaderMap;
 use violetseam_http1::Framing;
+use violetseam_http1::server::ResponseStart;
 use violetseam_invariants::EndpointListCall;
 use violetseam_invariants::{AttemptOutcome, ObservedEvent};
 
@@ -143,15 +143,14 @@
     pub(super) fn start_response(&mut self, key: usize, lines: &[u8], end: ResponseEnd) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let out = connection.socket.write_buffer();
-        let no_headers = HeaderMap::new();
         let framing = match end {
             ResponseEnd::Complete => Framing::Length(lines.len() as u64),
             ResponseEnd::Open => Framing::Chunked,
         };
-        connection.http.start_answer(out, StatusCode::OK, &no_headers, &[], framing, false);
+        connection.http.start_response(out, ResponseStart::new(StatusCode::OK, framing));
         connection.http.write_body(out, lines);
         if end == ResponseEnd::Complete {
-            connection.http.finish_answer(out);
+            connection.http.finish_response(out);
         }
         self.flush(key);
     }
--- a/crates/simulated-site/tests/release_service.rs
+++ b/crates/simulated-site/tests/release_service.rs
@@ -108,7 +108,7 @@
     let mut run = Run::new(Rollout { vote_rate_limit: 1.0, ..rollout() });
     run.advance(4 * SECOND);
     let outcomes: Vec<VoteOutcome> = (0..3).map(|_| run.vote(VerdictName::On)).collect();
-    assert_eq!(outcomes, [VoteOutcome::Ok, VoteOutcome::Ok, VoteOutcome::Full]);
+    assert_eq!(outcomes, [VoteOutcome::Ok, VoteOutcome::Ok, VoteOutcome::RateLimited]);
 }
 
 #[test]
@@ -116,7 +116,7 @@
     let mut run = Run::new(rollout());
     run.advance(4 * SECOND);
     let vote = Vote { proxy: 0, build: 101, stage: 1, verdict: VerdictName::On };
-    assert_eq!(run.service.vote(run.now, &vote), VoteOutcome::Moot);
+    assert_eq!(run.service.vote(run.now, &vote), VoteOutcome::Obsolete);
     let unknown_proxy = Vote { proxy: PROXIES, ..vote };
     assert_eq!(run.service.vote(run.now, &unknown_proxy), VoteOutcome::Error);
 }
