--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -64,7 +64,7 @@
 
 fn run(command: Command) -> anyhow::Result<ExitCode> {
     match command {
-        Command::Demo(args) => lab::demo(&args).map_err(anyhow::Error::msg),
+        Command::Demo(args) => Ok(lab::demo(&args)?),
         Command::Serve(args) => serve::run(&args),
         Command::Fleet(args) => fleet::run(&args),
         Command::Plan(command) => plan::run(&command),
@@ -74,7 +74,7 @@
         Command::Publish(args) => publisher::publish(&args),
         Command::Settings(command) => settings::run(&command),
         Command::Replay(args) => replay::run(&args),
-        Command::Lab(command) => lab::run(&command).map_err(anyhow::Error::msg),
+        Command::Lab(command) => Ok(lab::run(&command)?),
     }
 }
 
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
-use violetseam_scenarios::{Lab, Outcome, fleet_days, report, script};
+use violetseam_scenarios::{
+    ReleaseDecider, ScenarioOutcome, ScenarioRunner, fleet_scenarios, proxy_settings, report,
+};
 use violetseam_simulated_site::network::AddressPlan;
 use violetseam_simulated_site::scenario::Scenario;
 
@@ -14,19 +16,20 @@
 static ONE: Mutex<()> = Mutex::new(());
 
 /// Plays a day; with `look`, the fleet tool shows the rights when this is said, and its report comes back.
-fn play(number: u8, day: &Scenario, extra: &[&str], look: Option<&str>) -> (Outcome, String) {
+fn play(number: u8, day: &Scenario, extra: &[&str], look: Option<&str>) -> (ScenarioOutcome, String) {
     let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", day.name));
     let _ = std::fs::remove_dir_all(&out);
     std::fs::create_dir_all(&out).unwrap();
-    let control = script::control_path(AddressPlan::of_process(number)).display().to_string();
+    let control = proxy_settings::control_path_prefix(AddressPlan::of_process(number)).display().to_string();
     let member = |n| format!("member(name = \"p{n}\", control = \"{control}-{n}\")\n");
     let fleet = out.join("fleet.star");
     std::fs::write(&fleet, (0..day.proxies.len()).map(member).collect::<String>()).unwrap();
-    let extra = extra.iter().map(|s| (*s).to_owned()).collect();
-    let lab = Lab { program: PROGRAM.into(), out, extra, number, stand_in_desk: false };
+    let extra_args = extra.iter().map(|s| (*s).to_owned()).collect();
+    let release_decider = ReleaseDecider::Controller;
+    let runner = ScenarioRunner { program: PROGRAM.into(), out, extra_args, number, release_decider };
     let mut shown = String::new();
-    let outcome = lab.play(day, &mut |line| {
+    let outcome = runner.play(day, &mut |line| {
         if look.is_some_and(|look| line.contains(look)) {
             let tool = Command::new(PROGRAM).args(["fleet", "--fleet"]).arg(&fleet).arg("rights").output();
             shown = String::from_utf8_lossy(&tool.unwrap().stdout).into_owned();
@@ -39,11 +42,17 @@
 
 /// The rules and the fleet's bounds were kept, and the bounds had something to keep: further attempts were made, of each
 /// class at least half of what the static parts of the proxies that are always there come to.
-fn kept(day: &Scenario, outcome: &Outcome) {
-    let verdict = &outcome.verdict;
-    assert!(outcome.is_good(), "{:?} {:?} {:?}", verdict.violations, verdict.fleet_limits, outcome.faults);
-    assert_eq!(verdict.fleet_limits.len(), 2, "both bounded classes are looked at");
-    for bound in &verdict.fleet_limits {
+fn kept(day: &Scenario, outcome: &ScenarioOutcome) {
+    let check_report = &outcome.check_report;
+    assert!(
+        outcome.is_good(),
+        "{:?} {:?} {:?}",
+        check_report.violations,
+        check_report.fleet_limits,
+        outcome.faults
+    );
+    assert_eq!(check_report.fleet_limits.len(), 2, "both bounded classes are looked at");
+    for bound in &check_report.fleet_limits {
         let alone = bound.rate_per_second / day.proxies.len() as f64 * (day.length / 1_000_000) as f64;
         assert!(
             bound.attempts as f64 > alone / 2.0 && bound.peak_utilization <= 1.0,
@@ -54,7 +63,7 @@
 
 #[test]
 fn links_that_are_cut_slow_and_lossy_leave_the_fleet_within_its_budgets() {
-    let day = fleet_days::links(3);
+    let day = fleet_scenarios::failing_links(3);
     let (outcome, shown) = play(20, &day, &[], Some("trouble ends: PeersDisordered"));
     kept(&day, &outcome);
     // What an operator sees: each proxy's rights, and what they come to. The daemons are read one after another, so that the
@@ -66,14 +75,14 @@
 
 #[test]
 fn proxies_killed_with_rights_stopped_past_their_leases_doubled_and_rolled_leave_them_so() {
-    let day = fleet_days::deaths(3);
+    let day = fleet_scenarios::failing_processes(3);
     let (outcome, _) = play(21, &day, &[], None);
     kept(&day, &outcome);
 }
 
 #[test]
 fn with_no_message_from_start_to_end_each_proxy_has_its_own_part() {
-    let day = fleet_days::deaf(3);
+    let day = fleet_scenarios::no_gossip(3);
     let (outcome, _) = play(22, &day, &[], None);
     kept(&day, &outcome);
 }
@@ -81,10 +90,14 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn proxies_that_keep_to_no_budget_are_caught() {
-    let mut day = fleet_days::lending(3, 0.0);
+    let mut day = fleet_scenarios::quota_lending(3, 0.0);
     day.length = 5_000_000;
     let (outcome, _) = play(23, &day, &["--sabotage", "spendthrift"], None);
-    let over: Vec<bool> = outcome.verdict.fleet_limits.iter().map(|bound| bound.exceeded > 0).collect();
-    assert!(over.contains(&true) && !outcome.is_good(), "{:?}", outcome.verdict.fleet_limits);
-    assert!(outcome.verdict.violation_counts.iter().all(|n| *n == 0), "{:?}", outcome.verdict.violations);
+    let over: Vec<bool> = outcome.check_report.fleet_limits.iter().map(|bound| bound.exceeded > 0).collect();
+    assert!(over.contains(&true) && !outcome.is_good(), "{:?}", outcome.check_report.fleet_limits);
+    assert!(
+        outcome.check_report.violation_counts.iter().all(|n| *n == 0),
+        "{:?}",
+        outcome.check_report.violations
+    );
 }
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,17 +1,26 @@
-//! Plays scripted days: proxies as processes of their own, stand-ins round them, troubles by the clock, and
-//! at the end the rules checked from what crossed the sockets.
+//! Plays scripted scenarios: proxies as processes of their own, a simulated site round them, faults
+//! injected by the clock, and at the end the rules checked from what crossed the sockets. It also measures
+//! what the proxy and the operators' tools cost.
 
+mod base_scenario;
+pub mod bench_scenario;
+pub mod builtin_scenarios;
 mod controller;
-pub mod days;
-pub mod disturbed;
-pub mod drawn;
-pub mod fleet;
-pub mod fleet_days;
-pub mod measure;
+mod error;
+mod fault_timeline;
+pub mod fleet_scenarios;
+pub mod measurement;
+mod outcome;
+mod playback;
+mod process;
 mod proxies;
+pub mod proxy_settings;
+pub mod release_plan;
 pub mod report;
-mod run;
-pub mod script;
+mod runner;
+mod session;
 
-pub use controller::plan;
-pub use run::{Lab, Outcome};
+pub use error::ScenarioRunError;
+pub use outcome::ScenarioOutcome;
+pub use runner::ScenarioRunner;
+pub use violetseam_simulated_site::network::site::ReleaseDecider;
