--- a/crates/scenarios/src/error.rs
+++ b/crates/scenarios/src/error.rs
@@ -37,7 +37,7 @@
         /// Its log.
         log: PathBuf,
     },
-    /// The simulated site ended, or said nothing, while it was being started.
+    /// The simulated site failed while it was being started.
     #[error("the stand-ins did not start: {source}")]
     SiteNotStarted {
         /// What failed.
--- a/crates/scenarios/src/measurement/echo_servers.rs
+++ b/crates/scenarios/src/measurement/echo_servers.rs
@@ -14,7 +14,7 @@
 pub(super) const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The response to each request.
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfine";
-/// How the bytes of a whole response end.
+/// How the bytes of a complete response end.
 pub(super) const RESPONSE_END: &[u8] = b"\r\n\r\nfine";
 /// Bytes that are read from a connection at once.
 const READ_BYTES: usize = 16 * 1024;
@@ -111,7 +111,7 @@
 }
 
 impl Connection {
-    /// Takes all whole requests and, unless silent, writes a response to each.
+    /// Takes all complete requests and, unless silent, writes a response to each.
     fn respond(&mut self, silent: bool) {
         while let Some(start) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
             self.received.drain(..start + HEAD_END.len());
--- a/crates/scenarios/src/measurement/load_generator.rs
+++ b/crates/scenarios/src/measurement/load_generator.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 
-/// The longest response time that is told apart, in microseconds.
+/// The longest response time that the histogram distinguishes, in microseconds.
 const MAX_RESPONSE_TIME: u64 = 60_000_000;
 /// Significant digits of recorded times.
 const HISTOGRAM_DIGITS: u8 = 3;
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -9,7 +9,7 @@
 use violetseam_simulated_site::network::site::BuildReport;
 use violetseam_simulated_site::scenario::{ClassSpec, Scenario};
 
-/// The longest latency that is told apart, in microseconds.
+/// The longest latency that the histogram distinguishes, in microseconds.
 const MAX_LATENCY: u64 = 120_000_000;
 /// Significant digits of latencies.
 const HISTOGRAM_DIGITS: u8 = 3;
