--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -84,6 +84,12 @@
         Pid::from_raw(self.child.id() as i32).unwrap()
     }
 
+    /// Kills the process, as a crash would, and waits until it is gone: its store is locked as long as it exists.
+    pub fn kill(&mut self) {
+        self.child.kill().unwrap();
+        self.child.wait().unwrap();
+    }
+
     pub fn client(&self) -> Client {
         Client { publisher: self.address, timeout: PATIENCE }
     }
