--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -65,12 +65,12 @@
             .iter()
             .filter(|(_, client)| is_evictable(client, now))
             .min_by_key(|(_, client)| (client.has_sent_call, client.idle_since));
-        let Some((key, client)) = candidate else { return false };
+        let Some((slot, client)) = candidate else { return false };
         // What lies unread on it may be a request: it is read in the next turn.
         if client.has_unread() {
             return false;
         }
-        self.close_client(key);
+        self.close_client(slot);
         true
     }
 
@@ -84,8 +84,8 @@
             .idle_servers
             .oldest_of_each()
             .min_by_key(|slot| self.servers.get(*slot).map_or(0, Server::idle_since));
-        let Some(key) = idle_longest else { return false };
-        self.close_server(key);
+        let Some(slot) = idle_longest else { return false };
+        self.close_server(slot);
         true
     }
 }
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -51,16 +51,16 @@
 
 impl Proxy {
     /// Takes a connection off the loop without a message to the engine.
-    pub(super) fn close_client(&mut self, key: usize) {
-        if let Some(client) = self.clients.try_remove(key) {
+    pub(super) fn close_client(&mut self, slot: usize) {
+        if let Some(client) = self.clients.try_remove(slot) {
             self.closed_while_pending += u64::from(!client.is_answered());
             client.socket.remove(&self.handle);
         }
     }
 
     /// The connection broke, or its client closed it: its requests need no response any more.
-    fn disconnect_client(&mut self, key: usize) {
-        let Some(client) = self.clients.try_remove(key) else { return };
+    fn disconnect_client(&mut self, slot: usize) {
+        let Some(client) = self.clients.try_remove(slot) else { return };
         client.socket.remove(&self.handle);
         let now = self.now();
         for pending in client.pending_responses {
@@ -71,50 +71,50 @@
     }
 
     /// Handles a connection's readiness.
-    pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
-        if self.clients.get(key).is_some_and(|client| client.state == ClientState::Ended) {
+    pub(super) fn on_client(&mut self, slot: usize, readiness: Readiness) {
+        if self.clients.get(slot).is_some_and(|client| client.state == ClientState::Ended) {
             // No event is wanted in this state: the other side has ended the connection, too.
-            return self.close_client(key);
+            return self.close_client(slot);
         }
         if readiness.writable {
-            self.flush_client(key);
+            self.flush_client(slot);
         }
         if readiness.readable || readiness.error {
-            self.read_client(key);
+            self.read_client(slot);
         }
         self.run_engine_actions();
     }
 
     /// Reads once; whether there was anything to read.
-    fn read_client(&mut self, key: usize) -> bool {
+    fn read_client(&mut self, slot: usize) -> bool {
         let mut scratch = std::mem::take(&mut self.scratch);
         let mut outcome = ReadOutcome::WouldBlock;
-        if let Some(client) = self.clients.get_mut(key) {
+        if let Some(client) = self.clients.get_mut(slot) {
             outcome = client.socket.read(&mut scratch);
             match (outcome, client.state) {
                 (ReadOutcome::Bytes(n), ClientState::Open) => {
                     client.input.extend_from_slice(&scratch[..n]);
-                    self.handle_input(key);
+                    self.handle_input(slot);
                 }
                 (ReadOutcome::Bytes(n), ClientState::Lingering(dropped))
                     if dropped + n < MAX_LINGER_BYTES =>
                 {
                     client.state = ClientState::Lingering(dropped + n);
                 }
-                (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(key),
+                (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(slot),
                 (ReadOutcome::Bytes(_) | ReadOutcome::WouldBlock, _) => {}
-                (ReadOutcome::Closed | ReadOutcome::Failed, _) => self.disconnect_client(key),
+                (ReadOutcome::Closed | ReadOutcome::Failed, _) => self.disconnect_client(slot),
             }
         }
         self.scratch = scratch;
-        self.update_client_interest(key);
+        self.update_client_interest(slot);
         outcome != ReadOutcome::WouldBlock
     }
 
     /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request
     /// must be answered: of a burst that is too long none is accepted.
-    fn handle_input(&mut self, key: usize) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+    fn handle_input(&mut self, slot: usize) {
+        let Some(client) = self.clients.get_mut(slot) else { return };
         client.is_backpressured = client.is_full();
         if client.is_backpressured {
             return;
@@ -123,55 +123,55 @@
         client.is_parsing = true;
         let ParsedCommands { commands, consumed, fault } = parse_commands(&input, &self.bounds);
         for words in commands {
-            self.handle_command(key, &words);
+            self.handle_command(slot, &words);
         }
         if let Some(reason) = fault
-            && self.is_open(key)
+            && self.is_open(slot)
         {
-            self.reject_malformed(key, &reason);
+            self.reject_malformed(slot, &reason);
         }
         let now = self.now();
-        if let Some(client) = self.clients.get_mut(key) {
+        if let Some(client) = self.clients.get_mut(slot) {
             client.is_parsing = false;
             if client.state == ClientState::Open {
                 client.idle_since = if consumed > 0 { now } else { client.idle_since };
                 client.input = if consumed == 0 { input } else { input[consumed..].to_vec() };
             }
         }
-        self.flush_client(key);
+        self.flush_client(slot);
     }
 
-    fn is_open(&self, key: usize) -> bool {
-        self.clients.get(key).is_some_and(|client| client.state == ClientState::Open)
+    fn is_open(&self, slot: usize) -> bool {
+        self.clients.get(slot).is_some_and(|client| client.state == ClientState::Open)
     }
 
-    fn handle_command(&mut self, key: usize, words: &[&[u8]]) {
-        if !self.is_open(key) {
+    fn handle_command(&mut self, slot: usize, words: &[&[u8]]) {
+        if !self.is_open(slot) {
             return;
         }
-        if self.clients[key].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
-            return self.reject_malformed(key, TOO_MANY_COMMANDS);
+        if self.clients[slot].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
+            return self.reject_malformed(slot, TOO_MANY_COMMANDS);
         }
         match call::parse(words, &self.config.instance) {
-            Ok(Command::Ping) if self.is_ready() => self.respond_at_once(key, b"+PONG\r\n"),
-            Ok(Command::Ping) => self.respond_at_once(key, b"-LOADING no server list yet\r\n"),
-            Ok(Command::Handshake) => self.respond_at_once(key, b"+OK\r\n"),
-            Ok(Command::Call(call)) => self.admit_call(key, *call),
-            Err(error) => self.reject_malformed(key, &error.to_string()),
+            Ok(Command::Ping) if self.is_ready() => self.respond_at_once(slot, b"+PONG\r\n"),
+            Ok(Command::Ping) => self.respond_at_once(slot, b"-LOADING no server list yet\r\n"),
+            Ok(Command::Handshake) => self.respond_at_once(slot, b"+OK\r\n"),
+            Ok(Command::Call(call)) => self.admit_call(slot, *call),
+            Err(error) => self.reject_malformed(slot, &error.to_string()),
         }
     }
 
     /// Responds to a command that needs no decision.
-    pub(super) fn respond_at_once(&mut self, key: usize, bytes: &[u8]) {
-        if let Some(client) = self.clients.get_mut(key) {
+    pub(super) fn respond_at_once(&mut self, slot: usize, bytes: &[u8]) {
+        if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Ready(bytes.to_vec()));
         }
     }
 
     /// Responds with an error to a command that cannot be accepted; the connection ends after that.
-    pub(super) fn reject_malformed(&mut self, key: usize, reason: &str) {
-        tracing::debug!(client = key, "declined: {reason}");
-        if let Some(client) = self.clients.get_mut(key) {
+    pub(super) fn reject_malformed(&mut self, slot: usize, reason: &str) {
+        tracing::debug!(client = slot, "declined: {reason}");
+        if let Some(client) = self.clients.get_mut(slot) {
             let mut bytes = Vec::new();
             answer::write_malformed(&mut bytes, reason);
             client.pending_responses.push_back(PendingResponse::Ready(bytes));
@@ -180,15 +180,15 @@
     }
 
     /// Writes the responses whose turn has come.
-    pub(super) fn flush_client(&mut self, key: usize) {
+    pub(super) fn flush_client(&mut self, slot: usize) {
         let now = self.now();
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(slot) else { return };
         let any_queued = client.queue_ready_responses();
         if any_queued || client.socket.has_unwritten_bytes() {
             client.idle_since = now;
         }
         if client.socket.flush().is_err() {
-            return self.disconnect_client(key);
+            return self.disconnect_client(slot);
         }
         if client.state == ClientState::Closing
             && client.pending_responses.is_empty()
@@ -200,7 +200,7 @@
         let may_end = self.shutdown_phase.may_end(client);
         let may_continue = client.is_backpressured && !client.is_full();
         if client.state == ClientState::Open && (may_end || may_continue) {
-            self.clients_to_revisit.push(ConnectionId { slot: key, generation: client.generation });
+            self.clients_to_revisit.push(ConnectionId { slot, generation: client.generation });
         }
     }
 
@@ -215,13 +215,13 @@
     /// arrived is read first, as requests before it were accepted: a connection that closes over unread bytes
     /// is reset, and a response that its client has not read yet may be lost with it.
     fn revisit_client(&mut self, connection: ConnectionId) {
-        let key = connection.slot;
+        let slot = connection.slot;
         let Some(client) = self.open_client(connection) else { return };
         if client.is_backpressured && !client.is_full() {
-            self.handle_input(key);
-            self.update_client_interest(key);
+            self.handle_input(slot);
+            self.update_client_interest(slot);
         }
-        let any_read = self.read_client(key);
+        let any_read = self.read_client(slot);
         self.run_engine_actions();
         let now = self.now();
         let shutdown_phase = self.shutdown_phase;
@@ -236,7 +236,7 @@
         client.socket.close_write();
         client.state = ClientState::Ended;
         client.idle_since = now;
-        self.update_client_interest(key);
+        self.update_client_interest(slot);
     }
 
     /// The connection, if it is still the same one and open.
@@ -247,20 +247,24 @@
     }
 
     /// Sets the events that a connection is to be woken for.
-    pub(super) fn update_client_interest(&mut self, key: usize) {
-        if let Some(client) = self.clients.get(key) {
+    pub(super) fn update_client_interest(&mut self, slot: usize) {
+        if let Some(client) = self.clients.get(slot) {
             client.update_interest(&self.handle, self.bounds.max_message_bytes);
         }
     }
 
     /// Closes the connections whose time-outs have expired.
     pub(super) fn close_timed_out_clients(&mut self, now: Micros) {
-        let timed_out: Vec<usize> =
-            self.clients.iter().filter(|(_, client)| client.is_timed_out(now)).map(|(key, _)| key).collect();
-        for key in timed_out {
-            let state = self.clients.get(key).map(|client| (client.state, client.pending_responses.len()));
-            tracing::debug!(client = key, ?state, "closed: its time is over");
-            self.disconnect_client(key);
+        let timed_out: Vec<usize> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.is_timed_out(now))
+            .map(|(slot, _)| slot)
+            .collect();
+        for slot in timed_out {
+            let state = self.clients.get(slot).map(|client| (client.state, client.pending_responses.len()));
+            tracing::debug!(client = slot, ?state, "closed: its time is over");
+            self.disconnect_client(slot);
         }
     }
 }
--- a/crates/platform-proxy/src/listener.rs
+++ b/crates/platform-proxy/src/listener.rs
@@ -104,8 +104,8 @@
         let generation = self.next_generation();
         let now = self.now();
         let entry = self.clients.vacant_entry();
-        let key = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
+        let slot = entry.key();
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(slot, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
         entry.insert(Client::new(socket, generation, now));
         Ok(())
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -18,16 +18,16 @@
 
 impl Proxy {
     /// Passes a call to the engine, unless the bounds of this process forbid it.
-    pub(super) fn admit_call(&mut self, key: usize, call: Call) {
+    pub(super) fn admit_call(&mut self, slot: usize, call: Call) {
         if self.open_ids.contains_key(&call.id) {
-            return self.reject_malformed(key, "a request with this id is open");
+            return self.reject_malformed(slot, "a request with this id is open");
         }
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(slot) else { return };
         client.has_sent_call = true;
-        let client_id = ConnectionId { slot: key, generation: client.generation };
+        let client_id = ConnectionId { slot, generation: client.generation };
         if !self.has_room_for(&call) {
             // A bound of this process, not of the service: the call is never executed.
-            return self.respond_at_once(key, b"-BUSY\r\n");
+            return self.respond_at_once(slot, b"-BUSY\r\n");
         }
         let now = self.now();
         // The client's wait began when it sent the call, which may have lain unread for as long as this loop
@@ -38,7 +38,7 @@
         tracing::debug!(
             request,
             client_id = %String::from_utf8_lossy(&call.id),
-            client = key,
+            client = slot,
             class = call.class,
             wait = call.wait,
             unread,
@@ -47,7 +47,7 @@
         );
         self.open_ids.insert(call.id.clone(), request);
         self.in_flight.insert(request, InFlightRequest { client: client_id, call, attempts: Vec::new() });
-        if let Some(client) = self.clients.get_mut(key) {
+        if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Request(request));
         }
         self.run_engine_actions();
