--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -36,7 +36,7 @@
 impl Proxy {
     /// Sends a vote.
     pub(super) fn cast_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
-        tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
+        tracing::info!(target: "verdict", build, stage, %verdict, "vote");
         self.pipeline.last_call_id += 1;
         let id = self.pipeline.last_call_id;
         if self.open_vote(id, pipeline::vote_call(id, build, stage, verdict)).is_none() {
--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -50,7 +50,7 @@
 
     /// Records the latest vote for the state that operators read.
     pub(in super::super) fn record_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
-        self.last_vote = Some(format!("{verdict:?} on build {build}, stage {stage}").to_lowercase());
+        self.last_vote = Some(format!("{verdict} on build {build}, stage {stage}").to_lowercase());
     }
 
     /// Counts an attempt for the state that operators read, by the build that its server is listed with.
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -13,7 +13,7 @@
 impl Proxy {
     /// Sends a vote to the release service.
     pub(in super::super) fn send_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
-        tracing::info!(target: "verdict", build, stage, ?verdict, "vote");
+        tracing::info!(target: "verdict", build, stage, %verdict, "vote");
         let body = Vote::new(self.settings.decisions.position, build, stage, verdict).write();
         let call = self.start_call(&CallRequest {
             purpose: CallPurpose::Vote,
