--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -85,7 +85,7 @@
     }
 
     /// Kills the process, as a crash would, and waits until it is gone: its store is locked as long as it exists.
-    pub fn kill(&mut self) {
+    pub fn kill_and_wait(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
@@ -111,8 +111,7 @@
     }
 
     pub fn kill(mut self) {
-        self.child.kill().unwrap();
-        self.child.wait().unwrap();
+        self.kill_and_wait();
     }
 
     pub fn end(mut self) {
--- a/crates/cli/tests/distribution.rs
+++ b/crates/cli/tests/distribution.rs
@@ -307,7 +307,7 @@
         });
         let newest = *site.history.keys().last().unwrap();
         wait_for("some changes in force", || site.version(0).is_some_and(|v| v.number >= newest.number + 20));
-        site.publisher.kill();
+        site.publisher.kill_and_wait();
         let (answered, last) = writing.join().unwrap();
         for (version, change) in &answered {
             make(&mut site.routes, std::slice::from_ref(change));
@@ -325,7 +325,7 @@
     }
 
     // Its log lost, it begins a higher term, and the whole is published anew.
-    site.publisher.kill();
+    site.publisher.kill_and_wait();
     let before = *site.history.keys().last().unwrap();
     std::fs::remove_dir_all(&site.state).unwrap();
     site.start_publisher();
