--- a/src/analysis/comparison.rs
+++ b/src/analysis/comparison.rs
@@ -5,56 +5,57 @@
 use crate::evidence::{HitKind, OutcomeCounts};
 use crate::statistics::{Proportion, difference_lower, wilson_lower};
 
-/// Normal quantile of 95% confidence.
+/// The normal quantile of a 95% confidence interval.
 const Z95: f64 = 1.96;
-/// Allowed above the earlier build's failure share.
+/// How far the new build's failure share may exceed the earlier build's.
 const FAILURE_MARGIN: f64 = 0.02;
-/// Flagged answers below which nothing is concluded from them.
+/// Fewer flagged answers than this are not evidence of a violation.
 const MIN_FLAGGED: f64 = 2.0;
 
-/// The confidence that a violation needs, as a normal quantile.
+/// The confidence that a violation requires, as a normal quantile.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Significance(f64);
 
 impl Significance {
-    /// 95% for one judge, and more for each of many that judge independently.
-    pub(super) fn for_judges(judges: f64) -> Self {
-        Significance((Z95 * Z95 + 2.0 * judges.max(1.0).ln()).sqrt())
+    /// The quantile for 95% confidence in a single test, and for more when many balancers test independently,
+    /// since any of them may find a violation by chance.
+    pub(super) fn for_independent_tests(tests: f64) -> Self {
+        Significance((Z95 * Z95 + 2.0 * tests.max(1.0).ln()).sqrt())
     }
 }
 
-/// Whether there was enough to compare latency.
+/// Whether there was enough evidence to compare the latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LatencyComparison {
-    /// It was compared.
+    /// The latency was compared.
     Done,
-    /// There were too few answers.
+    /// There were too few answers to compare the latency.
     TooFew,
 }
 
-/// Something in which the new build is worse.
+/// A respect in which the new build is worse than the earlier one.
 #[derive(Clone, Debug)]
 pub(super) struct Violation {
-    /// What was seen.
+    /// What was observed.
     pub(super) reason: String,
-    /// What it shows in.
-    pub(super) shows_in: HitKind,
-    /// It must last the whole span to count.
+    /// The kind of hit in which the violation shows.
+    pub(super) hit_kind: HitKind,
+    /// Whether the violation counts only if it lasts for the whole span of a window.
     pub(super) mild: bool,
 }
 
 impl Violation {
-    fn of_failures(reason: String) -> Self {
-        Violation { reason, shows_in: HitKind::Failed, mild: false }
+    fn in_failures(reason: String) -> Self {
+        Violation { reason, hit_kind: HitKind::Failed, mild: false }
     }
 }
 
-/// The arms over all classes.
+/// The counts of both arms, added up over all classes.
 struct ArmTotals {
     new: OutcomeCounts,
-    /// What the earlier build would have done with the new one's mix of classes.
+    /// What the earlier build would have shown with the new build's mix of classes.
     baseline: OutcomeCounts,
-    /// Attempts at the earlier build.
+    /// The number of attempts at the earlier build.
     earlier_attempts: f64,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Balancer {
-    /// Compares the arms class by class on the same footing, then over all classes.
+    /// Compares the arms class by class, weighted by the same mix of classes, and then over all classes.
     pub(super) fn compare(
         &self,
         new: &[OutcomeCounts],
@@ -79,7 +80,8 @@
         compare_latency(&totals, max_latency_ratio)
     }
 
-    /// Only a share of wrong answers is reported, so that the margin is scaled down by it.
+    /// Compares the shares of flagged answers. Clients report only a share of the wrong answers, so the
+    /// margin is scaled down by that share.
     fn compare_flagged(&self, totals: &ArmTotals, Significance(z): Significance) -> Result<(), Violation> {
         let attempts = totals.new.attempts;
         let flagged = totals.new.flagged;
@@ -87,13 +89,13 @@
         let allowed = totals.baseline.flagged / attempts.max(1.0) + margin;
         if flagged >= MIN_FLAGGED && wilson_lower(flagged, attempts, z) > allowed {
             let reason = format!("wrong answers {flagged}/{attempts} against {allowed:.3}");
-            return Err(Violation::of_failures(reason));
+            return Err(Violation::in_failures(reason));
         }
         Ok(())
     }
 }
 
-/// Compares failures in each class, and adds the classes up.
+/// Compares the failures in each class, and adds up the counts of all classes.
 fn compare_classes(
     new: &[OutcomeCounts],
     earlier: &[OutcomeCounts],
@@ -104,18 +106,19 @@
         baseline: OutcomeCounts::default(),
         earlier_attempts: 0.0,
     };
-    for (class, (ours, theirs)) in new.iter().zip(earlier).enumerate() {
-        let share = theirs.failed / theirs.attempts.max(1.0);
-        let enough = ours.attempts >= MIN_CLASS_ATTEMPTS;
-        if enough && wilson_lower(ours.failed, ours.attempts, z) > share + FAILURE_MARGIN {
-            let (failed, attempts) = (ours.failed, ours.attempts);
+    for (class, (new_counts, earlier_counts)) in new.iter().zip(earlier).enumerate() {
+        let share = earlier_counts.failed / earlier_counts.attempts.max(1.0);
+        let enough = new_counts.attempts >= MIN_CLASS_ATTEMPTS;
+        if enough && wilson_lower(new_counts.failed, new_counts.attempts, z) > share + FAILURE_MARGIN {
+            let (failed, attempts) = (new_counts.failed, new_counts.attempts);
             let reason = format!("class {class} fails {failed}/{attempts} against {share:.3}");
-            return Err(Violation::of_failures(reason));
+            return Err(Violation::in_failures(reason));
         }
-        let median = theirs.paces.quantile(0.5).filter(|_| theirs.attempts >= MIN_CLASS_ATTEMPTS);
-        totals.new.merge(ours, 1.0, median);
-        totals.baseline.merge(theirs, ours.attempts / theirs.attempts.max(1.0), median);
-        totals.earlier_attempts += theirs.attempts;
+        let median =
+            earlier_counts.paces.quantile(0.5).filter(|_| earlier_counts.attempts >= MIN_CLASS_ATTEMPTS);
+        totals.new.merge(new_counts, 1.0, median);
+        totals.baseline.merge(earlier_counts, new_counts.attempts / earlier_counts.attempts.max(1.0), median);
+        totals.earlier_attempts += earlier_counts.attempts;
     }
     Ok(totals)
 }
@@ -125,27 +128,27 @@
     let share = totals.failure_share();
     let errors = totals.new.errors;
     if wilson_lower(errors, attempts, z) > share + FAILURE_MARGIN {
-        return Err(Violation::of_failures(format!("errors {errors}/{attempts} against {share:.3}")));
+        return Err(Violation::in_failures(format!("errors {errors}/{attempts} against {share:.3}")));
     }
     let failed = totals.new.failed;
     let earlier_attempts = totals.earlier_attempts;
-    let ours = Proportion { hits: failed, trials: attempts };
-    let theirs = Proportion { hits: share * earlier_attempts, trials: earlier_attempts };
-    if difference_lower(ours, theirs, z) > FAILURE_MARGIN {
+    let new_failures = Proportion { hits: failed, trials: attempts };
+    let earlier_failures = Proportion { hits: share * earlier_attempts, trials: earlier_attempts };
+    if difference_lower(new_failures, earlier_failures, z) > FAILURE_MARGIN {
         let reason = format!("failures {failed}/{attempts} against {share:.3} of {earlier_attempts}");
-        return Err(Violation::of_failures(reason));
+        return Err(Violation::in_failures(reason));
     }
     Ok(())
 }
 
-/// Median and tail must both be slower.
+/// Compares the latency. It is a violation only if both the median and the 95th percentile are slower.
 fn compare_latency(totals: &ArmTotals, max_ratio: f64) -> Result<LatencyComparison, Violation> {
     let new = &totals.new.paces;
     let baseline = &totals.baseline.paces;
     if new.total().min(baseline.total()) < MIN_WINDOW_ATTEMPTS {
         return Ok(LatencyComparison::TooFew);
     }
-    let ratio = |q| new.quantile(q).zip(baseline.quantile(q)).map_or(1.0, |(ours, theirs)| ours / theirs);
+    let ratio = |q| new.quantile(q).zip(baseline.quantile(q)).map_or(1.0, |(new, earlier)| new / earlier);
     let median = ratio(0.5);
     let tail = ratio(0.95);
     if median <= max_ratio || tail <= max_ratio {
@@ -154,7 +157,7 @@
     let attempts = totals.new.attempts;
     Err(Violation {
         reason: format!("slower: median x{median:.2}, p95 x{tail:.2} over {attempts}"),
-        shows_in: HitKind::Slow,
+        hit_kind: HitKind::Slow,
         mild: median < max_ratio * max_ratio,
     })
 }
