--- a/src/analysis/gossip.rs
+++ b/src/analysis/gossip.rs
@@ -1,8 +1,8 @@
-//! Gossip: balancers exchange their counters on the stage.
+//! Gossip: balancers exchange their evidence counters of the present stage.
 //!
-//! In a small fleet each sends its counters to all. In a large one each sends them to a few aggregators,
-//! drawn anew for each stage, which send the totals to all: each hears a few messages a second, however
-//! many there are.
+//! In a small fleet each balancer sends its counters to all others. In a large one each sends them to a few
+//! aggregators, which are drawn anew for each stage and send the totals to everyone. So each balancer
+//! receives only a few messages a second, whatever the size of the fleet.
 
 use super::windows::MAX_WINDOW_ATTEMPTS;
 use crate::balancer::Balancer;
@@ -11,17 +11,17 @@
 use crate::state::RandomSource;
 use crate::time::MILLISECOND;
 
-/// Time between two messages on trial; it is doubled after the release.
+/// The time between two messages while a build is on trial; it is doubled after the release.
 pub(crate) const GOSSIP_INTERVAL: Micros = 800 * MILLISECOND;
-/// Up to so many balancers all send to all; above, aggregators add up.
+/// The largest fleet in which every balancer sends to every other. Larger fleets use aggregators.
 const MAX_FULL_MESH: usize = 20;
-/// Aggregators of a stage.
+/// The number of aggregators of a stage.
 const AGGREGATORS: u64 = 3;
-/// Multiple of the own counters up to which a peer's are believed.
+/// A peer's counters are accepted up to this multiple of the balancer's own counters plus one full window.
 const MAX_PEER_RATIO: f64 = 4.0;
 
 impl Balancer {
-    /// Sends own counters on the stage where a message is due.
+    /// Sends this balancer's counters of the stage when a message is due.
     pub(crate) fn gossip_to_peers(&mut self, now: Micros, out: &mut Vec<Action>) {
         let fleet_size = self.settings.fleet_size;
         let has_peers = self.settings.limits.gossip && fleet_size > 1;
@@ -54,26 +54,27 @@
         }
     }
 
-    /// A peer's counters are a supplement: none need come, and what cannot be true is not believed.
+    /// Accepts counters from a peer. They only supplement the balancer's own: nothing depends on their
+    /// arrival, and implausible counts are ignored.
     pub(crate) fn on_peer_message(&mut self, from: usize, payload: &[u8]) {
         let fleet_size = self.settings.fleet_size;
         let own_attempts = self.state.analysis.evidence.own.all_attempts();
-        let believable = MAX_PEER_RATIO * (own_attempts + MAX_WINDOW_ATTEMPTS as f64);
+        let max_attempts = MAX_PEER_RATIO * (own_attempts + MAX_WINDOW_ATTEMPTS as f64);
         let classes = self.settings.classes.len();
-        let Some((header, evidence)) = decode(payload, classes, believable * fleet_size as f64) else {
+        let Some((header, evidence)) = decode(payload, classes, max_attempts * fleet_size as f64) else {
             return;
         };
-        let stage = self.state.release.map(|release| (release.build, release.stage));
-        let current = stage == Some((header.build, header.stage));
-        let from_peer = from < fleet_size && from != self.settings.position;
-        let believed = header.is_total || evidence.all_attempts() <= believable;
-        if current && from_peer && believed {
+        let current_stage = self.state.release.map(|release| (release.build, release.stage));
+        let about_current_stage = current_stage == Some((header.build, header.stage));
+        let from_known_peer = from < fleet_size && from != self.settings.position;
+        let plausible = header.is_total || evidence.all_attempts() <= max_attempts;
+        if about_current_stage && from_known_peer && plausible {
             self.state.analysis.evidence.receive(from, header, evidence);
         }
     }
 }
 
-/// The number of an aggregator of a stage; every balancer draws the same ones.
+/// The position of one of a stage's aggregators. Every balancer computes the same ones.
 fn aggregator(release: ReleaseStatus, draw: u64, fleet_size: usize) -> usize {
     let seed = (u64::from(release.build) << 16) + (u64::from(release.stage) << 8) + draw;
     (RandomSource(seed).unit() * fleet_size as f64) as usize
--- a/src/analysis/mod.rs
+++ b/src/analysis/mod.rs
@@ -1,8 +1,8 @@
-//! Canary analysis: the build on trial is compared with the earlier one, and voted on.
+//! Canary analysis: compares the build on trial with the earlier one, and votes on it.
 //!
-//! In the order of a stage's life: ends of attempts are collected and windows closed in `windows.rs`, a closed
-//! window is evaluated in `verdict.rs` and its arms compared in `comparison.rs`, votes are cast in `votes.rs`,
-//! and counters are exchanged with peers in `gossip.rs`. See `docs/design.md`.
+//! The modules in the order of a stage: `windows.rs` collects the ends of attempts and closes windows,
+//! `verdict.rs` evaluates a closed window, `comparison.rs` compares its arms, `votes.rs` casts votes, and
+//! `gossip.rs` exchanges counters with peers. See `docs/design.md`.
 
 mod comparison;
 mod gossip;
--- a/src/analysis/windows.rs
+++ b/src/analysis/windows.rs
@@ -1,4 +1,5 @@
-//! Windows of evidence: attempts' ends are collected, and a full or old window becomes a verdict.
+//! Windows of evidence: collects the ends of attempts, and turns a window that is full or old enough into a
+//! verdict.
 
 use super::verdict::WindowResult;
 use crate::balancer::Balancer;
@@ -9,47 +10,50 @@
 use crate::state::Attempt;
 use crate::time::SECOND;
 
-/// A window closes at so many attempts at the new build ...
+/// A window closes after this many attempts at the new build ...
 pub(super) const MAX_WINDOW_ATTEMPTS: usize = 100;
 /// ... or after this span.
 pub(super) const MAX_WINDOW_SPAN: Micros = 3 * SECOND;
-/// A full window stays open for so long, or one pause of a server would spoil two.
+/// Even a full window stays open for this long. Otherwise a single pause of a server would spoil two windows.
 const MIN_WINDOW_SPAN: Micros = SECOND;
-/// Median and 95th percentile must both exceed this multiple of the earlier build's.
+/// Latency is a violation only if both the median and the 95th percentile exceed this multiple of the earlier
+/// build's.
 pub(super) const MAX_LATENCY_RATIO: f64 = 1.3;
-/// Windows in a row with a violation that roll a build back.
+/// This many consecutive windows with a violation roll a build back.
 const VIOLATIONS_TO_ROLL_BACK: f64 = 2.0;
-/// Lines that a balancer writes to the log in its life.
+/// The most lines that a balancer writes to the log during its life.
 const MAX_LOG_LINES: u32 = 100;
 
-/// What an attempt's end is judged by.
+/// What is needed to judge the end of an attempt.
 pub(crate) struct AttemptContext<'a> {
-    /// The attempt.
+    /// The attempt that has ended.
     pub attempt: &'a Attempt,
-    /// The request's class.
+    /// The class of its request.
     pub class: usize,
-    /// The request's units of work. Counters are added up over balancers, so all use the same unit.
+    /// The request's work in units. Counters of different balancers are added up, so all balancers use the
+    /// same unit.
     pub work: f64,
-    /// It ended past the latency objective.
+    /// Whether the attempt ended after the latency objective.
     pub late: bool,
 }
 
 impl Balancer {
-    /// Counts an attempt's end as evidence about the build.
+    /// Counts the end of an attempt as evidence about its build.
     ///
-    /// Rejections, failed connects and attempts never sent are no answers of the build. One that was cut
-    /// short took at least so long, which says something only past the typical time.
+    /// Rejections, failed connects and attempts that were never sent are not answers of the build. An attempt
+    /// that was cut short took at least its elapsed time, which is evidence only if that exceeds the typical
+    /// latency.
     pub(crate) fn record_build_outcome(&mut self, context: &AttemptContext, end: AttemptEnd) {
         let &AttemptContext { attempt, class, work, late } = context;
         let elapsed = end.elapsed as f64;
-        let typical = self.state.latencies[class].median;
+        let typical_latency = self.state.latencies[class].median;
         let error = end.outcome == Outcome::Error;
         let timeout = end.outcome == Outcome::Timeout && late && !attempt.warming_up;
         let cut_short = matches!(end.outcome, Outcome::Cancelled | Outcome::Timeout);
-        let cut_early = cut_short && elapsed < typical && !timeout;
+        let cut_short_early = cut_short && elapsed < typical_latency && !timeout;
         let Some(release) = self.state.release else { return };
         let build = attempt.to.build;
-        if build > release.build || cut_early || !end.outcome.may_have_run() {
+        if build > release.build || cut_short_early || !end.outcome.may_have_run() {
             return;
         }
         let sample = Sample {
@@ -57,7 +61,7 @@
             server: attempt.to.id,
             error,
             failed: error || timeout || end.outcome == Outcome::Reset,
-            slow: elapsed > typical * MAX_LATENCY_RATIO,
+            slow: elapsed > typical_latency * MAX_LATENCY_RATIO,
             pace: (!attempt.warming_up && !error).then_some(elapsed / work),
         };
         self.state.analysis.evidence.own.add(arm_of(build, release), &sample);
@@ -66,25 +70,27 @@
         }
     }
 
-    /// A client found an answer wrong. Reports come late: the window that is open now learns of it.
+    /// Counts an answer that a client found wrong. Such reports arrive late, so they count in the window that
+    /// is open now.
     pub(crate) fn on_answer_flagged(&mut self, now: Micros, server: ServerId, class: usize, since: Micros) {
         let Some(server) = self.state.servers.get(&server).map(|server| server.entry) else { return };
         let Some(release) = self.state.release else { return };
         let counted_from = self.state.analysis.stage_since.max(server.started_at);
-        let counted = now.saturating_sub(since) >= counted_from;
-        if counted && server.build <= release.build {
+        let sent_in_stage = now.saturating_sub(since) >= counted_from;
+        if sent_in_stage && server.build <= release.build {
             self.state.analysis.evidence.own.flag(arm_of(server.build, release), server.id, class);
         }
     }
 
-    /// Begins a window.
+    /// Starts a new window.
     pub(crate) fn start_window(&mut self, now: Micros) {
         self.state.analysis.window_start = now;
         self.state.analysis.window_attempts = 0;
         self.state.analysis.evidence.start_window(self.settings.position);
     }
 
-    /// The release that can be voted on; not one released before an earlier build was ever seen to compare.
+    /// The release that can be voted on. A release that was complete before this balancer could compare it
+    /// with an earlier build is left out.
     pub(super) fn release_under_analysis(&self) -> Option<ReleaseStatus> {
         self.state.release.filter(|release| {
             let released_after_comparison = release.phase == Phase::Released && self.state.analysis.compared;
@@ -92,8 +98,8 @@
         })
     }
 
-    /// Closes the window when it is full or old enough, and turns its result into a verdict. A window that
-    /// says too little stays open and carries its evidence on until it suffices.
+    /// Closes the window when it is full or old enough, and turns its result into a verdict. A window with
+    /// too little evidence stays open and collects more until there is enough.
     pub(crate) fn close_window(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(release) = self.release_under_analysis() else { return };
         let age = now.saturating_sub(self.state.analysis.window_start);
@@ -128,17 +134,17 @@
         self.evaluate_window(now, release, &evidence)
     }
 
-    /// The verdict after a window. A verdict to roll back stands until the release changes: a release service
-    /// that hears late must not find it replaced.
+    /// The verdict after a window. A verdict to roll back stays in force until the release changes: it must
+    /// not have been replaced by the time that a release service which was unreachable hears of it.
     fn verdict_after(&self, phase: Phase, violated: bool) -> Verdict {
         let analysis = &self.state.analysis;
-        let timer = self.settings.rollout.gate == GateMode::Timer;
+        let promoted_by_clock = self.settings.rollout.gate == GateMode::Timer;
         if analysis.verdict == Verdict::RollBack || analysis.violations >= VIOLATIONS_TO_ROLL_BACK {
             return Verdict::RollBack;
         }
         match phase {
-            Phase::Trial if violated && timer => Verdict::Hold,
-            Phase::Trial if !violated && !timer => Verdict::Promote,
+            Phase::Trial if violated && promoted_by_clock => Verdict::Hold,
+            Phase::Trial if !violated && !promoted_by_clock => Verdict::Promote,
             _ => Verdict::Withdraw,
         }
     }
@@ -157,7 +163,7 @@
     }
 }
 
-/// The arm that a build up to the newest one counts for.
+/// The arm that an attempt at this build counts for. The build is the newest one or an earlier one.
 fn arm_of(build: u16, release: ReleaseStatus) -> Arm {
     if build < release.build { Arm::Earlier } else { Arm::New }
 }
