--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,25 +1,26 @@
-//! Routing: which build and which server get an attempt.
+//! Routing: chooses the build and the server for an attempt.
 //!
-//! The trial build gets requests by its share of the listed capacity; within a build the server with the
-//! lower load of a few random choices is taken ("power of two choices").
+//! The build on trial receives requests in proportion to its share of the listed capacity. Within a build, a
+//! few servers are drawn at random and the one with the lowest load is taken ("power of two choices").
 
 use crate::balancer::Balancer;
 use crate::interface::{Build, Micros, Phase, RequestId, ServerId, ServerStatus};
 use crate::state::{Candidate, InFlightRequest, MAX_TRIAL_CREDIT, ServerRecord};
 
-/// Times the typical latency without any answer: the server may be standing still.
-const STALL_FACTOR: f64 = 4.0;
-/// Weight that a server with a stall is left with.
-const STALLED_WEIGHT: f64 = 0.05;
-/// Weight that a server is left with for a request that it was tried for before.
-const TRIED_WEIGHT: f64 = 0.01;
-/// The least weight of a server, so that each is tried at times.
+/// A server counts as stalled when it has not answered for this multiple of the typical latency.
+const STALL_LATENCY_FACTOR: f64 = 4.0;
+/// The weight of a stalled server is multiplied by this factor.
+const STALLED_WEIGHT_FACTOR: f64 = 0.05;
+/// The weight of a server that a request has already been sent to is multiplied by this factor.
+const TRIED_WEIGHT_FACTOR: f64 = 0.01;
+/// The least weight of a server, so that each one is tried now and then.
 const MIN_WEIGHT: f64 = 1e-3;
-/// Further pairs drawn while the better server is busier than the pool's mean.
+/// At most this many further pairs are drawn while the better server is busier than the mean of the pool.
 const MAX_REDRAWS: usize = 3;
-/// Times the mean of all keys: such a popular key is not bound to a trial build early.
-const POPULAR_KEY: f64 = 3.0;
-/// Credit below which the trial build is not overdrawn.
+/// A key that occurs more often than this multiple of the mean of all keys is popular: it is not among the
+/// first to be sent to a build on trial.
+const POPULAR_KEY_RATIO: f64 = 3.0;
+/// The trial credit does not fall below this value.
 const MIN_TRIAL_CREDIT: f64 = -2.0;
 
 /// The two pools that servers are drawn from.
@@ -29,21 +30,21 @@
     Trial,
 }
 
-/// Whether servers of a build may take a request, and the pool that they are in.
-struct Gate {
+/// Whether servers of a build may take a request, and the pool that they belong to.
+struct BuildAdmission {
     build: Build,
     kind: PoolKind,
     admits: bool,
 }
 
-/// Servers of one kind that may take a request, and the capacity of all that are listed.
+/// The servers of one pool that may take a request, and the summed warm fractions of all its ready servers.
 #[derive(Default)]
 struct Pool {
     candidates: Vec<Candidate>,
-    capacity_share: f64,
+    warm_capacity: f64,
 }
 
-/// The stable and the trial pool for one request.
+/// The stable pool and the trial pool for one request.
 #[derive(Default)]
 struct Pools {
     stable: Pool,
@@ -51,7 +52,7 @@
 }
 
 impl Pools {
-    fn of(&mut self, kind: PoolKind) -> &mut Pool {
+    fn pool_mut(&mut self, kind: PoolKind) -> &mut Pool {
         match kind {
             PoolKind::Stable => &mut self.stable,
             PoolKind::Trial => &mut self.trial,
@@ -65,7 +66,7 @@
 }
 
 impl Balancer {
-    /// Chooses a server for a request's next attempt; `None`: none may take it now.
+    /// Chooses a server for a request's next attempt; `None` if no server may take it now.
     pub(crate) fn pick_server(&mut self, now: Micros, id: RequestId) -> Option<ServerId> {
         if !self.may_send(now) {
             return None;
@@ -75,40 +76,45 @@
         let just_arrived = request.arrived == now;
         let mut pools = self.collect_pools(now, &request);
         let total_weight = pools.total_weight();
-        // A request that waits has had its chance: drawing at each check would add up to certainty.
-        let chance_used = first_attempt && request.arrived < now;
-        self.limit_slow_start(now, &request, &mut pools.stable, total_weight, chance_used);
-        self.limit_slow_start(now, &request, &mut pools.trial, total_weight, chance_used);
+        // A waiting request has already had its random chance of a server in slow start. Drawing again at
+        // each check would in the end always succeed.
+        let chance_already_drawn = first_attempt && request.arrived < now;
+        self.limit_slow_start(now, &request, &mut pools.stable, total_weight, chance_already_drawn);
+        self.limit_slow_start(now, &request, &mut pools.trial, total_weight, chance_already_drawn);
         let rolling_back = self.state.release.is_some_and(|release| release.phase == Phase::RollingBack);
-        if first_attempt && just_arrived && pools.trial.capacity_share > 0.0 && !rolling_back {
+        if first_attempt && just_arrived && pools.trial.warm_capacity > 0.0 && !rolling_back {
             self.earn_trial_credit(&pools);
         }
-        let to_trial = first_attempt && !rolling_back && self.trial_is_due(&request);
-        self.choose_pool(&mut pools, total_weight, to_trial, rolling_back)
+        let trial_is_due = first_attempt && !rolling_back && self.trial_is_due(&request);
+        self.choose_from_pools(&mut pools, total_weight, trial_is_due, rolling_back)
     }
 
     /// Sorts the servers that may take this request into the two pools.
     fn collect_pools(&self, now: Micros, request: &InFlightRequest) -> Pools {
-        let gate = |&build: &Build| Gate {
+        let admission = |&build: &Build| BuildAdmission {
             build,
             kind: if self.on_trial(build) { PoolKind::Trial } else { PoolKind::Stable },
             admits: self.build_admits(now, build, request),
         };
-        let gates: Vec<Gate> = self.state.builds.iter().map(gate).collect();
-        let typical = self.state.latencies.iter().map(|latency| latency.median).fold(0.0, f64::max);
+        let admissions: Vec<BuildAdmission> = self.state.builds.iter().map(admission).collect();
+        let typical_latency = self.state.latencies.iter().map(|latency| latency.median).fold(0.0, f64::max);
         let mut pools = Pools::default();
         for (&id, server) in &self.state.servers {
             let ready = server.entry.status == ServerStatus::Ready;
             if !ready || !self.may_repeat(now, request, Some(&server.entry)) {
                 continue;
             }
-            let Some(gate) = gates.iter().find(|gate| gate.build == server.entry.build) else { continue };
+            let Some(admission) = admissions.iter().find(|admission| admission.build == server.entry.build)
+            else {
+                continue;
+            };
             let warm_fraction = server.warm_fraction(now, &self.settings.rules);
-            let pool = pools.of(gate.kind);
-            pool.capacity_share += warm_fraction;
-            if gate.admits {
+            let pool = pools.pool_mut(admission.kind);
+            pool.warm_capacity += warm_fraction;
+            if admission.admits {
                 let tried = request.attempts.iter().any(|attempt| attempt.to.id == id);
-                let weight = self.weight(now, server, typical) * if tried { TRIED_WEIGHT } else { 1.0 };
+                let weight =
+                    self.weight(now, server, typical_latency) * if tried { TRIED_WEIGHT_FACTOR } else { 1.0 };
                 let in_flight = f64::from(server.in_flight);
                 let unlimited_weight = weight;
                 pool.candidates.push(Candidate { id, weight, in_flight, unlimited_weight, warm_fraction });
@@ -117,121 +123,133 @@
         pools
     }
 
-    /// A server's weight in its pool: size and warm fraction, less what own outcomes say against it.
-    fn weight(&self, now: Micros, server: &ServerRecord, typical: f64) -> f64 {
+    /// A server's weight in its pool: its size and warm fraction, reduced by the failures, slowness and
+    /// stalls that this balancer has observed.
+    fn weight(&self, now: Micros, server: &ServerRecord, typical_latency: f64) -> f64 {
         let health = (1.0 - server.failure_share).powi(3) / server.slowness.max(1.0).powi(2);
-        // Attempts in flight and no answer for long: paused, cut off or dead, whatever the cause.
-        let silent = now.saturating_sub(server.waiting_since) as f64 > STALL_FACTOR * typical;
-        let stalled = server.in_flight > 0 && silent;
+        // With attempts in flight and no answer for a long time, the server is paused, unreachable or dead;
+        // the cause does not matter.
+        let long_without_answer =
+            now.saturating_sub(server.waiting_since) as f64 > STALL_LATENCY_FACTOR * typical_latency;
+        let stalled = server.in_flight > 0 && long_without_answer;
         let warm_fraction = server.warm_fraction(now, &self.settings.rules);
         let capacity = server.size(self.settings.sizes_known) * warm_fraction;
-        (capacity * health * if stalled { STALLED_WEIGHT } else { 1.0 }).max(MIN_WEIGHT)
+        (capacity * health * if stalled { STALLED_WEIGHT_FACTOR } else { 1.0 }).max(MIN_WEIGHT)
     }
 
-    /// Servers in slow start are left with the weight that their budget allows.
+    /// Reduces the weight of servers in slow start to what their budget allows.
     fn limit_slow_start(
         &mut self,
         now: Micros,
         request: &InFlightRequest,
         pool: &mut Pool,
         total_weight: f64,
-        chance_used: bool,
+        chance_already_drawn: bool,
     ) {
         for candidate in &mut pool.candidates {
             if candidate.warm_fraction >= 1.0 {
                 continue;
             }
-            let share = self.slow_start_share(now, candidate.id, request.cost, chance_used);
+            let share = self.slow_start_share(now, candidate.id, request.cost, chance_already_drawn);
             candidate.weight = candidate.weight.min(total_weight * share);
-            // What a server in slow start may not take is no reason to send more to its build's warm ones.
-            let cut = 1.0 - candidate.weight / candidate.unlimited_weight;
-            pool.capacity_share -= candidate.warm_fraction * cut;
+            // The reduction lowers the pool's capacity too. Otherwise the requests that a server in slow
+            // start may not take would go to the warm servers of its build.
+            let reduction = 1.0 - candidate.weight / candidate.unlimited_weight;
+            pool.warm_capacity -= candidate.warm_fraction * reduction;
         }
     }
 
-    /// Each new request earns the trial build its share of the listed capacity.
+    /// Each new request earns the build on trial credit in proportion to its share of the listed capacity.
     fn earn_trial_credit(&mut self, pools: &Pools) {
-        let stable = pools.stable.capacity_share;
-        let trial = pools.trial.capacity_share;
-        // Servers beside those that they replace count once: they must show what they do under load.
+        let stable = pools.stable.warm_capacity;
+        let trial = pools.trial.warm_capacity;
+        // Where new servers run beside the ones that they replace, the capacity is counted once: the new
+        // servers must show how they perform under full load.
         let capacity = if self.settings.rollout.in_place { stable + trial } else { stable.max(trial) };
         self.state.trial_credit = (self.state.trial_credit + trial / capacity).min(MAX_TRIAL_CREDIT);
     }
 
-    /// Whether a first attempt is the trial build's turn. A key that the new build answers is sticky to it:
-    /// the popular ones would pile onto few servers.
+    /// Whether it is the trial build's turn to receive a first attempt. Popular keys are excluded: a key that
+    /// the new build answers becomes sticky to it, and popular ones would concentrate on its few servers.
     fn trial_is_due(&self, request: &InFlightRequest) -> bool {
         let popularity = |key| self.state.sticky_keys.popularity.of(key);
-        let popular = request.request.key.is_some_and(|key| popularity(key) > POPULAR_KEY);
+        let popular = request.request.key.is_some_and(|key| popularity(key) > POPULAR_KEY_RATIO);
         self.state.trial_credit >= 1.0 && !popular
     }
 
-    /// Takes a server from the pool whose turn it is, else from the other.
-    fn choose_pool(
+    /// Takes a server from the pool whose turn it is, or else from the other pool.
+    fn choose_from_pools(
         &mut self,
         pools: &mut Pools,
         total_weight: f64,
-        to_trial: bool,
+        trial_is_due: bool,
         rolling_back: bool,
     ) -> Option<ServerId> {
-        let order =
-            if to_trial { [PoolKind::Trial, PoolKind::Stable] } else { [PoolKind::Stable, PoolKind::Trial] };
+        let order = if trial_is_due {
+            [PoolKind::Trial, PoolKind::Stable]
+        } else {
+            [PoolKind::Stable, PoolKind::Trial]
+        };
         for kind in order {
-            // Out of turn a pool may be offered everything, above all the few first servers of a rollback.
+            // A pool out of turn may be offered the whole traffic, especially the first few servers that come
+            // up in a rollback.
             let in_turn = match kind {
                 PoolKind::Stable => !rolling_back,
-                PoolKind::Trial => to_trial,
+                PoolKind::Trial => trial_is_due,
             };
-            let candidates = std::mem::take(&mut pools.of(kind).candidates);
+            let candidates = std::mem::take(&mut pools.pool_mut(kind).candidates);
             if let Some(server) = self.choose_server(total_weight, in_turn, candidates) {
-                self.settle_trial_credit(kind, to_trial);
+                self.settle_trial_credit(kind, trial_is_due);
                 return Some(server);
             }
         }
         None
     }
 
-    fn settle_trial_credit(&mut self, chosen: PoolKind, to_trial: bool) {
+    fn settle_trial_credit(&mut self, chosen: PoolKind, trial_is_due: bool) {
         if chosen == PoolKind::Trial {
             self.state.trial_credit = (self.state.trial_credit - 1.0).max(MIN_TRIAL_CREDIT);
-        } else if to_trial {
-            // No room: saved up, the turns of all balancers would come in one burst.
+        } else if trial_is_due {
+            // The pool had no room. If the credit were saved up, the turns of all balancers would come in one
+            // burst.
             self.state.trial_credit = self.state.random.unit();
         }
     }
 
-    /// Two random choices by own attempts in flight, drawn again while the better one is busier than the
-    /// mean.
+    /// Draws two servers at random and takes the one with fewer own attempts in flight for its weight.
+    /// Further pairs are drawn while the better one is busier than the mean.
     fn choose_server(
         &mut self,
         total_weight: f64,
         in_turn: bool,
         mut candidates: Vec<Candidate>,
     ) -> Option<ServerId> {
-        let offered = if in_turn {
+        let offered_weight = if in_turn {
             candidates.iter().map(|candidate| candidate.unlimited_weight).sum()
         } else {
             total_weight
         };
         candidates.retain(|candidate| candidate.weight > 0.0);
-        let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-        // Where hardly any but servers in slow start are left, most requests must go without.
+        let limited_weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
+        // Where hardly any servers are left but those in slow start, most requests must not be sent.
         let warming_up = candidates.iter().any(|candidate| candidate.warm_fraction < 1.0);
-        if total <= 0.0 || (warming_up && self.state.random.unit() * offered > 2.0 * total) {
+        if limited_weight <= 0.0
+            || (warming_up && self.state.random.unit() * offered_weight > 2.0 * limited_weight)
+        {
             return None;
         }
         let in_flight: f64 = candidates.iter().map(|candidate| candidate.in_flight).sum();
-        let mean_load = (in_flight + 1.0) / total;
+        let mean_load = (in_flight + 1.0) / limited_weight;
         let mut best: Option<(ServerId, f64)> = None;
         for draw in 0..2 + 2 * MAX_REDRAWS {
-            let pair_begins = draw >= 2 && draw % 2 == 0;
-            if pair_begins && best.is_some_and(|(_, load)| load <= mean_load) {
+            let starts_further_pair = draw >= 2 && draw % 2 == 0;
+            if starts_further_pair && best.is_some_and(|(_, load)| load <= mean_load) {
                 break;
             }
             let weights = candidates.iter().map(|candidate| candidate.weight);
-            let candidate = candidates.get(self.state.random.weighted(total, weights))?;
+            let candidate = candidates.get(self.state.random.weighted(limited_weight, weights))?;
             let load = candidate.load();
-            if best.is_none_or(|(_, least)| load < least) {
+            if best.is_none_or(|(_, least_load)| load < least_load) {
                 best = Some((candidate.id, load));
             }
         }
