--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,4 +1,4 @@
-//! The final answer of requests that no server answered, and the end of every request.
+//! The final answer to requests that no server has answered, and the clean-up at the end of every request.
 
 use crate::balancer::Balancer;
 use crate::interface::{Action, DedupGroup, Idempotency, Micros, RequestId};
@@ -6,15 +6,15 @@
 /// Why a request ends without a server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnansweredReason {
-    /// It is rejected to shed load.
+    /// The request is rejected to shed load.
     LoadShed,
-    /// Its attempts failed, or its time is over.
+    /// The attempts of the request failed, or its deadline has come.
     AttemptsFailed,
 }
 
 impl Balancer {
-    /// Gives the final answer: a rejection where nothing can have run or a retry is harmless, else a
-    /// failure. It is never delayed.
+    /// Gives the final answer to a request without delay: a rejection if no attempt can have run or a retry
+    /// is harmless, otherwise a failure.
     pub(crate) fn finish_unanswered(
         &mut self,
         now: Micros,
@@ -25,9 +25,9 @@
         let Some(request) = self.state.requests.get(&id) else { return };
         let class = &self.settings.classes[request.request.class];
         let never_ran = request.first_that_may_have_run().is_none();
-        let keyed_everywhere =
+        let keyed_across_all_servers =
             class.idempotency == Idempotency::Keyed && class.dedup_group == DedupGroup::All;
-        let retry_is_harmless = keyed_everywhere || class.idempotency == Idempotency::Idempotent;
+        let retry_is_harmless = keyed_across_all_servers || class.idempotency == Idempotency::Idempotent;
         if never_ran || retry_is_harmless {
             let late = now >= request.arrived + class.latency_objective;
             let shed = reason == UnansweredReason::LoadShed;
@@ -40,7 +40,8 @@
         self.finish(id, out);
     }
 
-    /// The request needs nothing more: attempts in flight are cancelled, and only their ends are awaited.
+    /// Finishes a request that needs no further answer: its attempts in flight are cancelled, and the request
+    /// is kept only until they have ended.
     pub(crate) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.state.requests.get_mut(&id) else { return };
         if !request.done && self.settings.limits.cancel && !request.streaming {
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts: what they say about lateness, about servers, about builds, and about sticky keys.
+//! Handles the ends of attempts: what they reveal about lateness, servers, builds and sticky keys.
 
 use crate::admission::LANE_LATE_MARGIN;
 use crate::analysis::AttemptContext;
@@ -7,15 +7,15 @@
 use crate::retry::MAX_RETRY_BUDGET;
 use crate::state::{Attempt, Lane, MAX_TRIAL_CREDIT, smooth};
 
-/// Latest latencies that are remembered for each class.
+/// The number of recent latencies that are kept for each class.
 const MAX_RECENT_LATENCIES: usize = 100;
-/// Weight of the newest outcome in a server's record.
+/// The weight of the newest outcome in a server's record.
 const RECORD_SMOOTHING: f64 = 0.15;
-/// The same where a server answers faster than its record says.
+/// The weight of an answer that was faster than the server's record.
 const FASTER_SMOOTHING: f64 = 0.5;
-/// Weight of the newest answer in the late shares.
+/// The weight of the newest answer in the late shares.
 const LATE_SMOOTHING: f64 = 0.1;
-/// The highest ratio to the typical latency that counts in a server's record.
+/// Slowness, the ratio of a latency to the typical one, is limited to this value in a server's record.
 const MAX_SLOWNESS: f64 = 10.0;
 
 impl Balancer {
@@ -26,19 +26,22 @@
             return;
         }
         let attempt = attempt.clone();
-        let inner = request.request;
+        let client_request = request.request;
         let cost = request.cost;
-        let objective = self.settings.classes[inner.class].latency_objective;
+        let objective = self.settings.classes[client_request.class].latency_objective;
         let late = now >= request.arrived + objective;
-        let work = inner.cost_hint.unwrap_or(objective).max(1) as f64;
-        self.record_lateness(self.lane(&inner), late, end.outcome);
-        self.return_unused(&attempt, end);
-        self.record_server_outcome(now, inner.class, attempt.concurrency, end);
-        self.record_build_outcome(&AttemptContext { attempt: &attempt, class: inner.class, work, late }, end);
+        let work = client_request.cost_hint.unwrap_or(objective).max(1) as f64;
+        self.record_lateness(self.lane(&client_request), late, end.outcome);
+        self.refund_unsent_attempt(&attempt, end);
+        self.record_server_outcome(now, client_request.class, attempt.concurrency, end);
+        self.record_build_outcome(
+            &AttemptContext { attempt: &attempt, class: client_request.class, work, late },
+            end,
+        );
         if end.outcome == Outcome::Ok && !attempt.warming_up {
             self.state.served_cost.add(now, cost);
         }
-        if let Some(key) = inner.key {
+        if let Some(key) = client_request.key {
             self.record_key_outcome(key, &attempt, end.outcome);
         }
         self.after_attempt(now, end, out);
@@ -54,22 +57,24 @@
         }
     }
 
-    /// Lateness is counted over all servers, as none's queue shows on thin traffic. A lane that alone is late
-    /// waits for reasons of its own: it must neither have the others shed nor hold their slots.
+    /// Records whether an attempt was late. The late share covers all servers, because with little traffic no
+    /// single server's queue shows in it. A lane that is late by much more than the rest is late for reasons
+    /// of its own and is left out of the overall share: it must neither cause other lanes to be shed nor
+    /// occupy their slots.
     fn record_lateness(&mut self, lane: Lane, late: bool, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Rejected) {
             return;
         }
         let lateness = f64::from(u8::from(late || outcome == Outcome::Rejected));
-        let of_lane = self.state.late_share_by_lane.entry(lane).or_default();
-        smooth(of_lane, lateness, LATE_SMOOTHING);
-        let lane_alone_is_late = *of_lane > self.state.late_share + LANE_LATE_MARGIN;
+        let lane_late_share = self.state.late_share_by_lane.entry(lane).or_default();
+        smooth(lane_late_share, lateness, LATE_SMOOTHING);
+        let lane_alone_is_late = *lane_late_share > self.state.late_share + LANE_LATE_MARGIN;
         let weight = if lane_alone_is_late { 0.0 } else { LATE_SMOOTHING };
         smooth(&mut self.state.late_share, lateness, weight);
     }
 
-    /// An attempt that was never sent gives back what was taken for it.
-    fn return_unused(&mut self, attempt: &Attempt, end: AttemptEnd) {
+    /// Refunds what was taken for an attempt that was never sent.
+    fn refund_unsent_attempt(&mut self, attempt: &Attempt, end: AttemptEnd) {
         if end.outcome == Outcome::CancelledBeforeSend && end.attempt > 0 {
             self.state.retry_budget = (self.state.retry_budget + 1.0).min(MAX_RETRY_BUDGET);
         } else if end.outcome == Outcome::NotSent {
@@ -82,41 +87,44 @@
 
     fn record_server_outcome(&mut self, now: Micros, class: usize, concurrency: u32, end: AttemptEnd) {
         let AttemptEnd { server: id, outcome, elapsed, .. } = end;
-        let typical = self.state.latencies[class].median.max(1.0);
+        let typical_latency = self.state.latencies[class].median.max(1.0);
         let Some(server) = self.state.servers.get_mut(&id) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             server.waiting_since = now;
         }
-        let slowness = (elapsed as f64 / typical).min(MAX_SLOWNESS);
+        let slowness = (elapsed as f64 / typical_latency).min(MAX_SLOWNESS);
         match outcome {
             Outcome::Ok => {
                 smooth(&mut server.failure_share, 0.0, RECORD_SMOOTHING);
-                let per_attempt = elapsed as f64 / f64::from(concurrency.max(1));
-                // Few attempts in flight overstate it, and rejections would keep them few: down fast, up
-                // slowly.
-                let faster = per_attempt < server.latency_per_attempt;
+                let latency_per_attempt = elapsed as f64 / f64::from(concurrency.max(1));
+                // With few attempts in flight the estimate is too high, and the rejections that follow would
+                // keep them few. So the estimate falls quickly and rises slowly.
+                let faster = latency_per_attempt < server.latency_per_attempt;
                 let weight = if faster { FASTER_SMOOTHING } else { RECORD_SMOOTHING };
-                smooth(&mut server.latency_per_attempt, per_attempt, weight);
+                smooth(&mut server.latency_per_attempt, latency_per_attempt, weight);
                 self.state.latencies[class].add(elapsed as f64, MAX_RECENT_LATENCIES);
             }
             Outcome::Cancelled | Outcome::NotSent | Outcome::CancelledBeforeSend => {}
             _ => smooth(&mut server.failure_share, 1.0, RECORD_SMOOTHING),
         }
-        // A cancelled attempt was at least this slow.
-        let slower_than_known = outcome == Outcome::Cancelled && slowness > server.slowness;
-        if outcome == Outcome::Ok || slower_than_known {
+        // A cancelled attempt took at least this long.
+        let slower_than_recorded = outcome == Outcome::Cancelled && slowness > server.slowness;
+        if outcome == Outcome::Ok || slower_than_recorded {
             smooth(&mut server.slowness, slowness, RECORD_SMOOTHING / 2.0);
         }
     }
 
-    /// A key that the newest build has answered is sticky to it. A good answer may also have been lost:
-    /// damaged, late, or written to a connection that fell silent; such a key stays in flight.
+    /// Makes a key sticky to the newest build once that build has answered it. Even a good answer may have
+    /// been lost, because it was damaged, late, or written to a connection that had fallen silent; a key
+    /// whose answer may be lost is kept as in flight.
     fn record_key_outcome(&mut self, key: u64, attempt: &Attempt, outcome: Outcome) {
-        let at_newest = self.state.release.filter(|release| release.build == attempt.to.build);
-        let live = at_newest.is_some_and(|release| matches!(release.phase, Phase::Trial | Phase::Released));
-        let sticky = self.settings.rollout.sticky_to_new_build && !self.state.sticky_keys.overflowed;
-        if !live || !sticky {
+        let newest_release = self.state.release.filter(|release| release.build == attempt.to.build);
+        let build_is_live =
+            newest_release.is_some_and(|release| matches!(release.phase, Phase::Trial | Phase::Released));
+        let stickiness_applies =
+            self.settings.rollout.sticky_to_new_build && !self.state.sticky_keys.overflowed;
+        if !build_is_live || !stickiness_applies {
             return;
         }
         if outcome == Outcome::Ok {
--- a/src/release.rs
+++ b/src/release.rs
@@ -1,29 +1,30 @@
-//! The release service's state of the newest build: a new build or stage starts the analysis anew.
+//! The status of the newest build's release: a new build or a new stage restarts the analysis.
 
 use crate::balancer::Balancer;
 use crate::interface::{Micros, Phase, ReleaseStatus, Verdict};
 use crate::state::PreviousCap;
 
 impl Balancer {
-    /// Takes the state of the newest build, pushed or as the reply to a vote.
+    /// Handles the release status of the newest build, whether it was pushed or came with the reply to a
+    /// vote.
     pub(crate) fn on_release_status(&mut self, now: Micros, release: ReleaseStatus) {
-        let before = self.state.release.replace(release);
-        if let Some(before) = before
-            && before.build == release.build
-            && before.cap > release.cap
+        let previous = self.state.release.replace(release);
+        if let Some(previous) = previous
+            && previous.build == release.build
+            && previous.cap > release.cap
         {
-            self.state.previous_cap = PreviousCap { cap: before.cap, lowered_at: now };
+            self.state.previous_cap = PreviousCap { cap: previous.cap, lowered_at: now };
         }
-        let stage = |release: ReleaseStatus| (release.build, release.stage, release.phase);
-        if before.map(stage) == Some(stage(release)) {
+        let stage_identity = |release: ReleaseStatus| (release.build, release.stage, release.phase);
+        if previous.map(stage_identity) == Some(stage_identity(release)) {
             return;
         }
-        let new_build = before.is_none_or(|before| before.build != release.build);
+        let new_build = previous.is_none_or(|previous| previous.build != release.build);
         if new_build || matches!(release.phase, Phase::RollingBack | Phase::Withdrawn) {
             self.state.sticky_keys.clear(false);
         }
         if new_build {
-            self.start_build(release);
+            self.begin_new_build(release);
         }
         self.restart_analysis(now);
         if new_build {
@@ -31,14 +32,15 @@
         }
     }
 
-    fn start_build(&mut self, release: ReleaseStatus) {
+    fn begin_new_build(&mut self, release: ReleaseStatus) {
         self.state.trial_credit = self.state.random.unit();
         self.state.previous_cap = PreviousCap::default();
         self.state.exposures.retain(|&build, _| build >= release.build);
         self.bind_relisted_keys();
     }
 
-    /// Window, verdict and vote all start anew: no vote rests on evidence of another stage or build.
+    /// Restarts the window, the verdict and the vote, so that no vote is based on evidence of another stage
+    /// or build.
     fn restart_analysis(&mut self, now: Micros) {
         self.state.incarnation = self.state.incarnation.wrapping_add(1);
         let analysis = &mut self.state.analysis;
