--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop of a balancer: one event in, the actions that it leads to out.
+//! The event loop of a balancer: takes one event and returns the actions that follow from it.
 //!
-//! Requests are admitted in `admission.rs`, get a server in `routing.rs`, attempts in `attempts.rs`,
-//! retries and hedges in `retry.rs` and their final answer in `completion.rs`. Builds on trial are judged
-//! in `analysis/`.
+//! Requests are admitted in `admission.rs` and assigned to a server in `routing.rs`. Attempts are handled in
+//! `attempts.rs`, retries and hedges in `retry.rs`, and final answers in `completion.rs`. Builds on trial are
+//! compared with earlier ones in `analysis/`.
 
 use crate::analysis::GOSSIP_INTERVAL;
 use crate::balancer::Balancer;
@@ -10,15 +10,16 @@
 use crate::state::LatencyEstimate;
 use crate::time::MILLISECOND;
 
-/// Time between two rounds of maintenance, in which also windows are closed and votes are cast.
+/// The time between two rounds of maintenance. Windows are closed and votes are cast in the same rounds.
 pub(crate) const MAINTENANCE_INTERVAL: Micros = 100 * MILLISECOND;
-/// Share of a server's record that fades in each round of maintenance.
-const RECORD_FADING: f64 = 0.03;
-/// Share of the late shares that is left after each round of maintenance.
-const LATE_SHARE_DECAY: f64 = 0.99;
+/// The share of a server's record that is forgotten in each round of maintenance.
+const SERVER_RECORD_FADE_SHARE: f64 = 0.03;
+/// The late shares are multiplied by this factor in each round of maintenance.
+const LATE_SHARE_RETAINED: f64 = 0.99;
 
 impl Balancer {
-    /// Takes one event and appends what to do about it. `now` must not go back from event to event.
+    /// Handles one event and appends the resulting actions to `out`. `now` must never be earlier than in the
+    /// call before.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if !self.state.started {
             self.start(now, out);
@@ -30,7 +31,8 @@
     fn start(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.state.started = true;
         self.state.list.heard_at = now;
-        // Drawn at random, so that a fleet that starts together does not go on in step.
+        // The first maintenance and gossip times are random, so that a fleet that starts together does not
+        // stay in step.
         self.state.next_maintenance =
             now + (MAINTENANCE_INTERVAL as f64 * self.state.random.unit()) as Micros;
         self.state.analysis.next_gossip = now + (GOSSIP_INTERVAL as f64 * self.state.random.unit()) as Micros;
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Sets one timer, for what comes next: hundreds of idle balancers cost next to nothing.
+    /// Sets a single timer for whatever is due next, so that even hundreds of idle balancers cost next to
+    /// nothing.
     fn arm_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
         let next_maintenance = self.state.next_maintenance;
         let next_check = self.state.checks.first().map(|&(at, _)| at);
@@ -90,12 +93,12 @@
         self.state.next_maintenance = now + MAINTENANCE_INTERVAL;
         self.state.latencies.iter_mut().for_each(LatencyEstimate::refresh);
         for server in self.state.servers.values_mut() {
-            server.fade(RECORD_FADING);
+            server.fade(SERVER_RECORD_FADE_SHARE);
         }
         for share in self.state.late_share_by_lane.values_mut() {
-            *share *= LATE_SHARE_DECAY;
+            *share *= LATE_SHARE_RETAINED;
         }
-        self.state.late_share *= LATE_SHARE_DECAY;
+        self.state.late_share *= LATE_SHARE_RETAINED;
         self.update_capacity_estimate(now);
     }
 }
