--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,91 +1,101 @@
-//! Leases: what a process holds for a limited time, and whether an attempt may be sent under them.
+//! Leases: what a process may use for a limited time, and whether an attempt may be sent under them.
 //!
-//! - [`ListLease`]: for how long the server list may be used without confirmation by discovery
-//! - [`ShutdownSchedule`]: until when a process that shuts down still answers
-//! - [`SendPermissions`]: both, and whether an attempt may start or be sent now; if not, a [`SendDenial`]
+//! - [`ListLease`]: how long the server list may be used without confirmation by discovery
+//! - [`ShutdownSchedule`]: how long a process that shuts down continues to answer
+//! - [`SendPermissions`]: combines both and decides whether an attempt may start or be sent now; if not, it
+//!   returns a [`SendDenial`]
 //!
-//! Times are microseconds on a monotonic clock, independent of the machine's wall clock. Sources: the
-//! platform's protocol page and its standing test; `docs/design.md` has the reasons.
+//! Times are microseconds on a monotonic clock, independent of the machine's wall clock. The limits come from
+//! the platform's protocol page and its standing test; `docs/design.md` gives the reasons.
 
 use crate::interface::{Micros, ServiceRules};
 
-/// A change of the list counts as notified so long after discovery had it, whether or not it arrived.
+/// The platform counts a change of the list as notified this long after discovery learned of it, whether or
+/// not the notification arrived.
 const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
-/// After discovery moves to another address its changes count as notified so long after the order to move.
+/// After discovery moves to another address, the platform counts its changes as notified this long after the
+/// order to move.
 const NOTIFICATION_DELAY_AFTER_MOVE: Micros = 4_000_000;
-/// A process may stall between reading its clock and writing, and an answer is on its way for a while.
+/// Allowance for a process that stalls between reading its clock and writing, and for the time that an answer
+/// spends on the network.
 const MAX_STALL: Micros = 250_000;
-/// Of the longest deadline so much counts when the time is set at which a process is killed.
+/// The platform counts at most this much of the longest deadline when it sets the time at which it kills a
+/// process.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// A process is killed no earlier than this and the counted longest deadline after the order to shut down.
+/// The platform kills a process no earlier than this span plus the counted longest deadline after the order
+/// to shut down.
 const MIN_KILL_DELAY: Micros = 700_000;
-/// Clients need so long to read the final responses and the ends of their connections.
+/// The time that clients need to read the final responses and to see their connections closed.
 const FINAL_RESPONSE_SPAN: Micros = 200_000;
 
-/// For how long the server list may be used: until no change that was missed could have counted as notified
-/// for longer than its grace.
+/// How long the server list may be used. The lease ends before any change that was missed can have counted as
+/// notified for longer than its grace period.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLease {
-    /// `None`: nothing limits the list's use.
+    /// The spans of the lease; `None` if nothing limits the use of the list.
     terms: Option<LeaseTerms>,
-    /// 0 until the list has been confirmed for the first time.
+    /// When the lease ends; 0 until the list has been confirmed for the first time.
     until: Micros,
-    /// Set by changes that were notified and missed: no outage extends the lease beyond it, only a list does.
-    missed_until: Option<Micros>,
+    /// The latest end of the lease while changes that counted as notified have been missed. An outage of
+    /// discovery cannot extend the lease beyond it; only a new list can.
+    missed_change_limit: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LeaseTerms {
-    /// Counted from a confirmation.
+    /// How long the lease lasts after a confirmation.
     span: Micros,
-    /// Counted from a change that counts as notified.
+    /// How long the list may be used after a change counts as notified.
     grace: Micros,
 }
 
 impl ListLease {
-    /// A list whose use nothing limits, for protocols that state no such limit.
+    /// Creates a lease that never ends, for protocols that state no limit on the use of a list.
     pub fn unlimited() -> Self {
-        ListLease { terms: None, until: Micros::MAX, missed_until: None }
+        ListLease { terms: None, until: Micros::MAX, missed_change_limit: None }
     }
 
-    /// A lease that does not hold before the list's first confirmation.
+    /// Creates a lease that is not valid before the first confirmation of the list.
     pub fn unconfirmed(rules: &ServiceRules) -> Self {
         let grace = rules.drain_grace.saturating_sub(MAX_STALL);
         let span = MAX_NOTIFICATION_DELAY.min(rules.poll_interval_max).saturating_add(grace);
-        ListLease { terms: Some(LeaseTerms { span, grace }), until: 0, missed_until: None }
+        ListLease { terms: Some(LeaseTerms { span, grace }), until: 0, missed_change_limit: None }
     }
 
-    /// The list was current at that moment.
+    /// Records that the list was current at that time.
     pub fn confirm(&mut self, at: Micros) {
         if let Some(LeaseTerms { span, .. }) = self.terms {
-            self.missed_until = None;
+            self.missed_change_limit = None;
             self.until = self.until.max(at.saturating_add(span));
         }
     }
 
-    /// Discovery was surely down at that moment, and notified nobody of a change.
+    /// Records that discovery was certainly down at that time and notified nobody of a change.
     pub fn discovery_down(&mut self, at: Micros) {
         if let Some(LeaseTerms { span, .. }) = self.terms {
-            let until = at.saturating_add(span).min(self.missed_until.unwrap_or(Micros::MAX));
+            let until = at.saturating_add(span).min(self.missed_change_limit.unwrap_or(Micros::MAX));
             self.until = self.until.max(until);
         }
     }
 
-    /// Discovery has another address since that moment, and its changes count as notified soon after.
+    /// Records that discovery moved to another address at that time; changes count as notified soon
+    /// afterwards.
     pub fn discovery_moved(&mut self, at: Micros) {
         self.notification_missed(at.saturating_add(NOTIFICATION_DELAY_AFTER_MOVE));
     }
 
-    /// Changes counted as notified at that moment, and were missed.
+    /// Records that changes counted as notified at that time and were missed.
     pub fn notification_missed(&mut self, at: Micros) {
         if let Some(LeaseTerms { grace, .. }) = self.terms {
             let until = at.saturating_add(grace);
-            self.missed_until = Some(self.missed_until.map_or(until, |before| before.min(until)));
+            self.missed_change_limit =
+                Some(self.missed_change_limit.map_or(until, |earlier_limit| earlier_limit.min(until)));
             self.until = self.until.min(until);
         }
     }
 
-    /// No watch is open: from that moment on each change counts as notified as it is made.
+    /// Records that no watch has been open since that time, so that each change counts as notified when it is
+    /// made.
     pub fn watch_lost(&mut self, at: Micros) {
         if let Some(LeaseTerms { grace, .. }) = self.terms {
             self.until = self.until.min(at.saturating_add(grace));
@@ -97,7 +107,7 @@
         self.until
     }
 
-    /// Whether the lease holds: the list may be used.
+    /// Whether the lease is valid, so that the list may be used.
     pub fn holds(&self, now: Micros) -> bool {
         now < self.until
     }
@@ -106,14 +116,15 @@
 /// When a process that shuts down stops answering, and when it exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// By then every request has its final answer, and nothing is sent any more.
+    /// By this time every request has its final answer, and nothing more is sent.
     pub answer_by: Micros,
-    /// The process exits by itself by then, whatever is left.
+    /// By this time the process exits on its own, even if work is left.
     pub exit_by: Micros,
 }
 
 impl ShutdownSchedule {
-    /// For a process that begins to shut down now; `longest_deadline` is the longest of its settings.
+    /// The schedule of a process that begins to shut down now. `longest_deadline` is the longest deadline in
+    /// its settings.
     pub fn starting_at(now: Micros, longest_deadline: Micros) -> Self {
         let exit_by = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + MIN_KILL_DELAY - MAX_STALL;
         ShutdownSchedule { answer_by: exit_by - FINAL_RESPONSE_SPAN, exit_by }
@@ -125,42 +136,42 @@
 pub enum SendDenial {
     /// The request has its final answer, or its client has disconnected.
     RequestFinished,
-    /// An answer is being streamed to the client.
+    /// An answer is already being streamed to the client.
     Streaming,
-    /// As many attempts as the settings allow were made.
+    /// The request has had as many attempts as the settings allow.
     AttemptsExhausted,
-    /// The request's body was sent and is not buffered.
+    /// The request's body has been sent and is not buffered.
     BodyNotReplayable,
     /// Another process has taken over.
     HandedOver,
-    /// The process shuts down and sends nothing more.
+    /// The process is shutting down and sends nothing more.
     ShuttingDown,
     /// The lease on the server list has expired.
     LeaseExpired,
-    /// The time for the attempt, or for the request, is over.
+    /// The attempt or its request has reached its deadline.
     DeadlineExceeded,
 }
 
-/// What is known of an attempt that is about to start or to be sent.
+/// The facts about an attempt that decide whether it may start or be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
-    /// The request has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer, or its client has disconnected.
     pub request_finished: bool,
-    /// An answer is being streamed to the client.
+    /// Whether an answer is already being streamed to the client.
     pub streaming: bool,
-    /// Attempts made before this one.
+    /// The number of attempts made before this one.
     pub earlier_attempts: usize,
-    /// One of them was sent.
+    /// Whether any of them was sent.
     pub earlier_sent: bool,
-    /// As many attempts as the settings allow.
+    /// The number of attempts that the settings allow for a request.
     pub max_attempts: usize,
-    /// The request's body can be sent again.
+    /// Whether the request's body can be sent again.
     pub body_replayable: bool,
     /// When the attempt times out.
     pub cut_at: Micros,
 }
 
-/// All that limits what a process may send now.
+/// Everything that limits what a process may send now.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPermissions {
     /// The lease on the server list.
@@ -170,17 +181,18 @@
 }
 
 impl SendPermissions {
-    /// With this lease on the server list, and no shutdown in sight.
+    /// Creates permissions with this lease on the server list and without a scheduled shutdown.
     pub fn new(list: ListLease) -> Self {
         SendPermissions { list, shutdown: None, handed_over: false }
     }
 
-    /// Another process takes over from now on, or does not after all.
+    /// Sets whether another process has taken over; `false` undoes a hand-over that did not complete.
     pub fn set_handed_over(&mut self, handed_over: bool) {
         self.handed_over = handed_over;
     }
 
-    /// The process shuts down. The first schedule stands: a later one gives no more time.
+    /// Schedules the shutdown of the process and returns the schedule in force. The first schedule is kept,
+    /// so that a later one cannot give the process more time.
     pub fn begin_shutdown(&mut self, schedule: ShutdownSchedule) -> ShutdownSchedule {
         *self.shutdown.get_or_insert(schedule)
     }
@@ -190,10 +202,10 @@
         self.shutdown.map_or(deadline, |schedule| deadline.min(schedule.answer_by))
     }
 
-    /// Whether an attempt may start now.
+    /// Checks whether an attempt may start now.
     ///
     /// # Errors
-    /// The first reason that denies it.
+    /// Returns the first reason to deny it.
     pub fn may_start(&self, now: Micros, attempt: &AttemptFacts) -> Result<(), SendDenial> {
         if self.handed_over {
             return Err(SendDenial::HandedOver);
@@ -207,11 +219,11 @@
         self.may_send(now, attempt)
     }
 
-    /// Whether an attempt that was started may be sent now: what has changed since its start counts, and what
-    /// was reserved before a hand-over may still be sent.
+    /// Checks whether an attempt that was started may be sent now. Changes since its start count, except that
+    /// an attempt that was reserved before a hand-over may still be sent.
     ///
     /// # Errors
-    /// The first reason that denies it.
+    /// Returns the first reason to deny it.
     pub fn may_send(&self, now: Micros, attempt: &AttemptFacts) -> Result<(), SendDenial> {
         if attempt.request_finished {
             return Err(SendDenial::RequestFinished);
