--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::proxy::Proxy;
-use crate::servers::Server;
+use crate::servers::ServerConnection;
 use violetseam::interface::Micros;
 use violetseam_platform_protocol::config::Limits;
 
@@ -12,19 +12,19 @@
 /// been answered is likely to go on.
 const MIN_IDLE_BEFORE_EVICTION: Micros = 2_000_000;
 /// A connection that has sent no call for this span since it came up is evicted before any other.
-const MIN_SILENCE_BEFORE_EVICTION: Micros = 100_000;
+const MIN_IDLE_BEFORE_EVICTION_WITHOUT_CALL: Micros = 100_000;
 /// The most requests in flight, whatever the settings say.
-const MAX_OPEN_REQUESTS: usize = 4096;
+const MAX_REQUESTS_IN_FLIGHT: usize = 4096;
 
 /// Shares of the limits.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Budgets {
     /// Client connections.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Server connections.
-    pub servers: usize,
+    pub server_connections: usize,
     /// Requests in flight.
-    pub open_requests: usize,
+    pub requests_in_flight: usize,
     /// Bytes that requests in flight may hold.
     pub request_bytes: usize,
 }
@@ -35,12 +35,12 @@
         let available = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         // Clients hold a third of all descriptors for requests; the rest of their share is for those that
         // never send any.
-        let clients = available * 11 / 20;
+        let client_connections = available * 11 / 20;
         let request_bytes = (limits.memory_mb.clamp(8.0, 65_536.0) * 1024.0 * 1024.0 / 8.0) as usize;
         Budgets {
-            clients,
-            servers: available - clients,
-            open_requests: open_cap.min(MAX_OPEN_REQUESTS),
+            client_connections,
+            server_connections: available - client_connections,
+            requests_in_flight: open_cap.min(MAX_REQUESTS_IN_FLIGHT),
             request_bytes,
         }
     }
@@ -48,7 +48,8 @@
 
 /// Whether a connection may be closed to make room for another.
 fn is_evictable(client: &Client, now: Micros) -> bool {
-    let min_idle = if client.has_sent_call { MIN_IDLE_BEFORE_EVICTION } else { MIN_SILENCE_BEFORE_EVICTION };
+    let min_idle =
+        if client.has_sent_call { MIN_IDLE_BEFORE_EVICTION } else { MIN_IDLE_BEFORE_EVICTION_WITHOUT_CALL };
     client.is_idle() && now >= client.idle_since + min_idle
 }
 
@@ -56,7 +57,7 @@
     /// Makes room for a client: a connection that has sent no call is evicted first, then the one that has
     /// been idle longest. Whether there is room.
     pub(super) fn make_room_for_client(&mut self) -> bool {
-        if self.clients.len() < self.budgets.clients {
+        if self.clients.len() < self.budgets.client_connections {
             return true;
         }
         let now = self.now();
@@ -67,7 +68,7 @@
             .min_by_key(|(_, client)| (client.has_sent_call, client.idle_since));
         let Some((slot, client)) = candidate else { return false };
         // What lies unread on it may be a request: it is read in the next turn.
-        if client.has_unread() {
+        if client.has_unread_input() {
             return false;
         }
         self.close_client(slot);
@@ -76,16 +77,16 @@
 
     /// Makes room for a connection to a server: the idle one that has been idle longest is closed, to
     /// whichever server. Whether there is room.
-    pub(super) fn make_room_for_server(&mut self) -> bool {
-        if self.servers.len() < self.budgets.servers {
+    pub(super) fn make_room_for_server_connection(&mut self) -> bool {
+        if self.server_connections.len() < self.budgets.server_connections {
             return true;
         }
-        let idle_longest = self
-            .idle_servers
+        let longest_idle = self
+            .idle_server_connections
             .oldest_of_each()
-            .min_by_key(|slot| self.servers.get(*slot).map_or(0, Server::idle_since));
-        let Some(slot) = idle_longest else { return false };
-        self.close_server(slot);
+            .min_by_key(|slot| self.server_connections.get(*slot).map_or(0, ServerConnection::idle_since));
+        let Some(slot) = longest_idle else { return false };
+        self.close_server_connection(slot);
         true
     }
 }
--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -65,7 +65,7 @@
 
 impl PendingResponse {
     /// Whether this is the place of a request whose response has not been decided yet.
-    pub fn is_of(&self, request: RequestId) -> bool {
+    pub fn is_for(&self, request: RequestId) -> bool {
         matches!(self, PendingResponse::Request(id) if *id == request)
     }
 }
@@ -89,22 +89,22 @@
     /// No response is pending on it, and no part of a command has arrived: it may be closed without the loss
     /// of a request, provided that nothing lies unread either.
     pub fn is_idle(&self) -> bool {
-        self.is_answered() && self.input.is_empty()
+        self.is_fully_answered() && self.input.is_empty()
     }
 
     /// No response is pending on it: in the last phase of a shutdown it may be closed, also over a partial
     /// command.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_fully_answered(&self) -> bool {
         self.pending_responses.is_empty() && !self.socket.has_unwritten_bytes() && !self.is_parsing
     }
 
     /// Bytes, or the end of the connection, lie unread in the kernel.
-    pub fn has_unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         self.socket.is_stale()
     }
 
     /// No further command is taken before a response has been written.
-    pub fn is_full(&self) -> bool {
+    pub fn has_response_backlog(&self) -> bool {
         self.pending_responses.len() >= MAX_PIPELINED_COMMANDS
             || self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
@@ -121,16 +121,16 @@
     }
 
     /// Sets the events that the connection is to be woken for.
-    pub fn update_interest<D>(&self, handle: &LoopHandle<'static, D>, max_command_bytes: usize) {
+    pub fn update_interest<D>(&self, loop_handle: &LoopHandle<'static, D>, max_command_bytes: usize) {
         let wants_read = match self.state {
             // Read on while commands wait, within the bound of one command: nothing else shows that the
             // client has left.
-            ClientState::Open => !self.is_full() || self.input.len() < max_command_bytes,
+            ClientState::Open => !self.has_response_backlog() || self.input.len() < max_command_bytes,
             // Input is dropped from here on, once the write side is closed.
             ClientState::Closing | ClientState::Ended => false,
             ClientState::Lingering(_) => true,
         };
-        self.socket.set_read_interest(handle, wants_read);
+        self.socket.set_read_interest(loop_handle, wants_read);
     }
 
     /// Whether a time-out has expired: of a silent connection, a partial command, or responses that are not
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -23,12 +23,12 @@
     /// Bytes that they took.
     consumed: usize,
     /// Why the input after them cannot be parsed, if it cannot.
-    fault: Option<String>,
+    error: Option<String>,
 }
 
 /// Parses all complete commands of the input.
 fn parse_commands<'a>(input: &'a [u8], bounds: &Bounds) -> ParsedCommands<'a> {
-    let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, fault: None };
+    let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, error: None };
     loop {
         match command::parse(&input[parsed.consumed..], bounds) {
             Ok(Some(command)) => {
@@ -36,14 +36,14 @@
                 parsed.commands.push(command.arguments);
             }
             Ok(None) => return parsed,
-            Err(fault) => {
-                parsed.fault = Some(fault.to_string());
+            Err(error) => {
+                parsed.error = Some(error.to_string());
                 return parsed;
             }
         }
         if parsed.commands.len() > MAX_PIPELINED_COMMANDS {
             parsed.commands.clear();
-            parsed.fault = Some(TOO_MANY_COMMANDS.to_owned());
+            parsed.error = Some(TOO_MANY_COMMANDS.to_owned());
             return parsed;
         }
     }
@@ -53,15 +53,15 @@
     /// Takes a connection off the loop without a message to the engine.
     pub(super) fn close_client(&mut self, slot: usize) {
         if let Some(client) = self.clients.try_remove(slot) {
-            self.closed_while_pending += u64::from(!client.is_answered());
-            client.socket.remove(&self.handle);
+            self.closed_while_pending += u64::from(!client.is_fully_answered());
+            client.socket.remove(&self.loop_handle);
         }
     }
 
     /// The connection broke, or its client closed it: its requests need no response any more.
     fn disconnect_client(&mut self, slot: usize) {
         let Some(client) = self.clients.try_remove(slot) else { return };
-        client.socket.remove(&self.handle);
+        client.socket.remove(&self.loop_handle);
         let now = self.now();
         for pending in client.pending_responses {
             if let PendingResponse::Request(id) = pending {
@@ -71,7 +71,7 @@
     }
 
     /// Handles a connection's readiness.
-    pub(super) fn on_client(&mut self, slot: usize, readiness: Readiness) {
+    pub(super) fn on_client_readiness(&mut self, slot: usize, readiness: Readiness) {
         if self.clients.get(slot).is_some_and(|client| client.state == ClientState::Ended) {
             // No event is wanted in this state: the other side has ended the connection, too.
             return self.close_client(slot);
@@ -87,26 +87,26 @@
 
     /// Reads once; whether there was anything to read.
     fn read_client(&mut self, slot: usize) -> bool {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         let mut outcome = ReadOutcome::WouldBlock;
         if let Some(client) = self.clients.get_mut(slot) {
-            outcome = client.socket.read(&mut scratch);
+            outcome = client.socket.read(&mut read_buffer);
             match (outcome, client.state) {
-                (ReadOutcome::Bytes(n), ClientState::Open) => {
-                    client.input.extend_from_slice(&scratch[..n]);
+                (ReadOutcome::Bytes(length), ClientState::Open) => {
+                    client.input.extend_from_slice(&read_buffer[..length]);
                     self.handle_input(slot);
                 }
-                (ReadOutcome::Bytes(n), ClientState::Lingering(dropped))
-                    if dropped + n < MAX_LINGER_BYTES =>
+                (ReadOutcome::Bytes(length), ClientState::Lingering(dropped))
+                    if dropped + length < MAX_LINGER_BYTES =>
                 {
-                    client.state = ClientState::Lingering(dropped + n);
+                    client.state = ClientState::Lingering(dropped + length);
                 }
                 (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(slot),
                 (ReadOutcome::Bytes(_) | ReadOutcome::WouldBlock, _) => {}
                 (ReadOutcome::Closed | ReadOutcome::Failed, _) => self.disconnect_client(slot),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
         self.update_client_interest(slot);
         outcome != ReadOutcome::WouldBlock
     }
@@ -115,18 +115,18 @@
     /// must be answered: of a burst that is too long none is accepted.
     fn handle_input(&mut self, slot: usize) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        client.is_backpressured = client.is_full();
+        client.is_backpressured = client.has_response_backlog();
         if client.is_backpressured {
             return;
         }
         let input = std::mem::take(&mut client.input);
         client.is_parsing = true;
-        let ParsedCommands { commands, consumed, fault } = parse_commands(&input, &self.bounds);
-        for words in commands {
-            self.handle_command(slot, &words);
+        let ParsedCommands { commands, consumed, error } = parse_commands(&input, &self.bounds);
+        for arguments in commands {
+            self.handle_command(slot, &arguments);
         }
-        if let Some(reason) = fault
-            && self.is_open(slot)
+        if let Some(reason) = error
+            && self.is_client_open(slot)
         {
             self.reject_malformed(slot, &reason);
         }
@@ -141,28 +141,28 @@
         self.flush_client(slot);
     }
 
-    fn is_open(&self, slot: usize) -> bool {
+    fn is_client_open(&self, slot: usize) -> bool {
         self.clients.get(slot).is_some_and(|client| client.state == ClientState::Open)
     }
 
-    fn handle_command(&mut self, slot: usize, words: &[&[u8]]) {
-        if !self.is_open(slot) {
+    fn handle_command(&mut self, slot: usize, arguments: &[&[u8]]) {
+        if !self.is_client_open(slot) {
             return;
         }
         if self.clients[slot].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
             return self.reject_malformed(slot, TOO_MANY_COMMANDS);
         }
-        match call::parse(words, &self.config.instance) {
-            Ok(Command::Ping) if self.is_ready() => self.respond_at_once(slot, b"+PONG\r\n"),
-            Ok(Command::Ping) => self.respond_at_once(slot, b"-LOADING no server list yet\r\n"),
-            Ok(Command::Handshake) => self.respond_at_once(slot, b"+OK\r\n"),
+        match call::parse(arguments, &self.config.instance) {
+            Ok(Command::Ping) if self.is_ready() => self.respond_immediately(slot, b"+PONG\r\n"),
+            Ok(Command::Ping) => self.respond_immediately(slot, b"-LOADING no server list yet\r\n"),
+            Ok(Command::Handshake) => self.respond_immediately(slot, b"+OK\r\n"),
             Ok(Command::Call(call)) => self.admit_call(slot, *call),
             Err(error) => self.reject_malformed(slot, &error.to_string()),
         }
     }
 
     /// Responds to a command that needs no decision.
-    pub(super) fn respond_at_once(&mut self, slot: usize, bytes: &[u8]) {
+    pub(super) fn respond_immediately(&mut self, slot: usize, bytes: &[u8]) {
         if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Ready(bytes.to_vec()));
         }
@@ -197,9 +197,9 @@
             client.socket.close_write();
             client.state = ClientState::Lingering(0);
         }
-        let may_end = self.shutdown_phase.may_end(client);
-        let may_continue = client.is_backpressured && !client.is_full();
-        if client.state == ClientState::Open && (may_end || may_continue) {
+        let allows_closing = self.shutdown_phase.allows_closing(client);
+        let may_resume = client.is_backpressured && !client.has_response_backlog();
+        if client.state == ClientState::Open && (allows_closing || may_resume) {
             self.clients_to_revisit.push(ConnectionId { slot, generation: client.generation });
         }
     }
@@ -217,7 +217,7 @@
     fn revisit_client(&mut self, connection: ConnectionId) {
         let slot = connection.slot;
         let Some(client) = self.open_client(connection) else { return };
-        if client.is_backpressured && !client.is_full() {
+        if client.is_backpressured && !client.has_response_backlog() {
             self.handle_input(slot);
             self.update_client_interest(slot);
         }
@@ -226,7 +226,7 @@
         let now = self.now();
         let shutdown_phase = self.shutdown_phase;
         let Some(client) = self.open_client(connection) else { return };
-        if !shutdown_phase.may_end(client) {
+        if !shutdown_phase.allows_closing(client) {
             return;
         }
         if any_read {
@@ -249,7 +249,7 @@
     /// Sets the events that a connection is to be woken for.
     pub(super) fn update_client_interest(&mut self, slot: usize) {
         if let Some(client) = self.clients.get(slot) {
-            client.update_interest(&self.handle, self.bounds.max_message_bytes);
+            client.update_interest(&self.loop_handle, self.bounds.max_message_bytes);
         }
     }
 
--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -22,9 +22,9 @@
     parse_config(file, retry_transient_errors("configuration", || std::fs::read(file)))
 }
 
-fn parse_config(file: &Path, text: std::io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
-    let text = text.map_err(|source| ConfigError::Read { file: file.into(), source })?;
-    Config::parse(&text).map_err(|source| ConfigError::Parse { file: file.into(), source })
+fn parse_config(file: &Path, content: std::io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
+    let content = content.map_err(|source| ConfigError::Read { file: file.into(), source })?;
+    Config::parse(&content).map_err(|source| ConfigError::Parse { file: file.into(), source })
 }
 
 impl Proxy {
@@ -53,7 +53,7 @@
             Ok(config) => {
                 tracing::info!(discovery = %config.discovery, pipeline = %config.pipeline, "reload");
                 self.move_discovery(config.discovery);
-                self.move_pipeline(config.pipeline);
+                self.move_release_service(config.pipeline);
             }
         }
         self.run_engine_actions();
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -3,7 +3,7 @@
 use super::exchange::{ListEvidence, Query, QueryFailure};
 use super::timing::{
     EMPTY_LIST_RETRY_INTERVAL, LEASE_RENEWAL_MARGIN, MAX_BACKOFF_DOUBLINGS, MIN_WATCH_DURATION,
-    PUSHED_RETRY_INTERVAL, RETRY_TENTHS, WATCH_RETRY_INTERVAL,
+    PUSHED_RETRY_INTERVAL, RETRY_INTERVAL_TENTHS, WATCH_RETRY_INTERVAL,
 };
 use crate::proxy::Proxy;
 use calloop::Readiness;
@@ -14,13 +14,13 @@
 
 impl Proxy {
     /// Handles the connection's readiness.
-    pub(super) fn on_discovery(&mut self, generation: u64, readiness: Readiness) {
+    pub(super) fn on_discovery_readiness(&mut self, generation: u64, readiness: Readiness) {
         let Some(exchange) = self.discovery.exchange(generation) else { return };
         if readiness.writable {
             if let Err(failure) = exchange.flush_query() {
                 return self.fail_query(generation, failure);
             }
-            exchange.socket.set_read_interest(&self.handle, true);
+            exchange.socket.set_read_interest(&self.loop_handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_discovery(generation);
@@ -29,11 +29,11 @@
     }
 
     fn read_discovery(&mut self, generation: u64) {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         if let Some(exchange) = self.discovery.exchange(generation) {
-            match exchange.socket.read(&mut scratch) {
+            match exchange.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(length) => {
-                    exchange.http.feed(&scratch[..length]);
+                    exchange.http.feed(&read_buffer[..length]);
                     self.handle_discovery_events(generation);
                 }
                 ReadOutcome::WouldBlock => {}
@@ -44,7 +44,7 @@
                 ReadOutcome::Failed => self.fail_query(generation, QueryFailure::Reset),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     fn handle_discovery_events(&mut self, generation: u64) {
@@ -59,8 +59,8 @@
                     }
                 }
                 Some(ClientEvent::End { reusable }) => return self.finish_exchange(generation, reusable),
-                Some(ClientEvent::Error(fault)) => {
-                    return self.fail_query(generation, QueryFailure::InvalidHttp(fault.reason()));
+                Some(ClientEvent::Error(error)) => {
+                    return self.fail_query(generation, QueryFailure::InvalidHttp(error.reason()));
                 }
             }
         }
@@ -69,7 +69,7 @@
     /// Handles a complete answer and goes on with the next query, on the same connection if it may be used
     /// again.
     fn finish_exchange(&mut self, generation: u64, is_reusable: bool) {
-        if let Err(failure) = self.handle_discovery_answer(generation) {
+        if let Err(failure) = self.handle_discovery_response(generation) {
             return self.fail_query(generation, failure);
         }
         // The engine may have started another query meanwhile.
@@ -85,38 +85,38 @@
     }
 
     /// Reads a complete answer and passes its list to the engine.
-    fn handle_discovery_answer(&mut self, generation: u64) -> Result<(), QueryFailure> {
+    fn handle_discovery_response(&mut self, generation: u64) -> Result<(), QueryFailure> {
         let now = self.now();
         let Some(exchange) = self.discovery.exchange(generation) else { return Ok(()) };
-        if !exchange.is_accepted() {
+        if !exchange.has_ok_status() {
             return Err(QueryFailure::Declined);
         }
         let body = std::mem::take(&mut exchange.body);
-        let began_at = exchange.began_at;
+        let started_at = exchange.started_at;
         let query = exchange.query;
         let list = ListUpdate::parse(&body)?;
-        if let Query::ChangesSince(held_version) = query {
-            self.check_changes(&list, held_version, now.saturating_sub(began_at))?;
+        if let Query::ChangesSince(local_version) = query {
+            self.check_delta(&list, local_version, now.saturating_sub(started_at))?;
         }
         self.apply_list(&list, query, now)
     }
 
-    /// Checks that an answer to a watch fits the version held. `waited` is how long the service took.
-    fn check_changes(
+    /// Checks that an answer to a watch fits the version held. `response_time` is how long the service took.
+    fn check_delta(
         &mut self,
         list: &ListUpdate,
-        held_version: u64,
-        waited: Micros,
+        local_version: u64,
+        response_time: Micros,
     ) -> Result<(), QueryFailure> {
-        if list.revision < held_version {
+        if list.revision < local_version {
             // Whatever the watch waited for, the service's version is below the one held: it counts anew.
             self.server_list.forget_version();
             if !list.complete {
                 return Err(QueryFailure::VersionReset);
             }
         }
-        let has_changes = list.revision > held_version || !list.members.is_empty();
-        if !list.complete && !has_changes && waited < MIN_WATCH_DURATION {
+        let has_changes = list.revision > local_version || !list.members.is_empty();
+        if !list.complete && !has_changes && response_time < MIN_WATCH_DURATION {
             return Err(QueryFailure::EmptyWatch);
         }
         Ok(())
@@ -125,10 +125,10 @@
     /// Applies a list to the one held, renews the lease and passes the entries to the engine.
     fn apply_list(&mut self, list: &ListUpdate, query: Query, now: Micros) -> Result<(), QueryFailure> {
         let version = list.revision;
-        let is_outdated = self.server_list.version().is_some_and(|held_version| version < held_version);
+        let is_outdated = self.server_list.version().is_some_and(|local_version| version < local_version);
         let applied = self.server_list.apply(list)?;
         tracing::debug!(version, lines = applied.entries.len(), kind = ?applied.kind, ?query, "server list");
-        self.discovery.is_confirmed = true;
+        self.discovery.address_has_answered = true;
         self.discovery.failures = 0;
         if !is_outdated {
             self.confirm_list(now, self.previous_poll_at);
@@ -136,14 +136,14 @@
         if list.complete {
             self.discovery.verify_at = None;
         }
-        self.servers_changed(&applied.changed);
+        self.close_idle_connections_to(&applied.changed);
         self.engine.on_server_list(now, applied.kind, &applied.entries);
         self.run_engine_actions();
         Ok(())
     }
 
     /// Ends a query that has no complete answer in time.
-    pub(crate) fn discovery_timeout(&mut self, generation: u64) {
+    pub(crate) fn on_discovery_timeout(&mut self, generation: u64) {
         let now = self.now();
         if self.discovery.exchange(generation).is_some_and(|exchange| now >= exchange.timeout_at) {
             self.fail_query(generation, QueryFailure::TimedOut);
@@ -159,17 +159,17 @@
         let now = self.now();
         tracing::debug!(
             query = ?exchange.query,
-            after_us = now - exchange.began_at,
+            after_us = now - exchange.started_at,
             status = exchange.status,
             renewed = exchange.is_renewal,
             %failure,
             "list call failed"
         );
-        exchange.socket.remove(&self.handle);
+        exchange.socket.remove(&self.loop_handle);
         match exchange.list_evidence(&failure) {
             ListEvidence::WatchAlive => self.confirm_list(now, self.previous_poll_at),
             ListEvidence::ServiceDown => {
-                self.engine.update_list_lease(now, |lease| lease.discovery_down(exchange.began_at));
+                self.engine.update_list_lease(now, |lease| lease.discovery_down(exchange.started_at));
             }
             ListEvidence::PartialList => {
                 self.engine.update_list_lease(now, |lease| lease.notification_missed(now));
@@ -181,13 +181,13 @@
                 self.retry_query_after(&failure, WATCH_RETRY_INTERVAL);
             }
             QueryFailure::EmptyWatch => self.retry_query(&failure),
-            _ if exchange.is_accepted() => self.retry_query_after(&failure, WATCH_RETRY_INTERVAL),
+            _ if exchange.has_ok_status() => self.retry_query_after(&failure, WATCH_RETRY_INTERVAL),
             _ => self.retry_query(&failure),
         }
     }
 
     /// The last moment at which a query may still be answered before the lease on the list ends.
-    fn lease_renewal_at(&mut self, now: Micros) -> Option<Micros> {
+    fn latest_query_at(&mut self, now: Micros) -> Option<Micros> {
         let margin = self.with_jitter(LEASE_RENEWAL_MARGIN / 2) + LEASE_RENEWAL_MARGIN / 2;
         let at = self.engine.permissions().list.until().saturating_sub(margin);
         (at > now + EMPTY_LIST_RETRY_INTERVAL).then_some(at)
@@ -195,10 +195,10 @@
 
     /// Renews the lease: the list was current at the moment `at`.
     fn confirm_list(&mut self, now: Micros, at: Micros) {
-        let held_before = self.engine.permissions().list.holds(now);
+        let was_usable = self.engine.permissions().list.holds(now);
         self.engine.update_list_lease(now, |lease| lease.confirm(at));
-        let holds = self.engine.permissions().list.holds(now);
-        if holds && !held_before {
+        let is_usable = self.engine.permissions().list.holds(now);
+        if is_usable && !was_usable {
             tracing::info!(version = self.server_list.version(), "the server list may be used");
         }
     }
@@ -210,13 +210,13 @@
     }
 
     fn retry_interval(&mut self, failure: &QueryFailure) -> Micros {
-        if self.discovery.pushed {
+        if self.discovery.lists_are_pushed {
             return PUSHED_RETRY_INTERVAL;
         }
         if self.server_list.is_empty() {
             return EMPTY_LIST_RETRY_INTERVAL;
         }
-        let interval = self.discovery.tenths(RETRY_TENTHS);
+        let interval = self.discovery.poll_interval_tenths(RETRY_INTERVAL_TENTHS);
         // A refused connection costs the service nothing.
         if matches!(failure, QueryFailure::ConnectionRefused) {
             return interval;
@@ -232,11 +232,11 @@
             tracing::warn!("discovery: {failure}");
         }
         let now = self.now();
-        if self.discovery.pushed {
+        if self.discovery.lists_are_pushed {
             self.engine.update_list_lease(now, |lease| lease.watch_lost(now));
         }
-        let drawn = now + self.with_jitter(span);
-        let at = self.lease_renewal_at(now).map_or(drawn, |latest| drawn.min(latest));
+        let jittered_at = now + self.with_jitter(span);
+        let at = self.latest_query_at(now).map_or(jittered_at, |latest| jittered_at.min(latest));
         self.schedule_query(at);
     }
 }
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -31,7 +31,7 @@
     pub status: Option<u16>,
     /// When it times out; timers of earlier exchanges on the connection may still fire.
     pub timeout_at: Micros,
-    pub began_at: Micros,
+    pub started_at: Micros,
     /// The connection is up.
     pub is_connected: bool,
     /// It is a watch that directly follows an answer on the same connection, so that no change is missed.
@@ -103,7 +103,7 @@
             body: Vec::new(),
             status: None,
             timeout_at: 0,
-            began_at: 0,
+            started_at: 0,
             is_connected: false,
             is_renewal: false,
             query,
@@ -111,7 +111,7 @@
     }
 
     /// Whether the answer's status promises a list.
-    pub fn is_accepted(&self) -> bool {
+    pub fn has_ok_status(&self) -> bool {
         self.status == Some(STATUS_OK)
     }
 
@@ -139,7 +139,7 @@
             // A query that is declined or reset, even at once, may have met a service that is up but
             // overloaded.
             QueryFailure::ConnectionRefused => ListEvidence::ServiceDown,
-            _ if self.is_accepted() => ListEvidence::PartialList,
+            _ if self.has_ok_status() => ListEvidence::PartialList,
             _ => ListEvidence::None,
         }
     }
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -24,8 +24,8 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 use timing::{
-    MAX_FIRST_WATCH_WAIT, MAX_SILENCE, MIN_SILENCE, MOVE_SPREAD_TENTHS, QUERY_TIMEOUT, RENEWED_WATCH_GRACE,
-    START_SPREAD_TENTHS, VERIFY_FROM_TENTHS, VERIFY_UNTIL_TENTHS, WATCH_WAIT_TENTHS,
+    MAX_FIRST_WATCH_WAIT, MAX_POLL_INTERVAL, MIN_POLL_INTERVAL, MOVE_SPREAD_TENTHS, QUERY_TIMEOUT,
+    RENEWED_WATCH_GRACE, START_SPREAD_TENTHS, VERIFY_FROM_TENTHS, VERIFY_UNTIL_TENTHS, WATCH_WAIT_TENTHS,
 };
 use violetseam::interface::Micros;
 use violetseam_event_io::{Socket, connect};
@@ -35,15 +35,15 @@
 pub(super) struct Discovery {
     address: SocketAddr,
     /// How long the settings let a proxy go without an answer, within bounds.
-    silence: Micros,
+    poll_interval: Micros,
     /// The service pushes lists: it takes them as received from a process's first moment on.
-    pushed: bool,
+    lists_are_pushed: bool,
     /// From then on the process reports that it is ready, even without a list that may be used.
-    pub ready_by: Micros,
+    pub report_ready_at: Micros,
     /// The process has reported that it is ready.
-    is_ready: bool,
+    has_been_ready: bool,
     /// The service at this address has answered.
-    is_confirmed: bool,
+    address_has_answered: bool,
     /// Queries that failed since the last list.
     failures: u32,
     /// The exchange in progress.
@@ -59,14 +59,14 @@
 impl Discovery {
     /// Discovery at this address, before the first query. `poll_interval_max` is how long the settings let a
     /// proxy go without an answer.
-    pub fn new(address: SocketAddr, pushed: bool, poll_interval_max: Micros) -> Self {
+    pub fn new(address: SocketAddr, lists_are_pushed: bool, poll_interval_max: Micros) -> Self {
         Discovery {
             address,
-            silence: poll_interval_max.clamp(MIN_SILENCE, MAX_SILENCE),
-            pushed,
-            ready_by: 0,
-            is_ready: false,
-            is_confirmed: false,
+            poll_interval: poll_interval_max.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL),
+            lists_are_pushed,
+            report_ready_at: 0,
+            has_been_ready: false,
+            address_has_answered: false,
             failures: 0,
             exchange: None,
             next_query_at: None,
@@ -76,13 +76,13 @@
     }
 
     /// Whether lists are pushed.
-    pub fn is_pushed(&self) -> bool {
-        self.pushed
+    pub fn lists_are_pushed(&self) -> bool {
+        self.lists_are_pushed
     }
 
     /// This many tenths of the longest time without an answer.
-    fn tenths(&self, tenths: Micros) -> Micros {
-        self.silence / 10 * tenths
+    fn poll_interval_tenths(&self, tenths: Micros) -> Micros {
+        self.poll_interval / 10 * tenths
     }
 
     /// A query for the full list is in progress.
@@ -103,17 +103,17 @@
         if self.discovery.next_query_at.is_some() || self.discovery.is_fetching() {
             return;
         }
-        if self.discovery.is_started || self.discovery.pushed || self.server_list.is_empty() {
+        if self.discovery.is_started || self.discovery.lists_are_pushed || self.server_list.is_empty() {
             return self.start_query(None);
         }
         self.discovery.is_started = true;
-        self.schedule_query_within(self.discovery.tenths(START_SPREAD_TENTHS));
+        self.schedule_query_within(self.discovery.poll_interval_tenths(START_SPREAD_TENTHS));
     }
 
     /// Draws when the full list is fetched once more.
     fn schedule_verification(&mut self) {
-        let from = self.discovery.tenths(VERIFY_FROM_TENTHS);
-        let until = self.discovery.tenths(VERIFY_UNTIL_TENTHS);
+        let from = self.discovery.poll_interval_tenths(VERIFY_FROM_TENTHS);
+        let until = self.discovery.poll_interval_tenths(VERIFY_UNTIL_TENTHS);
         self.discovery.verify_at = Some(self.now() + self.rng.random_range(from..until));
     }
 
@@ -141,7 +141,7 @@
     fn start_query(&mut self, connection: Option<Exchange>) {
         self.discovery.next_query_at = None;
         self.abandon_query();
-        let query = self.next_query();
+        let query = self.choose_query();
         match self.send_query(query, connection) {
             Some(exchange) => self.discovery.exchange = Some(exchange),
             None => self.retry_query(&QueryFailure::NotStarted),
@@ -151,21 +151,21 @@
     /// Closes the exchange in progress.
     fn abandon_query(&mut self) {
         if let Some(exchange) = self.discovery.exchange.take() {
-            exchange.socket.remove(&self.handle);
+            exchange.socket.remove(&self.loop_handle);
         }
     }
 
     /// What the next query asks for.
-    fn next_query(&mut self) -> Query {
-        let verifies = self.discovery.verify_at.is_some_and(|at| at <= self.now());
-        if verifies {
+    fn choose_query(&mut self) -> Query {
+        let is_verification = self.discovery.verify_at.is_some_and(|at| at <= self.now());
+        if is_verification {
             self.schedule_verification();
         }
         // Where lists are pushed no query costs the service anything, and the first one shows whether the
         // process is ready.
-        let fetches_first = self.discovery.pushed && !self.discovery.is_confirmed;
+        let is_first_push_query = self.discovery.lists_are_pushed && !self.discovery.address_has_answered;
         match self.server_list.version() {
-            Some(version) if !fetches_first && !verifies => Query::ChangesSince(version),
+            Some(version) if !is_first_push_query && !is_verification => Query::ChangesSince(version),
             _ => Query::FullList,
         }
     }
@@ -178,15 +178,15 @@
             return;
         }
         self.discovery.address = address;
-        self.discovery.is_confirmed = false;
+        self.discovery.address_has_answered = false;
         self.abandon_query();
         let now = self.now();
         self.engine.update_list_lease(now, |lease| lease.discovery_moved(now));
         self.schedule_verification();
-        if self.discovery.pushed {
+        if self.discovery.lists_are_pushed {
             self.start_query(None);
         } else {
-            self.schedule_query_within(self.discovery.tenths(MOVE_SPREAD_TENTHS));
+            self.schedule_query_within(self.discovery.poll_interval_tenths(MOVE_SPREAD_TENTHS));
         }
     }
 
@@ -212,11 +212,11 @@
         exchange.socket.write_buffer().extend_from_slice(head.as_bytes());
         exchange.http.expect_response(false);
         exchange.status = None;
-        exchange.socket.set_connect_interest(&self.handle);
-        exchange.began_at = self.now();
+        exchange.socket.set_connect_interest(&self.loop_handle);
+        exchange.started_at = self.now();
         exchange.query = query;
         exchange.is_renewal = is_reused && query != Query::FullList;
-        exchange.timeout_at = exchange.began_at + timeout;
+        exchange.timeout_at = exchange.started_at + timeout;
         self.timers.set(exchange.timeout_at, TimerKind::DiscoveryTimeout(exchange.generation));
         Some(exchange)
     }
@@ -224,18 +224,18 @@
     /// How long the next watch waits at the service: drawn, so that watches that were all answered by one
     /// change drift apart again.
     fn draw_watch_wait(&mut self) -> Micros {
-        let max_wait = self.discovery.tenths(WATCH_WAIT_TENTHS);
+        let max_wait = self.discovery.poll_interval_tenths(WATCH_WAIT_TENTHS);
         let wait = self.rng.random_range(max_wait / 4 * 3..=max_wait);
-        if self.discovery.is_confirmed { wait } else { wait.min(MAX_FIRST_WATCH_WAIT) }
+        if self.discovery.address_has_answered { wait } else { wait.min(MAX_FIRST_WATCH_WAIT) }
     }
 
     /// Begins a connection for an exchange.
     fn open_exchange(&mut self, generation: u64, address: SocketAddr, query: Query) -> Option<Exchange> {
         let stream = connect(address).ok()?;
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| {
-            proxy.on_discovery(generation, readiness);
+            proxy.on_discovery_readiness(generation, readiness);
         };
-        let socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
+        let socket = Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready).ok()?;
         Some(Exchange::new(generation, socket, query))
     }
 
@@ -244,9 +244,9 @@
         let now = self.now();
         let may_use_list = self.engine.permissions().list.holds(now);
         let has_servers = !self.server_list.is_empty();
-        if has_servers && (may_use_list || now >= self.discovery.ready_by) {
-            self.discovery.is_ready = true;
+        if has_servers && (may_use_list || now >= self.discovery.report_ready_at) {
+            self.discovery.has_been_ready = true;
         }
-        self.discovery.is_ready
+        self.discovery.has_been_ready
     }
 }
--- a/crates/platform-proxy/src/discovery/timing.rs
+++ b/crates/platform-proxy/src/discovery/timing.rs
@@ -1,12 +1,12 @@
 //! The time-outs and intervals of discovery. Several are counted in tenths of the longest time that the
-//! settings let a proxy go without an answer, within [`MIN_SILENCE`] and [`MAX_SILENCE`].
+//! settings let a proxy go without an answer, within [`MIN_POLL_INTERVAL`] and [`MAX_POLL_INTERVAL`].
 
 use violetseam::interface::Micros;
 
 /// The shortest time without an answer that the intervals below are counted from.
-pub(super) const MIN_SILENCE: Micros = 500_000;
+pub(super) const MIN_POLL_INTERVAL: Micros = 500_000;
 /// The longest time without an answer that the intervals below are counted from.
-pub(super) const MAX_SILENCE: Micros = 10_000_000;
+pub(super) const MAX_POLL_INTERVAL: Micros = 10_000_000;
 /// A watch waits at the service for up to this many tenths; the engine asks again after seven tenths. What a
 /// watch misses that has fallen silent counts as received 2 s after its wait is over or 6 s after it fell
 /// silent: 4 s of waiting give both.
@@ -18,7 +18,7 @@
 /// ... the first one at another address within this many ...
 pub(super) const MOVE_SPREAD_TENTHS: Micros = 2;
 /// ... and one after a failure after about this many (half to one and a half times).
-pub(super) const RETRY_TENTHS: Micros = 3;
+pub(super) const RETRY_INTERVAL_TENTHS: Micros = 3;
 /// Discovery is one service with one sequence of versions, so that after a move of its address the version
 /// held stays valid. Should a service behind another address count otherwise, the list would stay wrong: the
 /// full list is fetched once more, at a time drawn between this many tenths ...
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -68,12 +68,12 @@
         self.run_engine_actions();
         while let Some(timer) = self.timers.pop(polled_at) {
             match timer {
-                TimerKind::ConnectTimeout(connection) => self.connect_timeout(connection),
-                TimerKind::DiscoveryTimeout(generation) => self.discovery_timeout(generation),
+                TimerKind::ConnectTimeout(connection) => self.on_connect_timeout(connection),
+                TimerKind::DiscoveryTimeout(generation) => self.on_discovery_timeout(generation),
                 TimerKind::DiscoveryRetry => self.start_scheduled_query(),
                 TimerKind::ReleaseWatchSilence(generation) => self.check_release_watch(generation),
                 TimerKind::ReleaseWatchRetry => self.open_release_watch(),
-                TimerKind::VoteTimeout(connection) => self.vote_timeout(connection),
+                TimerKind::VoteTimeout(connection) => self.on_vote_timeout(connection),
                 TimerKind::ResumeAccepting => self.resume_accepting(),
                 TimerKind::RetryReload { generation, attempts_left } => {
                     self.retry_reload(generation, attempts_left);
@@ -87,7 +87,7 @@
         }
         self.revisit_clients();
         if self.is_drained() {
-            self.stopping = true;
+            self.should_stop = true;
         }
     }
 
@@ -110,7 +110,7 @@
                 self.start_attempt(request, attempt, server);
             }
             EngineAction::CloseAttempt { request, attempt } => self.cancel_attempt(request, attempt),
-            EngineAction::Respond { request, response } => self.send_own_response(request, response),
+            EngineAction::Respond { request, response } => self.send_local_response(request, response),
             EngineAction::Forget { request } => self.forget_request(request),
             EngineAction::WatchServerList | EngineAction::FetchServerList => self.poll_server_list(),
             EngineAction::Vote { build, stage, verdict } => self.cast_vote(build, stage, verdict),
@@ -124,6 +124,6 @@
     fn run_maintenance(&mut self, now: Micros) {
         self.timers.set(now + MAINTENANCE_INTERVAL, TimerKind::Maintenance);
         self.close_timed_out_clients(now);
-        self.close_idle_servers(now);
+        self.close_idle_server_connections(now);
     }
 }
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -60,10 +60,10 @@
             .map_err(ServeError::EventLoop)?;
     register_signals(&event_loop).map_err(ServeError::Signals)?;
     let mut proxy = Proxy::new(config, config_file, event_loop.handle());
-    retry_transient_errors("peers' address", || proxy.bind_peers()).map_err(ServeError::BindPeers)?;
+    retry_transient_errors("peers' address", || proxy.bind_gossip_socket()).map_err(ServeError::BindPeers)?;
     // The first events come before the first client: no request is accepted before the server list and the
     // release status are known.
-    proxy.begin();
+    proxy.start();
     retry_transient_errors("clients' address", || proxy.listen()).map_err(ServeError::Listen)?;
     run(&mut event_loop, &mut proxy)?;
     let summary =
@@ -91,7 +91,7 @@
 
 /// Polls and runs what is due until the proxy stops.
 fn run(event_loop: &mut EventLoop<'static, Proxy>, proxy: &mut Proxy) -> Result<(), ServeError> {
-    while !proxy.stopping {
+    while !proxy.should_stop {
         let timeout = proxy.poll_timeout();
         proxy.sockets_were_ready = false;
         let before = proxy.now();
--- a/crates/platform-proxy/src/listener.rs
+++ b/crates/platform-proxy/src/listener.rs
@@ -27,8 +27,8 @@
     pub(super) fn listen(&mut self) -> std::io::Result<()> {
         let socket = listen(self.config.listen, LISTEN_BACKLOG)?;
         let on_ready = |socket: &TcpListener, proxy: &mut Proxy| proxy.accept_clients(socket);
-        let listener = Listener::register(&self.handle, socket, on_ready)?;
-        self.listener = Some(ClientListener { listener, is_accepting: true });
+        let listener = Listener::register(&self.loop_handle, socket, on_ready)?;
+        self.client_listener = Some(ClientListener { listener, is_accepting: true });
         Ok(())
     }
 
@@ -65,36 +65,36 @@
     }
 
     fn pause_accepting(&mut self) {
-        if let Some(open) = &mut self.listener
-            && std::mem::replace(&mut open.is_accepting, false)
+        if let Some(client_listener) = &mut self.client_listener
+            && std::mem::replace(&mut client_listener.is_accepting, false)
         {
-            open.listener.set_accepting(&self.handle, false);
+            client_listener.listener.set_accepting(&self.loop_handle, false);
             self.timers.set(self.now() + ACCEPT_PAUSE, TimerKind::ResumeAccepting);
         }
     }
 
     /// Ends a pause.
     pub(super) fn resume_accepting(&mut self) {
-        let Some(open) = &mut self.listener else { return };
-        open.listener.set_accepting(&self.handle, true);
-        open.is_accepting = true;
+        let Some(client_listener) = &mut self.client_listener else { return };
+        client_listener.listener.set_accepting(&self.loop_handle, true);
+        client_listener.is_accepting = true;
         if self.is_draining() {
-            self.accept_queued();
+            self.accept_queued_connections();
         }
     }
 
     /// In a shutdown: accepts the connections that wait in the kernel's queue, and stops listening once that
     /// is empty. A connection left in the queue would be neither served nor free to go elsewhere.
-    pub(super) fn accept_queued(&mut self) {
-        if let Some(open) = &self.listener {
-            let socket = open.listener.socket().clone();
+    pub(super) fn accept_queued_connections(&mut self) {
+        if let Some(client_listener) = &self.client_listener {
+            let socket = client_listener.listener.socket().clone();
             self.accept_clients(&socket);
         }
     }
 
     fn stop_listening(&mut self) {
-        if let Some(open) = self.listener.take() {
-            open.listener.remove(&self.handle);
+        if let Some(client_listener) = self.client_listener.take() {
+            client_listener.listener.remove(&self.loop_handle);
         }
     }
 
@@ -105,8 +105,9 @@
         let now = self.now();
         let entry = self.clients.vacant_entry();
         let slot = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(slot, readiness);
-        let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
+        let on_ready =
+            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client_readiness(slot, readiness);
+        let socket = Socket::register(&self.loop_handle, stream, Interest::READ, on_ready)?;
         entry.insert(Client::new(socket, generation, now));
         Ok(())
     }
--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -13,7 +13,7 @@
 
 impl Proxy {
     /// Binds the socket for gossip, where the settings allow gossip and the configuration has an address.
-    pub(super) fn bind_peers(&mut self) -> std::io::Result<()> {
+    pub(super) fn bind_gossip_socket(&mut self) -> std::io::Result<()> {
         if !self.config.instance.decisions.limits.gossip {
             return Ok(());
         }
@@ -23,16 +23,16 @@
         let socket = Rc::new(socket);
         self.gossip_socket = Some(socket.clone());
         let source = Generic::new(socket, Interest::READ, Mode::Level);
-        self.handle
+        self.loop_handle
             .insert_source(source, |_, socket, proxy: &mut Proxy| {
-                proxy.on_datagrams(socket);
+                proxy.receive_datagrams(socket);
                 Ok(PostAction::Continue)
             })
             .map(|_token| ())
             .map_err(|e| std::io::Error::other(e.to_string()))
     }
 
-    fn on_datagrams(&mut self, socket: &UdpSocket) {
+    fn receive_datagrams(&mut self, socket: &UdpSocket) {
         let mut bytes = [0; MAX_PAYLOAD_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, sender)) = socket.recv_from(&mut bytes) else { return };
@@ -47,7 +47,7 @@
     }
 
     /// Sends a message to one peer, or to all of them.
-    pub(super) fn gossip_to_peers(&mut self, to: Option<usize>, payload: &[u8]) {
+    pub(super) fn gossip_to_peers(&mut self, recipient: Option<usize>, payload: &[u8]) {
         let Some(socket) = &self.gossip_socket else { return };
         if payload.len() > MAX_PAYLOAD_BYTES {
             tracing::error!(bytes = payload.len(), "a message to peers is too long and was not sent");
@@ -55,13 +55,13 @@
         }
         // A datagram that cannot be sent is like one that the network lost: counters only grow, so that the
         // next message makes up for it.
-        if let (None, Some(all)) = (to, self.config.peers_all) {
-            let _ = socket.send_to(payload, all);
+        if let (None, Some(all_peers)) = (recipient, self.config.peers_all) {
+            let _ = socket.send_to(payload, all_peers);
             return;
         }
         let own_position = self.config.instance.decisions.position;
         for (position, address) in self.config.peers.iter().enumerate() {
-            let is_recipient = to.is_none_or(|to| to == position);
+            let is_recipient = recipient.is_none_or(|recipient| recipient == position);
             if position != own_position && is_recipient {
                 let _ = socket.send_to(payload, address);
             }
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -5,9 +5,9 @@
 use crate::discovery::{self, Discovery};
 use crate::event_loop::{ConnectionId, MAINTENANCE_INTERVAL, TimerKind};
 use crate::listener::ClientListener;
-use crate::release_watch::Pipeline;
+use crate::release_watch::ReleaseService;
 use crate::requests::InFlightRequest;
-use crate::servers::Server;
+use crate::servers::ServerConnection;
 use crate::shutdown::ShutdownPhase;
 use calloop::LoopHandle;
 use rand::{RngExt, SeedableRng};
@@ -39,31 +39,31 @@
     /// Read again at SIGHUP.
     pub config_file: PathBuf,
     pub engine: Engine,
-    pub handle: LoopHandle<'static, Proxy>,
-    started: Instant,
+    pub loop_handle: LoopHandle<'static, Proxy>,
+    started_at: Instant,
     /// Unix time at the start: the loop's clock counts on from there, so that the platform's times are times
     /// of this clock, whatever becomes of the machine's wall clock later.
-    origin: Micros,
-    pub listener: Option<ClientListener>,
+    unix_time_at_start: Micros,
+    pub client_listener: Option<ClientListener>,
     pub clients: Slab<Client>,
     pub in_flight: HashMap<RequestId, InFlightRequest>,
     /// Requests in flight by the ids that their clients gave them.
-    pub open_ids: HashMap<Box<[u8]>, RequestId>,
+    pub requests_by_call_id: HashMap<Box<[u8]>, RequestId>,
     /// Bytes that requests in flight hold.
     pub in_flight_bytes: usize,
-    pub servers: Slab<Server>,
+    pub server_connections: Slab<ServerConnection>,
     /// Slots of idle connections by server.
-    pub idle_servers: IdleConnections<ServerId>,
+    pub idle_server_connections: IdleConnections<ServerId>,
     pub server_list: ServerList,
     pub discovery: Discovery,
-    pub pipeline: Pipeline,
+    pub release_service: ReleaseService,
     /// The socket for peers' datagrams, where gossip is allowed.
     pub gossip_socket: Option<Rc<UdpSocket>>,
     pub timers: Timers<TimerKind>,
     pub budgets: Budgets,
     pub bounds: Bounds,
     /// The buffer that all connections read into.
-    pub scratch: Vec<u8>,
+    pub read_buffer: Vec<u8>,
     pub rng: rand_pcg::Pcg64,
     last_generation: u64,
     /// The engine's actions are being executed by a caller further up.
@@ -77,7 +77,7 @@
     /// Client connections to be visited again in this turn.
     pub clients_to_revisit: Vec<ConnectionId>,
     /// The event loop ends after this turn.
-    pub stopping: bool,
+    pub should_stop: bool,
     log_rate_limit: LogRateLimit,
     /// The latest reload: a retry of an earlier one is stale.
     pub reload_generation: u64,
@@ -87,15 +87,15 @@
 
 impl Proxy {
     /// A proxy before its first event, without sockets.
-    pub(super) fn new(config: Config, config_file: PathBuf, handle: LoopHandle<'static, Proxy>) -> Self {
+    pub(super) fn new(config: Config, config_file: PathBuf, loop_handle: LoopHandle<'static, Proxy>) -> Self {
         let unix_time =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let mut decisions = config.instance.decisions.clone();
         // Whether the platform pushes lists or not, they arrive here only in answers to queries: the engine
         // has to ask.
-        let pushed = !decisions.subscribes_to_list;
+        let lists_are_pushed = !decisions.subscribes_to_list;
         decisions.subscribes_to_list = true;
-        if pushed {
+        if lists_are_pushed {
             decisions.rules.poll_interval_max = discovery::PUSHED_POLL_INTERVAL_MAX;
         }
         let poll_interval_max = decisions.rules.poll_interval_max;
@@ -104,31 +104,31 @@
             engine: Engine::new(decisions, config.seed, None),
             previous_poll_at: 0,
             config_file,
-            handle,
-            started: Instant::now(),
-            origin: unix_time.as_micros() as Micros,
-            listener: None,
+            loop_handle,
+            started_at: Instant::now(),
+            unix_time_at_start: unix_time.as_micros() as Micros,
+            client_listener: None,
             clients: Slab::new(),
             in_flight: HashMap::new(),
-            open_ids: HashMap::new(),
+            requests_by_call_id: HashMap::new(),
             in_flight_bytes: 0,
-            servers: Slab::new(),
-            idle_servers: IdleConnections::default(),
+            server_connections: Slab::new(),
+            idle_server_connections: IdleConnections::default(),
             server_list: ServerList::new(config.instance.zones.clone()),
-            discovery: Discovery::new(config.discovery, pushed, poll_interval_max),
-            pipeline: Pipeline::new(config.pipeline),
+            discovery: Discovery::new(config.discovery, lists_are_pushed, poll_interval_max),
+            release_service: ReleaseService::new(config.pipeline),
             gossip_socket: None,
             timers: Timers::default(),
             budgets,
             bounds: Bounds::default(),
-            scratch: vec![0; READ_BUFFER_BYTES],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             rng: rand_pcg::Pcg64::seed_from_u64(config.seed),
             last_generation: 0,
             is_running_actions: false,
             sockets_were_ready: false,
             shutdown_phase: ShutdownPhase::Running,
             clients_to_revisit: Vec::new(),
-            stopping: false,
+            should_stop: false,
             log_rate_limit: LogRateLimit::default(),
             reload_generation: 0,
             closed_while_pending: 0,
@@ -138,7 +138,7 @@
 
     /// Passes the first events to the engine: the server list as last held, which may be stale, and the
     /// release status of the newest build.
-    pub(super) fn begin(&mut self) {
+    pub(super) fn start(&mut self) {
         let now = self.now();
         let cached = self.config.cached_list.take();
         let applied = cached.and_then(|list| self.server_list.apply(&list).ok());
@@ -147,7 +147,7 @@
         // The age of that list is unknown: it may be used once discovery has confirmed it.
         let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
         self.engine.set_list_lease(now, lease);
-        self.discovery.ready_by = now + READY_TIMEOUT;
+        self.discovery.report_ready_at = now + READY_TIMEOUT;
         self.engine.on_server_list(now, ListKind::Cached, &entries);
         match self.config.release_status.map(|status| status.to_status()) {
             Some(Ok(status)) => self.engine.on_release_status(now, status),
@@ -164,7 +164,7 @@
 
     /// The time on the loop's clock, as Unix time in microseconds.
     pub(super) fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.unix_time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 
     /// A number that no connection, query or reload has had yet.
@@ -193,7 +193,7 @@
             longest_deadline_us = instance.decisions.longest_deadline(),
             ask_within_us = rules.poll_interval_max,
             drain_grace_us = rules.drain_grace,
-            pushed = self.discovery.is_pushed(),
+            pushed = self.discovery.lists_are_pushed(),
             list_version = self.server_list.version(),
             "limits"
         );
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -3,7 +3,7 @@
 
 use crate::event_loop::TimerKind;
 use crate::proxy::Proxy;
-use crate::votes::Vote;
+use crate::votes::PendingVote;
 use calloop::{Interest, Readiness};
 use slab::Slab;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 const WATCH_CALL_ID: u64 = 1;
 
 /// The release service, called the pipeline on the platform, as this proxy speaks to it.
-pub(super) struct Pipeline {
+pub(super) struct ReleaseService {
     pub address: SocketAddr,
     watch: Option<Watch>,
     /// Votes without a reply yet.
-    pub votes: Slab<Vote>,
+    pub votes: Slab<PendingVote>,
     /// The number of the latest call.
     pub last_call_id: u64,
     /// The release status that was logged last.
@@ -35,14 +35,14 @@
 struct Watch {
     generation: u64,
     socket: Socket,
-    lines: LineReader,
+    line_reader: LineReader,
     last_received_at: Micros,
 }
 
-impl Pipeline {
+impl ReleaseService {
     /// The release service at this address, before the first connection.
     pub fn new(address: SocketAddr) -> Self {
-        Pipeline {
+        ReleaseService {
             address,
             watch: None,
             votes: Slab::new(),
@@ -60,20 +60,21 @@
 impl Proxy {
     /// Opens the watch, unless it is open; after a failure it is opened again later.
     pub(super) fn open_release_watch(&mut self) {
-        if self.pipeline.watch.is_some() {
+        if self.release_service.watch.is_some() {
             return;
         }
         let generation = self.next_generation();
         let now = self.now();
         let on_ready =
-            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_release_watch(generation, readiness);
-        let opened = connect(self.pipeline.address)
-            .and_then(|stream| Socket::register(&self.handle, stream, Interest::BOTH, on_ready));
+            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_watch_readiness(generation, readiness);
+        let opened = connect(self.release_service.address)
+            .and_then(|stream| Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready));
         match opened {
             Ok(mut socket) => {
                 socket.write_buffer().extend(pipeline::watch_call(WATCH_CALL_ID));
-                let lines = LineReader::new(MAX_LINE_BYTES);
-                self.pipeline.watch = Some(Watch { generation, socket, lines, last_received_at: now });
+                let line_reader = LineReader::new(MAX_LINE_BYTES);
+                self.release_service.watch =
+                    Some(Watch { generation, socket, line_reader, last_received_at: now });
                 self.timers.set(now + SILENCE_TIMEOUT, TimerKind::ReleaseWatchSilence(generation));
             }
             Err(e) => self.on_release_watch_lost(&e.to_string()),
@@ -81,8 +82,8 @@
     }
 
     fn close_release_watch(&mut self) {
-        if let Some(watch) = self.pipeline.watch.take() {
-            watch.socket.remove(&self.handle);
+        if let Some(watch) = self.release_service.watch.take() {
+            watch.socket.remove(&self.loop_handle);
         }
     }
 
@@ -98,32 +99,32 @@
     /// Replaces the watch if nothing has been received on it for too long.
     pub(super) fn check_release_watch(&mut self, generation: u64) {
         let now = self.now();
-        let Some(watch) = self.pipeline.watch(generation) else { return };
-        let silent_at = watch.last_received_at + SILENCE_TIMEOUT;
-        if now >= silent_at {
+        let Some(watch) = self.release_service.watch(generation) else { return };
+        let timeout_at = watch.last_received_at + SILENCE_TIMEOUT;
+        if now >= timeout_at {
             self.on_release_watch_lost("silent for too long");
         } else {
-            self.timers.set(silent_at, TimerKind::ReleaseWatchSilence(generation));
+            self.timers.set(timeout_at, TimerKind::ReleaseWatchSilence(generation));
         }
     }
 
     /// Moves the watch to an address that SIGHUP named. Votes in flight may still be answered where they were
     /// sent.
-    pub(super) fn move_pipeline(&mut self, address: SocketAddr) {
-        if self.pipeline.address != address {
-            self.pipeline.address = address;
+    pub(super) fn move_release_service(&mut self, address: SocketAddr) {
+        if self.release_service.address != address {
+            self.release_service.address = address;
             self.close_release_watch();
             self.open_release_watch();
         }
     }
 
-    fn on_release_watch(&mut self, generation: u64, readiness: Readiness) {
-        let Some(watch) = self.pipeline.watch(generation) else { return };
+    fn on_watch_readiness(&mut self, generation: u64, readiness: Readiness) {
+        let Some(watch) = self.release_service.watch(generation) else { return };
         if readiness.writable {
             if watch.socket.connect_error().is_some() || watch.socket.flush().is_err() {
                 return self.on_release_watch_lost("no connection");
             }
-            watch.socket.set_read_interest(&self.handle, true);
+            watch.socket.set_read_interest(&self.loop_handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_release_watch();
@@ -133,27 +134,27 @@
 
     fn read_release_watch(&mut self) {
         let now = self.now();
-        let mut scratch = std::mem::take(&mut self.scratch);
-        if let Some(watch) = &mut self.pipeline.watch {
-            match watch.socket.read(&mut scratch) {
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        if let Some(watch) = &mut self.release_service.watch {
+            match watch.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(length) => {
                     watch.last_received_at = now;
-                    watch.lines.feed(&scratch[..length]);
-                    self.handle_release_lines();
+                    watch.line_reader.feed(&read_buffer[..length]);
+                    self.handle_release_watch_lines();
                 }
                 ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed | ReadOutcome::Failed => self.on_release_watch_lost("connection lost"),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
-    fn handle_release_lines(&mut self) {
-        while let Some(watch) = &mut self.pipeline.watch {
-            let line = match watch.lines.next_line() {
+    fn handle_release_watch_lines(&mut self) {
+        while let Some(watch) = &mut self.release_service.watch {
+            let line = match watch.line_reader.next_line() {
                 Ok(None) => return,
                 Ok(Some(line)) => Message::parse(line).map_err(|error| error.to_string()),
-                Err(fault) => Err(fault.to_string()),
+                Err(error) => Err(error.to_string()),
             };
             match line {
                 Err(reason) => return self.on_release_watch_lost(&reason),
@@ -177,7 +178,7 @@
 
     /// Logs a release status that differs from the last one.
     pub(super) fn log_release_status(&mut self, status: ReleaseStatus) {
-        if self.pipeline.last_logged_status.replace(status) != Some(status) {
+        if self.release_service.last_logged_status.replace(status) != Some(status) {
             let ReleaseStatus { build, stage, phase, cap } = status;
             tracing::info!(target: "verdict", build, stage, ?phase, cap, "stage news");
         }
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -13,40 +13,41 @@
     client: ConnectionId,
     pub call: Call,
     /// Slots of the attempts' server connections, by the attempts' numbers.
-    pub attempts: Vec<Option<usize>>,
+    pub attempt_connections: Vec<Option<usize>>,
 }
 
 impl Proxy {
     /// Passes a call to the engine, unless the bounds of this process forbid it.
     pub(super) fn admit_call(&mut self, slot: usize, call: Call) {
-        if self.open_ids.contains_key(&call.id) {
+        if self.requests_by_call_id.contains_key(&call.id) {
             return self.reject_malformed(slot, "a request with this id is open");
         }
         let Some(client) = self.clients.get_mut(slot) else { return };
         client.has_sent_call = true;
-        let client_id = ConnectionId { slot, generation: client.generation };
+        let connection = ConnectionId { slot, generation: client.generation };
         if !self.has_room_for(&call) {
             // A bound of this process, not of the service: the call is never executed.
-            return self.respond_at_once(slot, b"-BUSY\r\n");
+            return self.respond_immediately(slot, b"-BUSY\r\n");
         }
         let now = self.now();
         // The client's wait began when it sent the call, which may have lain unread for as long as this loop
         // is late.
-        let unread = self.timers.lateness(now, self.engine.next_deadline());
+        let unread_time = self.timers.lateness(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
-        let request = self.engine.on_request(now, engine_request(&call, now, unread), true);
+        let request = self.engine.on_request(now, to_engine_request(&call, now, unread_time), true);
         tracing::debug!(
             request,
             client_id = %String::from_utf8_lossy(&call.id),
             client = slot,
             class = call.class,
             wait = call.wait,
-            unread,
+            unread = unread_time,
             is_retry = call.is_retry,
             "request"
         );
-        self.open_ids.insert(call.id.clone(), request);
-        self.in_flight.insert(request, InFlightRequest { client: client_id, call, attempts: Vec::new() });
+        self.requests_by_call_id.insert(call.id.clone(), request);
+        self.in_flight
+            .insert(request, InFlightRequest { client: connection, call, attempt_connections: Vec::new() });
         if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Request(request));
         }
@@ -55,15 +56,15 @@
 
     /// Whether the bounds of this process leave room for a further request.
     fn has_room_for(&self, call: &Call) -> bool {
-        self.in_flight.len() < self.budgets.open_requests
+        self.in_flight.len() < self.budgets.requests_in_flight
             && self.in_flight_bytes + call.size() <= self.budgets.request_bytes
     }
 
     /// Sends a final response of the proxy's own.
-    pub(super) fn send_own_response(&mut self, request: RequestId, last: LocalResponse) {
+    pub(super) fn send_local_response(&mut self, request: RequestId, response: LocalResponse) {
         let mut bytes = Vec::new();
-        tracing::debug!(request, ?last, "own answer");
-        match last {
+        tracing::debug!(request, last = ?response, "own answer");
+        match response {
             LocalResponse::Rejected { retry_after } => answer::write_rejected(&mut bytes, retry_after),
             LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
         }
@@ -79,7 +80,7 @@
             return;
         }
         let mut pending = client.pending_responses.iter_mut();
-        if let Some(placeholder) = pending.find(|pending| pending.is_of(request)) {
+        if let Some(placeholder) = pending.find(|pending| pending.is_for(request)) {
             *placeholder = PendingResponse::Ready(bytes);
         }
         self.flush_client(slot);
@@ -90,16 +91,16 @@
     pub(super) fn forget_request(&mut self, request: RequestId) {
         if let Some(in_flight) = self.in_flight.remove(&request) {
             self.in_flight_bytes -= in_flight.call.size();
-            self.open_ids.remove(&in_flight.call.id);
+            self.requests_by_call_id.remove(&in_flight.call.id);
         }
     }
 }
 
-/// The call as the engine takes it. `unread` is how long it may have lain unread.
-fn engine_request(call: &Call, now: Micros, unread: Micros) -> Request {
+/// The call as the engine takes it. `unread_time` is how long it may have lain unread.
+fn to_engine_request(call: &Call, now: Micros, unread_time: Micros) -> Request {
     Request {
         id: 0,
-        deadline: now + call.wait.saturating_sub(unread),
+        deadline: now + call.wait.saturating_sub(unread_time),
         class: call.class,
         cost_hint: None,
         key: Some(call.key),
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -28,9 +28,9 @@
 const MAX_LOGGED_ERROR_BYTES: usize = 80;
 
 /// A connection to a server.
-pub(super) struct Server {
+pub(super) struct ServerConnection {
     generation: u64,
-    id: ServerId,
+    server: ServerId,
     socket: Socket,
     state: ConnectionState,
     input: Vec<u8>,
@@ -53,10 +53,10 @@
 struct AttemptId {
     request: RequestId,
     /// The attempt's number within its request.
-    attempt: usize,
+    number: usize,
 }
 
-impl Server {
+impl ServerConnection {
     /// Since when it has been idle.
     pub fn idle_since(&self) -> Micros {
         self.idle_since
@@ -87,57 +87,65 @@
             return;
         }
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
-        in_flight.attempts.resize(attempt + 1, None);
+        in_flight.attempt_connections.resize(attempt + 1, None);
         let key = in_flight.call.key;
         tracing::debug!(request, attempt, server, key, "attempt");
-        let attempt = AttemptId { request, attempt };
-        if let Some(slot) = self.take_idle_server(server) {
-            if let Some(connection) = self.servers.get_mut(slot) {
+        let attempt = AttemptId { request, number: attempt };
+        if let Some(slot) = self.take_idle_connection(server) {
+            if let Some(connection) = self.server_connections.get_mut(slot) {
                 connection.state = ConnectionState::Busy(attempt);
             }
             self.set_attempt_connection(attempt, Some(slot));
             return self.send_request(slot);
         }
-        if !self.make_room_for_server() {
+        if !self.make_room_for_server_connection() {
             // A bound of this process says nothing about the server: the attempt was never made.
             return self.end_attempt(attempt, Outcome::NotSent);
         }
-        if self.open_server(server, attempt).is_none() {
+        if self.open_server_connection(server, attempt).is_none() {
             self.end_attempt(attempt, Outcome::ConnectFailed);
         }
     }
 
     /// Takes an idle connection that may be used again: the one that has been idle longest, as what may still
     /// follow an answer on it has arrived by now, and is noticed before the connection is used.
-    fn take_idle_server(&mut self, id: ServerId) -> Option<usize> {
+    fn take_idle_connection(&mut self, server: ServerId) -> Option<usize> {
         let now = self.now();
         let max_idle_time = self.max_idle_time();
-        while let Some(slot) = self.idle_servers.oldest(&id) {
-            let server = self.servers.get(slot)?;
-            if now < server.idle_since + MIN_IDLE_BEFORE_REUSE {
+        while let Some(slot) = self.idle_server_connections.oldest(&server) {
+            let connection = self.server_connections.get(slot)?;
+            if now < connection.idle_since + MIN_IDLE_BEFORE_REUSE {
                 return None;
             }
-            self.idle_servers.remove(&id, slot);
+            self.idle_server_connections.remove(&server, slot);
             // The idle time is checked here as well, as maintenance is too rare for short times.
-            if now < server.idle_since + max_idle_time && !server.socket.is_stale() {
+            if now < connection.idle_since + max_idle_time && !connection.socket.is_stale() {
                 return Some(slot);
             }
-            self.close_server(slot);
+            self.close_server_connection(slot);
         }
         None
     }
 
     /// Begins a connection for an attempt.
-    fn open_server(&mut self, id: ServerId, attempt: AttemptId) -> Option<()> {
-        let stream = connect(self.server_list.address(id)?).ok()?;
+    fn open_server_connection(&mut self, server: ServerId, attempt: AttemptId) -> Option<()> {
+        let stream = connect(self.server_list.address(server)?).ok()?;
         let generation = self.next_generation();
         let now = self.now();
-        let entry = self.servers.vacant_entry();
+        let entry = self.server_connections.vacant_entry();
         let slot = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(slot, readiness);
-        let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
+        let on_ready =
+            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server_readiness(slot, readiness);
+        let socket = Socket::register(&self.loop_handle, stream, Interest::WRITE, on_ready).ok()?;
         let state = ConnectionState::Connecting(attempt);
-        entry.insert(Server { generation, id, socket, state, input: Vec::new(), idle_since: now });
+        entry.insert(ServerConnection {
+            generation,
+            server,
+            socket,
+            state,
+            input: Vec::new(),
+            idle_since: now,
+        });
         let timeout_at = now + self.config.instance.connect_timeout;
         self.timers.set(timeout_at, TimerKind::ConnectTimeout(ConnectionId { slot, generation }));
         self.set_attempt_connection(attempt, Some(slot));
@@ -147,7 +155,7 @@
     /// Records which connection an attempt is on, or that it is on none any more.
     fn set_attempt_connection(&mut self, attempt: AttemptId, slot: Option<usize>) {
         let Some(in_flight) = self.in_flight.get_mut(&attempt.request) else { return };
-        if let Some(connection) = in_flight.attempts.get_mut(attempt.attempt) {
+        if let Some(connection) = in_flight.attempt_connections.get_mut(attempt.number) {
             *connection = slot;
         }
     }
@@ -155,11 +163,11 @@
     /// Whether an attempt that could not be sent when it was ordered may be sent now.
     fn may_send(&mut self, attempt: AttemptId) -> bool {
         let now = self.now();
-        let may_send = self.engine.may_send(now, attempt.request, attempt.attempt);
+        let may_send = self.engine.may_send(now, attempt.request, attempt.number);
         if !may_send {
             tracing::debug!(
                 request = attempt.request,
-                attempt = attempt.attempt,
+                attempt = attempt.number,
                 "cancelled before it was sent"
             );
         }
@@ -168,115 +176,119 @@
 
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let now = self.now();
-        self.engine.on_attempt_ended(now, attempt.request, attempt.attempt, outcome);
+        self.engine.on_attempt_ended(now, attempt.request, attempt.number, outcome);
     }
 
     /// Writes the request on a connection that is up, with the time that this attempt will be waited for.
     fn send_request(&mut self, slot: usize) {
         let now = self.now();
-        let Some(server) = self.servers.get_mut(slot) else { return };
-        let Some(attempt) = server.attempt() else { return };
-        let cut_at = self.engine.attempt_deadline(attempt.request, attempt.attempt);
-        let (Some(in_flight), Some(cut_at)) = (self.in_flight.get(&attempt.request), cut_at) else {
-            return self.close_server(slot);
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
+        let Some(attempt) = connection.attempt() else { return };
+        let deadline = self.engine.attempt_deadline(attempt.request, attempt.number);
+        let (Some(in_flight), Some(deadline)) = (self.in_flight.get(&attempt.request), deadline) else {
+            return self.close_server_connection(slot);
         };
-        if !self.engine.may_write(now, attempt.request, attempt.attempt) {
+        if !self.engine.may_write(now, attempt.request, attempt.number) {
             tracing::warn!(
                 request = attempt.request,
-                attempt = attempt.attempt,
+                attempt = attempt.number,
                 "held back at the moment of writing"
             );
             return;
         }
-        in_flight.call.write(server.socket.write_buffer(), cut_at.saturating_sub(now));
-        self.flush_server(slot);
+        in_flight.call.write(connection.socket.write_buffer(), deadline.saturating_sub(now));
+        self.flush_server_connection(slot);
     }
 
-    fn flush_server(&mut self, slot: usize) {
-        let Some(server) = self.servers.get_mut(slot) else { return };
-        match server.socket.flush() {
-            Ok(_) => server.socket.set_read_interest(&self.handle, true),
-            Err(_) => self.on_server_lost(slot),
+    fn flush_server_connection(&mut self, slot: usize) {
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
+        match connection.socket.flush() {
+            Ok(_) => connection.socket.set_read_interest(&self.loop_handle, true),
+            Err(_) => self.on_server_connection_lost(slot),
         }
     }
 
     /// Handles a connection's readiness.
-    fn on_server(&mut self, slot: usize, readiness: Readiness) {
-        let Some(server) = self.servers.get_mut(slot) else { return };
-        if let ConnectionState::Connecting(attempt) = server.state {
-            self.on_server_connecting(slot, attempt, readiness);
+    fn on_server_readiness(&mut self, slot: usize, readiness: Readiness) {
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
+        if let ConnectionState::Connecting(attempt) = connection.state {
+            self.on_connect_readiness(slot, attempt, readiness);
             return self.run_engine_actions();
         }
-        if readiness.writable && server.socket.has_unwritten_bytes() {
+        if readiness.writable && connection.socket.has_unwritten_bytes() {
             // The rest of a request counts from its last byte: until that is written the server has none of
             // it.
-            let attempt = server.attempt();
+            let attempt = connection.attempt();
             if attempt.is_none_or(|attempt| self.may_send(attempt)) {
-                self.flush_server(slot);
+                self.flush_server_connection(slot);
             }
         }
         if readiness.readable || readiness.error {
-            self.read_server(slot);
+            self.read_server_connection(slot);
         }
         self.run_engine_actions();
     }
 
     /// Sends the request once the connection is up.
-    fn on_server_connecting(&mut self, slot: usize, attempt: AttemptId, readiness: Readiness) {
-        let Some(server) = self.servers.get_mut(slot) else { return };
-        if server.socket.connect_error().is_some() {
-            return self.on_server_lost(slot);
+    fn on_connect_readiness(&mut self, slot: usize, attempt: AttemptId, readiness: Readiness) {
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
+        if connection.socket.connect_error().is_some() {
+            return self.on_server_connection_lost(slot);
         }
         if !readiness.writable || !self.may_send(attempt) {
             return;
         }
-        if let Some(server) = self.servers.get_mut(slot) {
-            server.state = ConnectionState::Busy(attempt);
+        if let Some(connection) = self.server_connections.get_mut(slot) {
+            connection.state = ConnectionState::Busy(attempt);
         }
         self.send_request(slot);
     }
 
     /// Reads what has arrived and handles a complete answer.
-    fn read_server(&mut self, slot: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        let mut outcome = self.read_server_input(slot, &mut scratch);
-        if self.servers.get(slot).is_some_and(|server| server.is_busy() && !server.input.is_empty()) {
-            self.handle_answer(slot);
+    fn read_server_connection(&mut self, slot: usize) {
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        let mut outcome = self.read_server_input(slot, &mut read_buffer);
+        if self
+            .server_connections
+            .get(slot)
+            .is_some_and(|connection| connection.is_busy() && !connection.input.is_empty())
+        {
+            self.handle_server_response(slot);
             if matches!(outcome, ReadOutcome::Bytes(_)) {
                 outcome = ReadOutcome::WouldBlock;
             }
         }
-        if let Some(server) = self.servers.get(slot) {
+        if let Some(connection) = self.server_connections.get(slot) {
             match outcome {
                 ReadOutcome::WouldBlock => {}
                 // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent
                 // next.
-                ReadOutcome::Bytes(_) => self.close_server(slot),
+                ReadOutcome::Bytes(_) => self.close_server_connection(slot),
                 ReadOutcome::Closed | ReadOutcome::Failed => {
-                    if server.is_idle() {
-                        let rested_us = self.now().saturating_sub(server.idle_since);
-                        tracing::debug!(server = server.id, rested_us, "closed while idle");
+                    if connection.is_idle() {
+                        let idle_us = self.now().saturating_sub(connection.idle_since);
+                        tracing::debug!(server = connection.server, rested_us = idle_us, "closed while idle");
                     }
-                    self.on_server_lost(slot);
+                    self.on_server_connection_lost(slot);
                 }
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     /// Reads into the connection's input while an attempt is on it; how the last read went.
-    fn read_server_input(&mut self, slot: usize, scratch: &mut [u8]) -> ReadOutcome {
+    fn read_server_input(&mut self, slot: usize, read_buffer: &mut [u8]) -> ReadOutcome {
         let mut outcome = ReadOutcome::WouldBlock;
         for _ in 0..MAX_READS_PER_EVENT {
-            let Some(server) = self.servers.get_mut(slot) else { return outcome };
-            outcome = server.socket.read(scratch);
+            let Some(connection) = self.server_connections.get_mut(slot) else { return outcome };
+            outcome = connection.socket.read(read_buffer);
             let ReadOutcome::Bytes(length) = outcome else { return outcome };
-            if !server.is_busy() {
+            if !connection.is_busy() {
                 return outcome;
             }
-            server.input.extend_from_slice(&scratch[..length]);
+            connection.input.extend_from_slice(&read_buffer[..length]);
             // A short read has taken all that was there.
-            if length < scratch.len() {
+            if length < read_buffer.len() {
                 return outcome;
             }
         }
@@ -285,40 +297,35 @@
 
     /// Handles the input if the answer is complete. What a server sends is held up to the bounds and one
     /// read.
-    fn handle_answer(&mut self, slot: usize) {
-        let Some(server) = self.servers.get_mut(slot) else { return };
-        let Some(attempt) = server.attempt() else { return };
-        let input = std::mem::take(&mut server.input);
-        let id = server.id;
-        let is_fully_written = !server.socket.has_unwritten_bytes();
+    fn handle_server_response(&mut self, slot: usize) {
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
+        let Some(attempt) = connection.attempt() else { return };
+        let input = std::mem::take(&mut connection.input);
+        let server = connection.server;
+        let is_fully_written = !connection.socket.has_unwritten_bytes();
         match parse_answer(&input, &self.bounds) {
-            Answer::Incomplete => server.input = input,
+            Answer::Incomplete => connection.input = input,
             Answer::Served { value, reusable } => {
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 let now = self.now();
-                if self.engine.on_attempt_ended(now, attempt.request, attempt.attempt, Outcome::Ok) {
-                    tracing::debug!(
-                        request = attempt.request,
-                        attempt = attempt.attempt,
-                        server = id,
-                        "served"
-                    );
+                if self.engine.on_attempt_ended(now, attempt.request, attempt.number, Outcome::Ok) {
+                    tracing::debug!(request = attempt.request, attempt = attempt.number, server, "served");
                     let mut bytes = Vec::with_capacity(value.len() + 16);
                     answer::write_served(&mut bytes, value);
                     self.send_response(attempt.request, bytes);
                 }
             }
             Answer::NotServed { outcome, reusable } => {
-                self.log_unexpected_error(id, &input);
+                self.log_unexpected_error(server, &input);
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 self.end_attempt(attempt, outcome);
             }
             Answer::Malformed(reason) => {
-                tracing::debug!(request = attempt.request, server = id, "malformed answer: {reason}");
+                tracing::debug!(request = attempt.request, server, "malformed answer: {reason}");
                 self.set_attempt_connection(attempt, None);
-                self.close_server(slot);
+                self.close_server_connection(slot);
                 self.end_attempt(attempt, Outcome::Reset);
             }
         }
@@ -337,75 +344,72 @@
     /// Keeps a connection idle after an answer, or closes it.
     fn reuse_or_close(&mut self, slot: usize, is_reusable: bool) {
         let now = self.now();
-        let Some(server) = self.servers.get_mut(slot) else { return };
+        let Some(connection) = self.server_connections.get_mut(slot) else { return };
         // Only a connection to the address that is listed now may be used again.
-        let is_same_address = self.server_list.address(server.id) == server.socket.stream().peer_addr().ok();
+        let is_same_address =
+            self.server_list.address(connection.server) == connection.socket.stream().peer_addr().ok();
         if !is_reusable || !is_same_address {
-            return self.close_server(slot);
+            return self.close_server_connection(slot);
         }
-        server.state = ConnectionState::Idle;
-        server.idle_since = now;
-        server.input = Vec::new();
-        let id = server.id;
-        self.idle_servers.insert(id, slot);
+        connection.state = ConnectionState::Idle;
+        connection.idle_since = now;
+        connection.input = Vec::new();
+        let server = connection.server;
+        self.idle_server_connections.insert(server, slot);
     }
 
     /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut
     /// down before anything else is written, as the next attempt of the same request would otherwise overlap
     /// with this one.
-    pub(super) fn close_server(&mut self, slot: usize) {
-        let Some(server) = self.servers.try_remove(slot) else { return };
-        server.socket.close_now(&self.handle);
-        self.idle_servers.remove(&server.id, slot);
+    pub(super) fn close_server_connection(&mut self, slot: usize) {
+        let Some(connection) = self.server_connections.try_remove(slot) else { return };
+        connection.socket.close_now(&self.loop_handle);
+        self.idle_server_connections.remove(&connection.server, slot);
     }
 
     /// The engine cancelled an attempt: its connection closes, as its answer could arrive at any time.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
-        let connection =
-            self.in_flight.get_mut(&request).and_then(|in_flight| in_flight.attempts.get_mut(attempt));
+        let connection = self
+            .in_flight
+            .get_mut(&request)
+            .and_then(|in_flight| in_flight.attempt_connections.get_mut(attempt));
         let slot = connection.and_then(Option::take);
         tracing::debug!(request, attempt, out = slot.is_some(), "cancelled");
         if let Some(slot) = slot {
-            self.close_server(slot);
+            self.close_server_connection(slot);
         }
     }
 
     /// The connection is gone: the outcome of its attempt depends on whether the whole request was written.
-    fn on_server_lost(&mut self, slot: usize) {
-        let Some(server) = self.servers.get(slot) else { return };
-        let attempt = server.attempt();
-        let id = server.id;
-        let is_fully_written = server.is_busy() && !server.socket.has_unwritten_bytes();
-        self.close_server(slot);
+    fn on_server_connection_lost(&mut self, slot: usize) {
+        let Some(connection) = self.server_connections.get(slot) else { return };
+        let attempt = connection.attempt();
+        let server = connection.server;
+        let is_fully_written = connection.is_busy() && !connection.socket.has_unwritten_bytes();
+        self.close_server_connection(slot);
         if let Some(attempt) = attempt {
             let outcome = if is_fully_written { Outcome::Reset } else { Outcome::ConnectFailed };
-            tracing::debug!(
-                request = attempt.request,
-                attempt = attempt.attempt,
-                server = id,
-                ?outcome,
-                "lost"
-            );
+            tracing::debug!(request = attempt.request, attempt = attempt.number, server, ?outcome, "lost");
             self.set_attempt_connection(attempt, None);
             self.end_attempt(attempt, outcome);
         }
     }
 
     /// Ends a connection attempt that is not up in time.
-    pub(super) fn connect_timeout(&mut self, connection: ConnectionId) {
-        let Some(server) = self.servers.get(connection.slot) else { return };
-        let is_connecting = matches!(server.state, ConnectionState::Connecting(_));
-        if server.generation == connection.generation && is_connecting {
-            self.on_server_lost(connection.slot);
+    pub(super) fn on_connect_timeout(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.server_connections.get(connection_id.slot) else { return };
+        let is_connecting = matches!(connection.state, ConnectionState::Connecting(_));
+        if connection.generation == connection_id.generation && is_connecting {
+            self.on_server_connection_lost(connection_id.slot);
         }
     }
 
     /// Closes the idle connections to servers whose address, build or start has changed.
-    pub(super) fn servers_changed(&mut self, changed: &[ServerId]) {
-        for id in changed {
-            let slots: Vec<usize> = self.idle_servers.of_server(id).collect();
+    pub(super) fn close_idle_connections_to(&mut self, changed: &[ServerId]) {
+        for server in changed {
+            let slots: Vec<usize> = self.idle_server_connections.of_server(server).collect();
             for slot in slots {
-                self.close_server(slot);
+                self.close_server_connection(slot);
             }
         }
     }
@@ -413,18 +417,24 @@
     /// How long a connection may be idle: a request written after its server has closed it would be lost.
     fn max_idle_time(&self) -> Micros {
         let server_timeout = self.config.instance.idle_close;
-        let share = (server_timeout as f64 * IDLE_TIMEOUT_RATIO) as Micros;
-        server_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(share)
+        let proportional_limit = (server_timeout as f64 * IDLE_TIMEOUT_RATIO) as Micros;
+        server_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(proportional_limit)
     }
 
     /// Closes idle connections before their servers would.
-    pub(super) fn close_idle_servers(&mut self, now: Micros) {
+    pub(super) fn close_idle_server_connections(&mut self, now: Micros) {
         let max_idle_time = self.max_idle_time();
-        let is_expired = |server: &Server| server.is_idle() && now >= server.idle_since + max_idle_time;
-        let expired: Vec<usize> =
-            self.servers.iter().filter(|(_, server)| is_expired(server)).map(|(slot, _)| slot).collect();
+        let is_expired = |connection: &ServerConnection| {
+            connection.is_idle() && now >= connection.idle_since + max_idle_time
+        };
+        let expired: Vec<usize> = self
+            .server_connections
+            .iter()
+            .filter(|(_, connection)| is_expired(connection))
+            .map(|(slot, _)| slot)
+            .collect();
         for slot in expired {
-            self.close_server(slot);
+            self.close_server_connection(slot);
         }
     }
 }
--- a/crates/platform-proxy/src/shutdown.rs
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -37,11 +37,11 @@
 
 impl ShutdownPhase {
     /// Whether this side may end a connection now: in a shutdown, between two requests.
-    pub(super) fn may_end(self, client: &Client) -> bool {
+    pub(super) fn allows_closing(self, client: &Client) -> bool {
         match self {
             ShutdownPhase::Running | ShutdownPhase::Notified => false,
             ShutdownPhase::Draining => client.is_idle(),
-            ShutdownPhase::FinalResponses => client.is_answered(),
+            ShutdownPhase::FinalResponses => client.is_fully_answered(),
         }
     }
 }
@@ -55,7 +55,7 @@
     /// Whether a shutdown has nothing left to do.
     pub(super) fn is_drained(&self) -> bool {
         self.is_draining()
-            && self.listener.is_none()
+            && self.client_listener.is_none()
             && self.clients.is_empty()
             && self.engine.pending_responses() == 0
     }
@@ -70,15 +70,15 @@
         self.log_counts("ending");
         let now = self.now();
         let longest_deadline = self.config.instance.decisions.longest_deadline();
-        let lifetime = self.engine.begin_shutdown(now, ShutdownSchedule::starting_at(now, longest_deadline));
+        let schedule = self.engine.begin_shutdown(now, ShutdownSchedule::starting_at(now, longest_deadline));
         tracing::info!(
-            answer_in_us = lifetime.answer_by - now,
-            end_in_us = lifetime.exit_by - now,
+            answer_in_us = schedule.answer_by - now,
+            end_in_us = schedule.exit_by - now,
             "SIGTERM"
         );
         self.timers.set(now + ACCEPT_AFTER_SIGTERM, TimerKind::BeginDrain);
-        self.timers.set(lifetime.answer_by, TimerKind::FinalResponses);
-        self.timers.set(lifetime.exit_by, TimerKind::Stop);
+        self.timers.set(schedule.answer_by, TimerKind::FinalResponses);
+        self.timers.set(schedule.exit_by, TimerKind::Stop);
         self.run_engine_actions();
     }
 
@@ -91,20 +91,20 @@
         self.run_engine_actions();
         self.begin_drain();
         self.shutdown_phase = ShutdownPhase::FinalResponses;
-        let all = self.clients.iter();
+        let clients = self.clients.iter();
         self.clients_to_revisit
-            .extend(all.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
+            .extend(clients.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
     }
 
     /// Ends the event loop: responses that clients have not read are dropped.
     pub(super) fn stop(&mut self) {
-        self.stopping = true;
+        self.should_stop = true;
     }
 
     /// Logs the requests that a shutdown ends without a server's answer, by the ids that their clients gave
     /// them.
     fn log_unanswered_requests(&self) {
-        for (id, request) in self.open_ids.iter().take(MAX_LOGGED_REQUESTS) {
+        for (id, request) in self.requests_by_call_id.iter().take(MAX_LOGGED_REQUESTS) {
             let id = String::from_utf8_lossy(id);
             tracing::warn!(request, %id, "shutdown ends a request without a server's answer");
         }
@@ -127,7 +127,7 @@
             closed_while_owed = self.closed_while_pending,
             owed = self.engine.pending_responses(),
             clients = self.clients.len(),
-            servers = self.servers.len(),
+            servers = self.server_connections.len(),
             "{event}"
         );
     }
@@ -136,7 +136,7 @@
     /// connections that have had none yet. All other connections end between two requests.
     pub(super) fn begin_drain(&mut self) {
         self.shutdown_phase = self.shutdown_phase.max(ShutdownPhase::Draining);
-        self.accept_queued();
+        self.accept_queued_connections();
         let idle = self.clients.iter().filter(|(_, client)| client.has_sent_call && client.is_idle());
         self.clients_to_revisit
             .extend(idle.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
--- a/crates/platform-proxy/src/start.rs
+++ b/crates/platform-proxy/src/start.rs
@@ -29,18 +29,21 @@
     has_transient_kind || Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRNOS.contains(&errno))
 }
 
-/// Repeats an attempt until it succeeds or fails for good. `what` names it in the log.
+/// Repeats an attempt until it succeeds or fails for good. `operation` names it in the log.
 ///
 /// # Errors
 /// The first error that is not transient, or the last one after ten seconds.
-pub(super) fn retry_transient_errors<T>(what: &str, mut attempt: impl FnMut() -> Result<T>) -> Result<T> {
+pub(super) fn retry_transient_errors<T>(
+    operation: &str,
+    mut attempt: impl FnMut() -> Result<T>,
+) -> Result<T> {
     let give_up_at = Instant::now() + START_TIMEOUT;
     let mut is_logged = false;
     loop {
         match attempt() {
             Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
                 if !is_logged {
-                    tracing::warn!("{what}: {error}; trying again");
+                    tracing::warn!("{operation}: {error}; trying again");
                     is_logged = true;
                 }
                 std::thread::sleep(RETRY_INTERVAL);
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -12,17 +12,17 @@
 use violetseam_site_protocol::line_reader::LineReader;
 
 /// Votes in flight at once; the engine casts one at a time, and one may be on its way to a former address.
-const MAX_OPEN_VOTES: usize = 4;
+const MAX_PENDING_VOTES: usize = 4;
 /// The longest time-out of a vote, whatever the settings say.
 const MAX_VOTE_TIMEOUT: Micros = 10_000_000;
 
 /// A vote without a reply yet.
-pub(super) struct Vote {
+pub(super) struct PendingVote {
     generation: u64,
     /// The number of its call.
-    id: u64,
+    call_id: u64,
     socket: Socket,
-    lines: LineReader,
+    line_reader: LineReader,
 }
 
 /// The end of a vote.
@@ -37,40 +37,46 @@
     /// Sends a vote.
     pub(super) fn cast_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, %verdict, "vote");
-        self.pipeline.last_call_id += 1;
-        let id = self.pipeline.last_call_id;
-        if self.open_vote(id, pipeline::vote_call(id, build, stage, verdict)).is_none() {
+        self.release_service.last_call_id += 1;
+        let call_id = self.release_service.last_call_id;
+        if self.send_vote(call_id, pipeline::vote_call(call_id, build, stage, verdict)).is_none() {
             self.end_vote(VoteReply { outcome: Outcome::Error, status: None });
         }
     }
 
-    fn open_vote(&mut self, id: u64, call: Vec<u8>) -> Option<()> {
-        if self.pipeline.votes.len() >= MAX_OPEN_VOTES {
+    fn send_vote(&mut self, call_id: u64, call: Vec<u8>) -> Option<()> {
+        if self.release_service.votes.len() >= MAX_PENDING_VOTES {
             return None;
         }
-        let stream = connect(self.pipeline.address).ok()?;
+        let stream = connect(self.release_service.address).ok()?;
         let generation = self.next_generation();
-        let entry = self.pipeline.votes.vacant_entry();
+        let entry = self.release_service.votes.vacant_entry();
         let slot = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote(slot, readiness);
-        let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
+        let on_ready =
+            move |readiness: Readiness, proxy: &mut Proxy| proxy.on_vote_readiness(slot, readiness);
+        let mut socket = Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready).ok()?;
         socket.write_buffer().extend(call);
-        entry.insert(Vote { generation, id, socket, lines: LineReader::new(MAX_LINE_BYTES) });
+        entry.insert(PendingVote {
+            generation,
+            call_id,
+            socket,
+            line_reader: LineReader::new(MAX_LINE_BYTES),
+        });
         let timeout = self.config.instance.decisions.rollout.vote_timeout.min(MAX_VOTE_TIMEOUT);
         let timeout_at = self.now() + timeout;
         self.timers.set(timeout_at, TimerKind::VoteTimeout(ConnectionId { slot, generation }));
         Some(())
     }
 
-    fn on_vote(&mut self, slot: usize, readiness: Readiness) {
+    fn on_vote_readiness(&mut self, slot: usize, readiness: Readiness) {
         if readiness.writable
-            && let Some(vote) = self.pipeline.votes.get_mut(slot)
+            && let Some(vote) = self.release_service.votes.get_mut(slot)
         {
             if vote.socket.connect_error().is_some() || vote.socket.flush().is_err() {
                 self.on_vote_connection_lost(slot);
                 return self.run_engine_actions();
             }
-            vote.socket.set_read_interest(&self.handle, true);
+            vote.socket.set_read_interest(&self.loop_handle, true);
         }
         if readiness.readable || readiness.error {
             self.read_vote(slot);
@@ -79,28 +85,28 @@
     }
 
     fn read_vote(&mut self, slot: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        if let Some(vote) = self.pipeline.votes.get_mut(slot) {
-            match vote.socket.read(&mut scratch) {
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        if let Some(vote) = self.release_service.votes.get_mut(slot) {
+            match vote.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(length) => {
-                    vote.lines.feed(&scratch[..length]);
+                    vote.line_reader.feed(&read_buffer[..length]);
                     self.handle_vote_lines(slot);
                 }
                 ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed | ReadOutcome::Failed => self.on_vote_connection_lost(slot),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     fn handle_vote_lines(&mut self, slot: usize) {
-        while let Some(vote) = self.pipeline.votes.get_mut(slot) {
-            let line = match vote.lines.next_line() {
+        while let Some(vote) = self.release_service.votes.get_mut(slot) {
+            let line = match vote.line_reader.next_line() {
                 Ok(None) => return,
                 Ok(Some(line)) => Message::parse(line).ok(),
                 Err(_) => None,
             };
-            if let Some(reply) = vote_reply(vote.id, line) {
+            if let Some(reply) = parse_vote_reply(vote.call_id, line) {
                 self.close_vote(slot);
                 return self.end_vote(reply);
             }
@@ -108,8 +114,8 @@
     }
 
     /// Ends a vote that has had no reply in time.
-    pub(super) fn vote_timeout(&mut self, connection: ConnectionId) {
-        let Some(vote) = self.pipeline.votes.get(connection.slot) else { return };
+    pub(super) fn on_vote_timeout(&mut self, connection: ConnectionId) {
+        let Some(vote) = self.release_service.votes.get(connection.slot) else { return };
         if vote.generation == connection.generation {
             self.on_vote_connection_lost(connection.slot);
         }
@@ -117,15 +123,15 @@
 
     /// No reply will come: the vote cannot count unless all of it was written.
     fn on_vote_connection_lost(&mut self, slot: usize) {
-        let Some(vote) = self.pipeline.votes.get(slot) else { return };
+        let Some(vote) = self.release_service.votes.get(slot) else { return };
         let outcome = if vote.socket.has_unwritten_bytes() { Outcome::Error } else { Outcome::Timeout };
         self.close_vote(slot);
         self.end_vote(VoteReply { outcome, status: None });
     }
 
     fn close_vote(&mut self, slot: usize) {
-        if let Some(vote) = self.pipeline.votes.try_remove(slot) {
-            vote.socket.remove(&self.handle);
+        if let Some(vote) = self.release_service.votes.try_remove(slot) {
+            vote.socket.remove(&self.loop_handle);
         }
     }
 
@@ -143,12 +149,12 @@
 
 /// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands
 /// for one that cannot be read.
-fn vote_reply(id: u64, line: Option<Message>) -> Option<VoteReply> {
+fn parse_vote_reply(call_id: u64, line: Option<Message>) -> Option<VoteReply> {
     match line {
-        Some(Message::Accepted { id: of, status: Some(status) }) if of == id => {
+        Some(Message::Accepted { id, status: Some(status) }) if id == call_id => {
             Some(VoteReply { outcome: Outcome::Ok, status: Some(status) })
         }
-        Some(Message::Declined { id: of, outcome, message }) if of == id => {
+        Some(Message::Declined { id, outcome, message }) if id == call_id => {
             tracing::debug!(target: "verdict", "vote declined: {message}");
             Some(VoteReply { outcome, status: None })
         }
