--- a/crates/platform-proxy/src/error.rs
+++ b/crates/platform-proxy/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the driver.
+//! The errors of the driver.
 
 use std::path::PathBuf;
 use thiserror::Error;
@@ -8,45 +8,46 @@
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file could not be read.
-    #[error("{}: {source}", file.display())]
+    #[error("cannot read configuration file {}: {source}", file.display())]
     Read {
         /// The configuration file.
         file: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file's text is no valid configuration.
-    #[error("{}: {source}", file.display())]
+    /// The file's content is not a valid configuration.
+    #[error("configuration file {} is not valid: {source}", file.display())]
     Parse {
         /// The configuration file.
         file: PathBuf,
-        /// What is wrong with the text.
+        /// What is wrong with the content.
         source: ConfigurationError,
     },
 }
 
-/// Why the proxy could not start, or stopped before its time. Each message is the system's, which names the
-/// address where there is one.
+/// Why the proxy could not start, or why it stopped early. Each message ends with the operating system's
+/// error. That error names the address if the listener for clients could not be bound.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The event loop could not be created.
-    #[error("{0}")]
+    #[error("cannot create the event loop: {0}")]
     EventLoop(#[source] std::io::Error),
-    /// Signals could not be received on the event loop.
-    #[error("{0}")]
+    /// The event loop could not be set up to receive signals.
+    #[error("cannot receive signals on the event loop: {0}")]
     Signals(#[source] std::io::Error),
-    /// The socket for peers' datagrams could not be bound.
-    #[error("{0}")]
+    /// The socket for gossip with peers could not be bound.
+    #[error("cannot bind the gossip socket: {0}")]
     BindPeers(#[source] std::io::Error),
     /// The listener for clients could not be opened.
-    #[error("{0}")]
+    #[error("cannot listen for clients: {0}")]
     Listen(#[source] std::io::Error),
-    /// Waiting for events failed.
-    #[error("{0}")]
+    /// Polling for events failed.
+    #[error("cannot poll for events: {0}")]
     Poll(#[source] std::io::Error),
 }
 
-/// Converts an error of the event loop to the system's error behind it.
+/// Returns the I/O error inside an error of the event loop, or wraps the error as an I/O error if there is
+/// none.
 pub(crate) fn to_io_error(error: calloop::Error) -> std::io::Error {
     match error {
         calloop::Error::IoError(error) => error,
--- a/crates/platform-proxy/src/start.rs
+++ b/crates/platform-proxy/src/start.rs
@@ -1,20 +1,21 @@
-//! Retries of system calls that fail for a moment at the start: no descriptor or buffer is free, an address
-//! is not there yet, a file cannot be read now. A proxy that stopped at the first of them would be missing
-//! until somebody looks.
+//! Retries system calls that fail with a transient error at the start: no descriptor or buffer is free, an
+//! address is not available yet, or a file cannot be read at that moment. A proxy that exited on the first of
+//! these errors would stay down until an operator intervened.
 
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind, Result};
 use std::time::{Duration, Instant};
 
-/// How long a start retries; the platform counts a start of thirty seconds as a crash.
+/// How long an operation is retried at the start. The platform counts a start that takes thirty seconds as a
+/// crash.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// The span between two attempts.
+/// The interval between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Transient errors that have no kind in the standard library, as socket(2), epoll_create(2) and open(2) name
-/// them.
+/// Transient errors that `std::io::ErrorKind` does not cover, as documented for socket(2), epoll_create(2)
+/// and open(2).
 const TRANSIENT_ERRNOS: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::IO];
 
-/// Whether an error is likely to go away by itself.
+/// Whether an error is likely to go away without intervention.
 fn is_transient(error: &Error) -> bool {
     let has_transient_kind = matches!(
         error.kind(),
@@ -29,10 +30,11 @@
     has_transient_kind || Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRNOS.contains(&errno))
 }
 
-/// Repeats an attempt until it succeeds or fails for good. `operation` names it in the log.
+/// Repeats an attempt until it succeeds or fails with an error that is not transient. `operation` names the
+/// attempt in the log.
 ///
 /// # Errors
-/// The first error that is not transient, or the last one after ten seconds.
+/// Returns the first error that is not transient, or the last transient error after ten seconds.
 pub(super) fn retry_transient_errors<T>(
     operation: &str,
     mut attempt: impl FnMut() -> Result<T>,
@@ -43,7 +45,7 @@
         match attempt() {
             Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
                 if !is_logged {
-                    tracing::warn!("{operation}: {error}; trying again");
+                    tracing::warn!("{operation} failed: {error}; trying again");
                     is_logged = true;
                 }
                 std::thread::sleep(RETRY_INTERVAL);
