--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file: read at the start, and again at SIGHUP.
+//! Reads the configuration file at the start, and again on SIGHUP.
 
 use crate::error::ConfigError;
 use crate::event_loop::TimerKind;
@@ -8,18 +8,18 @@
 use violetseam::interface::Micros;
 use violetseam_platform_protocol::config::Config;
 
-/// A configuration that cannot be read at a reload is read again after this span ...
+/// The interval between two attempts to read the configuration in one reload.
 const RELOAD_RETRY_INTERVAL: Micros = 200_000;
-/// ... and at most this many times in all.
+/// How many times a reload tries to read the configuration.
 pub(super) const MAX_RELOAD_ATTEMPTS: u32 = 25;
 
-/// Reads the configuration at a start. An error that is likely to be transient is retried for ten seconds.
+/// Reads the configuration at the start. An error that is likely to be transient is retried for ten seconds.
 ///
 /// # Errors
-/// [`ConfigError::Read`] if the file cannot be read, [`ConfigError::Parse`] if its text is no valid
-/// configuration.
+/// Returns [`ConfigError::Read`] if the file cannot be read, and [`ConfigError::Parse`] if its content is not
+/// a valid configuration.
 pub fn read_config(file: &Path) -> Result<Config, ConfigError> {
-    parse_config(file, retry_transient_errors("configuration", || std::fs::read(file)))
+    parse_config(file, retry_transient_errors("reading the configuration file", || std::fs::read(file)))
 }
 
 fn parse_config(file: &Path, content: std::io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
@@ -35,9 +35,10 @@
         }
     }
 
-    /// Handles SIGHUP: the new addresses are in force at once. A file that cannot be read, or is only partly
-    /// written, leaves the old ones in force and is read again later while attempts are left: discovery takes
-    /// what it sends to the new address as received either way.
+    /// Handles SIGHUP. The new addresses take effect at once. If the file cannot be read or is only partly
+    /// written, the old addresses stay in effect and the file is read again later, as long as attempts are
+    /// left. Reading it again matters because, after the order to move, discovery counts what it sends from
+    /// the new address as received even if this proxy still uses the old one.
     pub(super) fn reload(&mut self, attempts_left: u32) {
         self.reload_generation = self.next_generation();
         match parse_config(&self.config_file, std::fs::read(&self.config_file)) {
--- a/crates/platform-proxy/src/event_loop.rs
+++ b/crates/platform-proxy/src/event_loop.rs
@@ -1,59 +1,60 @@
-//! The event loop: polling, timers, and the execution of the engine's actions.
+//! Polls for events, runs timers and executes the engine's actions.
 
 use crate::proxy::Proxy;
 use std::time::Duration;
 use violetseam::interface::Micros;
 use violetseam_proxy::engine::EngineAction;
 
-/// The span between two rounds of maintenance.
+/// The interval between two rounds of maintenance.
 pub(super) const MAINTENANCE_INTERVAL: Micros = 50_000;
 
-/// Identifies a connection: its slot, and the generation that tells it from earlier connections in the same
-/// slot.
+/// Identifies a connection by its slot and by a generation, which distinguishes it from earlier connections
+/// in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId {
     pub slot: usize,
     pub generation: u64,
 }
 
-/// What a timer is for. Timers are never cancelled: one that has become stale is ignored by its generation.
+/// The purpose of a timer. Timers are never cancelled; the handler of a timer ignores it if its generation or
+/// its time shows that it is outdated.
 ///
-/// The order of the variants is the order in which timers of the same microsecond are run.
+/// Timers that are due in the same microsecond run in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The time-out of a connection attempt to a server.
+    /// An attempt to connect to a server times out.
     ConnectTimeout(ConnectionId),
-    /// The time-out of the query to discovery of this generation.
+    /// The query to discovery with this generation times out.
     DiscoveryTimeout(u64),
-    /// The next query to discovery.
+    /// The next query to discovery is due.
     DiscoveryRetry,
-    /// Checks whether the release watch of this generation is still alive.
+    /// It is time to check whether the release watch with this generation is still alive.
     ReleaseWatchSilence(u64),
-    /// Opens the release watch again.
+    /// The release watch is to be opened again.
     ReleaseWatchRetry,
-    /// The time-out of a vote.
+    /// A vote times out.
     VoteTimeout(ConnectionId),
-    /// Accepts connections again after a pause.
+    /// The listener accepts connections again after a pause.
     ResumeAccepting,
-    /// Reads the configuration again.
+    /// The configuration file is to be read again.
     RetryReload {
-        /// The reload that this continues.
+        /// The generation of the reload that this continues.
         generation: u64,
-        /// Attempts that are left.
+        /// How many attempts are left, including this one.
         attempts_left: u32,
     },
-    /// Stops accepting connections.
+    /// A shutdown stops accepting connections.
     BeginDrain,
-    /// Answers every request that is left and ends all client connections.
+    /// A shutdown answers all remaining requests and closes all client connections.
     FinalResponses,
-    /// Stops, whatever is left.
+    /// The proxy stops, whether or not everything is finished.
     Stop,
-    /// Regular maintenance.
+    /// Regular maintenance is due.
     Maintenance,
 }
 
 impl Proxy {
-    /// How long the next poll may wait for events.
+    /// Returns how long the next poll may wait for events.
     pub(super) fn poll_timeout(&self) -> Duration {
         if !self.clients_to_revisit.is_empty() {
             return Duration::ZERO;
@@ -61,7 +62,8 @@
         self.timers.poll_timeout(self.now(), self.engine.next_deadline())
     }
 
-    /// Runs what was due when the sockets were last polled: an answer that had arrived by then has been read.
+    /// Runs everything that was due when the sockets were last polled. A response that had arrived by then
+    /// has been read already, so that no attempt times out while its response is unread.
     pub(super) fn run_due_timers(&mut self, polled_at: Micros) {
         let now = self.now();
         self.engine.run_deadlines_until(now, polled_at);
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Executes the engine's actions, and those that follow from them, until none is left. Called while an
-    /// action is being executed, it leaves the rest to the outer call.
+    /// Executes the engine's actions, and the actions that result from them, until none is left. A nested
+    /// call, made while an action is being executed, leaves the rest to the outer call.
     pub(super) fn run_engine_actions(&mut self) {
         self.sockets_were_ready = true;
         if std::mem::replace(&mut self.is_running_actions, true) {
@@ -115,7 +117,7 @@
             EngineAction::WatchServerList | EngineAction::FetchServerList => self.poll_server_list(),
             EngineAction::Vote { build, stage, verdict } => self.cast_vote(build, stage, verdict),
             EngineAction::Gossip { to, payload } => self.gossip_to_peers(to, &payload),
-            // The platform's settings contain no quota of the fleet, so there is nothing to lease.
+            // The platform's settings contain no quota for the whole fleet, so there is nothing to lease.
             EngineAction::BudgetMessage { .. } => {}
             EngineAction::Log(text) => tracing::info!(target: "verdict", "{text}"),
         }
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The state of one proxy, its construction and its first events.
+//! The state of one proxy, its construction and the initial events for its engine.
 
 use crate::budgets::Budgets;
 use crate::client::Client;
@@ -29,70 +29,76 @@
 
 /// The size of the buffer that all connections read into.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-/// A process reports that it is ready this long after its start at the latest, with or without a usable
-/// server list: the platform expects nine in ten of them after 6 s where a day ends soon.
+/// The proxy reports that it is ready at the latest this long after its start, with or without a usable
+/// server list. The platform expects nine in ten proxies to be ready 6 s after their start when a day is
+/// about to end.
 const READY_TIMEOUT: Micros = 5_500_000;
 
-/// One proxy on its event loop.
+/// One proxy: its engine, its connections and its resources on the event loop.
 pub(super) struct Proxy {
     pub config: Config,
-    /// Read again at SIGHUP.
+    /// The path of the configuration file, which is read again on SIGHUP.
     pub config_file: PathBuf,
     pub engine: Engine,
     pub loop_handle: LoopHandle<'static, Proxy>,
     started_at: Instant,
-    /// Unix time at the start: the loop's clock counts on from there, so that the platform's times are times
-    /// of this clock, whatever becomes of the machine's wall clock later.
+    /// The Unix time at the start. The proxy's clock advances monotonically from it, so that timestamps of
+    /// the platform can be compared with this clock even if the machine's wall clock is changed later.
     unix_time_at_start: Micros,
     pub client_listener: Option<ClientListener>,
     pub clients: Slab<Client>,
     pub in_flight: HashMap<RequestId, InFlightRequest>,
-    /// Requests in flight by the ids that their clients gave them.
+    /// Requests in flight, by the ids that clients gave to their calls.
     pub requests_by_call_id: HashMap<Box<[u8]>, RequestId>,
-    /// Bytes that requests in flight hold.
+    /// The number of bytes that requests in flight hold in memory.
     pub in_flight_bytes: usize,
+    /// All connections to servers, idle or with an attempt.
     pub server_connections: Slab<ServerConnection>,
-    /// Slots of idle connections by server.
+    /// The slots of idle connections in `server_connections`, by server.
     pub idle_server_connections: IdleConnections<ServerId>,
     pub server_list: ServerList,
     pub discovery: Discovery,
     pub release_service: ReleaseService,
-    /// The socket for peers' datagrams, where gossip is allowed.
+    /// The socket for datagrams of peers; `None` if the settings do not allow gossip or the configuration has
+    /// no address for it.
     pub gossip_socket: Option<Rc<UdpSocket>>,
     pub timers: Timers<TimerKind>,
     pub budgets: Budgets,
+    /// The limits on the size of RESP messages.
     pub bounds: Bounds,
     /// The buffer that all connections read into.
     pub read_buffer: Vec<u8>,
     pub rng: rand_pcg::Pcg64,
+    /// The generation that was given out last.
     last_generation: u64,
-    /// The engine's actions are being executed by a caller further up.
+    /// Whether a caller further up the stack is executing the engine's actions.
     pub is_running_actions: bool,
-    /// A socket had an event in this turn of the loop.
+    /// Whether a socket had an event in this iteration of the event loop.
     pub sockets_were_ready: bool,
-    /// When the loop polled its sockets in the turn before this one: what is read now had not arrived by
-    /// then.
+    /// When the previous iteration of the event loop polled its sockets: what is read in this iteration had
+    /// not arrived by then.
     pub previous_poll_at: Micros,
     pub shutdown_phase: ShutdownPhase,
-    /// Client connections to be visited again in this turn.
+    /// Client connections to be processed again in this iteration of the event loop.
     pub clients_to_revisit: Vec<ConnectionId>,
-    /// The event loop ends after this turn.
+    /// Whether the event loop ends after this iteration.
     pub should_stop: bool,
     log_rate_limit: LogRateLimit,
-    /// The latest reload: a retry of an earlier one is stale.
+    /// The generation of the latest reload; a scheduled retry of an earlier reload is ignored.
     pub reload_generation: u64,
-    /// Client connections that this side closed over a request without a response; a fault if ever over 0.
+    /// How many client connections this side closed although a request on them had no response. Any value
+    /// above 0 indicates a bug.
     pub closed_while_pending: u64,
 }
 
 impl Proxy {
-    /// A proxy before its first event, without sockets.
+    /// Creates a proxy without sockets, before its engine has received any event.
     pub(super) fn new(config: Config, config_file: PathBuf, loop_handle: LoopHandle<'static, Proxy>) -> Self {
         let unix_time =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let mut decisions = config.instance.decisions.clone();
-        // Whether the platform pushes lists or not, they arrive here only in answers to queries: the engine
-        // has to ask.
+        // Even if the platform pushes lists, they reach this proxy only in responses to queries, so the
+        // engine has to request them in either case.
         let lists_are_pushed = !decisions.subscribes_to_list;
         decisions.subscribes_to_list = true;
         if lists_are_pushed {
@@ -136,22 +142,22 @@
         }
     }
 
-    /// Passes the first events to the engine: the server list as last held, which may be stale, and the
-    /// release status of the newest build.
+    /// Passes the initial events to the engine: the server list from the configuration, which may be
+    /// outdated, and the release status of the newest build.
     pub(super) fn start(&mut self) {
         let now = self.now();
         let cached = self.config.cached_list.take();
         let applied = cached.and_then(|list| self.server_list.apply(&list).ok());
         let entries = applied.map(|applied| applied.entries).unwrap_or_default();
         self.previous_poll_at = now;
-        // The age of that list is unknown: it may be used once discovery has confirmed it.
+        // The age of the cached list is unknown, so it may be used only once discovery has confirmed it.
         let lease = ListLease::unconfirmed(&self.config.instance.decisions.rules);
         self.engine.set_list_lease(now, lease);
         self.discovery.report_ready_at = now + READY_TIMEOUT;
         self.engine.on_server_list(now, ListKind::Cached, &entries);
         match self.config.release_status.map(|status| status.to_status()) {
             Some(Ok(status)) => self.engine.on_release_status(now, status),
-            Some(Err(error)) => tracing::warn!("{error}"),
+            Some(Err(error)) => tracing::warn!("release status in the configuration ignored: {error}"),
             None => {}
         }
         self.open_release_watch();
@@ -162,30 +168,32 @@
         self.run_engine_actions();
     }
 
-    /// The time on the loop's clock, as Unix time in microseconds.
+    /// Returns the current time on the proxy's clock, as Unix time in microseconds.
     pub(super) fn now(&self) -> Micros {
         self.unix_time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A number that no connection, query or reload has had yet.
+    /// Returns a number that no connection, query or reload has had yet.
     pub(super) fn next_generation(&mut self) -> u64 {
         self.last_generation += 1;
         self.last_generation
     }
 
-    /// A span drawn between half and one and a half times `span`: all proxies lose a service at the same
-    /// time.
+    /// Returns a random duration between half and one and a half times `span`, because all proxies lose a
+    /// service at the same time and would otherwise come back to it together.
     pub(super) fn with_jitter(&mut self, span: Micros) -> Micros {
         span / 2 + self.rng.random_range(0..span.max(1))
     }
 
-    /// Whether a log line that peers can cause may be written now.
+    /// Whether a log line may be written now. For log lines that other processes can trigger, and so may come
+    /// often.
     pub(super) fn may_log(&mut self) -> bool {
         let now = self.now();
         self.log_rate_limit.allows(now)
     }
 
-    /// Logs the limits of the settings: they explain what a log says of a shutdown or of a stale server list.
+    /// Logs the limits from the settings, which explain what the log says later about a shutdown or an
+    /// outdated server list.
     fn log_limits(&self) {
         let instance = &self.config.instance;
         let rules = &instance.decisions.rules;
