--- a/crates/platform-proxy/src/client.rs
+++ b/crates/platform-proxy/src/client.rs
@@ -5,38 +5,40 @@
 use violetseam::interface::{Micros, RequestId};
 use violetseam_event_io::{Socket, WRITE_BUFFER_HIGH_WATERMARK};
 
-/// Commands of one connection that wait for their responses at once, and that one read may bring: clients
-/// open more connections where all are busy, so a longer burst does not come from one of them.
+/// How many commands of one connection may wait for responses at once, and how many one read may bring.
+/// Clients open more connections when all of theirs are busy, so a well-behaved client does not send a longer
+/// burst on one of them.
 pub(super) const MAX_PIPELINED_COMMANDS: usize = 32;
-/// A connection that has not sent one complete command within this span is closed.
+/// A connection that has not sent one complete command within this time is closed.
 const FIRST_COMMAND_TIMEOUT: Micros = 1_500_000;
-/// A command must be complete within this span of its first byte.
+/// A command must be complete within this time of its first byte.
 const PARTIAL_COMMAND_TIMEOUT: Micros = 1_500_000;
-/// After a response that ends the connection, its input is read and dropped for this span ...
+/// How long input is read and dropped after a response that ends the connection, and how long a connection
+/// that this side has closed waits for its client to close it as well.
 const LINGER_TIMEOUT: Micros = 300_000;
-/// ... and up to this many bytes: a connection closed at once over unread bytes would be reset, and the
-/// response could be lost with it.
+/// How much input is read and dropped after a response that ends the connection. A connection that is closed
+/// while input is unread would be reset, and the response could be lost with it.
 pub(super) const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Responses that a client does not read are held for this span.
+/// How long responses that a client does not read are held.
 const WRITE_STALL_TIMEOUT: Micros = 3_000_000;
 
-/// A client connection.
+/// One client connection.
 pub(super) struct Client {
-    /// Tells it from earlier connections in its slot.
+    /// Distinguishes this connection from earlier ones in the same slot.
     pub generation: u64,
     pub socket: Socket,
     /// Input that no command has consumed yet.
     pub input: Vec<u8>,
-    /// Responses in the order of their commands.
+    /// Responses, in the order of their commands.
     pub pending_responses: VecDeque<PendingResponse>,
     pub state: ClientState,
-    /// Its input is being parsed and has been moved out of `input` meanwhile.
+    /// Whether the input is being parsed; it is moved out of `input` during that time.
     pub is_parsing: bool,
-    /// Commands wait in its input until there is room for their responses.
+    /// Whether commands wait in the input until there is room for their responses.
     pub is_backpressured: bool,
-    /// A complete, valid call has arrived on it.
+    /// Whether a complete and valid call has arrived.
     pub has_sent_call: bool,
-    /// Since when no response has been pending, or the present command has been arriving.
+    /// Since when no response has been pending, or since when the current command has been arriving.
     pub idle_since: Micros,
 }
 
@@ -45,33 +47,33 @@
 pub(super) enum ClientState {
     /// Commands are read and answered.
     Open,
-    /// Nothing more is read: the connection ends after its pending responses.
+    /// Nothing more is read. The connection is closed after its pending responses.
     Closing,
-    /// The last response was an error, and the write side is closed; this many bytes of input have been
-    /// dropped.
+    /// The last response was an error, and the write side is closed. The value is how many bytes of input
+    /// have been dropped since.
     Lingering(usize),
-    /// This side has ended the connection between two requests. Nothing is read any more: a request that
-    /// crossed the end on the way is not accepted, and its client sends it elsewhere.
+    /// This side has closed the connection between two requests. Nothing is read any more: a request that was
+    /// sent before its client noticed the close is not accepted, and the client sends it elsewhere.
     Ended,
 }
 
-/// A place in the order of responses.
+/// An entry in the ordered queue of responses.
 pub(super) enum PendingResponse {
     /// The response to this request has not been decided yet.
     Request(RequestId),
-    /// The bytes to write once all earlier responses are written.
+    /// The bytes of a response, which are written once all earlier responses are written.
     Ready(Vec<u8>),
 }
 
 impl PendingResponse {
-    /// Whether this is the place of a request whose response has not been decided yet.
+    /// Whether this entry waits for the response to the given request.
     pub fn is_for(&self, request: RequestId) -> bool {
         matches!(self, PendingResponse::Request(id) if *id == request)
     }
 }
 
 impl Client {
-    /// A new, open connection.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new(socket: Socket, generation: u64, now: Micros) -> Self {
         Client {
             generation,
@@ -86,30 +88,31 @@
         }
     }
 
-    /// No response is pending on it, and no part of a command has arrived: it may be closed without the loss
-    /// of a request, provided that nothing lies unread either.
+    /// Whether no response is pending and no part of a command has arrived. Such a connection may be closed
+    /// without losing a request, provided that it has no unread input in the kernel either.
     pub fn is_idle(&self) -> bool {
         self.is_fully_answered() && self.input.is_empty()
     }
 
-    /// No response is pending on it: in the last phase of a shutdown it may be closed, also over a partial
-    /// command.
+    /// Whether no response is pending. In the last phase of a shutdown such a connection may be closed even
+    /// if a part of a command has arrived.
     pub fn is_fully_answered(&self) -> bool {
         self.pending_responses.is_empty() && !self.socket.has_unwritten_bytes() && !self.is_parsing
     }
 
-    /// Bytes, or the end of the connection, lie unread in the kernel.
+    /// Whether input, or the end of the connection, is unread in the kernel.
     pub fn has_unread_input(&self) -> bool {
         self.socket.is_stale()
     }
 
-    /// No further command is taken before a response has been written.
+    /// Whether so many responses are pending that no further command is handled until some of them are
+    /// written.
     pub fn has_response_backlog(&self) -> bool {
         self.pending_responses.len() >= MAX_PIPELINED_COMMANDS
             || self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
-    /// Moves the responses whose turn has come to the socket; whether there were any.
+    /// Moves the responses that are next in order to the socket. Returns whether there were any.
     pub fn queue_ready_responses(&mut self) -> bool {
         let mut any_queued = false;
         while let Some(PendingResponse::Ready(bytes)) = self.pending_responses.front() {
@@ -120,21 +123,21 @@
         any_queued
     }
 
-    /// Sets the events that the connection is to be woken for.
+    /// Sets which events the event loop reports for the connection.
     pub fn update_interest<D>(&self, loop_handle: &LoopHandle<'static, D>, max_command_bytes: usize) {
         let wants_read = match self.state {
-            // Read on while commands wait, within the bound of one command: nothing else shows that the
-            // client has left.
+            // Input is read even while commands wait, up to the maximum size of one command, because nothing
+            // else shows that the client has disconnected.
             ClientState::Open => !self.has_response_backlog() || self.input.len() < max_command_bytes,
-            // Input is dropped from here on, once the write side is closed.
+            // In these states nothing is read. Input is dropped once the write side is closed.
             ClientState::Closing | ClientState::Ended => false,
             ClientState::Lingering(_) => true,
         };
         self.socket.set_read_interest(loop_handle, wants_read);
     }
 
-    /// Whether a time-out has expired: of a silent connection, a partial command, or responses that are not
-    /// read.
+    /// Whether the connection has been silent, a command has been incomplete, or responses have been unread
+    /// for too long.
     pub fn is_timed_out(&self, now: Micros) -> bool {
         let idle = now.saturating_sub(self.idle_since);
         match self.state {
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -1,7 +1,7 @@
-//! Client connections: from bytes to commands, and from responses to bytes.
+//! Reads commands from client connections and writes responses to them.
 //!
-//! Responses are written in the order of a connection's commands. A malformed call is answered with an error
-//! here, and the connection ends after that: nothing of it reaches the engine or a server.
+//! Responses are written in the order of a connection's commands. A malformed call is answered with an error,
+//! after which the connection is closed; no part of it reaches the engine or a server.
 
 use crate::client::{Client, ClientState, MAX_LINGER_BYTES, MAX_PIPELINED_COMMANDS, PendingResponse};
 use crate::event_loop::ConnectionId;
@@ -13,16 +13,16 @@
 use violetseam_platform_protocol::call::{self, Command};
 use violetseam_resp::{Bounds, command};
 
-/// The reason given for a burst of more commands than may wait on one connection.
+/// The error that a client gets for a burst of more commands than may wait on one connection.
 const TOO_MANY_COMMANDS: &str = "too many commands at once";
 
 /// The commands that were parsed from a connection's input.
 struct ParsedCommands<'a> {
-    /// Each command's words.
+    /// The arguments of each command.
     commands: Vec<Vec<&'a [u8]>>,
-    /// Bytes that they took.
+    /// How many bytes of the input the commands take.
     consumed: usize,
-    /// Why the input after them cannot be parsed, if it cannot.
+    /// Why the rest of the input cannot be parsed, if it cannot.
     error: Option<String>,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Proxy {
-    /// Takes a connection off the loop without a message to the engine.
+    /// Removes a connection from the event loop without informing the engine.
     pub(super) fn close_client(&mut self, slot: usize) {
         if let Some(client) = self.clients.try_remove(slot) {
             self.closed_while_pending += u64::from(!client.is_fully_answered());
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The connection broke, or its client closed it: its requests need no response any more.
+    /// Removes a connection that failed or that its client closed. Its requests need no response any more.
     fn disconnect_client(&mut self, slot: usize) {
         let Some(client) = self.clients.try_remove(slot) else { return };
         client.socket.remove(&self.loop_handle);
@@ -70,10 +70,11 @@
         }
     }
 
-    /// Handles a connection's readiness.
+    /// Handles an event on the connection.
     pub(super) fn on_client_readiness(&mut self, slot: usize, readiness: Readiness) {
         if self.clients.get(slot).is_some_and(|client| client.state == ClientState::Ended) {
-            // No event is wanted in this state: the other side has ended the connection, too.
+            // In this state the connection is registered for no events, so any event means that the client
+            // has closed it as well.
             return self.close_client(slot);
         }
         if readiness.writable {
@@ -85,7 +86,8 @@
         self.run_engine_actions();
     }
 
-    /// Reads once; whether there was anything to read.
+    /// Reads from the connection once and returns whether there was anything to read, including the end of
+    /// the connection.
     fn read_client(&mut self, slot: usize) -> bool {
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         let mut outcome = ReadOutcome::WouldBlock;
@@ -111,8 +113,8 @@
         outcome != ReadOutcome::WouldBlock
     }
 
-    /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request
-    /// must be answered: of a burst that is too long none is accepted.
+    /// Handles the commands in the input. All commands are parsed before the first one is handled: an
+    /// accepted request must be answered, so no command of a burst that is too long may be accepted.
     fn handle_input(&mut self, slot: usize) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         client.is_backpressured = client.has_response_backlog();
@@ -161,16 +163,16 @@
         }
     }
 
-    /// Responds to a command that needs no decision.
+    /// Sends a response to a command that the engine is not involved in.
     pub(super) fn respond_immediately(&mut self, slot: usize, bytes: &[u8]) {
         if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Ready(bytes.to_vec()));
         }
     }
 
-    /// Responds with an error to a command that cannot be accepted; the connection ends after that.
+    /// Sends an error in response to a command that cannot be accepted. The connection is closed after that.
     pub(super) fn reject_malformed(&mut self, slot: usize, reason: &str) {
-        tracing::debug!(client = slot, "declined: {reason}");
+        tracing::debug!(client = slot, "command rejected, closing the connection: {reason}");
         if let Some(client) = self.clients.get_mut(slot) {
             let mut bytes = Vec::new();
             answer::write_malformed(&mut bytes, reason);
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Writes the responses whose turn has come.
+    /// Writes the responses that are next in order.
     pub(super) fn flush_client(&mut self, slot: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
@@ -204,16 +206,17 @@
         }
     }
 
-    /// Revisits connections on which commands waited for room, or that may end in a shutdown.
+    /// Processes connections on which commands were waiting for room, or that a shutdown may close.
     pub(super) fn revisit_clients(&mut self) {
         for connection in std::mem::take(&mut self.clients_to_revisit) {
             self.revisit_client(connection);
         }
     }
 
-    /// Goes on with the commands that waited, and ends the connection if the shutdown is that far. What has
-    /// arrived is read first, as requests before it were accepted: a connection that closes over unread bytes
-    /// is reset, and a response that its client has not read yet may be lost with it.
+    /// Handles the commands that were waiting, and closes the connection if the phase of the shutdown allows
+    /// that. Any input that has arrived is read first: it may contain requests, like the input before it, and
+    /// a connection that is closed while input is unread is reset, which can lose a response that its client
+    /// has not read yet.
     fn revisit_client(&mut self, connection: ConnectionId) {
         let slot = connection.slot;
         let Some(client) = self.open_client(connection) else { return };
@@ -239,21 +242,21 @@
         self.update_client_interest(slot);
     }
 
-    /// The connection, if it is still the same one and open.
+    /// Returns the connection if it still exists and is open.
     fn open_client(&mut self, connection: ConnectionId) -> Option<&mut Client> {
         self.clients
             .get_mut(connection.slot)
             .filter(|client| client.generation == connection.generation && client.state == ClientState::Open)
     }
 
-    /// Sets the events that a connection is to be woken for.
+    /// Sets which events the event loop reports for the connection.
     pub(super) fn update_client_interest(&mut self, slot: usize) {
         if let Some(client) = self.clients.get(slot) {
             client.update_interest(&self.loop_handle, self.bounds.max_message_bytes);
         }
     }
 
-    /// Closes the connections whose time-outs have expired.
+    /// Closes the connections that have been silent, incomplete or unread for too long.
     pub(super) fn close_timed_out_clients(&mut self, now: Micros) {
         let timed_out: Vec<usize> = self
             .clients
@@ -263,7 +266,7 @@
             .collect();
         for slot in timed_out {
             let state = self.clients.get(slot).map(|client| (client.state, client.pending_responses.len()));
-            tracing::debug!(client = slot, ?state, "closed: its time is over");
+            tracing::debug!(client = slot, ?state, "closed: time-out expired");
             self.disconnect_client(slot);
         }
     }
