--- a/crates/platform-proxy/src/budgets.rs
+++ b/crates/platform-proxy/src/budgets.rs
@@ -1,4 +1,5 @@
-//! What the limits leave for each kind of connection and for buffered bytes, and what is evicted first.
+//! Divides the resource limits between the kinds of connections and buffered bytes, and chooses which
+//! connection to evict when a limit is reached.
 
 use crate::client::Client;
 use crate::proxy::Proxy;
@@ -6,35 +7,37 @@
 use violetseam::interface::Micros;
 use violetseam_platform_protocol::config::Limits;
 
-/// Descriptors for the loop, the log, signals, listener, datagrams, discovery, pipeline and votes.
+/// Descriptors reserved for the event loop, the log, signals, the listener, datagrams, discovery, the release
+/// service and votes.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// An idle connection may be closed to make room once it has been idle for this span: a client that has just
-/// been answered is likely to go on.
+/// How long a connection must have been idle before it may be evicted: a client that has just been answered
+/// is likely to send another request.
 const MIN_IDLE_BEFORE_EVICTION: Micros = 2_000_000;
-/// A connection that has sent no call for this span since it came up is evicted before any other.
+/// A connection that has sent no call this long after it was accepted may be evicted, and is evicted before
+/// any other.
 const MIN_IDLE_BEFORE_EVICTION_WITHOUT_CALL: Micros = 100_000;
-/// The most requests in flight, whatever the settings say.
+/// The maximum number of requests in flight, whatever the settings say.
 const MAX_REQUESTS_IN_FLIGHT: usize = 4096;
 
-/// Shares of the limits.
+/// How the resource limits are divided.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Budgets {
-    /// Client connections.
+    /// The maximum number of client connections.
     pub client_connections: usize,
-    /// Server connections.
+    /// The maximum number of server connections.
     pub server_connections: usize,
-    /// Requests in flight.
+    /// The maximum number of requests in flight.
     pub requests_in_flight: usize,
-    /// Bytes that requests in flight may hold.
+    /// How many bytes requests in flight may hold in memory.
     pub request_bytes: usize,
 }
 
 impl Budgets {
-    /// Divides the limits; `open_cap` is the settings' bound on requests in flight.
+    /// Divides the limits. `open_cap` is the maximum number of requests in flight according to the settings.
     pub fn new(limits: &Limits, open_cap: usize) -> Self {
         let available = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
-        // Clients hold a third of all descriptors for requests; the rest of their share is for those that
-        // never send any.
+        // Client connections that carry requests need a third of all descriptors. The rest of the client
+        // share is for connections that never send a request.
         let client_connections = available * 11 / 20;
         let request_bytes = (limits.memory_mb.clamp(8.0, 65_536.0) * 1024.0 * 1024.0 / 8.0) as usize;
         Budgets {
@@ -46,7 +49,7 @@
     }
 }
 
-/// Whether a connection may be closed to make room for another.
+/// Whether a connection may be closed to make room for another one.
 fn is_evictable(client: &Client, now: Micros) -> bool {
     let min_idle =
         if client.has_sent_call { MIN_IDLE_BEFORE_EVICTION } else { MIN_IDLE_BEFORE_EVICTION_WITHOUT_CALL };
@@ -54,8 +57,8 @@
 }
 
 impl Proxy {
-    /// Makes room for a client: a connection that has sent no call is evicted first, then the one that has
-    /// been idle longest. Whether there is room.
+    /// Makes room for a client connection and returns whether there is room. Connections that have sent no
+    /// call are evicted first, then the connection that has been idle longest.
     pub(super) fn make_room_for_client(&mut self) -> bool {
         if self.clients.len() < self.budgets.client_connections {
             return true;
@@ -67,7 +70,7 @@
             .filter(|(_, client)| is_evictable(client, now))
             .min_by_key(|(_, client)| (client.has_sent_call, client.idle_since));
         let Some((slot, client)) = candidate else { return false };
-        // What lies unread on it may be a request: it is read in the next turn.
+        // The unread bytes may be a request, which is read in the next iteration of the event loop.
         if client.has_unread_input() {
             return false;
         }
@@ -75,8 +78,8 @@
         true
     }
 
-    /// Makes room for a connection to a server: the idle one that has been idle longest is closed, to
-    /// whichever server. Whether there is room.
+    /// Makes room for a connection to a server and returns whether there is room. The connection that has
+    /// been idle longest is evicted, whichever server it leads to.
     pub(super) fn make_room_for_server_connection(&mut self) -> bool {
         if self.server_connections.len() < self.budgets.server_connections {
             return true;
--- a/crates/platform-proxy/src/listener.rs
+++ b/crates/platform-proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts client connections, and pauses when room or descriptors run out.
+//! Accepts client connections, and pauses while no connection slot or descriptor is free.
 
 use crate::client::Client;
 use crate::event_loop::TimerKind;
@@ -8,22 +8,22 @@
 use violetseam::interface::Micros;
 use violetseam_event_io::{AcceptOutcome, Listener, Socket, accept, listen};
 
-/// Connections accepted in one turn of the loop.
+/// How many connections are accepted in one iteration of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// A listener that ran out of room or descriptors pauses for this span.
+/// How long the listener pauses after it found no free connection slot or descriptor.
 const ACCEPT_PAUSE: Micros = 20_000;
-/// The length of the kernel's queue of connections that wait to be accepted.
+/// The maximum length of the kernel's queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// The listener for clients.
 pub(super) struct ClientListener {
     listener: Listener,
-    /// Accepting is not paused.
+    /// False while accepting is paused.
     is_accepting: bool,
 }
 
 impl Proxy {
-    /// Listens for clients.
+    /// Opens the listener for clients.
     pub(super) fn listen(&mut self) -> std::io::Result<()> {
         let socket = listen(self.config.listen, LISTEN_BACKLOG)?;
         let on_ready = |socket: &TcpListener, proxy: &mut Proxy| proxy.accept_clients(socket);
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// Accepts one turn's share of the connections that wait.
+    /// Accepts the connections in the kernel's queue, up to the maximum for one iteration of the event loop.
     fn accept_clients(&mut self, socket: &TcpListener) {
         self.sockets_were_ready = true;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
@@ -44,7 +44,7 @@
                     if let Err(e) = self.add_client(stream)
                         && self.may_log()
                     {
-                        tracing::warn!("client not taken: {e}");
+                        tracing::warn!("accepted client connection could not be set up: {e}");
                     }
                 }
                 AcceptOutcome::QueueEmpty => {
@@ -83,8 +83,9 @@
         }
     }
 
-    /// In a shutdown: accepts the connections that wait in the kernel's queue, and stops listening once that
-    /// is empty. A connection left in the queue would be neither served nor free to go elsewhere.
+    /// Accepts the connections in the kernel's queue during a shutdown, and stops listening once the queue is
+    /// empty. A connection that stayed in the queue would not be served, and its client could not tell that
+    /// it should connect elsewhere.
     pub(super) fn accept_queued_connections(&mut self) {
         if let Some(client_listener) = &self.client_listener {
             let socket = client_listener.listener.socket().clone();
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: from a client's call to its final response.
+//! Tracks requests in flight, from a client's call to its final response.
 
 use crate::client::PendingResponse;
 use crate::event_loop::ConnectionId;
@@ -8,16 +8,17 @@
 use violetseam_platform_protocol::call::Call;
 use violetseam_proxy::engine::LocalResponse;
 
-/// A request that the engine has accepted: what it takes to send it, and where its response goes.
+/// A request that the engine has accepted, with the call to send and the connection to respond on.
 pub(super) struct InFlightRequest {
+    /// The connection that the call arrived on.
     client: ConnectionId,
     pub call: Call,
-    /// Slots of the attempts' server connections, by the attempts' numbers.
+    /// The slot of each attempt's server connection, by the number of the attempt.
     pub attempt_connections: Vec<Option<usize>>,
 }
 
 impl Proxy {
-    /// Passes a call to the engine, unless the bounds of this process forbid it.
+    /// Passes a call to the engine, unless the resource limits of this process forbid it.
     pub(super) fn admit_call(&mut self, slot: usize, call: Call) {
         if self.requests_by_call_id.contains_key(&call.id) {
             return self.reject_malformed(slot, "a request with this id is open");
@@ -26,12 +27,12 @@
         client.has_sent_call = true;
         let connection = ConnectionId { slot, generation: client.generation };
         if !self.has_room_for(&call) {
-            // A bound of this process, not of the service: the call is never executed.
+            // The limit belongs to this process and not to the service: the call is never executed.
             return self.respond_immediately(slot, b"-BUSY\r\n");
         }
         let now = self.now();
-        // The client's wait began when it sent the call, which may have lain unread for as long as this loop
-        // is late.
+        // The client's wait began when it sent the call. The call may have been unread for as long as the
+        // event loop is late.
         let unread_time = self.timers.lateness(now, self.engine.next_deadline());
         self.in_flight_bytes += call.size();
         let request = self.engine.on_request(now, to_engine_request(&call, now, unread_time), true);
@@ -54,16 +55,16 @@
         self.run_engine_actions();
     }
 
-    /// Whether the bounds of this process leave room for a further request.
+    /// Whether the resource limits of this process leave room for another request.
     fn has_room_for(&self, call: &Call) -> bool {
         self.in_flight.len() < self.budgets.requests_in_flight
             && self.in_flight_bytes + call.size() <= self.budgets.request_bytes
     }
 
-    /// Sends a final response of the proxy's own.
+    /// Sends a final response that the proxy generates itself.
     pub(super) fn send_local_response(&mut self, request: RequestId, response: LocalResponse) {
         let mut bytes = Vec::new();
-        tracing::debug!(request, last = ?response, "own answer");
+        tracing::debug!(request, last = ?response, "local response");
         match response {
             LocalResponse::Rejected { retry_after } => answer::write_rejected(&mut bytes, retry_after),
             LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
@@ -71,7 +72,7 @@
         self.send_response(request, bytes);
     }
 
-    /// Puts a final response in its place and writes all whose turn has come.
+    /// Stores a final response at its position in the order and writes all responses that are next in order.
     pub(super) fn send_response(&mut self, request: RequestId, bytes: Vec<u8>) {
         let Some(in_flight) = self.in_flight.get(&request) else { return };
         let ConnectionId { slot, generation } = in_flight.client;
@@ -87,7 +88,7 @@
         self.update_client_interest(slot);
     }
 
-    /// Drops a request that is finished and has no attempt left.
+    /// Removes a request that is finished and has no attempt left.
     pub(super) fn forget_request(&mut self, request: RequestId) {
         if let Some(in_flight) = self.in_flight.remove(&request) {
             self.in_flight_bytes -= in_flight.call.size();
@@ -96,7 +97,7 @@
     }
 }
 
-/// The call as the engine takes it. `unread_time` is how long it may have lain unread.
+/// Converts a call to a request for the engine. `unread_time` is how long the call may have been unread.
 fn to_engine_request(call: &Call, now: Micros, unread_time: Micros) -> Request {
     Request {
         id: 0,
