--- a/crates/platform-proxy/src/peers.rs
+++ b/crates/platform-proxy/src/peers.rs
@@ -1,5 +1,5 @@
-//! Gossip with peers: datagrams on one UDP socket. The payload is the datagram, without a header: a sender is
-//! known by its address.
+//! Exchanges gossip with peers, as datagrams on one UDP socket. A datagram consists of the payload alone,
+//! without a header; its sender is identified by the source address.
 
 use crate::proxy::Proxy;
 use calloop::generic::Generic;
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 use violetseam_site_protocol::peer_datagram::MAX_PAYLOAD_BYTES;
 
-/// Datagrams received in one turn of the loop.
+/// How many datagrams are received in one iteration of the event loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 impl Proxy {
-    /// Binds the socket for gossip, where the settings allow gossip and the configuration has an address.
+    /// Binds the socket for gossip if the settings allow gossip and the configuration has an address for it.
     pub(super) fn bind_gossip_socket(&mut self) -> std::io::Result<()> {
         if !self.config.instance.decisions.limits.gossip {
             return Ok(());
@@ -46,15 +46,18 @@
         }
     }
 
-    /// Sends a message to one peer, or to all of them.
+    /// Sends a message to one peer, or to all peers if there is no recipient.
     pub(super) fn gossip_to_peers(&mut self, recipient: Option<usize>, payload: &[u8]) {
         let Some(socket) = &self.gossip_socket else { return };
         if payload.len() > MAX_PAYLOAD_BYTES {
-            tracing::error!(bytes = payload.len(), "a message to peers is too long and was not sent");
+            tracing::error!(
+                bytes = payload.len(),
+                "a message to peers is too long and was not sent: the limit is {MAX_PAYLOAD_BYTES} bytes"
+            );
             return;
         }
-        // A datagram that cannot be sent is like one that the network lost: counters only grow, so that the
-        // next message makes up for it.
+        // Send errors are ignored like losses on the network: the counters in these messages only grow, so
+        // the next message makes up for a lost one.
         if let (None, Some(all_peers)) = (recipient, self.config.peers_all) {
             let _ = socket.send_to(payload, all_peers);
             return;
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -1,10 +1,13 @@
-//! Connections to servers: kept idle, or with one attempt on them.
+//! Manages connections to servers. Each connection is idle or carries one attempt.
 //!
-//! A connection carries one request at a time, though servers would begin several: an answer that waits
-//! behind another one would be late for reasons that are not its server's, and cancelling one attempt closes
-//! the connection for all that share it. How an attempt's end is reported to the engine is settled here:
-//! `ConnectFailed` only while the request's last byte has not been written, `Reset` for a connection that was
-//! lost after that or whose answer was malformed, whoever closed it and why.
+//! A connection carries one request at a time, although servers would accept several. A response that waits
+//! behind another one would be late for reasons that its server is not responsible for, and cancelling one
+//! attempt closes the connection for all attempts on it.
+//!
+//! This module decides which outcome is reported to the engine when a connection is lost. `ConnectFailed` is
+//! reported only if the last byte of the request has not been written. `Reset` is reported if the connection
+//! was lost after that or if the response was malformed, regardless of which side closed the connection and
+//! why.
 
 use crate::event_loop::{ConnectionId, TimerKind};
 use crate::proxy::Proxy;
@@ -13,18 +16,20 @@
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 use violetseam_platform_protocol::answer::{self, Answer, parse_answer};
 
-/// An idle connection is closed at this share of the time after which its server would close it ...
+/// An idle connection is closed after this share of the time after which its server would close it.
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
-/// ... and at least this long before that: the server counts from when it wrote, this side from when it read,
-/// and a turn of the loop lies between.
+/// An idle connection is closed at least this long before its server would close it. The server counts from
+/// when it wrote its response and this side from when it read the response, and an iteration of the event
+/// loop lies between the two.
 const IDLE_TIMEOUT_MARGIN: Micros = 30_000;
-/// A connection is idle for this span before it is used again: a second answer comes some milliseconds after
-/// the first, and would otherwise be taken for the answer to what was written meanwhile.
+/// How long a connection must be idle before it is used again. A server may send a second response some
+/// milliseconds after the first one; on a connection that was reused immediately it would be taken for the
+/// response to the next request.
 const MIN_IDLE_BEFORE_REUSE: Micros = 10_000;
-/// Reads for one event, so that the bytes of one answer and its load report are read together: a partial
-/// answer is lost when its attempt times out.
+/// How often a connection is read for one event, so that a response and the load report that comes with it
+/// are read together. A response that is only partly read is lost when its attempt times out.
 const MAX_READS_PER_EVENT: usize = 4;
-/// Bytes of an unexpected error that are logged.
+/// How many bytes of an unexpected error are logged.
 const MAX_LOGGED_ERROR_BYTES: usize = 80;
 
 /// A connection to a server.
@@ -40,11 +45,11 @@
 /// The state of a connection to a server.
 #[derive(Clone, Copy)]
 enum ConnectionState {
-    /// Not up yet.
+    /// The connection is being established for this attempt.
     Connecting(AttemptId),
-    /// The request has been written, or is being written.
+    /// The attempt's request is being written, or has been written.
     Busy(AttemptId),
-    /// Ready for an attempt.
+    /// The connection is available for an attempt.
     Idle,
 }
 
@@ -52,12 +57,12 @@
 #[derive(Clone, Copy)]
 struct AttemptId {
     request: RequestId,
-    /// The attempt's number within its request.
+    /// The number of the attempt within its request.
     number: usize,
 }
 
 impl ServerConnection {
-    /// Since when it has been idle.
+    /// Returns since when the connection has been idle.
     pub fn idle_since(&self) -> Micros {
         self.idle_since
     }
@@ -70,7 +75,7 @@
         matches!(self.state, ConnectionState::Idle)
     }
 
-    /// The attempt on it.
+    /// Returns the attempt that the connection carries, if any.
     fn attempt(&self) -> Option<AttemptId> {
         match self.state {
             ConnectionState::Connecting(attempt) | ConnectionState::Busy(attempt) => Some(attempt),
@@ -82,7 +87,7 @@
 impl Proxy {
     /// Starts an attempt on an idle connection, or on a new one.
     pub(super) fn start_attempt(&mut self, request: RequestId, attempt: usize, server: ServerId) {
-        // Cancelled by the same batch of actions that started it: nothing is sent.
+        // If the batch of actions that started the attempt has cancelled it as well, nothing is sent.
         if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
@@ -99,7 +104,7 @@
             return self.send_request(slot);
         }
         if !self.make_room_for_server_connection() {
-            // A bound of this process says nothing about the server: the attempt was never made.
+            // A limit of this process says nothing about the server, so the attempt is reported as not sent.
             return self.end_attempt(attempt, Outcome::NotSent);
         }
         if self.open_server_connection(server, attempt).is_none() {
@@ -107,8 +112,9 @@
         }
     }
 
-    /// Takes an idle connection that may be used again: the one that has been idle longest, as what may still
-    /// follow an answer on it has arrived by now, and is noticed before the connection is used.
+    /// Takes an idle connection that may be used again. The one that has been idle longest is taken: any
+    /// bytes that might still follow its last response have arrived by now, so that they are noticed before
+    /// the connection is used.
     fn take_idle_connection(&mut self, server: ServerId) -> Option<usize> {
         let now = self.now();
         let max_idle_time = self.max_idle_time();
@@ -118,7 +124,8 @@
                 return None;
             }
             self.idle_server_connections.remove(&server, slot);
-            // The idle time is checked here as well, as maintenance is too rare for short times.
+            // The idle time is checked here as well, because maintenance does not run often enough for short
+            // idle times.
             if now < connection.idle_since + max_idle_time && !connection.socket.is_stale() {
                 return Some(slot);
             }
@@ -127,7 +134,7 @@
         None
     }
 
-    /// Begins a connection for an attempt.
+    /// Starts to open a connection for an attempt.
     fn open_server_connection(&mut self, server: ServerId, attempt: AttemptId) -> Option<()> {
         let stream = connect(self.server_list.address(server)?).ok()?;
         let generation = self.next_generation();
@@ -152,7 +159,7 @@
         Some(())
     }
 
-    /// Records which connection an attempt is on, or that it is on none any more.
+    /// Records which connection carries an attempt, or that none carries it any more.
     fn set_attempt_connection(&mut self, attempt: AttemptId, slot: Option<usize>) {
         let Some(in_flight) = self.in_flight.get_mut(&attempt.request) else { return };
         if let Some(connection) = in_flight.attempt_connections.get_mut(attempt.number) {
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Whether an attempt that could not be sent when it was ordered may be sent now.
+    /// Whether an attempt that could not be sent when it started may be sent now.
     fn may_send(&mut self, attempt: AttemptId) -> bool {
         let now = self.now();
         let may_send = self.engine.may_send(now, attempt.request, attempt.number);
@@ -179,7 +186,8 @@
         self.engine.on_attempt_ended(now, attempt.request, attempt.number, outcome);
     }
 
-    /// Writes the request on a connection that is up, with the time that this attempt will be waited for.
+    /// Writes the request on an established connection, together with the time for which this attempt will be
+    /// waited for.
     fn send_request(&mut self, slot: usize) {
         let now = self.now();
         let Some(connection) = self.server_connections.get_mut(slot) else { return };
@@ -192,7 +200,7 @@
             tracing::warn!(
                 request = attempt.request,
                 attempt = attempt.number,
-                "held back at the moment of writing"
+                "attempt cancelled at the moment of writing: it may no longer be sent"
             );
             return;
         }
@@ -208,7 +216,7 @@
         }
     }
 
-    /// Handles a connection's readiness.
+    /// Handles an event on the connection.
     fn on_server_readiness(&mut self, slot: usize, readiness: Readiness) {
         let Some(connection) = self.server_connections.get_mut(slot) else { return };
         if let ConnectionState::Connecting(attempt) = connection.state {
@@ -216,8 +224,8 @@
             return self.run_engine_actions();
         }
         if readiness.writable && connection.socket.has_unwritten_bytes() {
-            // The rest of a request counts from its last byte: until that is written the server has none of
-            // it.
+            // A request counts as sent only when its last byte is written, because until then the server does
+            // not have it. The engine is therefore asked again before the rest is written.
             let attempt = connection.attempt();
             if attempt.is_none_or(|attempt| self.may_send(attempt)) {
                 self.flush_server_connection(slot);
@@ -229,7 +237,7 @@
         self.run_engine_actions();
     }
 
-    /// Sends the request once the connection is up.
+    /// Sends the request once the connection is established.
     fn on_connect_readiness(&mut self, slot: usize, attempt: AttemptId, readiness: Readiness) {
         let Some(connection) = self.server_connections.get_mut(slot) else { return };
         if connection.socket.connect_error().is_some() {
@@ -244,7 +252,7 @@
         self.send_request(slot);
     }
 
-    /// Reads what has arrived and handles a complete answer.
+    /// Reads the input that has arrived and handles the response if it is complete.
     fn read_server_connection(&mut self, slot: usize) {
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         let mut outcome = self.read_server_input(slot, &mut read_buffer);
@@ -261,13 +269,16 @@
         if let Some(connection) = self.server_connections.get(slot) {
             match outcome {
                 ReadOutcome::WouldBlock => {}
-                // Unexpected bytes: whatever they are, they must not be taken for the answer to what is sent
-                // next.
+                // Unexpected bytes must not be taken for the response to the next request, whatever they are.
                 ReadOutcome::Bytes(_) => self.close_server_connection(slot),
                 ReadOutcome::Closed | ReadOutcome::Failed => {
                     if connection.is_idle() {
                         let idle_us = self.now().saturating_sub(connection.idle_since);
-                        tracing::debug!(server = connection.server, rested_us = idle_us, "closed while idle");
+                        tracing::debug!(
+                            server = connection.server,
+                            rested_us = idle_us,
+                            "idle connection closed by the server"
+                        );
                     }
                     self.on_server_connection_lost(slot);
                 }
@@ -276,7 +287,7 @@
         self.read_buffer = read_buffer;
     }
 
-    /// Reads into the connection's input while an attempt is on it; how the last read went.
+    /// Reads into the connection's input while it carries an attempt. Returns the outcome of the last read.
     fn read_server_input(&mut self, slot: usize, read_buffer: &mut [u8]) -> ReadOutcome {
         let mut outcome = ReadOutcome::WouldBlock;
         for _ in 0..MAX_READS_PER_EVENT {
@@ -287,7 +298,7 @@
                 return outcome;
             }
             connection.input.extend_from_slice(&read_buffer[..length]);
-            // A short read has taken all that was there.
+            // A read that does not fill the buffer has read all that had arrived.
             if length < read_buffer.len() {
                 return outcome;
             }
@@ -295,8 +306,8 @@
         outcome
     }
 
-    /// Handles the input if the answer is complete. What a server sends is held up to the bounds and one
-    /// read.
+    /// Handles the input if the response is complete. The input never holds more than the limits on messages
+    /// and one read allow.
     fn handle_server_response(&mut self, slot: usize) {
         let Some(connection) = self.server_connections.get_mut(slot) else { return };
         let Some(attempt) = connection.attempt() else { return };
@@ -323,7 +334,7 @@
                 self.end_attempt(attempt, outcome);
             }
             Answer::Malformed(reason) => {
-                tracing::debug!(request = attempt.request, server, "malformed answer: {reason}");
+                tracing::debug!(request = attempt.request, server, "malformed response: {reason}");
                 self.set_attempt_connection(attempt, None);
                 self.close_server_connection(slot);
                 self.end_attempt(attempt, Outcome::Reset);
@@ -331,21 +342,21 @@
         }
     }
 
-    /// Logs an error answer with a text that the platform's servers do not send.
+    /// Logs an error response whose text is not one that the platform's servers send.
     fn log_unexpected_error(&mut self, server: ServerId, input: &[u8]) {
         let is_known = input.starts_with(b"-BUSY") || input.starts_with(b"-ERR failed");
         if !is_known && self.may_log() {
             let length = input.len().min(MAX_LOGGED_ERROR_BYTES);
             let text = String::from_utf8_lossy(&input[..length]);
-            tracing::warn!(server, "an error that servers do not word so: {text:?}");
+            tracing::warn!(server, "unexpected error response from server: {text:?}");
         }
     }
 
-    /// Keeps a connection idle after an answer, or closes it.
+    /// Keeps a connection as idle after a response, or closes it.
     fn reuse_or_close(&mut self, slot: usize, is_reusable: bool) {
         let now = self.now();
         let Some(connection) = self.server_connections.get_mut(slot) else { return };
-        // Only a connection to the address that is listed now may be used again.
+        // A connection may be used again only if it leads to the address that is in the server list now.
         let is_same_address =
             self.server_list.address(connection.server) == connection.socket.stream().peer_addr().ok();
         if !is_reusable || !is_same_address {
@@ -358,16 +369,17 @@
         self.idle_server_connections.insert(server, slot);
     }
 
-    /// Closes a connection without a report to the engine: its attempt, if any, has ended already. It is shut
-    /// down before anything else is written, as the next attempt of the same request would otherwise overlap
-    /// with this one.
+    /// Closes a connection without a report to the engine; its attempt, if any, has already ended. The
+    /// connection is shut down before anything else is written, because the next attempt of the same request
+    /// would otherwise overlap with this one.
     pub(super) fn close_server_connection(&mut self, slot: usize) {
         let Some(connection) = self.server_connections.try_remove(slot) else { return };
         connection.socket.close_now(&self.loop_handle);
         self.idle_server_connections.remove(&connection.server, slot);
     }
 
-    /// The engine cancelled an attempt: its connection closes, as its answer could arrive at any time.
+    /// Handles a cancellation by the engine. The attempt's connection is closed, because the response could
+    /// still arrive on it at any time.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
         let connection = self
             .in_flight
@@ -380,7 +392,8 @@
         }
     }
 
-    /// The connection is gone: the outcome of its attempt depends on whether the whole request was written.
+    /// Handles the loss of a connection. The outcome of its attempt depends on whether the whole request was
+    /// written.
     fn on_server_connection_lost(&mut self, slot: usize) {
         let Some(connection) = self.server_connections.get(slot) else { return };
         let attempt = connection.attempt();
@@ -389,13 +402,19 @@
         self.close_server_connection(slot);
         if let Some(attempt) = attempt {
             let outcome = if is_fully_written { Outcome::Reset } else { Outcome::ConnectFailed };
-            tracing::debug!(request = attempt.request, attempt = attempt.number, server, ?outcome, "lost");
+            tracing::debug!(
+                request = attempt.request,
+                attempt = attempt.number,
+                server,
+                ?outcome,
+                "connection lost"
+            );
             self.set_attempt_connection(attempt, None);
             self.end_attempt(attempt, outcome);
         }
     }
 
-    /// Ends a connection attempt that is not up in time.
+    /// Ends an attempt whose connection was not established in time.
     pub(super) fn on_connect_timeout(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.server_connections.get(connection_id.slot) else { return };
         let is_connecting = matches!(connection.state, ConnectionState::Connecting(_));
@@ -404,7 +423,8 @@
         }
     }
 
-    /// Closes the idle connections to servers whose address, build or start has changed.
+    /// Closes the idle connections to servers whose address, build or start time has changed, or that were
+    /// removed.
     pub(super) fn close_idle_connections_to(&mut self, changed: &[ServerId]) {
         for server in changed {
             let slots: Vec<usize> = self.idle_server_connections.of_server(server).collect();
@@ -414,14 +434,15 @@
         }
     }
 
-    /// How long a connection may be idle: a request written after its server has closed it would be lost.
+    /// Returns how long a connection may be idle. A request that is written after the server has closed the
+    /// connection would be lost.
     fn max_idle_time(&self) -> Micros {
         let server_timeout = self.config.instance.idle_close;
         let proportional_limit = (server_timeout as f64 * IDLE_TIMEOUT_RATIO) as Micros;
         server_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(proportional_limit)
     }
 
-    /// Closes idle connections before their servers would.
+    /// Closes idle connections before their servers do.
     pub(super) fn close_idle_server_connections(&mut self, now: Micros) {
         let max_idle_time = self.max_idle_time();
         let is_expired = |connection: &ServerConnection| {
