--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -1,5 +1,4 @@
-//! The watch of the release service: one connection on which the release status and reports of wrong answers
-//! arrive.
+//! Watches the release service: the release status and reports of wrong answers arrive on one connection.
 
 use crate::event_loop::TimerKind;
 use crate::proxy::Proxy;
@@ -12,20 +11,21 @@
 use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
 use violetseam_site_protocol::line_reader::LineReader;
 
-/// The service sends a heartbeat each second; without one for this span the watch is opened again.
+/// The watch is opened again if nothing has arrived on it for this long. The service sends a heartbeat each
+/// second.
 const SILENCE_TIMEOUT: Micros = 3_000_000;
-/// The span between two attempts to open the watch; the actual span is drawn around it.
+/// The interval between two attempts to open the watch, before jitter is applied.
 const RETRY_INTERVAL: Micros = 300_000;
-/// The number of the first call on each watch; votes have higher ones.
+/// The JSON-RPC id of the first call on each watch. Votes have higher ids.
 const WATCH_CALL_ID: u64 = 1;
 
-/// The release service, called the pipeline on the platform, as this proxy speaks to it.
+/// The state of this proxy's communication with the release service, which the platform calls the pipeline.
 pub(super) struct ReleaseService {
     pub address: SocketAddr,
     watch: Option<Watch>,
-    /// Votes without a reply yet.
+    /// Votes that have no reply yet.
     pub votes: Slab<PendingVote>,
-    /// The number of the latest call.
+    /// The JSON-RPC id of the latest call.
     pub last_call_id: u64,
     /// The release status that was logged last.
     last_logged_status: Option<ReleaseStatus>,
@@ -40,7 +40,7 @@
 }
 
 impl ReleaseService {
-    /// The release service at this address, before the first connection.
+    /// Creates the state for a release service at this address, before the first connection.
     pub fn new(address: SocketAddr) -> Self {
         ReleaseService {
             address,
@@ -51,14 +51,14 @@
         }
     }
 
-    /// The watch of this generation, if it is still the present one.
+    /// Returns the watch if it is still the one with this generation.
     fn watch(&mut self, generation: u64) -> Option<&mut Watch> {
         self.watch.as_mut().filter(|watch| watch.generation == generation)
     }
 }
 
 impl Proxy {
-    /// Opens the watch, unless it is open; after a failure it is opened again later.
+    /// Opens the watch unless it is open. If that fails, another attempt is scheduled.
     pub(super) fn open_release_watch(&mut self) {
         if self.release_service.watch.is_some() {
             return;
@@ -96,20 +96,20 @@
         self.timers.set(self.now() + wait, TimerKind::ReleaseWatchRetry);
     }
 
-    /// Replaces the watch if nothing has been received on it for too long.
+    /// Replaces the watch if nothing has arrived on it for too long.
     pub(super) fn check_release_watch(&mut self, generation: u64) {
         let now = self.now();
         let Some(watch) = self.release_service.watch(generation) else { return };
         let timeout_at = watch.last_received_at + SILENCE_TIMEOUT;
         if now >= timeout_at {
-            self.on_release_watch_lost("silent for too long");
+            self.on_release_watch_lost("watch silent for too long");
         } else {
             self.timers.set(timeout_at, TimerKind::ReleaseWatchSilence(generation));
         }
     }
 
-    /// Moves the watch to an address that SIGHUP named. Votes in flight may still be answered where they were
-    /// sent.
+    /// Moves the watch to an address that a reload has brought. Votes in flight may still be answered at the
+    /// old address.
     pub(super) fn move_release_service(&mut self, address: SocketAddr) {
         if self.release_service.address != address {
             self.release_service.address = address;
@@ -122,7 +122,7 @@
         let Some(watch) = self.release_service.watch(generation) else { return };
         if readiness.writable {
             if watch.socket.connect_error().is_some() || watch.socket.flush().is_err() {
-                return self.on_release_watch_lost("no connection");
+                return self.on_release_watch_lost("connection failed");
             }
             watch.socket.set_read_interest(&self.loop_handle, true);
         }
@@ -176,7 +176,7 @@
         self.run_engine_actions();
     }
 
-    /// Logs a release status that differs from the last one.
+    /// Logs a release status if it differs from the one that was logged last.
     pub(super) fn log_release_status(&mut self, status: ReleaseStatus) {
         if self.release_service.last_logged_status.replace(status) != Some(status) {
             let ReleaseStatus { build, stage, phase, cap } = status;
--- a/crates/platform-proxy/src/shutdown.rs
+++ b/crates/platform-proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: from SIGTERM over draining and the final responses to the end of the loop.
+//! Shuts the proxy down: from SIGTERM through draining and the final responses to the end of the event loop.
 
 use crate::client::Client;
 use crate::event_loop::{ConnectionId, TimerKind};
@@ -7,10 +7,10 @@
 use violetseam::lease::ShutdownSchedule;
 use violetseam_proxy::engine::Counts;
 
-/// After SIGTERM new connections are still accepted, and clients go on with those that they have: the
-/// platform states that clients learn of the shutdown within 0.4 s.
+/// How long new connections are accepted after SIGTERM, while clients keep using the connections that they
+/// have. The platform states that clients learn of the shutdown within 0.4 s.
 const ACCEPT_AFTER_SIGTERM: Micros = 500_000;
-/// A shutdown logs at most this many of the requests that it ends.
+/// The maximum number of unanswered requests that a shutdown logs.
 const MAX_LOGGED_REQUESTS: usize = 20;
 
 /// The phases of a shutdown, in order.
@@ -18,25 +18,26 @@
 pub(super) enum ShutdownPhase {
     /// No shutdown has been requested.
     Running,
-    /// SIGTERM has arrived; new connections are still accepted and served for a while.
+    /// SIGTERM has arrived. New connections are still accepted and served for a while.
     Notified,
-    /// New connections are no longer accepted; a connection ends once it is idle.
+    /// New connections are no longer accepted. A connection is closed once it is idle.
     Draining,
-    /// Every request has its final response; a connection ends once nothing lies unread on it.
+    /// Every request has its final response. A connection is closed once it has no unread input.
     FinalResponses,
 }
 
 /// The totals of one run, returned when the proxy stops.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
-    /// Requests and attempts.
+    /// Counts of requests and attempts.
     pub counts: Counts,
-    /// Requests without a final response: 0 unless the run was cut short.
+    /// The number of requests without a final response; 0 unless the run was cut short.
     pub unanswered_requests: usize,
 }
 
 impl ShutdownPhase {
-    /// Whether this side may end a connection now: in a shutdown, between two requests.
+    /// Whether this side may close a client connection now. A shutdown closes connections only between two
+    /// requests.
     pub(super) fn allows_closing(self, client: &Client) -> bool {
         match self {
             ShutdownPhase::Running | ShutdownPhase::Notified => false,
@@ -47,7 +48,7 @@
 }
 
 impl Proxy {
-    /// New connections are no longer accepted.
+    /// Whether new connections are no longer accepted.
     pub(super) fn is_draining(&self) -> bool {
         self.shutdown_phase >= ShutdownPhase::Draining
     }
@@ -60,8 +61,7 @@
             && self.engine.pending_responses() == 0
     }
 
-    /// Handles SIGTERM: connections are still accepted and served for a moment. A second signal changes
-    /// nothing.
+    /// Handles SIGTERM. Connections are still accepted and served for a while. A second signal has no effect.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown_phase > ShutdownPhase::Running {
             return;
@@ -82,8 +82,8 @@
         self.run_engine_actions();
     }
 
-    /// Answers the requests that are left as failed, and ends every client connection, after what has arrived
-    /// on it is answered.
+    /// Answers all remaining requests as failed and starts to close every client connection, once the input
+    /// that has arrived on it is answered.
     pub(super) fn send_final_responses(&mut self) {
         self.log_unanswered_requests();
         let now = self.now();
@@ -96,13 +96,13 @@
             .extend(clients.map(|(slot, client)| ConnectionId { slot, generation: client.generation }));
     }
 
-    /// Ends the event loop: responses that clients have not read are dropped.
+    /// Ends the event loop. Responses that clients have not read are dropped.
     pub(super) fn stop(&mut self) {
         self.should_stop = true;
     }
 
-    /// Logs the requests that a shutdown ends without a server's answer, by the ids that their clients gave
-    /// them.
+    /// Logs the requests that a shutdown ends without a server's response, by the ids that clients gave to
+    /// their calls.
     fn log_unanswered_requests(&self) {
         for (id, request) in self.requests_by_call_id.iter().take(MAX_LOGGED_REQUESTS) {
             let id = String::from_utf8_lossy(id);
@@ -132,8 +132,9 @@
         );
     }
 
-    /// Accepts nothing new but what is on its way: connections in the kernel's queue, and calls on
-    /// connections that have had none yet. All other connections end between two requests.
+    /// Stops accepting new work, except for what is already on its way: connections in the kernel's queue,
+    /// and the first call on connections that have not had one yet. All other connections are closed between
+    /// two requests.
     pub(super) fn begin_drain(&mut self) {
         self.shutdown_phase = self.shutdown_phase.max(ShutdownPhase::Draining);
         self.accept_queued_connections();
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -1,7 +1,8 @@
-//! Votes: one connection to the release service for each.
+//! Sends votes to the release service, each on a connection of its own.
 //!
-//! A vote's connection closes after its reply: votes are rare, the service closes connections that are
-//! idle, and the loss of a connection of its own says plainly whether the vote may count.
+//! A vote's connection is closed after its reply. Votes are rare, and the service closes connections that are
+//! idle. Moreover, the loss of a connection that carries only one vote shows clearly whether that vote may
+//! count.
 
 use crate::event_loop::{ConnectionId, TimerKind};
 use crate::proxy::Proxy;
@@ -11,30 +12,31 @@
 use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
 use violetseam_site_protocol::line_reader::LineReader;
 
-/// Votes in flight at once; the engine casts one at a time, and one may be on its way to a former address.
+/// How many votes may be waiting for a reply at once. The engine casts one at a time, and another one may
+/// still be on its way to a former address of the service.
 const MAX_PENDING_VOTES: usize = 4;
 /// The longest time-out of a vote, whatever the settings say.
 const MAX_VOTE_TIMEOUT: Micros = 10_000_000;
 
-/// A vote without a reply yet.
+/// A vote that has no reply yet.
 pub(super) struct PendingVote {
     generation: u64,
-    /// The number of its call.
+    /// The JSON-RPC id of the vote's call.
     call_id: u64,
     socket: Socket,
     line_reader: LineReader,
 }
 
-/// The end of a vote.
+/// How a vote ended.
 struct VoteReply {
-    /// Whether it counts.
+    /// Whether the vote counts, as far as that is known.
     outcome: Outcome,
-    /// The release status that came with an accepted vote.
+    /// The release status that came with the reply to an accepted vote.
     status: Option<ReleaseStatus>,
 }
 
 impl Proxy {
-    /// Sends a vote.
+    /// Sends a vote to the release service.
     pub(super) fn cast_vote(&mut self, build: Build, stage: u8, verdict: Verdict) {
         tracing::info!(target: "verdict", build, stage, %verdict, "vote");
         self.release_service.last_call_id += 1;
@@ -121,7 +123,8 @@
         }
     }
 
-    /// No reply will come: the vote cannot count unless all of it was written.
+    /// Ends a vote whose reply will not arrive any more. Such a vote cannot count unless all of it was
+    /// written.
     fn on_vote_connection_lost(&mut self, slot: usize) {
         let Some(vote) = self.release_service.votes.get(slot) else { return };
         let outcome = if vote.socket.has_unwritten_bytes() { Outcome::Error } else { Outcome::Timeout };
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Passes a vote's end to the engine.
+    /// Reports the end of a vote to the engine.
     fn end_vote(&mut self, reply: VoteReply) {
         let VoteReply { outcome, status } = reply;
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
@@ -147,8 +150,8 @@
     }
 }
 
-/// The reply to the vote with this number that a line carries, if it carries one. `None` for the line stands
-/// for one that cannot be read.
+/// Returns the reply to the vote with this call id if the message is one. `None` as the message stands for a
+/// line that cannot be parsed.
 fn parse_vote_reply(call_id: u64, line: Option<Message>) -> Option<VoteReply> {
     match line {
         Some(Message::Accepted { id, status: Some(status) }) if id == call_id => {
@@ -158,9 +161,9 @@
             tracing::debug!(target: "verdict", "vote declined: {message}");
             Some(VoteReply { outcome, status: None })
         }
-        // Notifications between replies: they arrive on the watch, too.
+        // Notifications that arrive before the reply are ignored, because they arrive on the watch as well.
         Some(Message::ReleaseStatus(_) | Message::AnswerFlagged { .. } | Message::Heartbeat) => None,
-        // Something has accepted the vote but its reply cannot be read: whether the vote counts is open.
+        // The reply cannot be parsed or does not fit the call, so whether the vote counts is unknown.
         _ => Some(VoteReply { outcome: Outcome::Timeout, status: None }),
     }
 }
