--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of discovery, failed queries, and the lease on the server list that follows from both.
+//! Handles responses of discovery and failed queries, and updates the lease on the server list accordingly.
 
 use super::exchange::{ListEvidence, Query, QueryFailure};
 use super::timing::{
@@ -13,7 +13,7 @@
 use violetseam_platform_protocol::discovery::{ListUpdate, MAX_ANSWER_BYTES};
 
 impl Proxy {
-    /// Handles the connection's readiness.
+    /// Handles an event on the connection.
     pub(super) fn on_discovery_readiness(&mut self, generation: u64, readiness: Readiness) {
         let Some(exchange) = self.discovery.exchange(generation) else { return };
         if readiness.writable {
@@ -66,13 +66,12 @@
         }
     }
 
-    /// Handles a complete answer and goes on with the next query, on the same connection if it may be used
-    /// again.
+    /// Handles a complete response and starts the next query, on the same connection if it is reusable.
     fn finish_exchange(&mut self, generation: u64, is_reusable: bool) {
         if let Err(failure) = self.handle_discovery_response(generation) {
             return self.fail_query(generation, failure);
         }
-        // The engine may have started another query meanwhile.
+        // The engine may have started another query in the meantime.
         if self.discovery.exchange(generation).is_none() {
             return;
         }
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Reads a complete answer and passes its list to the engine.
+    /// Parses a complete response and passes its list to the engine.
     fn handle_discovery_response(&mut self, generation: u64) -> Result<(), QueryFailure> {
         let now = self.now();
         let Some(exchange) = self.discovery.exchange(generation) else { return Ok(()) };
@@ -101,7 +100,8 @@
         self.apply_list(&list, query, now)
     }
 
-    /// Checks that an answer to a watch fits the version held. `response_time` is how long the service took.
+    /// Checks that the response to a watch fits the local version. `response_time` is how long the service
+    /// took to respond.
     fn check_delta(
         &mut self,
         list: &ListUpdate,
@@ -109,7 +109,8 @@
         response_time: Micros,
     ) -> Result<(), QueryFailure> {
         if list.revision < local_version {
-            // Whatever the watch waited for, the service's version is below the one held: it counts anew.
+            // Whatever the watch was waiting for, the service's version is below the local one, so the
+            // service has restarted its version sequence.
             self.server_list.forget_version();
             if !list.complete {
                 return Err(QueryFailure::VersionReset);
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// Applies a list to the one held, renews the lease and passes the entries to the engine.
+    /// Applies an update to the server list, renews the lease and passes the entries to the engine.
     fn apply_list(&mut self, list: &ListUpdate, query: Query, now: Micros) -> Result<(), QueryFailure> {
         let version = list.revision;
         let is_outdated = self.server_list.version().is_some_and(|local_version| version < local_version);
@@ -142,7 +143,7 @@
         Ok(())
     }
 
-    /// Ends a query that has no complete answer in time.
+    /// Ends a query that has no complete response in time.
     pub(crate) fn on_discovery_timeout(&mut self, generation: u64) {
         let now = self.now();
         if self.discovery.exchange(generation).is_some_and(|exchange| now >= exchange.timeout_at) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Ends a query without an answer that can be used.
+    /// Ends a query that has brought no usable response.
     fn fail_query(&mut self, generation: u64, failure: QueryFailure) {
         let Some(exchange) = self.discovery.exchange.take_if(|exchange| exchange.generation == generation)
         else {
@@ -163,7 +164,7 @@
             status = exchange.status,
             renewed = exchange.is_renewal,
             %failure,
-            "list call failed"
+            "server list query failed"
         );
         exchange.socket.remove(&self.loop_handle);
         match exchange.list_evidence(&failure) {
@@ -186,14 +187,15 @@
         }
     }
 
-    /// The last moment at which a query may still be answered before the lease on the list ends.
+    /// Returns the latest time at which a query should be made so that its response arrives before the lease
+    /// on the list ends. Returns `None` if that time is too close.
     fn latest_query_at(&mut self, now: Micros) -> Option<Micros> {
         let margin = self.with_jitter(LEASE_RENEWAL_MARGIN / 2) + LEASE_RENEWAL_MARGIN / 2;
         let at = self.engine.permissions().list.until().saturating_sub(margin);
         (at > now + EMPTY_LIST_RETRY_INTERVAL).then_some(at)
     }
 
-    /// Renews the lease: the list was current at the moment `at`.
+    /// Renews the lease on the list. `at` is a time at which the list was current.
     fn confirm_list(&mut self, now: Micros, at: Micros) {
         let was_usable = self.engine.permissions().list.holds(now);
         self.engine.update_list_lease(now, |lease| lease.confirm(at));
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Schedules the query after a failed one, with back-off.
+    /// Schedules the query that follows a failed one, with back-off.
     pub(super) fn retry_query(&mut self, failure: &QueryFailure) {
         let interval = self.retry_interval(failure);
         self.retry_query_after(failure, interval);
@@ -217,7 +219,7 @@
             return EMPTY_LIST_RETRY_INTERVAL;
         }
         let interval = self.discovery.poll_interval_tenths(RETRY_INTERVAL_TENTHS);
-        // A refused connection costs the service nothing.
+        // A refused connection costs the service nothing, so no back-off is needed.
         if matches!(failure, QueryFailure::ConnectionRefused) {
             return interval;
         }
@@ -226,7 +228,7 @@
         interval << doublings
     }
 
-    /// Schedules the query after a failed one, after about this span.
+    /// Schedules the query that follows a failed one, after about this duration.
     fn retry_query_after(&mut self, failure: &QueryFailure, span: Micros) {
         if self.may_log() {
             tracing::warn!("discovery: {failure}");
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -1,4 +1,4 @@
-//! One query to discovery and its answer, as an exchange on an HTTP connection.
+//! One query to discovery and its response, as an exchange on an HTTP connection.
 
 use std::io::ErrorKind;
 use thiserror::Error;
@@ -6,11 +6,12 @@
 use violetseam_event_io::Socket;
 use violetseam_http1::client::ClientConnection;
 use violetseam_platform_protocol::ListError;
+use violetseam_platform_protocol::discovery::MAX_ANSWER_BYTES;
 
-/// The status of an answer that carries a list.
+/// The status of a response that carries a list.
 const STATUS_OK: u16 = 200;
 
-/// What a query asks for.
+/// What a query requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Query {
     /// The full list.
@@ -19,22 +20,24 @@
     ChangesSince(u64),
 }
 
-/// One exchange.
+/// One query and its response.
 pub(super) struct Exchange {
-    /// Tells it from earlier exchanges; one on a connection that is used again keeps that connection's
-    /// number.
+    /// Distinguishes this exchange from earlier ones. An exchange on a reused connection keeps that
+    /// connection's generation.
     pub generation: u64,
     pub socket: Socket,
     pub http: ClientConnection,
     pub body: Vec<u8>,
-    /// The answer's status, once its head has arrived.
+    /// The status of the response, once its head has arrived.
     pub status: Option<u16>,
-    /// When it times out; timers of earlier exchanges on the connection may still fire.
+    /// When the exchange times out. Timers of earlier exchanges on the same connection may still fire before
+    /// that.
     pub timeout_at: Micros,
     pub started_at: Micros,
-    /// The connection is up.
+    /// Whether the connection is established.
     pub is_connected: bool,
-    /// It is a watch that directly follows an answer on the same connection, so that no change is missed.
+    /// Whether the exchange is a watch that directly follows a response on the same connection, so that no
+    /// change is missed.
     pub is_renewal: bool,
     pub query: Query,
 }
@@ -42,59 +45,59 @@
 /// Why a query brought no list.
 #[derive(Debug, Error)]
 pub(super) enum QueryFailure {
-    /// No socket, or no route from this machine.
-    #[error("no connection could be begun")]
+    /// No socket was available, or there is no route from this machine.
+    #[error("could not start a connection")]
     NotStarted,
-    /// Nobody listens at the address.
+    /// No process listens at the address.
     #[error("connection refused")]
     ConnectionRefused,
-    /// The connection did not come up for another reason.
-    #[error("no connection")]
+    /// The connection was not established for another reason.
+    #[error("could not establish a connection")]
     NotConnected,
-    /// The service closed the connection before its answer was complete.
-    #[error("closed")]
+    /// The service closed the connection before its response was complete.
+    #[error("connection closed before the response was complete")]
     Closed,
     /// The connection was lost.
     #[error("connection lost")]
     Reset,
-    /// The answer's status is not 200.
-    #[error("declined")]
+    /// The status of the response is not 200.
+    #[error("query declined: response status is not {STATUS_OK}")]
     Declined,
-    /// No complete answer in time.
-    #[error("no answer in time")]
+    /// No complete response arrived in time.
+    #[error("no complete response in time")]
     TimedOut,
-    /// The answer is longer than the limit.
-    #[error("an answer over the limit")]
+    /// The response is longer than the limit.
+    #[error("response is longer than {MAX_ANSWER_BYTES} bytes")]
     TooLong,
-    /// The answer is not valid HTTP.
-    #[error("{0}")]
+    /// The response is not valid HTTP.
+    #[error("response is not valid HTTP: {0}")]
     InvalidHttp(&'static str),
-    /// The answer holds no valid list.
-    #[error("{0}")]
+    /// The response contains no valid list.
+    #[error("response contains no usable server list: {0}")]
     InvalidList(#[from] ListError),
-    /// The service's version is lower than the one held.
-    #[error("versions counted anew")]
+    /// The service's version is lower than the local one.
+    #[error("the service's list version is lower than the local one")]
     VersionReset,
-    /// The watch was answered at once and without changes.
-    #[error("a watch that answers with nothing new")]
+    /// The watch was answered immediately and without changes.
+    #[error("watch answered immediately without changes")]
     EmptyWatch,
 }
 
-/// What a failed query shows about the list held.
+/// What a failed query shows about the local server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListEvidence {
-    /// The watch was alive until now: all earlier changes have arrived on it.
+    /// The watch was alive until now, so all earlier changes have arrived on it.
     WatchAlive,
-    /// Discovery was down when the query began, and sent no change to anybody.
+    /// Discovery was down when the query began, and sent changes to no proxy.
     ServiceDown,
-    /// A part of a list has arrived: the service takes it as received although it cannot be used.
+    /// A part of a list has arrived. The service counts the list as received, although it cannot be used.
     PartialList,
-    /// Nothing.
+    /// The failure shows nothing about the list.
     None,
 }
 
 impl Exchange {
-    /// An exchange on a new connection, before its query is written.
+    /// Creates an exchange on a new connection, before its query is written.
     pub fn new(generation: u64, socket: Socket, query: Query) -> Self {
         Exchange {
             generation,
@@ -110,12 +113,12 @@
         }
     }
 
-    /// Whether the answer's status promises a list.
+    /// Whether the status of the response shows that it carries a list.
     pub fn has_ok_status(&self) -> bool {
         self.status == Some(STATUS_OK)
     }
 
-    /// Writes the query once the connection is up.
+    /// Writes the query once the connection is established.
     pub fn flush_query(&mut self) -> Result<(), QueryFailure> {
         if let Some(error) = self.socket.connect_error() {
             return Err(match error.kind() {
@@ -131,13 +134,13 @@
         }
     }
 
-    /// What the failure of this exchange shows about the list held.
+    /// Returns what the failure of this exchange shows about the local server list.
     pub fn list_evidence(&self, failure: &QueryFailure) -> ListEvidence {
         match failure {
             QueryFailure::Declined if self.is_renewal => ListEvidence::WatchAlive,
             QueryFailure::EmptyWatch => ListEvidence::WatchAlive,
-            // A query that is declined or reset, even at once, may have met a service that is up but
-            // overloaded.
+            // Only a refused connection shows that the service is down. A query that is declined or reset,
+            // even immediately, may have reached a service that is up but overloaded.
             QueryFailure::ConnectionRefused => ListEvidence::ServiceDown,
             _ if self.has_ok_status() => ListEvidence::PartialList,
             _ => ListEvidence::None,
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -1,14 +1,16 @@
-//! The server list over HTTP: one query at a time, for the changes since the version held, or for the full
-//! list where no version is held.
+//! Keeps the server list up to date over HTTP. The proxy makes one query at a time: for the changes since its
+//! local version, or for the full list if it has no version.
 //!
-//! A query for changes waits at the service until there are some (a long poll), and is renewed as soon as it
-//! is answered. It waits for less time than the engine goes without an answer, so that an answer without
-//! changes is the service's heartbeat; a query that has died silently is replaced when the engine asks again.
-//! A full list costs a service that handles its queries one by one a multiple of what a delta does, so it is
+//! A query for changes is a long poll, called a watch here: it waits at the service until there are changes,
+//! and is renewed as soon as it is answered. It waits for less time than the engine tolerates without a
+//! response, so that a response without changes serves as the service's heartbeat. A watch that has failed
+//! silently is replaced when the engine requests the list again.
+//!
+//! A full list costs a service that handles its queries one by one a multiple of what a delta costs, so it is
 //! fetched only where a delta would not be sound.
 //!
-//! - `exchange`: one query and its answer
-//! - `answers`: what is done with answers and failures
+//! - `exchange`: one query and its response
+//! - `answers`: handles responses and failed queries
 //! - `timing`: time-outs and intervals
 
 mod answers;
@@ -31,34 +33,36 @@
 use violetseam_event_io::{Socket, connect};
 use violetseam_platform_protocol::discovery::{LIST_PATH, watch_path};
 
-/// Discovery as this proxy speaks to it.
+/// The state of this proxy's communication with discovery.
 pub(super) struct Discovery {
     address: SocketAddr,
-    /// How long the settings let a proxy go without an answer, within bounds.
+    /// The longest time that the settings allow a proxy to go without a response, clamped to
+    /// [`MIN_POLL_INTERVAL`] and [`MAX_POLL_INTERVAL`].
     poll_interval: Micros,
-    /// The service pushes lists: it takes them as received from a process's first moment on.
+    /// Whether the service pushes lists. If so, it counts them as received from the process's first moment
+    /// on.
     lists_are_pushed: bool,
-    /// From then on the process reports that it is ready, even without a list that may be used.
+    /// From this time on the process reports that it is ready even if its server list may not be used yet.
     pub report_ready_at: Micros,
-    /// The process has reported that it is ready.
+    /// Whether the process has reported that it is ready. It stays ready from then on.
     has_been_ready: bool,
-    /// The service at this address has answered.
+    /// Whether the service at this address has sent a list or changes.
     address_has_answered: bool,
-    /// Queries that failed since the last list.
+    /// How many queries have failed since the last list.
     failures: u32,
     /// The exchange in progress.
     exchange: Option<Exchange>,
-    /// When the next query is scheduled, if it is.
+    /// When the next query is scheduled, if one is.
     next_query_at: Option<Micros>,
-    /// From then on the next query is for the full list, as the address has changed.
+    /// From this time on the next query fetches the full list, because the address has changed.
     verify_at: Option<Micros>,
-    /// The first query of this process has been made or scheduled.
+    /// Whether the first query of this process has been made or scheduled.
     is_started: bool,
 }
 
 impl Discovery {
-    /// Discovery at this address, before the first query. `poll_interval_max` is how long the settings let a
-    /// proxy go without an answer.
+    /// Creates the state for discovery at this address, before the first query. `poll_interval_max` is the
+    /// longest time that the settings allow a proxy to go without a response.
     pub fn new(address: SocketAddr, lists_are_pushed: bool, poll_interval_max: Micros) -> Self {
         Discovery {
             address,
@@ -75,30 +79,31 @@
         }
     }
 
-    /// Whether lists are pushed.
+    /// Whether the service pushes lists.
     pub fn lists_are_pushed(&self) -> bool {
         self.lists_are_pushed
     }
 
-    /// This many tenths of the longest time without an answer.
+    /// Returns this many tenths of the poll interval.
     fn poll_interval_tenths(&self, tenths: Micros) -> Micros {
         self.poll_interval / 10 * tenths
     }
 
-    /// A query for the full list is in progress.
+    /// Whether a query for the full list is in progress.
     fn is_fetching(&self) -> bool {
         self.exchange.as_ref().is_some_and(|exchange| exchange.query == Query::FullList)
     }
 
-    /// The exchange of this generation, if it is still the present one.
+    /// Returns the exchange in progress if it is the one with this generation.
     fn exchange(&mut self, generation: u64) -> Option<&mut Exchange> {
         self.exchange.as_mut().filter(|exchange| exchange.generation == generation)
     }
 }
 
 impl Proxy {
-    /// The engine wants the list, or has received nothing for long. A query that is scheduled, or is in
-    /// progress for the full list, serves for this one; a watch in progress is taken for dead and replaced.
+    /// Handles the engine's request for the server list. The engine wants the list for the first time, or has
+    /// received nothing for long. If a query is scheduled, or a query for the full list is in progress, no
+    /// further query is needed. A watch in progress is assumed to be dead and is replaced.
     pub(super) fn poll_server_list(&mut self) {
         if self.discovery.next_query_at.is_some() || self.discovery.is_fetching() {
             return;
@@ -110,14 +115,14 @@
         self.schedule_query_within(self.discovery.poll_interval_tenths(START_SPREAD_TENTHS));
     }
 
-    /// Draws when the full list is fetched once more.
+    /// Chooses a random time at which the full list is fetched once more.
     fn schedule_verification(&mut self) {
         let from = self.discovery.poll_interval_tenths(VERIFY_FROM_TENTHS);
         let until = self.discovery.poll_interval_tenths(VERIFY_UNTIL_TENTHS);
         self.discovery.verify_at = Some(self.now() + self.rng.random_range(from..until));
     }
 
-    /// Schedules a query at a drawn time within the span.
+    /// Schedules a query at a random time within this duration.
     fn schedule_query_within(&mut self, span: Micros) {
         let at = self.now() + self.rng.random_range(0..span.max(1));
         self.schedule_query(at);
@@ -136,8 +141,8 @@
         }
     }
 
-    /// Queries the changes since the version held, or the full list, on a connection that has just answered
-    /// or on a new one.
+    /// Queries the changes since the local version, or the full list. `connection` is a connection that has
+    /// just carried a response; without one a new connection is opened.
     fn start_query(&mut self, connection: Option<Exchange>) {
         self.discovery.next_query_at = None;
         self.abandon_query();
@@ -155,13 +160,13 @@
         }
     }
 
-    /// What the next query asks for.
+    /// Decides what the next query requests.
     fn choose_query(&mut self) -> Query {
         let is_verification = self.discovery.verify_at.is_some_and(|at| at <= self.now());
         if is_verification {
             self.schedule_verification();
         }
-        // Where lists are pushed no query costs the service anything, and the first one shows whether the
+        // If lists are pushed, queries cost the service nothing, and the first full list shows whether the
         // process is ready.
         let is_first_push_query = self.discovery.lists_are_pushed && !self.discovery.address_has_answered;
         match self.server_list.version() {
@@ -170,8 +175,9 @@
         }
     }
 
-    /// Moves to an address that SIGHUP named: the changes since the version held are queried there. A service
-    /// with a lower version shows in its first answer, one with another list under the same versions later
+    /// Moves to an address that a reload has brought and queries the changes since the local version there.
+    /// If the service at that address has a lower version, its first response shows that. If it has a
+    /// different list under the same versions, the full list that is fetched later shows that
     /// ([`VERIFY_FROM_TENTHS`]).
     pub(super) fn move_discovery(&mut self, address: SocketAddr) {
         if self.discovery.address == address {
@@ -190,7 +196,7 @@
         }
     }
 
-    /// Begins an exchange, on a connection that has just answered or on a new one.
+    /// Starts an exchange, on a connection that has just carried a response or on a new one.
     fn send_query(&mut self, query: Query, connection: Option<Exchange>) -> Option<Exchange> {
         let generation = self.next_generation();
         let address = self.discovery.address;
@@ -204,7 +210,8 @@
             }
         };
         let mut exchange = match connection {
-            // Its readiness is reported under the number that it was opened with, which it therefore keeps.
+            // Events on the connection are reported with the generation that it was opened with, so it keeps
+            // that generation.
             Some(exchange) => exchange,
             None => self.open_exchange(generation, address, query)?,
         };
@@ -221,15 +228,15 @@
         Some(exchange)
     }
 
-    /// How long the next watch waits at the service: drawn, so that watches that were all answered by one
-    /// change drift apart again.
+    /// Returns how long the next watch waits at the service. The time is random, so that watches that were
+    /// all answered by the same change do not stay synchronized.
     fn draw_watch_wait(&mut self) -> Micros {
         let max_wait = self.discovery.poll_interval_tenths(WATCH_WAIT_TENTHS);
         let wait = self.rng.random_range(max_wait / 4 * 3..=max_wait);
         if self.discovery.address_has_answered { wait } else { wait.min(MAX_FIRST_WATCH_WAIT) }
     }
 
-    /// Begins a connection for an exchange.
+    /// Starts to open a connection for an exchange.
     fn open_exchange(&mut self, generation: u64, address: SocketAddr, query: Query) -> Option<Exchange> {
         let stream = connect(address).ok()?;
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| {
@@ -239,7 +246,8 @@
         Some(Exchange::new(generation, socket, query))
     }
 
-    /// Whether the process reports that it is ready: a list may be used, or the time for that is up.
+    /// Whether the process reports that it is ready. It does so once it has a server list and either may use
+    /// it or has waited for that until the time limit.
     pub(super) fn is_ready(&mut self) -> bool {
         let now = self.now();
         let may_use_list = self.engine.permissions().list.holds(now);
--- a/crates/platform-proxy/src/discovery/timing.rs
+++ b/crates/platform-proxy/src/discovery/timing.rs
@@ -1,55 +1,65 @@
-//! The time-outs and intervals of discovery. Several are counted in tenths of the longest time that the
-//! settings let a proxy go without an answer, within [`MIN_POLL_INTERVAL`] and [`MAX_POLL_INTERVAL`].
+//! The time-outs and intervals of discovery. Several are given in tenths of the poll interval: the longest
+//! time that the settings allow a proxy to go without a response, clamped to [`MIN_POLL_INTERVAL`] and
+//! [`MAX_POLL_INTERVAL`].
 
 use violetseam::interface::Micros;
 
-/// The shortest time without an answer that the intervals below are counted from.
+/// The minimum poll interval that the times below are derived from.
 pub(super) const MIN_POLL_INTERVAL: Micros = 500_000;
-/// The longest time without an answer that the intervals below are counted from.
+/// The maximum poll interval that the times below are derived from.
 pub(super) const MAX_POLL_INTERVAL: Micros = 10_000_000;
-/// A watch waits at the service for up to this many tenths; the engine asks again after seven tenths. What a
-/// watch misses that has fallen silent counts as received 2 s after its wait is over or 6 s after it fell
-/// silent: 4 s of waiting give both.
+/// How long a watch waits at the service at most, in tenths of the poll interval; the engine requests the
+/// list again after seven tenths. If a watch fails silently, the changes that it misses count as received 2 s
+/// after its wait has ended, or 6 s after it failed. With a wait of 4 s both times are the same.
 pub(super) const WATCH_WAIT_TENTHS: Micros = 4;
-/// A new watch costs the service work, and one that it has declined costs it as much; only a watch that is
-/// renewed at once is free. So proxies that all start, lose their watches or move together spread their next
-/// queries: the first query of a process within this many tenths ...
+/// The first query of a process is made within this many tenths of the poll interval. A new watch costs the
+/// service work, and a watch that it declines costs as much; only a watch that is renewed immediately is
+/// free. Proxies that start, lose their watches or move at the same time therefore spread their next queries
+/// over time.
 pub(super) const START_SPREAD_TENTHS: Micros = 4;
-/// ... the first one at another address within this many ...
+/// The first query at another address is made within this many tenths of the poll interval.
 pub(super) const MOVE_SPREAD_TENTHS: Micros = 2;
-/// ... and one after a failure after about this many (half to one and a half times).
+/// The query after a failed one is made after this many tenths of the poll interval on average; jitter varies
+/// the time from half to one and a half times that.
 pub(super) const RETRY_INTERVAL_TENTHS: Micros = 3;
-/// Discovery is one service with one sequence of versions, so that after a move of its address the version
-/// held stays valid. Should a service behind another address count otherwise, the list would stay wrong: the
-/// full list is fetched once more, at a time drawn between this many tenths ...
+/// After a move to another address the full list is fetched once more, at a random time that is at least this
+/// many tenths of the poll interval after the move. Discovery is one service with one sequence of versions,
+/// so the local version stays valid after a move. If the service at the new address counted its versions
+/// differently, however, the local list would stay wrong without this query.
 pub(super) const VERIFY_FROM_TENTHS: Micros = 100;
-/// ... and this many, so late and so far apart that it adds little load to the service.
+/// The end of the range in which the full list is fetched once more after a move, in tenths of the poll
+/// interval. The range is so late and so wide that these queries add little load to the service.
 pub(super) const VERIFY_UNTIL_TENTHS: Micros = 400;
-/// The first watch at an address waits no longer than this: its answer soon tells where the service's
-/// versions stand.
+/// The longest wait of the first watch at an address, whose response shows early which version the service
+/// has.
 pub(super) const MAX_FIRST_WATCH_WAIT: Micros = 1_000_000;
-/// The time-out of a query for the full list, and of a new watch beyond its wait. The service itself declines
-/// a query that waited in its queue for too long; one that is abandoned before that costs it as much, and is
-/// made again.
+/// The time-out of a query for the full list, and of a new watch in addition to its wait. The service itself
+/// declines a query that has waited in its queue for too long. Abandoning a query before that does not save
+/// the service any work, and the query has to be made again.
 pub(super) const QUERY_TIMEOUT: Micros = 3_500_000;
-/// A renewed watch without an answer for this span beyond its wait is dead ...
+/// A renewed watch is considered dead if it has no response this long after its wait has ended.
 pub(super) const RENEWED_WATCH_GRACE: Micros = 1_500_000;
-/// ... and another one is opened after about this span: the lease on the list ends soon.
+/// After a dead watch or an incomplete list, the next query is made after this interval before jitter,
+/// because the lease on the list ends soon.
 pub(super) const WATCH_RETRY_INTERVAL: Micros = 300_000;
-/// Each failed query doubles the wait for the next one, up to this many times: a service that handles its
-/// queries one by one and has too many spends its time on queries that have waited for too long, until fewer
-/// arrive.
+/// How many times the interval before the next query is doubled at most; it is doubled once after each failed
+/// query. A service that handles its queries one by one and receives too many of them spends its time on
+/// queries that have already waited for too long, until fewer queries arrive.
 pub(super) const MAX_BACKOFF_DOUBLINGS: u32 = 1;
-/// Where the lease on the list would end earlier, a query is made this long before the lease ends, or up to
-/// half as long again: it may wait in the service's queue for seconds.
+/// If the lease on the list would end before the next query, the query is made about this long before the end
+/// of the lease (jitter varies the time by up to a quarter), because it may wait in the service's queue for
+/// seconds.
 pub(super) const LEASE_RENEWAL_MARGIN: Micros = 2_000_000;
-/// Where lists are pushed, what the service sends counts as received at once, and queries cost it nothing: a
-/// failed one is made again after about this span.
+/// The interval before jitter after a failed query if lists are pushed. What the service sends then counts as
+/// received immediately, and queries cost it nothing.
 pub(super) const PUSHED_RETRY_INTERVAL: Micros = 300_000;
-/// Where lists are pushed, a watch is replaced after seven tenths of this span without an answer.
+/// The maximum poll interval if lists are pushed. The engine replaces a watch after seven tenths of it
+/// without a response.
 pub(crate) const PUSHED_POLL_INTERVAL_MAX: Micros = 5_000_000;
-/// The retry interval without any list, where nothing can be served: shorter than the engine's back-off, so
-/// that a process that starts while the service is down is ready soon after that.
+/// The interval before jitter after a failed query while the server list is empty and no request can be
+/// served. It is shorter than the engine's back-off, so that a process that starts while the service is down
+/// is ready soon after the service is back.
 pub(super) const EMPTY_LIST_RETRY_INTERVAL: Micros = 1_000_000;
-/// A watch that is answered without news earlier than this does not wait: renewing it would be a busy loop.
+/// A watch that is answered without changes earlier than this does not wait at the service. Renewing it
+/// immediately would be a busy loop.
 pub(super) const MIN_WATCH_DURATION: Micros = 100_000;
