--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -1,7 +1,7 @@
-//! Client connections: from bytes to commands, and from responses to bytes.
+//! Reads commands from client connections and writes responses to them.
 //!
-//! Responses are written in the order of a connection's commands. A malformed call is answered with an error
-//! here, and the connection ends after that: nothing of it reaches the engine or a server.
+//! Responses are written in the order of a connection's commands. A malformed call is answered with an error,
+//! after which the connection is closed; no part of it reaches the engine or a server.
 
 use crate::client::{Client, ClientState, MAX_LINGER_BYTES, MAX_PIPELINED_COMMANDS, PendingResponse};
 use crate::event_loop::ConnectionId;
@@ -13,22 +13,22 @@
 use violetseam_platform_protocol::call::{self, Command};
 use violetseam_resp::{Bounds, command};
 
-/// The reason given for a burst of more commands than may wait on one connection.
+/// The error that a client gets for a burst of more commands than may wait on one connection.
 const TOO_MANY_COMMANDS: &str = "too many commands at once";
 
 /// The commands that were parsed from a connection's input.
 struct ParsedCommands<'a> {
-    /// Each command's words.
+    /// The arguments of each command.
     commands: Vec<Vec<&'a [u8]>>,
-    /// Bytes that they took.
+    /// How many bytes of the input the commands take.
     consumed: usize,
-    /// Why the input after them cannot be parsed, if it cannot.
-    fault: Option<String>,
+    /// Why the rest of the input cannot be parsed, if it cannot.
+    error: Option<String>,
 }
 
 /// Parses all complete commands of the input.
 fn parse_commands<'a>(input: &'a [u8], bounds: &Bounds) -> ParsedCommands<'a> {
-    let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, fault: None };
+    let mut parsed = ParsedCommands { commands: Vec::new(), consumed: 0, error: None };
     loop {
         match command::parse(&input[parsed.consumed..], bounds) {
             Ok(Some(command)) => {
@@ -36,32 +36,32 @@
                 parsed.commands.push(command.arguments);
             }
             Ok(None) => return parsed,
-            Err(fault) => {
-                parsed.fault = Some(fault.to_string());
+            Err(error) => {
+                parsed.error = Some(error.to_string());
                 return parsed;
             }
         }
         if parsed.commands.len() > MAX_PIPELINED_COMMANDS {
             parsed.commands.clear();
-            parsed.fault = Some(TOO_MANY_COMMANDS.to_owned());
+            parsed.error = Some(TOO_MANY_COMMANDS.to_owned());
             return parsed;
         }
     }
 }
 
 impl Proxy {
-    /// Takes a connection off the loop without a message to the engine.
+    /// Removes a connection from the event loop without informing the engine.
     pub(super) fn close_client(&mut self, slot: usize) {
         if let Some(client) = self.clients.try_remove(slot) {
-            self.closed_while_pending += u64::from(!client.is_answered());
-            client.socket.remove(&self.handle);
+            self.closed_while_pending += u64::from(!client.is_fully_answered());
+            client.socket.remove(&self.loop_handle);
         }
     }
 
-    /// The connection broke, or its client closed it: its requests need no response any more.
+    /// Removes a connection that failed or that its client closed. Its requests need no response any more.
     fn disconnect_client(&mut self, slot: usize) {
         let Some(client) = self.clients.try_remove(slot) else { return };
-        client.socket.remove(&self.handle);
+        client.socket.remove(&self.loop_handle);
         let now = self.now();
         for pending in client.pending_responses {
             if let PendingResponse::Request(id) = pending {
@@ -70,10 +70,11 @@
         }
     }
 
-    /// Handles a connection's readiness.
-    pub(super) fn on_client(&mut self, slot: usize, readiness: Readiness) {
+    /// Handles an event on the connection.
+    pub(super) fn on_client_readiness(&mut self, slot: usize, readiness: Readiness) {
         if self.clients.get(slot).is_some_and(|client| client.state == ClientState::Ended) {
-            // No event is wanted in this state: the other side has ended the connection, too.
+            // In this state the connection is registered for no events, so any event means that the client
+            // has closed it as well.
             return self.close_client(slot);
         }
         if readiness.writable {
@@ -85,48 +86,49 @@
         self.run_engine_actions();
     }
 
-    /// Reads once; whether there was anything to read.
+    /// Reads from the connection once and returns whether there was anything to read, including the end of
+    /// the connection.
     fn read_client(&mut self, slot: usize) -> bool {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         let mut outcome = ReadOutcome::WouldBlock;
         if let Some(client) = self.clients.get_mut(slot) {
-            outcome = client.socket.read(&mut scratch);
+            outcome = client.socket.read(&mut read_buffer);
             match (outcome, client.state) {
-                (ReadOutcome::Bytes(n), ClientState::Open) => {
-                    client.input.extend_from_slice(&scratch[..n]);
+                (ReadOutcome::Bytes(length), ClientState::Open) => {
+                    client.input.extend_from_slice(&read_buffer[..length]);
                     self.handle_input(slot);
                 }
-                (ReadOutcome::Bytes(n), ClientState::Lingering(dropped))
-                    if dropped + n < MAX_LINGER_BYTES =>
+                (ReadOutcome::Bytes(length), ClientState::Lingering(dropped))
+                    if dropped + length < MAX_LINGER_BYTES =>
                 {
-                    client.state = ClientState::Lingering(dropped + n);
+                    client.state = ClientState::Lingering(dropped + length);
                 }
                 (ReadOutcome::Bytes(_), ClientState::Lingering(_)) => self.close_client(slot),
                 (ReadOutcome::Bytes(_) | ReadOutcome::WouldBlock, _) => {}
                 (ReadOutcome::Closed | ReadOutcome::Failed, _) => self.disconnect_client(slot),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
         self.update_client_interest(slot);
         outcome != ReadOutcome::WouldBlock
     }
 
-    /// Handles the commands in the input. All are parsed before the first is handled, as an accepted request
-    /// must be answered: of a burst that is too long none is accepted.
+    /// Handles the commands in the input. All commands are parsed before the first one is handled: an
+    /// accepted request must be answered, so no command of a burst that is too long may be accepted.
     fn handle_input(&mut self, slot: usize) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        client.is_backpressured = client.is_full();
+        client.is_backpressured = client.has_response_backlog();
         if client.is_backpressured {
             return;
         }
         let input = std::mem::take(&mut client.input);
         client.is_parsing = true;
-        let ParsedCommands { commands, consumed, fault } = parse_commands(&input, &self.bounds);
-        for words in commands {
-            self.handle_command(slot, &words);
+        let ParsedCommands { commands, consumed, error } = parse_commands(&input, &self.bounds);
+        for arguments in commands {
+            self.handle_command(slot, &arguments);
         }
-        if let Some(reason) = fault
-            && self.is_open(slot)
+        if let Some(reason) = error
+            && self.is_client_open(slot)
         {
             self.reject_malformed(slot, &reason);
         }
@@ -141,36 +143,36 @@
         self.flush_client(slot);
     }
 
-    fn is_open(&self, slot: usize) -> bool {
+    fn is_client_open(&self, slot: usize) -> bool {
         self.clients.get(slot).is_some_and(|client| client.state == ClientState::Open)
     }
 
-    fn handle_command(&mut self, slot: usize, words: &[&[u8]]) {
-        if !self.is_open(slot) {
+    fn handle_command(&mut self, slot: usize, arguments: &[&[u8]]) {
+        if !self.is_client_open(slot) {
             return;
         }
         if self.clients[slot].pending_responses.len() >= MAX_PIPELINED_COMMANDS {
             return self.reject_malformed(slot, TOO_MANY_COMMANDS);
         }
-        match call::parse(words, &self.config.instance) {
-            Ok(Command::Ping) if self.is_ready() => self.respond_at_once(slot, b"+PONG\r\n"),
-            Ok(Command::Ping) => self.respond_at_once(slot, b"-LOADING no server list yet\r\n"),
-            Ok(Command::Handshake) => self.respond_at_once(slot, b"+OK\r\n"),
+        match call::parse(arguments, &self.config.instance) {
+            Ok(Command::Ping) if self.is_ready() => self.respond_immediately(slot, b"+PONG\r\n"),
+            Ok(Command::Ping) => self.respond_immediately(slot, b"-LOADING no server list yet\r\n"),
+            Ok(Command::Handshake) => self.respond_immediately(slot, b"+OK\r\n"),
             Ok(Command::Call(call)) => self.admit_call(slot, *call),
             Err(error) => self.reject_malformed(slot, &error.to_string()),
         }
     }
 
-    /// Responds to a command that needs no decision.
-    pub(super) fn respond_at_once(&mut self, slot: usize, bytes: &[u8]) {
+    /// Sends a response to a command that the engine is not involved in.
+    pub(super) fn respond_immediately(&mut self, slot: usize, bytes: &[u8]) {
         if let Some(client) = self.clients.get_mut(slot) {
             client.pending_responses.push_back(PendingResponse::Ready(bytes.to_vec()));
         }
     }
 
-    /// Responds with an error to a command that cannot be accepted; the connection ends after that.
+    /// Sends an error in response to a command that cannot be accepted. The connection is closed after that.
     pub(super) fn reject_malformed(&mut self, slot: usize, reason: &str) {
-        tracing::debug!(client = slot, "declined: {reason}");
+        tracing::debug!(client = slot, "command rejected, closing the connection: {reason}");
         if let Some(client) = self.clients.get_mut(slot) {
             let mut bytes = Vec::new();
             answer::write_malformed(&mut bytes, reason);
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Writes the responses whose turn has come.
+    /// Writes the responses that are next in order.
     pub(super) fn flush_client(&mut self, slot: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
@@ -197,27 +199,28 @@
             client.socket.close_write();
             client.state = ClientState::Lingering(0);
         }
-        let may_end = self.shutdown_phase.may_end(client);
-        let may_continue = client.is_backpressured && !client.is_full();
-        if client.state == ClientState::Open && (may_end || may_continue) {
+        let allows_closing = self.shutdown_phase.allows_closing(client);
+        let may_resume = client.is_backpressured && !client.has_response_backlog();
+        if client.state == ClientState::Open && (allows_closing || may_resume) {
             self.clients_to_revisit.push(ConnectionId { slot, generation: client.generation });
         }
     }
 
-    /// Revisits connections on which commands waited for room, or that may end in a shutdown.
+    /// Processes connections on which commands were waiting for room, or that a shutdown may close.
     pub(super) fn revisit_clients(&mut self) {
         for connection in std::mem::take(&mut self.clients_to_revisit) {
             self.revisit_client(connection);
         }
     }
 
-    /// Goes on with the commands that waited, and ends the connection if the shutdown is that far. What has
-    /// arrived is read first, as requests before it were accepted: a connection that closes over unread bytes
-    /// is reset, and a response that its client has not read yet may be lost with it.
+    /// Handles the commands that were waiting, and closes the connection if the phase of the shutdown allows
+    /// that. Any input that has arrived is read first: it may contain requests, like the input before it, and
+    /// a connection that is closed while input is unread is reset, which can lose a response that its client
+    /// has not read yet.
     fn revisit_client(&mut self, connection: ConnectionId) {
         let slot = connection.slot;
         let Some(client) = self.open_client(connection) else { return };
-        if client.is_backpressured && !client.is_full() {
+        if client.is_backpressured && !client.has_response_backlog() {
             self.handle_input(slot);
             self.update_client_interest(slot);
         }
@@ -226,7 +229,7 @@
         let now = self.now();
         let shutdown_phase = self.shutdown_phase;
         let Some(client) = self.open_client(connection) else { return };
-        if !shutdown_phase.may_end(client) {
+        if !shutdown_phase.allows_closing(client) {
             return;
         }
         if any_read {
@@ -239,21 +242,21 @@
         self.update_client_interest(slot);
     }
 
-    /// The connection, if it is still the same one and open.
+    /// Returns the connection if it still exists and is open.
     fn open_client(&mut self, connection: ConnectionId) -> Option<&mut Client> {
         self.clients
             .get_mut(connection.slot)
             .filter(|client| client.generation == connection.generation && client.state == ClientState::Open)
     }
 
-    /// Sets the events that a connection is to be woken for.
+    /// Sets which events the event loop reports for the connection.
     pub(super) fn update_client_interest(&mut self, slot: usize) {
         if let Some(client) = self.clients.get(slot) {
-            client.update_interest(&self.handle, self.bounds.max_message_bytes);
+            client.update_interest(&self.loop_handle, self.bounds.max_message_bytes);
         }
     }
 
-    /// Closes the connections whose time-outs have expired.
+    /// Closes the connections that have been silent, incomplete or unread for too long.
     pub(super) fn close_timed_out_clients(&mut self, now: Micros) {
         let timed_out: Vec<usize> = self
             .clients
@@ -263,7 +266,7 @@
             .collect();
         for slot in timed_out {
             let state = self.clients.get(slot).map(|client| (client.state, client.pending_responses.len()));
-            tracing::debug!(client = slot, ?state, "closed: its time is over");
+            tracing::debug!(client = slot, ?state, "closed: time-out expired");
             self.disconnect_client(slot);
         }
     }
