--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,205 +1,215 @@
-//! Events that the decision module takes, actions that it asks for, and its settings, as plain types.
+//! The plain types at the boundary of the decision module: its settings, the events that it is given and the
+//! actions that it requests.
 //!
-//! Times are microseconds on one monotonic clock whose origin means nothing.
+//! All times are microseconds on one monotonic clock with an arbitrary origin.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// A request's identity, unique within one balancer's life.
+/// Identifies a request. It is unique within the lifetime of one balancer.
 pub type RequestId = u64;
-/// A server's identity; carries no meaning beyond equality and order.
+/// Identifies a server. Only equality and order of the values are meaningful.
 pub type ServerId = u64;
-/// A build number; a later build has a higher one.
+/// A build number. Later builds have higher numbers.
 pub type Build = u16;
 
-/// Whether a request may be executed more than once.
+/// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Idempotency {
-    /// Safe to execute any number of times.
+    /// The request can safely be executed any number of times.
     Idempotent,
-    /// Carries an idempotency key: servers of one deduplication group drop a repeat within a window.
+    /// The request carries an idempotency key. Servers of one deduplication group drop a repeated request
+    /// with the same key within the deduplication window.
     Keyed,
-    /// Must never be executed twice.
+    /// The request must never be executed twice.
     #[default]
     NonIdempotent,
 }
 
-/// Which servers share their memory of the idempotency keys that they have seen.
+/// The group of servers that share a record of the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DedupGroup {
-    /// Every server.
+    /// All servers form one group.
     #[default]
     All,
-    /// Servers of one zone.
+    /// The servers of each zone form a group.
     Zone,
-    /// Servers of one cell.
+    /// The servers of each cell form a group.
     Cell,
 }
 
-/// One class of requests: its latency objective, deadline, weight and idempotency.
+/// A request class, with its latency objective, deadline, weight and idempotency.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RequestClass {
-    /// Latency objective: answers within this span earn their full weight.
+    /// Latency objective: responses within this time earn the full weight of the request.
     pub latency_objective: Micros,
-    /// The client's total wait over all its tries, in microseconds.
+    /// The total time that a client waits, over all its tries, in microseconds.
     pub deadline: Micros,
-    /// Whether a request may be executed more than once.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: which servers remember a key.
+    /// For keyed classes, the servers that share a record of the keys.
     pub dedup_group: DedupGroup,
-    /// For keyed classes: how long they remember it, counted from the send of the first attempt that may have run.
+    /// For keyed classes, how long servers remember a key. The time is counted from the moment when the first
+    /// attempt that may have run was sent.
     pub dedup_window: Micros,
-    /// Weight of a request against those of other classes; unitless.
+    /// Weight of a request relative to requests of other classes, without a unit.
     pub priority_weight: f64,
-    /// Share of the weight that an answer past the latency objective still earns, 0 to 1.
+    /// Share of the weight, 0 to 1, that a response after the latency objective still earns.
     pub late_weight: f64,
-    /// Answers come as a stream.
+    /// Whether responses are streamed.
     pub stream: bool,
 }
 
-/// What promotes a release from one stage to the next.
+/// The condition that promotes a release from one stage to the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum GateMode {
-    /// One vote is enough.
+    /// A single vote to promote is enough.
     #[default]
     Any,
-    /// A share of all balancers must stand for it.
+    /// A share of all balancers must hold a vote to promote.
     Share,
-    /// By the clock, unless held.
+    /// The release is promoted after a fixed time, unless a vote holds it.
     Timer,
 }
 
-/// How builds are rolled out, voted on and bounded.
+/// How builds are rolled out: the gate between stages, the limits on exposure and the rules for votes.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rollout {
-    /// What promotes a release from one stage to the next.
+    /// The condition that promotes a release from one stage to the next.
     pub gate: GateMode,
-    /// Earlier machines drain as their successors come up (else they stay until the release).
+    /// Whether servers of the earlier build drain as soon as their replacements are up. Otherwise they stay
+    /// until the new build is released.
     pub in_place: bool,
-    /// Exposure cap of each stage: the share of attempts that may go to the new build, 0 to 1.
+    /// Exposure cap of each stage: the share of attempts, 0 to 1, that may go to the new build.
     pub stage_caps: Vec<f64>,
-    /// Stages below this number admit only idempotent classes to the new build.
+    /// Number of initial stages in which only requests of idempotent classes may go to the new build.
     pub idempotent_only_stages: u8,
-    /// The exposure rule holds over every window of this length.
+    /// Length of the window of the exposure rule. The rule applies to every window of this length.
     pub exposure_window: Micros,
-    /// Attempts that the exposure rule allows in a window beyond the cap's share.
+    /// Number of attempts at the new build that the exposure rule allows in a window in addition to the cap's
+    /// share.
     pub exposure_slack: f64,
-    /// The exposure rule counts each class by itself.
+    /// Whether the exposure rule counts each request class separately.
     pub exposure_per_class: bool,
-    /// A key that the new build has answered is sticky to it: it goes to no earlier build.
+    /// Whether idempotency keys are sticky: a key that the new build has answered is never sent to an earlier
+    /// build.
     pub sticky_to_new_build: bool,
-    /// How long a vote stands.
+    /// How long a vote counts after it was cast.
     pub vote_ttl: Micros,
-    /// How long a vote's reply may take.
+    /// How long to wait for the reply to a vote.
     pub vote_timeout: Micros,
-    /// The share of wrong answers that clients report; 0: no reports.
+    /// Share of wrong responses that clients report. 0 means that clients do not report them.
     pub flag_share: f64,
-    /// Votes that promote a release to the next stage.
+    /// Number of votes that promote a release to the next stage.
     pub votes_to_promote: f64,
-    /// Votes that roll a build back.
+    /// Number of votes that roll a build back.
     pub votes_to_roll_back: f64,
-    /// Votes a second that the platform takes from all balancers together.
+    /// Votes per second that the platform accepts from all balancers together.
     pub vote_rate_limit: f64,
 }
 
-/// What the site permits.
+/// The features that the site permits and their limits.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Requests may be hedged: two attempts of one request may be in flight together.
+    /// Whether requests may be hedged, so that two attempts of one request are in flight at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be sent health checks.
+    /// Whether health checks may be sent to servers.
     pub health_checks: bool,
-    /// Gossip messages may be sent to peers.
+    /// Whether gossip messages may be sent to peers.
     pub gossip: bool,
-    /// Rejections may carry a Retry-After.
+    /// Whether rejections may carry a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that clients honour.
+    /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules that every balancer keeps.
+/// Times and limits of the service rules that every balancer has to follow.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServiceRules {
-    /// A final answer this long after the deadline is still in time.
+    /// Time after the deadline within which a final response still counts as in time.
     pub deadline_grace: Micros,
-    /// Without a subscription the server list must be polled at least this often.
+    /// Longest interval between two polls of the server list where there is no subscription.
     pub poll_interval_max: Micros,
-    /// Slow start: a server starts with this share of its capacity or more, 0 to 1 ...
+    /// Slow start: smallest share of its capacity, 0 to 1, that a server has right after its start.
     pub slow_start_floor: f64,
-    /// ... and has its full capacity after this span at the latest.
+    /// Slow start: time after which a started server has its full capacity at the latest.
     pub slow_start_span: Micros,
-    /// Sends to a draining server must stop within this span; lower caps bind after it.
+    /// Time within which a balancer must stop sending to a draining server. A lowered exposure cap takes
+    /// effect after the same time.
     pub drain_grace: Micros,
-    /// A server that is warming up falls over when sent more than this multiple of its present capacity ...
+    /// A server that is warming up fails if it is sent more than this multiple of its current capacity for
+    /// `overload_span`.
     pub overload_multiple: f64,
-    /// ... for this span.
+    /// How long a server that is warming up tolerates more than `overload_multiple` times its current
+    /// capacity.
     pub overload_span: Micros,
 }
 
-/// A customer and its quota of the service.
+/// A tenant of the service and its quota.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Tenant {
-    /// Requests a second, over all balancers, within its quota.
+    /// Quota of the tenant over all balancers, in requests per second.
     pub quota_per_s: f64,
 }
 
-/// All settings of a balancer; they do not change during its life.
+/// All settings of a balancer. They do not change during its lifetime.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
-    /// Classes of requests, by index.
+    /// Request classes. [`Request::class`] is an index into this list.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by index; may be empty.
+    /// Tenants. [`Request::tenant`] is an index into this list, which may be empty.
     pub tenants: Vec<Tenant>,
-    /// Rollout settings.
+    /// How builds are rolled out.
     pub rollout: Rollout,
-    /// What the site permits.
+    /// The features that the site permits and their limits.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Times and limits of the service rules.
     pub rules: ServiceRules,
-    /// The server list has to be subscribed to; it does not come unasked.
+    /// Whether the balancer has to subscribe to the server list. Otherwise the list arrives without a
+    /// request.
     pub subscribes_to_list: bool,
-    /// Balancers in this tier.
+    /// Number of balancers in the fleet.
     pub fleet_size: usize,
-    /// This balancer's number among them.
+    /// Position of this balancer in the fleet.
     pub position: usize,
-    /// This balancer's zone.
+    /// Zone of this balancer.
     pub zone: u16,
-    /// Shortest span between two rounds of events.
+    /// Shortest time between two rounds of events.
     pub tick: Micros,
-    /// Weight of a request past its tenant's quota, as a share of its class's weight, 0 to 1.
+    /// Weight of a request that exceeds its tenant's quota, as a share of the weight of its class, 0 to 1.
     pub over_quota_weight: f64,
-    /// Servers' sizes can be set against each other.
+    /// Whether the sizes of servers are known and can be compared with each other.
     pub sizes_known: bool,
 }
 
 impl Settings {
-    /// The longest deadline of all classes, in microseconds; 0 without a class.
+    /// Returns the longest deadline of all classes in microseconds, or 0 if there are no classes.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
     }
 }
 
-/// A server's state as listed.
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ServerStatus {
-    /// Takes requests.
+    /// The server takes requests.
     Ready,
-    /// Draining: finishes its requests and takes no new ones.
+    /// The server finishes its requests and takes no new ones.
     Draining,
-    /// Removed from the list.
+    /// The server has been removed from the list.
     Removed,
 }
 
@@ -207,67 +217,68 @@
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServerEntry {
-    /// The server.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u16,
-    /// The build it runs.
+    /// Build that the server runs.
     pub build: Build,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u16,
-    /// Its state.
+    /// State of the server.
     pub status: ServerStatus,
-    /// Its capacity against the others, unitless.
+    /// Capacity of the server relative to other servers, without a unit.
     pub size: f64,
-    /// Its latest start, in microseconds; 0: long past.
+    /// Time of the server's latest start, in microseconds. 0 means that it started long ago.
     pub started_at: Micros,
 }
 
-/// What a list event carries.
+/// What a server list event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ListKind {
-    /// Only changed entries.
+    /// The event carries only the entries that changed.
     Delta,
-    /// The whole list.
+    /// The event carries the whole list.
     Full,
-    /// The whole list as last held before a restart; may be stale.
+    /// The event carries the whole list as it was stored before a restart. It may be stale.
     Cached,
-    /// A call failed or the subscription dropped; nothing carried.
+    /// A call failed or the subscription was lost. The event carries no entries.
     Failed,
 }
 
-/// How an attempt, a probe or a vote ended.
+/// How an attempt, a health check or a vote ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Outcome {
-    /// Served, or accepted.
+    /// The request was served, or the vote was accepted.
     Ok,
-    /// Answered with an error; may have run.
+    /// The server responded with an error. The request may have been executed.
     Error,
-    /// Rejected before execution; never ran.
+    /// The server rejected the request before its execution.
     Rejected,
-    /// No reply in time; may have run.
+    /// No reply arrived in time. The request may have been executed.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be made, so the request was not executed.
     ConnectFailed,
-    /// Connection dropped; may have run.
+    /// The connection was closed. The request may have been executed.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled. The request may have been executed.
     Cancelled,
-    /// Never sent, or (of a vote) about a stage that is over.
+    /// The attempt was never sent. For a vote: it was about a stage that is over.
     NotSent,
-    /// Cancelled before it was sent: never ran. Another attempt may take its place.
+    /// The attempt was cancelled before it was sent, so the request was not executed. Another attempt may
+    /// replace it.
     CancelledBeforeSend,
 }
 
 impl Outcome {
-    /// Whether the attempt was never sent.
+    /// Returns whether the attempt was never sent.
     pub fn never_sent(self) -> bool {
         matches!(self, Outcome::NotSent | Outcome::CancelledBeforeSend)
     }
 
-    /// Whether the attempt may have taken effect.
+    /// Returns whether the server may have executed the request.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -276,51 +287,51 @@
     }
 }
 
-/// Where the release of a build stands.
+/// Phase of the release of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Phase {
-    /// On trial.
+    /// The build is on trial.
     Trial,
-    /// Being rolled back.
+    /// The build is being rolled back.
     RollingBack,
-    /// Released.
+    /// The build is released.
     Released,
-    /// Withdrawn.
+    /// The build has been withdrawn.
     Withdrawn,
 }
 
-/// The release of the newest build, as the release service states it.
+/// Status of the release of the newest build, as reported by the release service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ReleaseStatus {
     /// The newest build.
     pub build: Build,
-    /// Its stage, from 0.
+    /// Stage of the release, counted from 0.
     pub stage: u8,
-    /// Where it stands.
+    /// Phase of the release.
     pub phase: Phase,
-    /// The exposure cap, 0 to 1.
+    /// Current exposure cap, 0 to 1.
     pub cap: f64,
 }
 
-/// What a vote says about a build.
+/// The verdict on a build that a vote carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Verdict {
-    /// Promote it to the next stage.
+    /// The build should be promoted to the next stage.
     Promote,
-    /// Hold it at its stage.
+    /// The build should be held at its current stage.
     Hold,
-    /// Roll it back.
+    /// The build should be rolled back.
     RollBack,
-    /// No vote; one that stands is withdrawn.
+    /// The balancer has no vote. A vote that it cast before is withdrawn.
     #[default]
     Withdraw,
 }
 
 impl std::fmt::Display for Verdict {
-    /// The words of the log and of the status text.
+    /// Writes the word that log lines and the status text use for the verdict.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Verdict::Promote => "On",
@@ -331,193 +342,194 @@
     }
 }
 
-/// A client's request as it arrives.
+/// A request as it arrives from a client.
 #[derive(Clone, Copy, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Request {
-    /// Its identity.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Micros,
-    /// Its class.
+    /// Index of the request's class in [`Settings::classes`].
     pub class: usize,
-    /// Expected service time, where known.
+    /// Expected service time, if known.
     pub cost_hint: Option<Micros>,
-    /// Its idempotency key, where it has one.
+    /// Idempotency key of the request, if it has one.
     pub key: Option<u64>,
-    /// Its tenant.
+    /// Index of the request's tenant in [`Settings::tenants`].
     pub tenant: usize,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptEnd {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number.
+    /// Number of the attempt among the attempts of its request, counted from 0.
     pub attempt: usize,
-    /// The server.
+    /// Server that the attempt was made at.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The request is finished with it: it has its final answer.
+    /// Whether the request is finished with this attempt, because it has its final response.
     pub finishes_request: bool,
 }
 
-/// An operator's command about the newest build's present stage.
+/// An operator's command that concerns the current stage of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum OperatorCommand {
-    /// Cast no votes; where stages are promoted by the clock, vote to hold.
+    /// Cast no votes. Where a timer promotes stages, vote to hold instead.
     Pause,
-    /// Vote again.
+    /// Resume voting after a pause.
     Resume,
-    /// Vote to roll it back.
+    /// Vote to roll the build back.
     RollBack,
 }
 
-/// Something that happened.
+/// An event that the balancer has to handle.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The server list has changed, or a call for it has failed.
+    /// The server list changed, or a call for it failed.
     ServerList {
-        /// What it carries.
+        /// What the event carries.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the list, or the changed ones.
         entries: &'a [ServerEntry],
     },
-    /// A client's request has arrived.
+    /// A request arrived from a client.
     Request(Request),
-    /// A timer came due.
+    /// A timer expired.
     Timer {
-        /// As set.
+        /// Token that the timer was set with.
         token: u64,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A streamed answer has started.
+    /// A server started to stream its response.
     StreamStarted {
-        /// The request.
+        /// Request that the response belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: usize,
     },
-    /// A client found an answer wrong.
+    /// A client reported a response as wrong.
     AnswerFlagged {
-        /// Who gave it.
+        /// Server that gave the response.
         server: ServerId,
-        /// The request's class.
+        /// Class of the request.
         class: usize,
-        /// Time since that attempt was sent.
+        /// Time since the attempt was sent.
         since: Micros,
     },
-    /// The client has disconnected; it needs no answer.
+    /// The client disconnected and needs no response any more.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         request: RequestId,
     },
-    /// The release service pushed the state of the newest build.
+    /// The release service pushed the release status of the newest build.
     Release(ReleaseStatus),
-    /// A vote's reply.
+    /// The reply to a vote arrived.
     VoteReply {
-        /// Whether it counts.
+        /// Whether the vote counts.
         outcome: Outcome,
-        /// The release's state that came with it, valid only for an accepted vote.
+        /// Release status that came with the reply. It is valid only if the vote was accepted.
         release: Option<ReleaseStatus>,
     },
-    /// A message from a peer.
+    /// A gossip message arrived from a peer.
     PeerMessage {
-        /// Its number.
+        /// Position of the peer in the fleet.
         from: usize,
-        /// The bytes.
+        /// Bytes of the message.
         payload: &'a [u8],
     },
-    /// An operator overrides this balancer's vote.
+    /// An operator overrides the vote of this balancer.
     Operator(OperatorCommand),
-    /// A health check's result.
+    /// A health check ended.
     HealthChecked {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
     },
-    /// The platform's load report for one build and class.
+    /// The platform reported the load of one build and class over a period.
     LoadReport {
-        /// The build.
+        /// Build that the report is about.
         build: Build,
-        /// The class.
+        /// Request class that the report is about.
         class: usize,
-        /// Attempts in the sample.
+        /// Number of attempts in the sample.
         attempts: u32,
-        /// Those that did not end well.
+        /// Number of attempts that failed.
         failed: u32,
-        /// Mean time of the rest.
+        /// Mean time of the attempts that did not fail.
         mean: Micros,
-        /// Time since the period ended.
+        /// Time since the end of the reported period.
         age: Micros,
     },
-    /// An attempt that was decided on earlier can be sent only now: its connection has come up, or takes the
-    /// rest of it. It is sent unless the balancer answers with [`Action::CancelBeforeSend`].
+    /// An attempt that was started earlier can be sent only now, because its connection has just been
+    /// established or is ready to take the rest of it. The attempt is sent unless the balancer responds with
+    /// [`Action::CancelBeforeSend`].
     ReadyToSend {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: usize,
     },
-    /// Until when the server list may be used, unless it is confirmed again. Without this event nothing limits it.
+    /// The lease on the server list changed. Without this event the list may be used without limit.
     ListLease {
-        /// That moment.
+        /// Time until which the list may be used unless it is confirmed again.
         until: Micros,
     },
-    /// The process shuts down: from that moment on nothing is sent, and by then every request has its final answer.
+    /// The process shuts down.
     ShutdownAt {
-        /// That moment.
+        /// Time by which every request has its final response and from which nothing is sent any more.
         at: Micros,
     },
 }
 
-/// Something to do.
+/// An action that the balancer requests.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The server.
+        /// Server to send the attempt to.
         server: ServerId,
-        /// When to time the attempt out.
+        /// Time at which the attempt times out.
         cut_at: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt and stop waiting for it.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: usize,
     },
-    /// Final answer: rejected; repeating is harmless.
+    /// Give the final response that rejects the request. The client can safely repeat it.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// Retry-After, in microseconds; 0: none.
+        /// Retry-After in microseconds. 0 means that the response carries none.
         retry_after: Micros,
     },
-    /// Final answer: failed; promises nothing.
+    /// Give the final response that fails the request. It may have been executed.
     Fail {
-        /// The request.
+        /// Request to fail.
         request: RequestId,
     },
-    /// Wake up later.
+    /// Set a timer.
     SetTimer {
-        /// Counted from now, in microseconds.
+        /// Time from now until the timer expires, in microseconds.
         after: Micros,
-        /// Returned as given.
+        /// Token that [`Event::Timer`] returns unchanged.
         token: u64,
     },
     /// Subscribe to the server list.
@@ -526,33 +538,33 @@
     FetchServerList,
     /// Vote on a build.
     Vote {
-        /// The build.
+        /// Build that the vote is about.
         build: Build,
-        /// The stage.
+        /// Stage that the vote is about.
         stage: u8,
-        /// The verdict.
+        /// Verdict on the build.
         verdict: Verdict,
     },
     /// Send a gossip message to every peer.
     GossipToAll {
-        /// The bytes.
+        /// Bytes of the message.
         payload: Vec<u8>,
     },
     /// Send a gossip message to one peer.
     GossipToPeer {
-        /// Its number.
+        /// Position of the peer in the fleet.
         to: usize,
-        /// The bytes.
+        /// Bytes of the message.
         payload: Vec<u8>,
     },
     /// Write a line to the log.
     Log(String),
-    /// The answer to [`Event::ReadyToSend`] where the attempt must not be sent any more; it ends as
-    /// [`Outcome::CancelledBeforeSend`].
+    /// Do not send an attempt after [`Event::ReadyToSend`], because it must not be sent any more. The attempt
+    /// then ends with [`Outcome::CancelledBeforeSend`].
     CancelBeforeSend {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: usize,
     },
 }
