--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,12 @@
-//! Violetseam: a request router and canary analysis for one load balancer.
+//! Violetseam: request routing and canary analysis for one load balancer.
 //!
-//! The library knows no wire, clock or I/O. [`balancer::Balancer`] is a deterministic state machine: it is fed
-//! with events ([`interface::Event`]) and writes down what to do ([`interface::Action`]).
+//! The library has no network protocol, clock or I/O. [`balancer::Balancer`] is a deterministic state
+//! machine: it is given events ([`interface::Event`]) and returns the actions to take
+//! ([`interface::Action`]).
 //!
-//! Dependencies point one way: decisions (`event_loop`, `admission`, `routing`, `analysis`, ...) use the
-//! balancer's `state`, and that uses `evidence`, `statistics` and the plain types of `interface`.
+//! Dependencies point in one direction: the decisions (`event_loop`, `admission`, `routing`, `analysis`, ...)
+//! use the balancer's `state`, which in turn uses `evidence`, `statistics` and the plain types of
+//! `interface`.
 
 mod admission;
 mod analysis;
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,11 +1,11 @@
-//! Interval bounds and quantiles. Confidence is passed in as the normal quantile `z`.
+//! Confidence bounds for proportions, and quantiles. The confidence level is given as a normal quantile `z`.
 
-/// Hits among trials.
+/// A proportion: the number of hits in a number of trials.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Proportion {
-    /// Hits; need not be whole.
+    /// Number of hits. It need not be an integer.
     pub hits: f64,
-    /// Trials.
+    /// Number of trials.
     pub trials: f64,
 }
 
@@ -15,18 +15,18 @@
     }
 }
 
-/// An interval of shares.
+/// A confidence interval for a share.
 struct Interval {
     lower: f64,
     upper: f64,
 }
 
-/// Lower end of the Wilson score interval for `hits` of `trials` at normal quantile `z`.
+/// Returns the lower end of the Wilson score interval for `hits` of `trials` at the normal quantile `z`.
 pub fn wilson_lower(hits: f64, trials: f64, z: f64) -> f64 {
     wilson(hits, trials, z).lower
 }
 
-/// Upper end of the Wilson score interval.
+/// Returns the upper end of the Wilson score interval for `hits` of `trials` at the normal quantile `z`.
 pub fn wilson_upper(hits: f64, trials: f64, z: f64) -> f64 {
     wilson(hits, trials, z).upper
 }
@@ -37,20 +37,25 @@
     }
     let share = (hits / trials).clamp(0.0, 1.0);
     let z_squared = z * z;
-    let middle = share + z_squared / (2.0 * trials);
-    let half = z * (share * (1.0 - share) / trials + z_squared / (4.0 * trials * trials)).sqrt();
-    let scale = 1.0 + z_squared / trials;
-    Interval { lower: ((middle - half) / scale).max(0.0), upper: ((middle + half) / scale).min(1.0) }
+    let center = share + z_squared / (2.0 * trials);
+    let half_width = z * (share * (1.0 - share) / trials + z_squared / (4.0 * trials * trials)).sqrt();
+    let denominator = 1.0 + z_squared / trials;
+    Interval {
+        lower: ((center - half_width) / denominator).max(0.0),
+        upper: ((center + half_width) / denominator).min(1.0),
+    }
 }
 
-/// Lower bound on the difference of two shares, `one - two`, by Newcombe's hybrid score method.
-pub fn difference_lower(one: Proportion, two: Proportion, z: f64) -> f64 {
-    let down = one.share() - wilson_lower(one.hits, one.trials, z);
-    let up = wilson_upper(two.hits, two.trials, z) - two.share();
-    one.share() - two.share() - (down * down + up * up).sqrt()
+/// Returns a lower bound on the difference of two shares, `first - second`, by Newcombe's hybrid score
+/// method.
+pub fn difference_lower(first: Proportion, second: Proportion, z: f64) -> f64 {
+    let first_margin = first.share() - wilson_lower(first.hits, first.trials, z);
+    let second_margin = wilson_upper(second.hits, second.trials, z) - second.share();
+    first.share() - second.share() - (first_margin * first_margin + second_margin * second_margin).sqrt()
 }
 
-/// The `q` quantile of the values, by nearest rank; `None` when there are none. Reorders them.
+/// Returns the `q` quantile of the values by the nearest-rank method, or `None` if there are no values. The
+/// values are reordered.
 pub fn quantile(values: &mut [f64], q: f64) -> Option<f64> {
     if values.is_empty() {
         return None;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Spans of time in microseconds.
+//! Common durations in microseconds.
 
 use crate::interface::Micros;
 
