--- a/src/evidence/histogram.rs
+++ b/src/evidence/histogram.rs
@@ -1,18 +1,19 @@
-//! A histogram of times with logarithmic bins.
+//! A histogram of durations with logarithmic bins.
 
-/// Bins of a histogram: two to an octave.
+/// Number of bins of a histogram. Each octave (a factor of 2) is divided into two bins.
 pub const BINS: usize = 24;
-/// Half octaves below 1 at which the bins begin.
+/// Lower end of the first bin, in half octaves relative to 1.
 const LOWEST_BIN: f64 = -14.0;
-/// The least value that has a logarithm here.
+/// Smallest value whose logarithm is taken. Smaller values count as this one.
 const MIN_VALUE: f64 = 1e-9;
 
-/// Counts of times by logarithmic bins.
+/// Counts of durations in logarithmic bins.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Histogram(pub [f64; BINS]);
 
 impl Histogram {
+    /// Returns the position of a value on the scale of bins, as a fractional bin number.
     fn position(value: f64) -> f64 {
         2.0 * value.max(MIN_VALUE).log2() - LOWEST_BIN
     }
@@ -22,30 +23,31 @@
         self.0[(Self::position(value).max(0.0) as usize).min(BINS - 1)] += 1.0;
     }
 
-    /// How many values it holds.
+    /// Returns the number of values in the histogram.
     pub fn total(&self) -> f64 {
         self.0.iter().sum()
     }
 
-    /// Adds another histogram, its counts scaled and its values divided by `unit`.
+    /// Adds another histogram, with its counts multiplied by `scale` and its values divided by `unit`.
     pub fn merge(&mut self, other: &Histogram, scale: f64, unit: f64) {
         let shift = 2.0 * unit.max(MIN_VALUE).log2();
         for (bin, count) in other.0.iter().enumerate().filter(|(_, count)| **count > 0.0) {
-            let to = (bin as f64 - shift).clamp(0.0, (BINS - 2) as f64);
-            let upper_share = to.fract();
-            self.0[to as usize] += count * scale * (1.0 - upper_share);
-            self.0[to as usize + 1] += count * scale * upper_share;
+            let position = (bin as f64 - shift).clamp(0.0, (BINS - 2) as f64);
+            let upper_share = position.fract();
+            self.0[position as usize] += count * scale * (1.0 - upper_share);
+            self.0[position as usize + 1] += count * scale * upper_share;
         }
     }
 
-    /// The `q` quantile, set evenly within its bin; `None` where it is empty.
+    /// Returns the `q` quantile, or `None` if the histogram is empty. The values of a bin are taken as evenly
+    /// spread over the bin.
     pub fn quantile(&self, q: f64) -> Option<f64> {
-        let mut left = self.total() * q.clamp(0.0, 1.0);
+        let mut remaining = self.total() * q.clamp(0.0, 1.0);
         for (bin, &count) in self.0.iter().enumerate().filter(|(_, count)| **count > 0.0) {
-            if left <= count {
-                return Some(((bin as f64 + left / count + LOWEST_BIN) / 2.0).exp2());
+            if remaining <= count {
+                return Some(((bin as f64 + remaining / count + LOWEST_BIN) / 2.0).exp2());
             }
-            left -= count;
+            remaining -= count;
         }
         let last = self.0.iter().rposition(|&count| count > 0.0);
         last.map(|bin| ((bin as f64 + 1.0 + LOWEST_BIN) / 2.0).exp2())
--- a/src/evidence/message.rs
+++ b/src/evidence/message.rs
@@ -1,35 +1,37 @@
-//! The gossip messages in which balancers exchange evidence: a header and run-length encoded counters.
+//! Encoding of the gossip messages in which balancers exchange evidence: a header, followed by the counters
+//! with run-length encoded zeros.
 
 use super::counters::{Arm, Evidence};
 use crate::interface::Build;
 
-/// Bytes that one message may hold.
+/// Maximum size of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// The version of the layout; messages of another one are not read.
+/// Version of the message layout. Messages of other versions are ignored.
 const LAYOUT_VERSION: u8 = 2;
-/// Bits of a counter's value in each of its bytes; the highest bit says that more follow.
-const VALUE_BITS: u32 = 7;
+/// Number of bits of a counter's value in each byte. The highest bit tells whether another byte follows.
+const VALUE_BITS_PER_BYTE: u32 = 7;
 const VALUE_MASK: u8 = 0x7f;
-const MORE_FOLLOW: u8 = 0x80;
-/// Bits after which a counter's value cannot go on.
+const CONTINUATION_BIT: u8 = 0x80;
+/// Maximum number of bits of a counter's value. An encoding that goes on after them is malformed.
 const MAX_VALUE_BITS: u32 = 35;
 
-/// What a message is about.
+/// The header of a message: the stage that it is about, and its sender's incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct GossipHeader {
-    /// The build on trial.
+    /// Build on trial.
     pub build: Build,
-    /// Its stage.
+    /// Stage of the build on trial.
     pub stage: u8,
-    /// An aggregator's total, not a balancer's own counters.
+    /// Whether the counters are an aggregator's total instead of the sender's own counters.
     pub is_total: bool,
-    /// The sender's incarnation, drawn at each start, so that counters that begin again are not taken for late
-    /// ones.
+    /// Incarnation of the sender. It is drawn at random at each start, so that counters that restart from
+    /// zero are not mistaken for a late message.
     pub incarnation: u8,
 }
 
-/// The bytes of a message. Histograms that do not fit are left out, the last class's first.
+/// Encodes a message. If it would exceed [`MAX_MESSAGE_BYTES`], histograms are left out, starting with the
+/// last class.
 pub fn encode(header: GossipHeader, evidence: &Evidence) -> Vec<u8> {
     let mut bytes = Vec::new();
     for classes in (0..=evidence.classes()).rev() {
@@ -44,18 +46,18 @@
     bytes
 }
 
-/// Counters as variable-length integers; runs of zeros as a zero byte and their length. Trailing zeros are
-/// left out.
+/// Encodes counters as variable-length integers. A run of zeros is encoded as a zero byte and the length of
+/// the run. Trailing zeros are left out.
 fn encode_counters(counters: &[f64], bytes: &mut Vec<u8>) {
-    let mut zeros = 0u8;
+    let mut zero_run = 0u8;
     for &counter in counters {
         let counter = counter.clamp(0.0, f64::from(u32::MAX)) as u32;
-        if counter == 0 && zeros < u8::MAX {
-            zeros += 1;
+        if counter == 0 && zero_run < u8::MAX {
+            zero_run += 1;
             continue;
         }
-        if zeros > 0 {
-            bytes.extend([0, std::mem::take(&mut zeros)]);
+        if zero_run > 0 {
+            bytes.extend([0, std::mem::take(&mut zero_run)]);
         }
         encode_counter(counter, bytes);
     }
@@ -63,8 +65,8 @@
 
 fn encode_counter(mut counter: u32, bytes: &mut Vec<u8>) {
     while counter > u32::from(VALUE_MASK) {
-        bytes.push((counter as u8 & VALUE_MASK) | MORE_FOLLOW);
-        counter >>= VALUE_BITS;
+        bytes.push((counter as u8 & VALUE_MASK) | CONTINUATION_BIT);
+        counter >>= VALUE_BITS_PER_BYTE;
     }
     bytes.push(counter as u8);
     if counter == 0 {
@@ -72,7 +74,8 @@
     }
 }
 
-/// Reads a message; `None` where the bytes are no such thing or its counts cannot be true.
+/// Decodes a message. Returns `None` if the bytes are malformed, or if the counters are inconsistent or
+/// exceed `max_attempts`.
 pub fn decode(bytes: &[u8], classes: usize, max_attempts: f64) -> Option<(GossipHeader, Evidence)> {
     let [LAYOUT_VERSION, is_total @ 0..=1, incarnation, build_low, build_high, stage, rest @ ..] = bytes
     else {
@@ -109,8 +112,8 @@
     let mut shift = 0;
     loop {
         value |= u64::from(byte & VALUE_MASK) << shift;
-        shift += VALUE_BITS;
-        if byte & MORE_FOLLOW == 0 {
+        shift += VALUE_BITS_PER_BYTE;
+        if byte & CONTINUATION_BIT == 0 {
             return Some(value);
         }
         byte = *rest.next().filter(|_| shift < MAX_VALUE_BITS)?;
