--- a/src/evidence/mod.rs
+++ b/src/evidence/mod.rs
@@ -1,7 +1,9 @@
-//! Evidence about builds, without decisions: counters over attempts' ends, and how peers exchange them.
+//! Evidence about builds: counters of how attempts ended, and the exchange of these counters with peers.
+//! Nothing is decided here.
 //!
-//! Counters only grow within a stage, so lost, late and repeated messages do no harm: the newest replaces the
-//! one before, and an open window's evidence is the difference to what stood when it began.
+//! Within a stage the counters only grow. Lost, late and repeated messages therefore do no harm: the newest
+//! report of a peer replaces the one before, and the evidence of an open window is the difference between the
+//! counters now and the counters when the window started.
 
 mod counters;
 mod histogram;
--- a/src/evidence/pool.rs
+++ b/src/evidence/pool.rs
@@ -1,10 +1,11 @@
-//! Own counters on the stage, peers' reports, and the totals that aggregators send.
+//! The evidence on a stage that a balancer has: its own counters, the reports of its peers, and the totals
+//! that aggregators send.
 
 use super::counters::{Arm, Evidence};
 use super::message::GossipHeader;
 use std::collections::BTreeMap;
 
-/// The last report of a peer.
+/// The latest report of a peer.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct PeerReport {
@@ -15,34 +16,34 @@
 /// Evidence on the whole stage and on the open window.
 #[derive(Clone, Debug)]
 pub struct StageEvidence {
-    /// On the whole stage.
+    /// Evidence on the whole stage.
     pub stage: Evidence,
-    /// On the open window.
+    /// Evidence on the open window.
     pub window: Evidence,
 }
 
-/// The evidence of a balancer and of its peers. It holds at most one report and one total for each peer.
+/// The evidence of a balancer and of its peers. The pool holds at most one report and one total per peer.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct EvidencePool {
-    /// Own counters.
+    /// The balancer's own counters.
     pub own: Evidence,
-    /// Peers' last reports by their number.
+    /// Latest report of each peer, by the peer's position.
     reports: BTreeMap<usize, PeerReport>,
-    /// Reports of incarnations that have ended.
+    /// Sum of the final reports of peers' earlier incarnations.
     ended: Evidence,
-    /// Aggregators' last totals by their number.
+    /// Latest total of each aggregator, by the aggregator's position.
     totals: BTreeMap<usize, PeerReport>,
-    /// What all totals stood at when the open window began.
+    /// Values of all totals when the open window began.
     totals_at_window_start: BTreeMap<usize, Evidence>,
-    /// What the own counters stood at then.
+    /// Values of the own counters when the open window began.
     own_at_window_start: Evidence,
-    /// No window of this stage has been closed yet.
+    /// Whether the open window is the first one of the stage.
     first_window: bool,
 }
 
 impl EvidencePool {
-    /// A new stage: all counters at zero.
+    /// Starts a new stage with all counters at zero.
     pub fn restart(&mut self, classes: usize) {
         let zero = Evidence::new(classes);
         *self = EvidencePool {
@@ -54,32 +55,33 @@
         };
     }
 
-    /// Takes a peer's message in.
+    /// Stores the evidence from a peer's message.
     pub fn receive(&mut self, from: usize, header: GossipHeader, evidence: Evidence) {
         let reports = if header.is_total { &mut self.totals } else { &mut self.reports };
-        let Some(known) = reports.get_mut(&from) else {
-            // A total first heard of in a later window says nothing of what came before.
+        let Some(previous) = reports.get_mut(&from) else {
+            // If the first total of a peer arrives after the first window, nothing shows how much of it
+            // belongs to the open window, so none of it is counted for that window.
             if header.is_total && !self.first_window {
                 self.totals_at_window_start.insert(from, evidence.clone());
             }
             reports.insert(from, PeerReport { incarnation: header.incarnation, evidence });
             return;
         };
-        if known.incarnation == header.incarnation {
-            // Counters only grow: a lower one is late.
-            if evidence.all_attempts() >= known.evidence.all_attempts() {
-                known.evidence = evidence;
+        if previous.incarnation == header.incarnation {
+            // Counters only grow, so a report with lower counters arrived late.
+            if evidence.all_attempts() >= previous.evidence.all_attempts() {
+                previous.evidence = evidence;
             }
             return;
         }
         if !header.is_total {
-            self.ended.merge(&known.evidence);
+            self.ended.merge(&previous.evidence);
         }
-        known.incarnation = header.incarnation;
-        known.evidence = evidence;
+        previous.incarnation = header.incarnation;
+        previous.evidence = evidence;
     }
 
-    /// Own counters with all reports.
+    /// Returns the sum of the own counters and all reports.
     pub fn total(&self) -> Evidence {
         let mut total = self.own.clone();
         total.merge(&self.ended);
@@ -89,7 +91,7 @@
         total
     }
 
-    /// A window begins; `position` is the balancer's own number among its peers.
+    /// Starts a window. `position` is the balancer's own position in the fleet.
     pub fn start_window(&mut self, position: usize) {
         self.first_window = false;
         self.own_at_window_start = self.own.clone();
@@ -98,11 +100,12 @@
         self.totals_at_window_start.insert(position, self.total());
     }
 
-    /// The own evidence, if its window holds `enough` attempts at the new build; else the widest at hand, the
-    /// own total or one aggregator's. Never two of them added up, so that nothing counts twice.
-    pub fn widest(&self, position: usize, enough: f64) -> StageEvidence {
+    /// Returns the evidence to judge by. That is the balancer's own evidence if its window holds at least
+    /// `min_attempts` attempts at the new build. Otherwise it is the largest available total: this balancer's
+    /// or that of one aggregator. Totals are never added up, so that no attempt counts twice.
+    pub fn widest(&self, position: usize, min_attempts: f64) -> StageEvidence {
         let own_window = self.own.since(Some(&self.own_at_window_start));
-        if own_window.attempts(Arm::New) >= enough {
+        if own_window.attempts(Arm::New) >= min_attempts {
             return StageEvidence { stage: self.own.clone(), window: own_window };
         }
         let total = self.total();
