--- a/src/state/analysis.rs
+++ b/src/state/analysis.rs
@@ -1,48 +1,49 @@
-//! What the analysis of the build on trial remembers.
+//! State of the analysis of the build on trial.
 
 use crate::evidence::EvidencePool;
 use crate::interface::{Build, Micros, Verdict};
 
-/// A vote as the release service holds it or may hold it.
+/// A vote that the release service holds, or may hold if its reply is outstanding.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Vote {
-    /// The build that it is about.
+    /// Build that the vote is about.
     pub build: Build,
-    /// The stage that it is about.
+    /// Stage that the vote is about.
     pub stage: u8,
-    /// What it says.
+    /// Verdict that the vote carries.
     pub verdict: Verdict,
-    /// When it was cast.
+    /// Time at which the vote was cast.
     pub cast_at: Micros,
 }
 
-/// The open window, the verdict that stands, and the votes cast on it.
+/// The open window of evidence, the current verdict and the votes that were cast for it.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AnalysisState {
-    /// When the present stage was announced.
+    /// Time at which the current stage was announced.
     pub stage_since: Micros,
-    /// When the open window began.
+    /// Time at which the open window began.
     pub window_start: Micros,
-    /// Own attempts at the new build in it.
+    /// Number of own attempts at the new build in the open window.
     pub window_attempts: usize,
-    /// Windows in a row that found a violation, by weight.
+    /// Sum of the weights of the violations found in consecutive windows. A window without a violation resets
+    /// it.
     pub violations: f64,
-    /// The verdict that stands.
+    /// Current verdict.
     pub verdict: Verdict,
-    /// An operator has votes suspended.
+    /// Whether an operator has suspended votes.
     pub paused: bool,
-    /// The build on trial has been compared with an earlier one.
+    /// Whether the build on trial has been compared with an earlier build.
     pub compared: bool,
-    /// The vote that the release service holds.
+    /// Vote that the release service holds.
     pub standing_vote: Option<Vote>,
-    /// A vote without a reply yet.
+    /// Vote whose reply is outstanding.
     pub pending_vote: Option<Vote>,
     /// Earliest time of the next vote.
     pub next_vote_at: Micros,
-    /// Evidence on the stage, own and of peers.
+    /// Evidence on the stage from this balancer and its peers.
     pub evidence: EvidencePool,
-    /// When the next gossip message is due.
+    /// Time at which the next gossip message is due.
     pub next_gossip: Micros,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! The state of a balancer, without decisions.
+//! The state of a balancer. Nothing is decided here.
 //!
-//! A process that takes over gets it in a positional encoding: fields keep their order, and new ones go to the
-//! end (`tests/stored_module.rs` of the proxy package opens a stored one).
+//! In a takeover the state is handed to the new process in a positional encoding. Fields must therefore keep
+//! their order, and new fields must be added at the end. `tests/stored_module.rs` of the proxy package checks
+//! this by reading a stored state.
 
 mod analysis;
 mod exposure_counter;
@@ -27,125 +28,128 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// First attempts at the build on trial that may be saved up.
+/// Maximum number of first attempts at the build on trial that can be saved up.
 pub(crate) const MAX_TRIAL_CREDIT: f64 = 2.0;
 
-/// Requests of one class and one tenant, whose lateness is counted apart.
+/// A lane: the requests of one class and one tenant. Lateness is counted for each lane separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Lane {
-    /// The class.
+    /// Request class.
     pub class: usize,
-    /// The tenant; one past the last for requests without one.
+    /// Index of the tenant. Requests without a known tenant have the index after the last one.
     pub tenant: usize,
 }
 
-/// What is known of the server list itself.
+/// State of the server list itself.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ListState {
-    /// When the list was last heard of.
+    /// Time at which the list or a change to it was last received or called for.
     pub heard_at: Micros,
-    /// When to call for the list again.
+    /// Time at which to call for the list again.
     pub retry_at: Option<Micros>,
-    /// Until when the list may be used, where a lease limits that. Not handed over: the next process calls anew.
+    /// Time until which the list may be used, if a lease limits its use. It is not handed over in a takeover,
+    /// because the new process calls for the list itself.
     #[cfg_attr(feature = "serde", serde(skip))]
     pub lease_until: Option<Micros>,
-    /// Failed list calls in a row.
+    /// Number of consecutive failed calls for the list.
     pub failures: u32,
 }
 
-/// The cap of a stage before it was lowered.
+/// The exposure cap that applied before the cap was lowered.
 #[derive(Clone, Copy, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct PreviousCap {
-    /// The cap, 0 to 1.
+    /// The earlier, higher cap, 0 to 1.
     pub cap: f64,
-    /// When the lower one came.
+    /// Time at which the lower cap was announced.
     pub lowered_at: Micros,
 }
 
-/// Sizes of the servers that take requests, added up.
+/// Total size of the servers that take requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadySizes {
-    /// Of those that are warm.
+    /// Total size of the warm servers.
     pub warm: f64,
-    /// Of all.
+    /// Total size of all servers that take requests.
     pub all: f64,
 }
 
-/// What a started attempt needs to know of its request.
+/// An attempt that has just been started, with the properties of its request that are needed to send it.
 #[derive(Clone, Copy, Debug)]
 pub struct StartedAttempt {
-    /// Its number.
+    /// Number of the attempt.
     pub attempt: usize,
-    /// The request's class.
+    /// Class of the request.
     pub class: usize,
-    /// The request's deadline.
+    /// Deadline of the request.
     pub deadline: Micros,
 }
 
-/// All that a balancer remembers; what to do with it is decided elsewhere.
+/// The whole state of a balancer. The modules that decide use it, and it makes no decisions itself.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct BalancerState {
-    /// The random source.
+    /// Random number generator.
     pub random: RandomSource,
-    /// The first event has come.
+    /// Whether the first event has arrived.
     pub started: bool,
-    /// Servers listed, and those that have left with attempts in flight.
+    /// Servers in the list, and servers that have left the list but still have attempts in flight.
     pub servers: BTreeMap<ServerId, ServerRecord>,
     /// Requests in flight.
     pub requests: BTreeMap<RequestId, InFlightRequest>,
-    /// When to check which request.
+    /// Times at which requests have to be checked again.
     pub checks: BTreeSet<(Micros, RequestId)>,
-    /// Latency by class.
+    /// Latency estimate of each class.
     pub latencies: Vec<LatencyEstimate>,
-    /// Retries and hedges saved up.
+    /// Retry budget: the number of retries and hedges that can be spent.
     pub retry_budget: f64,
-    /// Cost of answers by warm servers.
+    /// Cost of the requests that warm servers have served.
     pub served_cost: SlidingSum,
-    /// Cost a second that a warm server of size 1 is seen to carry.
+    /// Cost per second that a warm server of size 1 has been seen to serve.
     pub warm_rate: f64,
-    /// First attempts that the build on trial has earned.
+    /// Number of first attempts that the build on trial has earned.
     pub trial_credit: f64,
-    /// Cost of requests taken.
+    /// Cost of the requests that arrived.
     pub offered_cost: SlidingSum,
-    /// Smoothed share of late answers, 0 to 1.
+    /// Smoothed share of late responses, 0 to 1.
     pub late_share: f64,
-    /// The same by class and tenant.
+    /// Smoothed share of late responses in each lane, 0 to 1.
     pub late_share_by_lane: BTreeMap<Lane, f64>,
-    /// When the next maintenance is due.
+    /// Time at which the next maintenance is due.
     pub next_maintenance: Micros,
-    /// When the earliest timer that is set is due.
+    /// Time at which the earliest timer that has been set expires.
     pub timer_due: Micros,
-    /// Drawn at the start, so that peers can tell one incarnation from another.
+    /// Incarnation of this balancer. It is drawn at random at the start, so that peers can tell incarnations
+    /// apart.
     pub incarnation: u8,
-    /// Builds of the servers that take requests, in order.
+    /// Builds of the servers that take requests, in ascending order.
     pub builds: Vec<Build>,
-    /// The server list itself.
+    /// State of the server list itself.
     pub list: ListState,
-    /// The release of the newest build.
+    /// Release status of the newest build.
     pub release: Option<ReleaseStatus>,
-    /// The cap before the present one.
+    /// Exposure cap before the current one.
     pub previous_cap: PreviousCap,
-    /// Attempts at builds on trial, by build and counted class.
+    /// Counters of attempts at builds on trial, by build. Each build has one counter for all classes or one
+    /// per class.
     pub exposures: BTreeMap<Build, Vec<ExposureCounter>>,
     /// Keys that are sticky to the newest build.
     pub sticky_keys: StickyKeys,
-    /// The analysis of the newest build.
+    /// Analysis of the newest build.
     pub analysis: AnalysisState,
-    /// Lines written to the log.
+    /// Number of lines written to the log.
     pub log_lines: u32,
-    /// Nothing is sent from then on, once the process shuts down. Not handed over.
+    /// Time from which nothing is sent because the process shuts down. It is not handed over in a takeover.
     #[cfg_attr(feature = "serde", serde(skip))]
     pub shutdown_at: Option<Micros>,
 }
 
 impl BalancerState {
-    /// Forgets all requests in flight, their attempts and checks, and restarts the random source. Keys that are
-    /// in flight at the newest build count as answered by it: the answers go to the process that has the
-    /// requests.
+    /// Prepares the state for a process that takes over: drops all requests in flight with their attempts and
+    /// checks, and reseeds the random number generator. Keys that are in flight at the newest build count as
+    /// answered by it, because their responses go to the process that keeps the requests.
     pub fn leave_requests(&mut self, seed: u64) {
         let live_build = match self.release {
             Some(release) if matches!(release.phase, Phase::Trial | Phase::Released) => Some(release.build),
@@ -171,7 +175,7 @@
         self.random = RandomSource(seed);
     }
 
-    /// Records an attempt at a server; `None` for an unknown request or server.
+    /// Records the start of an attempt at a server. Returns `None` if the request or the server is unknown.
     pub fn start_attempt(
         &mut self,
         now: Micros,
@@ -200,26 +204,26 @@
         })
     }
 
-    /// An attempt by its request and number.
+    /// Returns an attempt by its request and number.
     pub fn attempt_mut(&mut self, id: RequestId, number: usize) -> Option<&mut Attempt> {
         self.requests.get_mut(&id)?.attempts.get_mut(number)
     }
 
-    /// The request's answer has started to stream.
+    /// Records that the response to a request has started to stream.
     pub fn stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
         }
     }
 
-    /// Drops a request of which nothing more will be heard.
+    /// Drops a request and its pending check once no further events are expected for it.
     pub fn forget(&mut self, id: RequestId) {
         if let Some(request) = self.requests.remove(&id) {
             self.checks.remove(&(request.next_check, id));
         }
     }
 
-    /// Sets when a request is checked again.
+    /// Sets the time at which a request is checked again.
     pub fn schedule_check(&mut self, id: RequestId, at: Micros) {
         if let Some(request) = self.requests.get_mut(&id) {
             self.checks.remove(&(request.next_check, id));
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Takes the next request whose check is due.
+    /// Removes and returns the next request whose check is due.
     pub fn next_check(&mut self, now: Micros) -> Option<RequestId> {
         let &(at, id) = self.checks.first()?;
         if at > now {
@@ -238,23 +242,24 @@
         Some(id)
     }
 
-    /// Counts a line for the log; `false` once `max_lines` have been written.
+    /// Counts a log line. Returns `false` if `max_lines` lines have already been written.
     pub fn may_log(&mut self, max_lines: u32) -> bool {
         self.log_lines = self.log_lines.saturating_add(1);
         self.log_lines <= max_lines
     }
 
-    /// The counter of attempts at a build: one for all classes, or one for each.
+    /// Returns the counter of attempts at a build: the one for the class if `per_class` is set, otherwise the
+    /// one for all classes.
     pub fn exposure_of(&mut self, build: Build, class: usize, per_class: bool) -> &mut ExposureCounter {
-        let lane = if per_class { class } else { 0 };
-        let lanes = self.exposures.entry(build).or_default();
-        if lanes.len() <= lane {
-            lanes.resize(lane + 1, ExposureCounter::default());
+        let index = if per_class { class } else { 0 };
+        let counters = self.exposures.entry(build).or_default();
+        if counters.len() <= index {
+            counters.resize(index + 1, ExposureCounter::default());
         }
-        &mut lanes[lane]
+        &mut counters[index]
     }
 
-    /// The sizes of the servers that take requests.
+    /// Returns the total size of the servers that take requests.
     pub fn ready_sizes(&self, now: Micros, rules: &ServiceRules, sizes_known: bool) -> ReadySizes {
         let mut sizes = ReadySizes::default();
         for server in self.servers.values() {
@@ -269,18 +274,18 @@
         sizes
     }
 
-    /// How many servers that take requests run a build.
+    /// Returns how many of the servers that take requests run a build.
     fn ready_with(&self, build: Option<Build>) -> usize {
         let entries = self.servers.values().map(|server| server.entry);
         entries.filter(|entry| entry.status == ServerStatus::Ready && Some(entry.build) == build).count()
     }
 
-    /// Brings the servers up to date; a restart or another build under a known id clears its record. Whether
-    /// more servers of the `watched` build take requests than before.
+    /// Applies a server list or changes to it. The record of a server that has restarted or runs another
+    /// build is cleared. Returns whether more servers of the `watched` build take requests than before.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[ServerEntry], watched: Option<Build>) -> bool {
-        let before = self.ready_with(watched);
+        let ready_before = self.ready_with(watched);
         if kind != ListKind::Delta {
-            // A server absent from a full list has left.
+            // A server that is missing from a full list has left.
             for server in self.servers.values_mut() {
                 server.entry.status = ServerStatus::Removed;
             }
@@ -293,14 +298,14 @@
         let ready = listed.filter(|entry| entry.status == ServerStatus::Ready);
         let builds: BTreeSet<Build> = ready.map(|entry| entry.build).collect();
         self.builds = builds.into_iter().collect();
-        self.ready_with(watched) > before
+        self.ready_with(watched) > ready_before
     }
 
     fn apply_entry(&mut self, entry: &ServerEntry) {
         let server = self.servers.entry(entry.id).or_insert_with(|| ServerRecord::new(*entry));
-        let known = &server.entry;
-        if known.build != entry.build || known.started_at != entry.started_at {
-            // Attempts in flight and what was sent lately still load the machine.
+        let previous = &server.entry;
+        if previous.build != entry.build || previous.started_at != entry.started_at {
+            // Attempts in flight and requests sent recently still put load on the server.
             let in_flight = server.in_flight;
             let sent_cost = std::mem::take(&mut server.sent_cost);
             *server = ServerRecord { in_flight, sent_cost, ..ServerRecord::new(*entry) };
