--- a/src/state/exposure_counter.rs
+++ b/src/state/exposure_counter.rs
@@ -1,9 +1,9 @@
-//! The count of attempts at a build on trial against what requests have earned it.
+//! Counts attempts at a build on trial against the allowance that requests have earned for it.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// The level before an attempt.
+/// The level of the counter just before an attempt.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct Low {
@@ -11,24 +11,27 @@
     level: f64,
 }
 
-/// Attempts less earned allowance, with the lowest level before any attempt of the last span.
+/// The number of attempts minus the earned allowance, with the history that is needed to find the lowest
+/// level before any recent attempt.
 ///
-/// The count over every span that ends now, whenever it began, is `level - lowest level within it`.
+/// Over all spans that end now and begin within some window, the largest count of attempts minus allowance is
+/// the current level minus the lowest level in that window.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ExposureCounter {
     level: f64,
-    /// Rising levels in the order of time.
+    /// Levels before attempts, in order of time. Only those lower than all later ones are kept, so the levels
+    /// rise and the first is the lowest.
     lows: VecDeque<Low>,
 }
 
 impl ExposureCounter {
-    /// A request was taken: it earns `cap` of an attempt.
+    /// Records a request, which earns an allowance of `cap` attempts.
     pub fn earn(&mut self, cap: f64) {
         self.level -= cap;
     }
 
-    /// An attempt is made; lows from before the last `span` are forgotten.
+    /// Records an attempt. Levels from before the last `span` are dropped.
     pub fn spend(&mut self, now: Micros, span: Micros) {
         while self.lows.front().is_some_and(|low| low.at + span < now) {
             self.lows.pop_front();
@@ -40,21 +43,24 @@
         self.level += 1.0;
     }
 
-    /// An attempt made at `at` was none: all levels since then are lower by one.
+    /// Removes the attempt that was recorded at `at`, because it was never made. All levels after it fall by
+    /// one.
     pub fn give_back(&mut self, at: Micros) {
         self.level -= 1.0;
         let first = self.lows.partition_point(|low| low.at <= at);
         for low in self.lows.range_mut(first..) {
             low.level -= 1.0;
         }
-        // A low that a later one has reached bounds no span any more.
+        // An earlier level that a later one has fallen to is no longer the lowest of any span, so it is
+        // dropped.
         if let Some(&Low { level: later, .. }) = self.lows.get(first) {
             let kept = self.lows.iter().take(first).take_while(|low| low.level < later).count();
             self.lows.drain(kept..first);
         }
     }
 
-    /// What the worst span of length `span` that ends now would hold after one more attempt.
+    /// Returns the largest count of attempts minus allowance, after one more attempt, over all spans of at
+    /// most `span` that end now.
     pub fn after_one_more(&self, now: Micros, span: Micros) -> f64 {
         let first_in_span = self.lows.iter().find(|low| low.at + span >= now);
         let lowest = first_in_span.map_or(self.level, |low| low.level.min(self.level));
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -1,33 +1,33 @@
-//! A server as this balancer sees it.
+//! The state of a server as this balancer sees it.
 
 use super::sliding_sum::SlidingSum;
 use crate::interface::{Micros, ServerEntry, ServerId, ServiceRules};
 
-/// The least size that a server counts with.
+/// Smallest size that a server counts with.
 const MIN_SIZE: f64 = 0.01;
 
-/// A server: its entry in the list and the balancer's own observations.
+/// A server's entry in the server list, with the balancer's own observations of the server.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServerRecord {
-    /// The list's entry.
+    /// Entry of the server in the server list.
     pub entry: ServerEntry,
-    /// Own attempts in flight.
+    /// Number of own attempts in flight at the server.
     pub in_flight: u32,
-    /// Cost of own attempts, over a short window.
+    /// Cost of the attempts that this balancer sent to the server within a short window.
     pub sent_cost: SlidingSum,
     /// Smoothed share of failed attempts, 0 to 1.
     pub failure_share: f64,
-    /// Smoothed latency as a multiple of the typical one.
+    /// Smoothed latency as a multiple of the typical latency.
     pub slowness: f64,
-    /// Smoothed latency for each own attempt in flight, in microseconds.
+    /// Smoothed latency divided by the number of own attempts in flight, in microseconds.
     pub latency_per_attempt: f64,
-    /// Since when attempts have been in flight without an answer.
+    /// Time since which attempts have been in flight without any response from the server.
     pub waiting_since: Micros,
 }
 
 impl ServerRecord {
-    /// A server just listed.
+    /// Creates the record of a server that is new in the list.
     pub fn new(entry: ServerEntry) -> Self {
         ServerRecord {
             entry,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The share of its capacity that it surely has, 0 to 1: in slow start it rises evenly over the span that
-    /// the rules state.
+    /// Returns the share of its capacity, 0 to 1, that the server is guaranteed to have. During slow start
+    /// the share rises linearly over the span that the service rules set.
     pub fn warm_fraction(&self, now: Micros, rules: &ServiceRules) -> f64 {
         let age = now.saturating_sub(self.entry.started_at);
         if self.entry.started_at == 0 || age >= rules.slow_start_span {
@@ -51,12 +51,12 @@
         floor + (1.0 - floor) * age as f64 / rules.slow_start_span as f64
     }
 
-    /// Its size against the others; 1 where sizes are not known.
+    /// Returns the size of the server relative to the others, or 1 if sizes are not known.
     pub fn size(&self, known: bool) -> f64 {
         if known { self.entry.size.max(MIN_SIZE) } else { 1.0 }
     }
 
-    /// Lets the record fade by a share towards that of a healthy server.
+    /// Moves the observations by `share` of the difference towards those of a healthy server.
     pub fn fade(&mut self, share: f64) {
         self.failure_share *= 1.0 - share;
         self.slowness += (1.0 - self.slowness) * share;
@@ -64,24 +64,25 @@
     }
 }
 
-/// A server that may take a request.
+/// A server that may be chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// The server.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its weight in its pool.
+    /// Weight of the server in its pool.
     pub weight: f64,
-    /// Own attempts in flight there.
+    /// Number of own attempts in flight at the server.
     pub in_flight: f64,
-    /// The weight before the limit on servers in slow start.
+    /// Weight of the server before the limit for servers in slow start is applied.
     pub unlimited_weight: f64,
-    /// How far it has warmed up; 1: it is warm.
+    /// Share of its capacity that the server has reached in slow start. 1 means that it is warm.
     pub warm_fraction: f64,
 }
 
 impl Candidate {
-    /// Attempts for each unit of weight after one more. Idle servers tie at 0: the draw has weighed them, and
-    /// comparing again would starve those in slow start.
+    /// Returns the number of attempts per unit of weight after one more attempt. The load of all idle servers
+    /// is 0: the random draw has already taken their weights into account, and weighing them a second time
+    /// would starve servers in slow start.
     pub fn load(&self) -> f64 {
         if self.in_flight > 0.0 { (self.in_flight + 1.0) / self.weight } else { 0.0 }
     }
--- a/src/state/sticky_keys.rs
+++ b/src/state/sticky_keys.rs
@@ -1,12 +1,12 @@
-//! Idempotency keys that are sticky to the newest build, and how popular keys are.
+//! The idempotency keys that are sticky to the newest build, and the popularity of keys.
 
 use crate::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys remembered; past that only known keys go to the new build.
+/// Maximum number of keys that are remembered. Once it is reached, only known keys go to a build on trial.
 pub const MAX_STICKY_KEYS: usize = 200_000;
 
-/// How often keys came, within bounded memory.
+/// Counts how often each key arrives, within bounded memory.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct KeyPopularity {
@@ -15,7 +15,7 @@
 }
 
 impl KeyPopularity {
-    /// Counts a key; forgets all once `capacity` keys are held.
+    /// Counts a key. If `capacity` keys are held, all counts are dropped first.
     pub fn count(&mut self, key: u64, capacity: usize) {
         if self.counts.len() >= capacity {
             *self = KeyPopularity::default();
@@ -24,49 +24,55 @@
         self.total += 1.0;
     }
 
-    /// How often a key came as a multiple of the mean of all keys; 0 where it has not been counted.
+    /// Returns how often a key arrived as a multiple of the mean over all keys, or 0 if it has not been
+    /// counted.
     pub fn of(&self, key: u64) -> f64 {
         let count = self.counts.get(&key).copied().unwrap_or(0.0);
         count * self.counts.len() as f64 / self.total.max(1.0)
     }
 }
 
-/// Keys that the newest build has answered or may have answered.
+/// The keys that the newest build has answered or may have answered.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct StickyKeys {
-    /// How often keys come.
+    /// How often keys arrive.
     pub popularity: KeyPopularity,
+    /// Keys that the newest build has answered.
     bound: BTreeSet<u64>,
-    /// When each attempt was sent that is in flight, or whose good answer may have been lost.
+    /// For each key, the send times of the attempts that are in flight or whose successful response may have
+    /// been lost.
     in_flight: BTreeMap<u64, Vec<Micros>>,
-    /// More keys were sent to the newest build than are remembered: any may be one of them.
+    /// Whether more keys were sent to the newest build than can be remembered. Any key may then be one of
+    /// them.
     pub overflowed: bool,
 }
 
 impl StickyKeys {
-    /// Whether a key is remembered, or may be.
+    /// Returns whether a key is remembered already or can still be added.
     pub fn has_room_for(&self, key: u64) -> bool {
         let known = self.bound.contains(&key) || self.in_flight.contains_key(&key);
         self.bound.len() + self.in_flight.len() < MAX_STICKY_KEYS || known
     }
 
-    /// Whether the newest build has answered a key.
+    /// Returns whether the newest build has answered a key.
     pub fn is_bound(&self, key: u64) -> bool {
         self.bound.contains(&key)
     }
 
-    /// When the first attempt with this key was sent that is in flight, or whose answer may have been lost.
+    /// Returns when the first attempt with this key was sent, among those that are in flight or whose
+    /// response may have been lost.
     pub fn first_in_flight(&self, key: u64) -> Option<Micros> {
         self.in_flight.get(&key)?.first().copied()
     }
 
-    /// The newest build has answered a key.
+    /// Records that the newest build has answered a key.
     pub fn bind(&mut self, key: u64) {
         self.bound.insert(key);
     }
 
-    /// A key was sent to the newest build; past `capacity` attempts it counts as answered there.
+    /// Records that a key was sent to the newest build. With more than `capacity` attempts the key counts as
+    /// answered there.
     pub fn sent(&mut self, key: u64, now: Micros, capacity: usize) {
         let sent = self.in_flight.entry(key).or_default();
         if sent.len() < capacity {
@@ -76,7 +82,8 @@
         }
     }
 
-    /// An attempt with this key was answered and read, or proven not to have been: others with it may still be.
+    /// Removes an attempt with this key, because its response was read or because it is certain that the
+    /// build did not answer it. Other attempts with the key may still be in flight.
     pub fn settled(&mut self, key: u64, sent_at: Micros) {
         let Some(sent) = self.in_flight.get_mut(&key) else { return };
         if let Some(index) = sent.iter().position(|&at| at == sent_at) {
@@ -87,7 +94,7 @@
         }
     }
 
-    /// Forgets which keys the newest build has: none does, or (`overflowed`) any may be one of them.
+    /// Drops all keys. If `overflowed`, any key may be sticky from now on. Otherwise none is.
     pub fn clear(&mut self, overflowed: bool) {
         self.bound.clear();
         self.in_flight.clear();
