--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -1,30 +1,30 @@
-//! The latency of a class of requests, estimated from its latest answers.
+//! An estimate of the latency of a request class from its most recent responses.
 
 use crate::statistics::quantile;
 use std::collections::VecDeque;
 
-/// Answers needed for a 95th percentile.
-const MIN_ANSWERS: usize = 20;
+/// Minimum number of responses for an estimate of the 95th percentile.
+const MIN_RESPONSES: usize = 20;
 
-/// What this balancer knows of a class's latency, in microseconds.
+/// The latency of a request class as this balancer has seen it, in microseconds.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LatencyEstimate {
-    /// The latest latencies.
+    /// Most recent latencies.
     pub recent: VecDeque<f64>,
-    /// Their median.
+    /// Median of the recent latencies.
     pub median: f64,
-    /// Their 95th percentile.
+    /// 95th percentile of the recent latencies.
     pub tail: f64,
 }
 
 impl LatencyEstimate {
-    /// A first guess, before any answer.
+    /// Creates an initial estimate to use before the first responses.
     pub fn new(median: f64, tail: f64) -> Self {
         LatencyEstimate { recent: VecDeque::new(), median, tail }
     }
 
-    /// Adds a latency; the latest `capacity` are kept.
+    /// Adds a latency. Only the latest `capacity` latencies are kept.
     pub fn add(&mut self, latency: f64, capacity: usize) {
         self.recent.push_back(latency);
         if self.recent.len() > capacity {
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Brings median and tail up to date, once there are answers enough.
+    /// Recalculates the median and the tail if there are enough responses.
     pub fn refresh(&mut self) {
-        if self.recent.len() < MIN_ANSWERS {
+        if self.recent.len() < MIN_RESPONSES {
             return;
         }
         let mut recent: Vec<f64> = self.recent.iter().copied().collect();
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,15 +1,15 @@
-//! A deterministic random source.
+//! A deterministic pseudo-random number generator.
 
-/// The largest number of a mantissa plus one: 53 random bits give a number in `[0, 1)`.
+/// Number of values of a 53-bit mantissa. 53 random bits divided by it give a number in `[0, 1)`.
 const MANTISSA_RANGE: f64 = (1u64 << 53) as f64;
 
-/// A small deterministic random source (SplitMix64); the number is its state.
+/// A small deterministic random number generator (SplitMix64). The field is its state.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RandomSource(pub u64);
 
 impl RandomSource {
-    /// The next value in `[0, 1)`.
+    /// Returns the next value in `[0, 1)`.
     pub fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.0;
@@ -18,14 +18,15 @@
         ((mixed ^ (mixed >> 31)) >> 11) as f64 / MANTISSA_RANGE
     }
 
-    /// An index drawn by weight; `total` is the weights' sum. 0 where there are none.
+    /// Returns the index of a randomly drawn weight, with probability proportional to the weight, or 0 if
+    /// there are no weights. `total` is the sum of the weights.
     pub fn weighted(&mut self, total: f64, weights: impl Iterator<Item = f64>) -> usize {
-        let mut left = self.unit() * total;
+        let mut remaining = self.unit() * total;
         let mut drawn = 0;
         for (index, weight) in weights.enumerate() {
             drawn = index;
-            left -= weight;
-            if left <= 0.0 {
+            remaining -= weight;
+            if remaining <= 0.0 {
                 break;
             }
         }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -6,65 +6,65 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Attempt {
-    /// The server's entry as listed when the attempt was made.
+    /// Entry of the server in the server list when the attempt was made.
     pub to: ServerEntry,
-    /// That server may still have been in slow start.
+    /// Whether the server may still have been in slow start when the attempt was made.
     pub warming_up: bool,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Own attempts in flight at that server by then, this one included.
+    /// Number of own attempts in flight at the server when this attempt was made, including this one.
     pub concurrency: u32,
-    /// It counts as one at a build on trial.
+    /// Whether the attempt counts as one at a build on trial.
     pub exposed: bool,
-    /// How it ended.
+    /// How the attempt ended, or `None` while it is in flight.
     pub ended: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Whether it has or may still have an effect.
+    /// Returns whether the server may have executed the request or may still execute it.
     pub fn may_have_run(&self) -> bool {
         self.ended.is_none_or(Outcome::may_have_run)
     }
 }
 
-/// A request that awaits its final answer, or has it while attempts are still in flight.
+/// A request that has no final response yet, or that has it while attempts are still in flight.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct InFlightRequest {
-    /// As it arrived.
+    /// The request as it arrived.
     pub request: Request,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: Micros,
-    /// Its cost in microseconds, as hinted or as typical of its class.
+    /// Cost of the request in microseconds: its cost hint, or the typical latency of its class.
     pub cost: f64,
-    /// Its attempts in order.
+    /// Attempts of the request, in the order in which they were made.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or needs none.
+    /// Whether the request has its final response or needs none.
     pub done: bool,
-    /// Its answer is streaming.
+    /// Whether the response is being streamed.
     pub streaming: bool,
-    /// When it is checked again.
+    /// Time of the next check of the request.
     pub next_check: Micros,
 }
 
 impl InFlightRequest {
-    /// A request just taken.
+    /// Creates the state of a request that has just arrived.
     pub fn new(request: Request, arrived: Micros, cost: f64) -> Self {
         InFlightRequest { request, arrived, cost, ..InFlightRequest::default() }
     }
 
-    /// The first attempt that has or may still have an effect.
+    /// Returns the first attempt that may have run or may still run.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Numbers of the attempts in flight.
+    /// Returns the numbers of the attempts in flight.
     pub fn unended(&self) -> impl Iterator<Item = usize> {
         let numbered = self.attempts.iter().enumerate();
         numbered.filter(|(_, attempt)| attempt.ended.is_none()).map(|(number, _)| number)
     }
 
-    /// How many attempts are in flight.
+    /// Returns how many attempts are in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.unended().count()
     }
--- a/src/state/sliding_sum.rs
+++ b/src/state/sliding_sum.rs
@@ -1,14 +1,14 @@
-//! Sums over a sliding window, and exponential smoothing.
+//! Sums over a sliding time window, and exponential smoothing.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// Moves a smoothed value towards the newest one, by `weight` of the difference.
+/// Moves a smoothed value towards the newest value by `weight` of the difference.
 pub fn smooth(value: &mut f64, newest: f64, weight: f64) {
     *value += (newest - *value) * weight;
 }
 
-/// An amount and when it was added.
+/// An amount and the time at which it was added.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct Entry {
@@ -16,7 +16,8 @@
     amount: f64,
 }
 
-/// A sum over a sliding window. It holds one entry for each amount of the window that was last asked for.
+/// A sum over a sliding time window. It holds one entry for each amount within the window of the last call of
+/// [`SlidingSum::sum`] and for each amount added since.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct SlidingSum {
@@ -31,7 +32,7 @@
         self.total += amount;
     }
 
-    /// Takes an amount back that was added at that time, if it is still held.
+    /// Removes an amount that was added at `at`, if it has not been dropped yet.
     pub fn take_back(&mut self, at: Micros, amount: f64) {
         let added = Entry { at, amount };
         if let Some(index) = self.entries.iter().rposition(|entry| *entry == added) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The sum of what was added within the last `window`; what is older is dropped.
+    /// Returns the sum of the amounts added within the last `window`, and drops the older ones.
     pub fn sum(&mut self, now: Micros, window: Micros) -> f64 {
         while let Some(&Entry { at, amount }) = self.entries.front() {
             if at + window >= now {
@@ -52,7 +53,7 @@
         self.total
     }
 
-    /// An empty sum is exactly 0, whatever rounding has left.
+    /// Subtracts an amount. The total of an empty sum is set to exactly 0, to remove rounding errors.
     fn subtract(&mut self, amount: f64) {
         self.total = if self.entries.is_empty() { 0.0 } else { self.total - amount };
     }
