--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -275,7 +275,7 @@
     }
 
     /// Returns how many of the servers that take requests run a build.
-    fn ready_with(&self, build: Option<Build>) -> usize {
+    fn ready_count(&self, build: Option<Build>) -> usize {
         let entries = self.servers.values().map(|server| server.entry);
         entries.filter(|entry| entry.status == ServerStatus::Ready && Some(entry.build) == build).count()
     }
@@ -283,7 +283,7 @@
     /// Applies a server list or changes to it. The record of a server that has restarted or runs another
     /// build is cleared. Returns whether more servers of the `watched` build take requests than before.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[ServerEntry], watched: Option<Build>) -> bool {
-        let ready_before = self.ready_with(watched);
+        let ready_before = self.ready_count(watched);
         if kind != ListKind::Delta {
             // A server that is missing from a full list has left.
             for server in self.servers.values_mut() {
@@ -298,7 +298,7 @@
         let ready = listed.filter(|entry| entry.status == ServerStatus::Ready);
         let builds: BTreeSet<Build> = ready.map(|entry| entry.build).collect();
         self.builds = builds.into_iter().collect();
-        self.ready_with(watched) > ready_before
+        self.ready_count(watched) > ready_before
     }
 
     fn apply_entry(&mut self, entry: &ServerEntry) {
--- a/tests/analysis.rs
+++ b/tests/analysis.rs
@@ -1,4 +1,4 @@
-//! The judge by symptom: which windows bring which votes.
+//! Canary analysis: which evidence leads to which vote.
 
 mod common;
 use common::*;
@@ -6,215 +6,229 @@
 
 const OK: (Outcome, Micros) = (Outcome::Ok, 50 * MS);
 
-fn rig(stage: u8, cap: f64) -> Rig {
-    Rig::new(settings(), &fleet(6, 4), release(2, stage, Phase::Trial, cap))
+fn harness(stage: u8, cap: f64) -> Harness {
+    Harness::new(settings(), &server_list(6, 4), release_status(2, stage, Phase::Trial, cap))
 }
 
 #[test]
-fn a_clean_window_brings_on() {
-    let mut rig = rig(2, 1.0);
-    let actions = rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
+fn a_clean_window_leads_to_a_vote_to_promote() {
+    let mut harness = harness(2, 1.0);
+    let actions = harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
     assert_eq!(votes(&actions).first(), Some(&Verdict::Promote));
     assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 #[test]
-fn two_breached_windows_bring_back() {
-    let mut rig = rig(2, 1.0);
-    let bad = |to, i| if to >= 100 && i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
-    let actions = rig.traffic(&[IDEMPOTENT], 2_000, bad);
+fn two_windows_with_violations_lead_to_a_vote_to_roll_back() {
+    let mut harness = harness(2, 1.0);
+    let failing = |to, i| if to >= 100 && i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
+    let actions = harness.run_traffic(&[IDEMPOTENT], 2_000, failing);
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
     assert!(!votes(&actions).contains(&Verdict::Promote));
 }
 
 #[test]
-fn a_slower_build_is_sent_back_by_median_and_tail() {
-    let mut rig = rig(2, 1.0);
-    let spread = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
-    let actions =
-        rig.traffic(&[IDEMPOTENT], 2_000, |to, i| (Outcome::Ok, spread(i) * if to >= 100 { 2 } else { 1 }));
+fn a_build_with_a_slower_median_and_tail_is_rolled_back() {
+    let mut harness = harness(2, 1.0);
+    let latency = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
+    let actions = harness
+        .run_traffic(&[IDEMPOTENT], 2_000, |to, i| (Outcome::Ok, latency(i) * if to >= 100 { 2 } else { 1 }));
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 #[test]
-fn a_tail_alone_is_no_breach() {
-    let mut rig = rig(2, 1.0);
-    let tail = |to, i| if to >= 100 && i % 12 == 0 { (Outcome::Ok, 200 * MS) } else { OK };
-    let actions = rig.traffic(&[IDEMPOTENT], 2_000, tail);
+fn a_slower_tail_alone_is_no_violation() {
+    let mut harness = harness(2, 1.0);
+    let slow_tail = |to, i| if to >= 100 && i % 12 == 0 { (Outcome::Ok, 200 * MS) } else { OK };
+    let actions = harness.run_traffic(&[IDEMPOTENT], 2_000, slow_tail);
     assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
 #[test]
-fn a_fault_of_both_builds_is_not_the_new_ones() {
-    let mut rig = rig(2, 1.0);
-    let actions =
-        rig.traffic(&[IDEMPOTENT], 2_000, |_, i| if i % 5 == 0 { (Outcome::Error, 50 * MS) } else { OK });
+fn a_fault_in_both_builds_does_not_roll_back_the_new_one() {
+    let mut harness = harness(2, 1.0);
+    let actions = harness
+        .run_traffic(&[IDEMPOTENT], 2_000, |_, i| if i % 5 == 0 { (Outcome::Error, 50 * MS) } else { OK });
     assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
-/// Guards: the breach must survive without the worst machine.
+/// Guards against rolling a build back because of a single faulty server: a violation must also show in the
+/// other servers of the build.
 #[test]
-fn one_failing_machine_among_several_new_ones_convicts_nobody() {
-    let mut rig = rig(2, 1.0);
-    let actions =
-        rig.traffic(&[IDEMPOTENT], 2_000, |to, _| if to == 100 { (Outcome::Error, 50 * MS) } else { OK });
+fn one_failing_server_among_several_does_not_roll_back_the_build() {
+    let mut harness = harness(2, 1.0);
+    let actions = harness
+        .run_traffic(&[IDEMPOTENT], 2_000, |to, _| if to == 100 { (Outcome::Error, 50 * MS) } else { OK });
     assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
-/// Guards: one class broken among healthy ones.
+/// Guards against missing a fault in one class among classes that work.
 #[test]
-fn a_single_broken_class_is_found() {
-    let mut rig = rig(2, 1.0);
-    let actions = rig.traffic(&[IDEMPOTENT, IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT], 2_400, |to, i| {
-        if to >= 100 && i % 4 == 3 { (Outcome::Error, 50 * MS) } else { OK }
-    });
+fn failures_in_a_single_class_are_detected() {
+    let mut harness = harness(2, 1.0);
+    let actions =
+        harness.run_traffic(&[IDEMPOTENT, IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT], 2_400, |to, i| {
+            if to >= 100 && i % 4 == 3 { (Outcome::Error, 50 * MS) } else { OK }
+        });
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
-/// Guards: a small steady failure share that passes each window's bounds, on machines that look alike.
+/// Guards against missing a small steady failure share on all servers of the build, which stays within the
+/// bounds of each single window.
 #[test]
-fn a_small_steady_failure_share_is_found_over_the_stage() {
-    let mut rig = rig(2, 1.0);
-    let bad = |to, i| if to >= 100 && i % 22 == 0 { (Outcome::Error, 50 * MS) } else { OK };
-    let actions = rig.traffic(&[IDEMPOTENT], 4_000, bad);
+fn a_small_steady_failure_share_is_detected_over_the_stage() {
+    let mut harness = harness(2, 1.0);
+    let failing = |to, i| if to >= 100 && i % 22 == 0 { (Outcome::Error, 50 * MS) } else { OK };
+    let actions = harness.run_traffic(&[IDEMPOTENT], 4_000, failing);
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
-/// Guards: thin traffic; evidence is carried past the window's span until it suffices.
+/// Guards against never voting on sparse traffic: a window stays open beyond its span until it holds enough
+/// evidence.
 #[test]
-fn thin_traffic_gathers_evidence_over_windows() {
-    let mut rig = rig(2, 1.0);
+fn sparse_traffic_accumulates_evidence_beyond_the_window_span() {
+    let mut harness = harness(2, 1.0);
     let mut actions = Vec::new();
     for _ in 0..150 {
-        actions.extend(rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1, |_, _| OK));
-        actions.extend(rig.run(150 * MS));
+        actions.extend(harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1, |_, _| OK));
+        actions.extend(harness.advance(150 * MS));
     }
     assert!(votes(&actions).contains(&Verdict::Promote));
 }
 
 #[test]
 fn too_little_evidence_casts_no_vote() {
-    let mut rig = rig(2, 1.0);
-    let mut actions = rig.traffic(&[IDEMPOTENT], 12, |_, _| OK);
-    actions.extend(rig.run(10 * S));
+    let mut harness = harness(2, 1.0);
+    let mut actions = harness.run_traffic(&[IDEMPOTENT], 12, |_, _| OK);
+    actions.extend(harness.advance(10 * S));
     assert_eq!(votes(&actions), []);
 }
 
-/// Guards: flagged answers count as failures, scaled by the share that is reported at all.
+/// Guards against ignoring wrong responses: flagged responses count as failures, and their margin is scaled
+/// by the share of wrong responses that clients report.
 #[test]
-fn flagged_answers_convict() {
-    let mut rig = rig(2, 1.0);
+fn flagged_responses_lead_to_a_rollback() {
+    let mut harness = harness(2, 1.0);
     let mut actions = Vec::new();
     for i in 0..1_500 {
-        let (id, sent) = rig.request(IDEMPOTENT);
-        actions.extend(rig.run(5 * MS));
-        for (_, server) in sends(&sent) {
-            rig.end(id, 0, server, Outcome::Ok, 50 * MS);
+        let (id, request_actions) = harness.request(IDEMPOTENT);
+        actions.extend(harness.advance(5 * MS));
+        for (_, server) in sends(&request_actions) {
+            harness.end_attempt(id, 0, server, Outcome::Ok, 50 * MS);
             if server >= 100 && i % 8 == 0 {
-                actions.extend(rig.feed(Event::AnswerFlagged { server, class: IDEMPOTENT, since: 5 * MS }));
+                actions.extend(harness.feed(Event::AnswerFlagged {
+                    server,
+                    class: IDEMPOTENT,
+                    since: 5 * MS,
+                }));
             }
         }
     }
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
-/// Guards: never a vote on evidence of another stage.
+/// Guards against a vote based on evidence from another stage.
 #[test]
-fn a_new_stage_starts_the_evidence_anew() {
-    let mut rig = rig(1, 0.5);
-    rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
-    rig.feed(Event::Release(release(2, 2, Phase::Trial, 1.0)));
-    assert_eq!(votes(&rig.run(4 * S)), []);
+fn a_new_stage_discards_the_evidence_of_the_previous_one() {
+    let mut harness = harness(1, 0.5);
+    harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
+    harness.feed(Event::Release(release_status(2, 2, Phase::Trial, 1.0)));
+    assert_eq!(votes(&harness.advance(4 * S)), []);
 }
 
-/// Guards: after the release a build can still turn bad, with no earlier machine left to compare with.
+/// Guards against ignoring a released build that starts to fail when no server of an earlier build is left to
+/// compare it with.
 #[test]
-fn a_released_build_that_turns_bad_is_sent_back() {
-    let mut rig = rig(2, 1.0);
-    rig.traffic(&[IDEMPOTENT], 900, |_, _| OK);
-    rig.feed(Event::Release(release(2, 3, Phase::Released, 1.0)));
-    rig.feed(Event::ServerList { kind: ListKind::Full, entries: &fleet(0, 10) });
-    let bad = |_, i| if i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
-    let actions = rig.traffic(&[IDEMPOTENT], 2_000, bad);
+fn a_released_build_that_starts_to_fail_is_rolled_back() {
+    let mut harness = harness(2, 1.0);
+    harness.run_traffic(&[IDEMPOTENT], 900, |_, _| OK);
+    harness.feed(Event::Release(release_status(2, 3, Phase::Released, 1.0)));
+    harness.feed(Event::ServerList { kind: ListKind::Full, entries: &server_list(0, 10) });
+    let failing = |_, i| if i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
+    let actions = harness.run_traffic(&[IDEMPOTENT], 2_000, failing);
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
 #[test]
-fn under_the_clock_a_breach_holds_and_a_clean_window_casts_nothing() {
+fn with_a_timer_gate_a_violation_holds_and_a_clean_window_casts_no_vote() {
     let mut settings = settings();
     settings.rollout.gate = GateMode::Timer;
-    let mut rig = Rig::new(settings.clone(), &fleet(6, 4), release(2, 2, Phase::Trial, 1.0));
-    let bad = |to, i| if to >= 100 && i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
-    let actions = rig.traffic(&[IDEMPOTENT], 400, bad);
+    let mut harness =
+        Harness::new(settings.clone(), &server_list(6, 4), release_status(2, 2, Phase::Trial, 1.0));
+    let failing = |to, i| if to >= 100 && i % 4 == 0 { (Outcome::Error, 50 * MS) } else { OK };
+    let actions = harness.run_traffic(&[IDEMPOTENT], 400, failing);
     assert_eq!(votes(&actions).first(), Some(&Verdict::Hold));
-    let mut rig = Rig::new(settings, &fleet(6, 4), release(2, 2, Phase::Trial, 1.0));
-    let actions = rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
+    let mut harness = Harness::new(settings, &server_list(6, 4), release_status(2, 2, Phase::Trial, 1.0));
+    let actions = harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK);
     assert_eq!(votes(&actions), []);
 }
 
-/// Guards: a desk that hears nothing for a while must not find a conviction replaced by 'on'.
+/// Guards against replacing a verdict to roll back with one to promote while the release service has not
+/// received it for a while.
 #[test]
-fn a_conviction_stands_until_the_news_changes() {
-    let mut rig = rig(2, 1.0);
-    let bad = |to, i| if to >= 100 && i % 3 == 0 { (Outcome::Error, 50 * MS) } else { OK };
-    rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1_200, bad);
-    rig.run(20 * S);
-    let actions = rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1_200, |_, _| OK);
-    assert!(votes(&actions).iter().all(|v| *v == Verdict::RollBack), "{:?}", votes(&actions));
+fn a_verdict_to_roll_back_stands_until_the_release_status_changes() {
+    let mut harness = harness(2, 1.0);
+    let failing = |to, i| if to >= 100 && i % 3 == 0 { (Outcome::Error, 50 * MS) } else { OK };
+    harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1_200, failing);
+    harness.advance(20 * S);
+    let actions = harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 1_200, |_, _| OK);
+    assert!(votes(&actions).iter().all(|verdict| *verdict == Verdict::RollBack), "{:?}", votes(&actions));
 }
 
 #[test]
-fn a_vote_is_renewed_before_it_expires_and_retried_after_a_refusal() {
-    let mut rig = rig(2, 1.0);
-    let mut actions = rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 400, |_, _| OK);
+fn a_vote_is_renewed_before_it_expires_and_retried_after_a_rejection() {
+    let mut harness = harness(2, 1.0);
+    let mut actions = harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 400, |_, _| OK);
     assert_eq!(votes(&actions), [Verdict::Promote]);
-    rig.feed(Event::VoteReply { outcome: Outcome::Rejected, release: None });
-    assert_eq!(votes(&rig.run(300 * MS)), []);
-    actions = rig.run(700 * MS);
+    harness.feed(Event::VoteReply { outcome: Outcome::Rejected, release: None });
+    assert_eq!(votes(&harness.advance(300 * MS)), []);
+    actions = harness.advance(700 * MS);
     assert_eq!(votes(&actions), [Verdict::Promote]);
-    rig.feed(Event::VoteReply { outcome: Outcome::Ok, release: None });
-    assert_eq!(votes(&rig.run(2 * S)), []);
-    assert_eq!(votes(&rig.run(2 * S)), [Verdict::Promote]);
+    harness.feed(Event::VoteReply { outcome: Outcome::Ok, release: None });
+    assert_eq!(votes(&harness.advance(2 * S)), []);
+    assert_eq!(votes(&harness.advance(2 * S)), [Verdict::Promote]);
 }
 
-/// Guards: a build slowed so much that it convicts at once is looked for in slow answers, not in failures.
+/// Guards against searching the failures for the servers behind a violation that shows in slow responses. A
+/// build this slow is a violation in its first window.
 #[test]
-fn a_build_three_times_slower_is_sent_back() {
-    let mut rig = rig(2, 1.0);
-    let spread = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
-    let slow = |to, i| (Outcome::Ok, spread(i) * if to >= 100 { 3 } else { 1 });
-    let actions = rig.traffic(&[IDEMPOTENT], 2_000, slow);
+fn a_build_three_times_slower_is_rolled_back() {
+    let mut harness = harness(2, 1.0);
+    let latency = |i: usize| 40 * MS + (i as u64 % 10) * 4 * MS;
+    let slow = |to, i| (Outcome::Ok, latency(i) * if to >= 100 { 3 } else { 1 });
+    let actions = harness.run_traffic(&[IDEMPOTENT], 2_000, slow);
     assert_eq!(votes(&actions).last(), Some(&Verdict::RollBack));
 }
 
-/// Guards: a good build must not hang for as long as a few machines of the fleet are slow.
+/// Guards against blocking a good build while a few of its servers are slow.
 #[test]
-fn slow_machines_among_many_do_not_hold_a_good_build() {
+fn a_few_slow_servers_among_many_do_not_block_a_good_build() {
     let settings = settings();
-    let mut rig = Rig::new(settings, &fleet(12, 12), release(2, 2, Phase::Trial, 1.0));
+    let mut harness = Harness::new(settings, &server_list(12, 12), release_status(2, 2, Phase::Trial, 1.0));
     let slow = |to: ServerId, _| (Outcome::Ok, if to == 100 || to == 101 { 400 * MS } else { 50 * MS });
-    let actions = rig.traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 3_000, slow);
+    let actions = harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 3_000, slow);
     assert!(votes(&actions).contains(&Verdict::Promote), "{:?}", votes(&actions));
     assert!(!votes(&actions).contains(&Verdict::RollBack));
 }
 
-/// Guards: with peers silent and votes counted, thin clean evidence still moves a stage; a failure withholds it,
-/// and where one vote decides it never does.
+/// Guards against a stage that never ends when peers are silent. If a share of votes decides, sparse clean
+/// evidence leads to a vote to promote, and a failure prevents the vote. If a single vote decides, sparse
+/// evidence never leads to a vote.
 #[test]
-fn thin_evidence_votes_only_where_votes_are_counted() {
-    let play = |gate, failing: bool| {
+fn sparse_evidence_leads_to_a_vote_only_with_a_share_gate() {
+    let votes_with = |gate, failing: bool| {
         let mut settings = settings();
         (settings.rollout.gate, settings.rollout.votes_to_promote, settings.fleet_size) = (gate, 100.0, 200);
-        let mut rig = Rig::new(settings, &fleet(6, 4), release(2, 2, Phase::Trial, 1.0));
+        let mut harness = Harness::new(settings, &server_list(6, 4), release_status(2, 2, Phase::Trial, 1.0));
         let mut actions = Vec::new();
         for _ in 0..16 {
-            let bad = |to, _| if failing && to >= 100 { (Outcome::Error, 50 * MS) } else { OK };
-            actions.extend(rig.traffic(&[IDEMPOTENT], 1, bad));
-            actions.extend(rig.run(500 * MS));
+            let outcome_of = |to, _| if failing && to >= 100 { (Outcome::Error, 50 * MS) } else { OK };
+            actions.extend(harness.run_traffic(&[IDEMPOTENT], 1, outcome_of));
+            actions.extend(harness.advance(500 * MS));
         }
         votes(&actions)
     };
-    assert!(play(GateMode::Share, false).contains(&Verdict::Promote));
-    assert_eq!(play(GateMode::Share, true), []);
-    assert_eq!(play(GateMode::Any, false), []);
+    assert!(votes_with(GateMode::Share, false).contains(&Verdict::Promote));
+    assert_eq!(votes_with(GateMode::Share, true), []);
+    assert_eq!(votes_with(GateMode::Any, false), []);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver for module tests: builds settings, feeds events, collects actions.
+//! A test harness for the balancer: it builds settings, feeds events and collects the resulting actions.
 #![allow(dead_code)]
 
 use violetseam::balancer::Balancer;
@@ -10,13 +10,14 @@
 pub const KEYED: usize = 1;
 pub const NON_IDEMPOTENT: usize = 2;
 
-/// Settings with one class of each effect and four stages, the first guarded.
+/// Settings with one class of each kind of idempotency and four stages. The first stage admits only
+/// idempotent requests to the new build.
 pub fn settings() -> Settings {
-    let class = |effect, group| RequestClass {
+    let class = |idempotency, dedup_group| RequestClass {
         latency_objective: 300 * MS,
         deadline: 1_200 * MS,
-        idempotency: effect,
-        dedup_group: group,
+        idempotency,
+        dedup_group,
         dedup_window: 2 * S,
         priority_weight: 1.0,
         ..RequestClass::default()
@@ -62,66 +63,66 @@
     }
 }
 
-/// A warm, ready server.
+/// A server that is warm and ready.
 pub fn server(id: ServerId, build: Build) -> ServerEntry {
     let (zone, cell) = ((id % 2) as u16, 0);
     ServerEntry { id, zone, build, cell, status: ServerStatus::Ready, size: 1.0, started_at: 0 }
 }
 
-/// `old` servers of build 1 and `new` servers of build 2.
-pub fn fleet(old: u64, new: u64) -> Vec<ServerEntry> {
-    (0..old).map(|i| server(10 + i, 1)).chain((0..new).map(|i| server(100 + i, 2))).collect()
+/// A list of `earlier` servers of build 1, with ids from 10, and `new` servers of build 2, with ids from 100.
+pub fn server_list(earlier: u64, new: u64) -> Vec<ServerEntry> {
+    (0..earlier).map(|i| server(10 + i, 1)).chain((0..new).map(|i| server(100 + i, 2))).collect()
 }
 
-pub fn release(build: Build, stage: u8, phase: Phase, cap: f64) -> ReleaseStatus {
+pub fn release_status(build: Build, stage: u8, phase: Phase, cap: f64) -> ReleaseStatus {
     ReleaseStatus { build, stage, phase, cap }
 }
 
-/// One balancer under test and its clock.
-pub struct Rig {
+/// A balancer under test and its clock.
+pub struct Harness {
     pub now: Micros,
     pub balancer: Balancer,
-    next: RequestId,
+    next_request: RequestId,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, entries: &[ServerEntry], stage: ReleaseStatus) -> Rig {
-        let mut rig = Rig { now: 100 * S, balancer: Balancer::new(settings, 7), next: 1 };
-        rig.feed(Event::ServerList { kind: ListKind::Cached, entries });
-        rig.feed(Event::Release(stage));
-        rig
+impl Harness {
+    pub fn new(settings: Settings, entries: &[ServerEntry], release: ReleaseStatus) -> Harness {
+        let mut harness = Harness { now: 100 * S, balancer: Balancer::new(settings, 7), next_request: 1 };
+        harness.feed(Event::ServerList { kind: ListKind::Cached, entries });
+        harness.feed(Event::Release(release));
+        harness
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.on_event(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.balancer.on_event(self.now, event, &mut actions);
+        actions
     }
 
-    /// Lets time pass, tick by tick.
-    pub fn run(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock by `span`, with a timer event at each tick.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         while self.now < end {
             self.now += 5 * MS;
-            out.extend(self.feed(Event::Timer { token: 0 }));
+            actions.extend(self.feed(Event::Timer { token: 0 }));
         }
-        out
+        actions
     }
 
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.keyed(class, None)
+        self.request_with_key(class, None)
     }
 
-    pub fn keyed(&mut self, class: usize, key: Option<u64>) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+    pub fn request_with_key(&mut self, class: usize, key: Option<u64>) -> (RequestId, Vec<Action>) {
+        let id = self.next_request;
+        self.next_request += 1;
         let deadline = self.now + 1_200 * MS;
         let request = Request { id, deadline, class, key, ..Request::default() };
         (id, self.feed(Event::Request(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: usize,
@@ -129,44 +130,46 @@
         outcome: Outcome,
         elapsed: Micros,
     ) -> Vec<Action> {
-        let settled = outcome == Outcome::Ok;
+        let finishes_request = outcome == Outcome::Ok;
         self.feed(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             server,
             outcome,
             elapsed,
-            finishes_request: settled,
+            finishes_request,
         }))
     }
 
-    /// Plays requests of the class, ten a tick apart, each answered 50 ms later by `outcome_of`.
-    pub fn traffic(
+    /// Sends `n` requests one tick apart, with the classes in turn. All attempts of a request end before the
+    /// next request, each with the outcome and the elapsed time that `outcome_of` returns for the server and
+    /// the number of the request.
+    pub fn run_traffic(
         &mut self,
         classes: &[usize],
         n: usize,
         outcome_of: impl Fn(ServerId, usize) -> (Outcome, Micros),
     ) -> Vec<Action> {
-        let mut all = Vec::new();
+        let mut all_actions = Vec::new();
         for i in 0..n {
             let (id, actions) = self.request(classes[i % classes.len()]);
             let sent = sends(&actions);
-            all.extend(actions);
-            all.extend(self.run(5 * MS));
-            let mut todo: Vec<(usize, ServerId)> =
-                sent.iter().copied().enumerate().map(|(k, s)| (k, s.1)).collect();
-            while let Some((attempt, to)) = todo.pop() {
+            all_actions.extend(actions);
+            all_actions.extend(self.advance(5 * MS));
+            let mut in_flight: Vec<(usize, ServerId)> =
+                sent.iter().copied().enumerate().map(|(number, send)| (number, send.1)).collect();
+            while let Some((attempt, to)) = in_flight.pop() {
                 let (outcome, elapsed) = outcome_of(to, i);
-                let more = self.end(id, attempt, to, outcome, elapsed);
-                todo.extend(sends(&more).iter().map(|s| (attempt + 1, s.1)));
-                all.extend(more);
+                let more = self.end_attempt(id, attempt, to, outcome, elapsed);
+                in_flight.extend(sends(&more).iter().map(|send| (attempt + 1, send.1)));
+                all_actions.extend(more);
             }
         }
-        all
+        all_actions
     }
 }
 
-/// Requests and servers of the sends among the actions.
+/// The request and the server of each send among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
     let send = |a: &Action| match a {
         Action::Send { request, server, .. } => Some((*request, *server)),
@@ -175,7 +178,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Verdicts voted for among the actions.
+/// The verdict of each vote among the actions.
 pub fn votes(actions: &[Action]) -> Vec<Verdict> {
     let vote = |a: &Action| match a {
         Action::Vote { verdict, .. } => Some(*verdict),
@@ -184,9 +187,9 @@
     actions.iter().filter_map(vote).collect()
 }
 
-/// Final answers given to the request: refused or failed.
-pub fn finals(actions: &[Action], id: RequestId) -> (usize, usize) {
-    let refused = actions.iter().filter(|a| matches!(a, Action::Reject { request, .. } if *request == id));
+/// How often the request was rejected and how often it was failed among the actions.
+pub fn final_responses(actions: &[Action], id: RequestId) -> (usize, usize) {
+    let rejected = actions.iter().filter(|a| matches!(a, Action::Reject { request, .. } if *request == id));
     let failed = actions.iter().filter(|a| matches!(a, Action::Fail { request } if *request == id));
-    (refused.count(), failed.count())
+    (rejected.count(), failed.count())
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_list_is_used_from_its_first_confirmation_on_and_while_no_change_can_have_counted_for_long() {
+fn the_lease_holds_from_the_first_confirmation_until_a_missed_change_could_exceed_its_grace() {
     let mut lease = lease();
     assert!(!lease.holds(0) && !lease.holds(100 * S), "a list of unknown age");
     lease.confirm(100 * S);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_shorter_time_for_asking_counts() {
+fn a_shorter_poll_interval_shortens_the_lease() {
     let mut contract = settings().rules;
     contract.poll_interval_max = 2 * S;
     let mut lease = ListLease::unconfirmed(&contract);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_outage_lengthens_the_lease_unless_something_was_told_and_missed() {
+fn an_outage_extends_the_lease_unless_a_notification_was_missed() {
     let mut lease = lease();
     lease.confirm(100 * S);
     lease.discovery_down(104 * S);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_move_and_the_loss_of_a_pushed_watch_shorten_the_lease() {
+fn a_move_of_discovery_and_the_loss_of_a_watch_shorten_the_lease() {
     let mut moved = lease();
     moved.confirm(100 * S);
     moved.discovery_moved(100 * S);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_process_answers_and_ends_before_it_is_killed_whatever_its_deadlines_are() {
+fn a_process_sends_final_responses_and_exits_before_it_is_killed() {
     for (longest, killed_at) in
         [(300 * MS, S), (3 * S, 3_700 * MS), (7_933 * MS, 3_700 * MS), (70 * S, 3_700 * MS)]
     {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_may_start_is_decided_by_the_first_reason_against_it() {
+fn the_first_reason_that_denies_an_attempt_is_returned() {
     let mut list = lease();
     let mut permissions = SendPermissions::new(list);
     let now = 100 * S;
--- a/tests/statistics.rs
+++ b/tests/statistics.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_seen_bounds_nothing() {
+fn without_trials_the_bounds_are_0_and_1() {
     assert_eq!((wilson_lower(0.0, 0.0, 1.96), wilson_upper(0.0, 0.0, 1.96)), (0.0, 1.0));
     assert_eq!(quantile(&mut [], 0.5), None);
 }
