--- a/tests/interface.rs
+++ b/tests/interface.rs
@@ -1,8 +1,8 @@
-//! Types of the interface whose text operators read.
+//! Checks the text of interface types that operators read.
 
 use violetseam::interface::Verdict;
 
-/// The log lines of votes and verdicts and the status text on the control socket have these words.
+/// Log lines about votes and verdicts and the status text on the control socket use these words.
 #[test]
 fn verdicts_are_printed_with_the_words_of_the_log_and_the_status_text() {
     let words = [
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,5 @@
-//! An operator's word: votes withheld, given back, or cast against the module's own finding.
+//! Operator commands that pause and resume voting or roll a build back, and the state that a process hands
+//! over.
 
 mod common;
 use common::*;
@@ -12,11 +13,13 @@
     Harness::new(settings, &server_list(6, 4), release_status(2, 2, phase, 1.0))
 }
 
-fn say(harness: &mut Harness, word: OperatorCommand) -> Vec<Verdict> {
-    votes(&harness.feed(Event::Operator(word)))
+/// Gives an operator command and returns the votes that it leads to.
+fn give_command(harness: &mut Harness, command: OperatorCommand) -> Vec<Verdict> {
+    votes(&harness.feed(Event::Operator(command)))
 }
 
-fn accept(harness: &mut Harness) -> Vec<Verdict> {
+/// Accepts the pending vote and returns the votes that the reply leads to.
+fn accept_vote(harness: &mut Harness) -> Vec<Verdict> {
     votes(&harness.feed(Event::VoteReply { outcome: Outcome::Ok, release: None }))
 }
 
@@ -27,32 +30,32 @@
         votes(&harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 700, |_, _| OK)).first(),
         Some(&Verdict::Promote)
     );
-    accept(&mut harness);
+    accept_vote(&mut harness);
     harness.advance(200 * MS);
-    accept(&mut harness);
-    assert_eq!(say(&mut harness, OperatorCommand::Pause), [Verdict::Withdraw]);
-    accept(&mut harness);
+    accept_vote(&mut harness);
+    assert_eq!(give_command(&mut harness, OperatorCommand::Pause), [Verdict::Withdraw]);
+    accept_vote(&mut harness);
     assert!(
         !votes(&harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK))
             .contains(&Verdict::Promote)
     );
-    // The module went on judging meanwhile.
+    // The analysis has continued during the pause.
     harness.advance(2_000 * MS);
-    accept(&mut harness);
-    assert_eq!(say(&mut harness, OperatorCommand::Resume), [Verdict::Promote]);
+    accept_vote(&mut harness);
+    assert_eq!(give_command(&mut harness, OperatorCommand::Resume), [Verdict::Promote]);
 }
 
 #[test]
 fn with_a_timer_gate_a_pause_holds_the_stage() {
     let mut harness = harness(GateMode::Timer, Phase::Trial);
     harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 300, |_, _| OK);
-    assert_eq!(say(&mut harness, OperatorCommand::Pause), [Verdict::Hold]);
-    accept(&mut harness);
-    // Held on, renewed before it expires.
+    assert_eq!(give_command(&mut harness, OperatorCommand::Pause), [Verdict::Hold]);
+    accept_vote(&mut harness);
+    // The hold continues: the vote is renewed before it expires.
     assert!(
         votes(&harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK))
             .iter()
-            .all(|v| *v == Verdict::Hold)
+            .all(|verdict| *verdict == Verdict::Hold)
     );
 }
 
@@ -60,43 +63,43 @@
 fn a_rollback_command_overrides_a_clean_verdict_and_ends_a_pause() {
     let mut harness = harness(GateMode::Any, Phase::Trial);
     harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 700, |_, _| OK);
-    accept(&mut harness);
-    say(&mut harness, OperatorCommand::Pause);
-    accept(&mut harness);
-    assert_eq!(say(&mut harness, OperatorCommand::RollBack), [Verdict::RollBack]);
-    accept(&mut harness);
-    // It stands as a conviction does: clean windows do not take it back.
-    let after = votes(&harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK));
-    assert!(after.iter().all(|v| *v == Verdict::RollBack), "{after:?}");
+    accept_vote(&mut harness);
+    give_command(&mut harness, OperatorCommand::Pause);
+    accept_vote(&mut harness);
+    assert_eq!(give_command(&mut harness, OperatorCommand::RollBack), [Verdict::RollBack]);
+    accept_vote(&mut harness);
+    // The command's verdict stands like a verdict of the analysis: clean windows do not replace it.
+    let votes_after = votes(&harness.run_traffic(&[IDEMPOTENT, KEYED, NON_IDEMPOTENT], 900, |_, _| OK));
+    assert!(votes_after.iter().all(|verdict| *verdict == Verdict::RollBack), "{votes_after:?}");
 }
 
 #[test]
 fn a_rollback_command_has_no_effect_once_the_build_is_withdrawn() {
     let mut harness = harness(GateMode::Any, Phase::Withdrawn);
-    assert_eq!(say(&mut harness, OperatorCommand::RollBack), []);
+    assert_eq!(give_command(&mut harness, OperatorCommand::RollBack), []);
     harness.feed(Event::Release(release_status(3, 0, Phase::Trial, 0.16)));
     assert!(
         !votes(&harness.advance(3 * S)).contains(&Verdict::RollBack),
-        "a word outlived the build it was about"
+        "the rollback command was applied to a later build"
     );
 }
 
-/// Guards: in a takeover an attempt at the new build was still out, and its answer bound the key in the old
-/// process only; the new one sent the key to an earlier build.
+/// Guards against losing a sticky key in a takeover. An attempt at the new build was in flight, its response
+/// made the key sticky in the old process only, and the new process sent the key to an earlier build.
 #[test]
 fn a_successor_has_no_requests_but_all_keys_that_the_new_build_may_still_answer() {
     let mut settings = settings();
     settings.rollout.sticky_to_new_build = true;
     let mut harness = Harness::new(settings, &server_list(6, 4), release_status(2, 2, Phase::Trial, 1.0));
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for key in 1..=400 {
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
-        out.extend(sends(&actions).into_iter().filter(|s| s.1 >= 100).map(|_| (id, key)));
+        in_flight.extend(sends(&actions).into_iter().filter(|send| send.1 >= 100).map(|_| (id, key)));
         harness.advance(5 * MS);
     }
-    assert!(!out.is_empty(), "nothing went to the new build");
+    assert!(!in_flight.is_empty(), "no request went to the new build");
     harness.balancer = harness.balancer.successor(99);
-    // None of the old process's requests is the new one's to answer.
+    // The successor gives no final response to the requests of the old process.
     assert_eq!(
         harness
             .advance(3 * S)
@@ -105,9 +108,9 @@
             .count(),
         0
     );
-    for (_, key) in out {
+    for (_, key) in in_flight {
         let (_, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
-        assert!(sends(&actions).iter().all(|s| s.1 >= 100), "key {key} went back");
+        assert!(sends(&actions).iter().all(|send| send.1 >= 100), "key {key} went to an earlier build");
     }
 }
 
@@ -116,15 +119,18 @@
     let mut settings = settings();
     settings.rollout.idempotent_only_stages = 0;
     let mut harness = Harness::new(settings, &server_list(6, 4), release_status(2, 0, Phase::Trial, 0.16));
-    let (mut taken, mut exposed) = (0.0, 0.0);
+    let (mut requests, mut trial_attempts) = (0.0, 0.0);
     for round in 0..4 {
         for _ in 0..100 {
             let (_, actions) = harness.request(IDEMPOTENT);
-            taken += 1.0;
-            exposed += sends(&actions).iter().filter(|s| s.1 >= 100).count() as f64;
+            requests += 1.0;
+            trial_attempts += sends(&actions).iter().filter(|send| send.1 >= 100).count() as f64;
             harness.advance(5 * MS);
         }
-        assert!(exposed <= 2.0 + 0.16 * taken, "round {round}: {exposed} of {taken}");
+        assert!(
+            trial_attempts <= 2.0 + 0.16 * requests,
+            "round {round}: {trial_attempts} attempts at the trial build for {requests} requests"
+        );
         harness.balancer = harness.balancer.successor(round);
     }
 }
