--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -117,7 +117,7 @@
     assert_eq!(
         permissions.may_send(now, &attempt(now + S)),
         Ok(()),
-        "an attempt started before the hand-over may not be sent"
+        "an attempt that was started before the hand-over is denied"
     );
     permissions.set_handed_over(false);
     let schedule = permissions.begin_shutdown(ShutdownSchedule::starting_at(now, 2 * S));
