--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -197,8 +197,8 @@
         simulate(&server_list(30, 6), release_status(2, 1, Phase::Trial, 0.5), 4.0, 8 * S, false, ok);
     let mut bytes: Vec<usize> = result.received.values().map(|received| received.1).collect();
     bytes.sort_unstable();
-    // Each balancer receives the totals of three aggregators every 0.8 s, at most 256 bytes each, whatever the
-    // size of the fleet.
+    // Whatever the size of the fleet, each balancer receives the totals of three aggregators every 0.8 s, at
+    // most 256 bytes each.
     assert!(bytes[FLEET / 2] <= 8 * 3 * 2 * 256, "the median balancer received {} bytes", bytes[FLEET / 2]);
     let aggregators = result.received.values().filter(|received| received.0 > 200).count();
     assert!((1..=3).contains(&aggregators), "{aggregators} balancers receive messages from all others");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The five rules, one situation a test, and a seeded random driver over all of them.
+//! The five service rules that a balancer has to keep: one test for each situation, and a test that checks
+//! all rules on random events from a fixed seed.
 
 mod common;
 use common::*;
@@ -32,10 +33,10 @@
 fn a_non_idempotent_request_is_repeated_only_if_it_never_ran() {
     let mut harness = Harness::new(settings(), &server_list(4, 0), RELEASED);
     let (id, actions) = harness.request(NON_IDEMPOTENT);
-    let again = harness.end_attempt(id, 0, sends(&actions)[0].1, Outcome::Rejected, MS);
-    assert_eq!(sends(&again).len(), 1);
-    let end = harness.end_attempt(id, 1, sends(&again)[0].1, Outcome::Error, MS);
-    assert_eq!((sends(&end).len(), final_responses(&end, id)), (0, (0, 1)));
+    let after_rejection = harness.end_attempt(id, 0, sends(&actions)[0].1, Outcome::Rejected, MS);
+    assert_eq!(sends(&after_rejection).len(), 1);
+    let after_error = harness.end_attempt(id, 1, sends(&after_rejection)[0].1, Outcome::Error, MS);
+    assert_eq!((sends(&after_error).len(), final_responses(&after_error, id)), (0, (0, 1)));
 }
 
 #[test]
@@ -47,8 +48,8 @@
         harness.feed(Event::Release(RELEASED));
         let (id, actions) = harness.request(KEYED);
         let first = sends(&actions)[0].1;
-        let again = harness.end_attempt(id, 0, first, Outcome::Reset, MS);
-        assert_eq!(sends(&again)[0].1 % 2, first % 2, "another zone");
+        let retry = harness.end_attempt(id, 0, first, Outcome::Reset, MS);
+        assert_eq!(sends(&retry)[0].1 % 2, first % 2, "the retry went to another zone");
     }
 }
 
@@ -61,7 +62,8 @@
     assert!(sends(&actions).iter().all(|s| s.1 != 11));
 }
 
-/// Guards: a cold server's span budget counts in what warm servers are seen to carry.
+/// Guards against overloading a cold server: its budget for a span is derived from the load that warm servers
+/// have been seen to serve.
 #[test]
 fn a_cold_server_gets_fewer_requests_than_warm_ones() {
     let mut harness = Harness::new(settings(), &server_list(4, 0), RELEASED);
@@ -70,39 +72,45 @@
     harness.feed(Event::ServerList { kind: ListKind::Delta, entries: &[cold] });
     let actions = harness.run_traffic(&[IDEMPOTENT], 100, |_, _| (Outcome::Ok, 20 * MS));
     let to_cold = sends(&actions).iter().filter(|s| s.1 == 50).count();
-    assert!(to_cold < 20, "{to_cold} of 100 to a server at a third of its capacity");
+    assert!(to_cold < 20, "{to_cold} of 100 attempts sent to a server with a third of its capacity");
     harness.advance(4 * S);
     let actions = harness.run_traffic(&[IDEMPOTENT], 100, |_, _| (Outcome::Ok, 20 * MS));
-    assert!(sends(&actions).iter().any(|s| s.1 == 50), "nothing to a server warm by now");
+    assert!(sends(&actions).iter().any(|s| s.1 == 50), "no attempt sent to a server that is warm by now");
 }
 
-/// Guards: with few attempts out, a server of several cores looks slow for each of them; refusing by that
-/// figure would keep the attempts few and the figure high.
+/// Guards against rejecting requests because of an overestimated latency per attempt. With few attempts in
+/// flight, a server with several cores appears slow for each of them, and rejections based on that figure
+/// would keep the attempts few and the figure high.
 #[test]
 fn requests_are_not_rejected_while_a_server_has_idle_cores() {
     let mut harness = Harness::new(settings(), &server_list(1, 0), RELEASED);
-    let mut refused = 0;
-    let mut out = Vec::new();
+    let mut rejected = 0;
+    let mut in_flight = Vec::new();
     for i in 0..400 {
         let (id, actions) = harness.request(IDEMPOTENT);
-        refused += if i >= 100 { final_responses(&actions, id).0 } else { 0 };
-        out.extend(sends(&actions).iter().map(|s| (harness.now, *s)));
+        rejected += if i >= 100 { final_responses(&actions, id).0 } else { 0 };
+        in_flight.extend(sends(&actions).iter().map(|send| (harness.now, *send)));
         harness.advance(30 * MS);
-        while let Some(&(at, (request, server))) = out.first().filter(|o| o.0 + 90 * MS <= harness.now) {
-            out.remove(0);
-            harness.end_attempt(request, 0, server, Outcome::Ok, harness.now - at);
+        while let Some(&(sent_at, (request, server))) =
+            in_flight.first().filter(|attempt| attempt.0 + 90 * MS <= harness.now)
+        {
+            in_flight.remove(0);
+            harness.end_attempt(request, 0, server, Outcome::Ok, harness.now - sent_at);
         }
     }
-    assert!(refused < 30, "{refused} of 300 refused by a server that answers all in 90 ms");
+    assert!(
+        rejected < 30,
+        "{rejected} of 300 requests rejected while the server responds to each within 90 ms"
+    );
 }
 
-/// Guards: one tenant whose requests all wait must not have the others refused with it.
+/// Guards against rejecting the requests of all tenants because those of one tenant are slow.
 #[test]
 fn requests_of_a_slow_tenant_are_rejected_before_those_of_others() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 100.0 }; 2];
     let mut harness = Harness::new(settings, &server_list(6, 0), RELEASED);
-    let mut refused = [0, 0];
+    let mut rejected = [0, 0];
     for i in 0..600 {
         let tenant = i % 2;
         let request = Request {
@@ -112,15 +120,15 @@
             ..Request::default()
         };
         let actions = harness.feed(Event::Request(request));
-        refused[tenant] += final_responses(&actions, request.id).0;
-        let wait = if tenant == 1 { 500 * MS } else { 30 * MS };
-        harness.now += wait;
+        rejected[tenant] += final_responses(&actions, request.id).0;
+        let latency = if tenant == 1 { 500 * MS } else { 30 * MS };
+        harness.now += latency;
         for (id, server) in sends(&actions) {
-            harness.end_attempt(id, 0, server, Outcome::Ok, wait);
+            harness.end_attempt(id, 0, server, Outcome::Ok, latency);
         }
     }
-    assert!(refused[1] > 150, "{refused:?}");
-    assert!(refused[0] < 20, "{refused:?}");
+    assert!(rejected[1] > 150, "rejected requests by tenant: {rejected:?}");
+    assert!(rejected[0] < 20, "rejected requests by tenant: {rejected:?}");
 }
 
 #[test]
@@ -135,43 +143,53 @@
     assert_eq!((sends(&actions).len(), final_responses(&actions, id)), (0, (1, 0)));
 }
 
-/// On sockets an answer may be good and never read here: spoilt, late, or written to a connection that fell silent.
-/// From 150 ms after the send the key counts, whatever becomes of the attempt, unless that proves otherwise.
+/// Guards against sending a key to an earlier build when the new build may have answered it. A successful
+/// response can be lost on the way: it arrives damaged or late, or it was written to a connection that fell
+/// silent. From 150 ms after the attempt was sent the key counts as answered, whatever the outcome, unless
+/// the outcome proves that it was not.
 #[test]
 fn a_key_whose_response_may_have_been_lost_goes_to_no_earlier_build() {
     let mut settings = settings();
     settings.rollout.sticky_to_new_build = true;
     let mut harness = Harness::new(settings, &server_list(5, 5), release_status(2, 2, Phase::Trial, 1.0));
     let mut bound = BTreeSet::new();
-    let ends = [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error];
-    let mut free = 0;
+    let outcomes = [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled, Outcome::Error];
+    let mut to_earlier = 0;
     for i in 0..2_000u64 {
         let key = 1 + i * 7919 % 97;
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
         let Some(&(_, server)) = sends(&actions).first() else { continue };
-        assert!(server >= 100 || !bound.contains(&key), "key {key} sent back");
-        let end = if server >= 100 { ends[(i % 4) as usize] } else { Outcome::Ok };
-        // Some are still out when the key comes again.
-        let waits = if i % 3 == 0 { 150 * MS } else { 5 * MS };
-        harness.advance(waits);
-        if waits > 100 * MS && server >= 100 {
-            let (again, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
-            assert!(sends(&actions).iter().all(|s| s.1 >= 100), "key {key} sent back with its attempt out");
-            harness.feed(Event::ClientDisconnected { request: again });
+        assert!(server >= 100 || !bound.contains(&key), "key {key} sent to an earlier build");
+        let outcome = if server >= 100 { outcomes[(i % 4) as usize] } else { Outcome::Ok };
+        // Some attempts are still in flight when another request with the key arrives.
+        let in_flight_for = if i % 3 == 0 { 150 * MS } else { 5 * MS };
+        harness.advance(in_flight_for);
+        if in_flight_for > 100 * MS && server >= 100 {
+            let (second, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
+            assert!(
+                sends(&actions).iter().all(|s| s.1 >= 100),
+                "key {key} sent to an earlier build with an attempt in flight"
+            );
+            harness.feed(Event::ClientDisconnected { request: second });
         }
-        harness.end_attempt(id, 0, server, end, 20 * MS);
+        harness.end_attempt(id, 0, server, outcome, 20 * MS);
         harness.feed(Event::ClientDisconnected { request: id });
         harness.advance(150 * MS);
-        if server >= 100 && end != Outcome::Error {
+        if server >= 100 && outcome != Outcome::Error {
             bound.insert(key);
         }
-        free += usize::from(server < 100);
+        to_earlier += usize::from(server < 100);
     }
-    assert!(bound.len() > 10 && free > 10, "{} bound, {free} at the earlier build", bound.len());
+    assert!(
+        bound.len() > 10 && to_earlier > 10,
+        "{} sticky keys, {to_earlier} attempts at the earlier build",
+        bound.len()
+    );
 }
 
-/// Two calls with one key are out at the new build; the first is proven not to have run, the answer to the second is
-/// written and not read. The key is bound by the second, whatever the first proves.
+/// Two requests with one key are in flight at the new build. The end of the first proves that it was not
+/// answered. The response to the second may have been written but not read, so the key stays sticky, whatever
+/// the first one proves.
 #[test]
 fn a_key_stays_sticky_because_of_a_second_attempt_in_flight() {
     let mut settings = settings();
@@ -180,23 +198,26 @@
         for second in [Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
             let mut harness =
                 Harness::new(settings.clone(), &server_list(0, 5), release_status(2, 2, Phase::Trial, 1.0));
-            let (one, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
-            let at = sends(&actions)[0].1;
+            let (first_id, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
+            let first_server = sends(&actions)[0].1;
             harness.advance(5 * MS);
-            let (other, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
-            let other_at = sends(&actions)[0].1;
+            let (second_id, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
+            let second_server = sends(&actions)[0].1;
             harness.advance(5 * MS);
-            harness.end_attempt(one, 0, at, first, 10 * MS);
-            harness.feed(Event::ClientDisconnected { request: one });
+            harness.end_attempt(first_id, 0, first_server, first, 10 * MS);
+            harness.feed(Event::ClientDisconnected { request: first_id });
             harness.advance(200 * MS);
-            harness.end_attempt(other, 0, other_at, second, 200 * MS);
-            harness.feed(Event::ClientDisconnected { request: other });
-            // Machines of the earlier build come back, and none of them may have the key.
+            harness.end_attempt(second_id, 0, second_server, second, 200 * MS);
+            harness.feed(Event::ClientDisconnected { request: second_id });
+            // Servers of the earlier build are listed again, and none of them may get the key.
             let entries = server_list(5, 5);
             harness.feed(Event::ServerList { kind: ListKind::Full, entries: &entries });
             for _ in 0..50 {
                 let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
-                assert!(sends(&actions).iter().all(|s| s.1 >= 100), "sent back after {first:?}, {second:?}");
+                assert!(
+                    sends(&actions).iter().all(|s| s.1 >= 100),
+                    "sent to an earlier build after {first:?} and {second:?}"
+                );
                 sends(&actions)
                     .iter()
                     .for_each(|s| drop(harness.end_attempt(id, 0, s.1, Outcome::Error, MS)));
@@ -207,28 +228,32 @@
     }
 }
 
-/// Seen on the fleet's days: a call leaves for a machine of the earlier build and waits; the machine is listed with the new
-/// one; the answer that comes then is the new build's. Also where the news of that build come after the list.
+/// An attempt is in flight at a server of the earlier build when the server is listed with the new build, so
+/// the response comes from the new build. This must also work if the release status of the new build arrives
+/// after the list. The fault occurred in the fleet scenarios.
 #[test]
 fn a_response_from_a_server_relisted_with_the_new_build_makes_its_key_sticky() {
     let mut settings = settings();
     settings.rollout.sticky_to_new_build = true;
-    for news_first in [true, false] {
+    for release_first in [true, false] {
         let mut harness = Harness::new(settings.clone(), &server_list(1, 0), RELEASED);
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
-        let at = sends(&actions)[0].1;
-        let again =
-            [server(at, 1), server(50, 1)].map(|s| ServerEntry { build: 1 + u16::from(s.id == at), ..s });
+        let relisted = sends(&actions)[0].1;
+        let entries = [server(relisted, 1), server(50, 1)]
+            .map(|entry| ServerEntry { build: 1 + u16::from(entry.id == relisted), ..entry });
         let trial = Event::Release(release_status(2, 1, Phase::Trial, 1.0));
-        let list = Event::ServerList { kind: ListKind::Full, entries: &again };
-        for event in if news_first { [trial, list] } else { [list, trial] } {
+        let list = Event::ServerList { kind: ListKind::Full, entries: &entries };
+        for event in if release_first { [trial, list] } else { [list, trial] } {
             harness.feed(event);
         }
         harness.advance(20 * MS);
-        harness.end_attempt(id, 0, at, Outcome::Ok, 20 * MS);
+        harness.end_attempt(id, 0, relisted, Outcome::Ok, 20 * MS);
         for _ in 0..50 {
             let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(7));
-            assert!(sends(&actions).iter().all(|s| s.1 == at), "sent back, news first: {news_first}");
+            assert!(
+                sends(&actions).iter().all(|s| s.1 == relisted),
+                "sent to an earlier build, release status before list: {release_first}"
+            );
             sends(&actions).iter().for_each(|s| drop(harness.end_attempt(id, 0, s.1, Outcome::Ok, MS)));
             harness.feed(Event::ClientDisconnected { request: id });
             harness.advance(20 * MS);
@@ -236,7 +261,7 @@
     }
 }
 
-/// Guards: a popular key would pile onto the new build's few machines, and bound keys stay bound.
+/// Guards against sending a sticky key to an earlier build, also for keys that arrive often.
 #[test]
 fn a_key_answered_by_the_new_build_goes_to_no_earlier_build() {
     let mut settings = settings();
@@ -247,7 +272,7 @@
         let key = 1 + i * 7919 % 97;
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
         for (_, server) in sends(&actions) {
-            assert!(server >= 100 || !bound.contains(&key), "key {key} sent back");
+            assert!(server >= 100 || !bound.contains(&key), "key {key} sent to an earlier build");
             harness.advance(5 * MS);
             harness.end_attempt(id, 0, server, Outcome::Ok, 20 * MS);
             if server >= 100 {
@@ -258,41 +283,49 @@
     assert!(bound.len() > 10);
 }
 
-/// Seen on sockets with keys that are always new: after 200,000 of them a released build was refused to every further
-/// one, for ever. What can no longer be remembered counts as bound instead: nothing keyed goes back.
+/// Guards against a released build that gets no more keyed requests once 200,000 keys are remembered. The
+/// fault occurred over real connections with keys that never repeat: every further key was refused for good.
+/// Keys that can no longer be remembered count as sticky instead, and no keyed request goes to an earlier
+/// build.
 #[test]
 fn a_released_build_serves_more_keys_than_can_be_remembered() {
     let mut settings = settings();
     settings.rollout.sticky_to_new_build = true;
     let mut harness = Harness::new(settings, &server_list(0, 3), release_status(2, 3, Phase::Released, 1.0));
-    let served = |harness: &mut Harness, key: u64| {
+    let serve_key = |harness: &mut Harness, key: u64| {
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
         let sent = sends(&actions);
         sent.iter().for_each(|s| drop(harness.end_attempt(id, 0, s.1, Outcome::Ok, MS)));
-        sent.first().map(|s| s.1)
+        sent.first().map(|send| send.1)
     };
     for key in 1..=200_500 {
-        assert!(served(&mut harness, key).is_some(), "key {key} was not sent");
+        assert!(serve_key(&mut harness, key).is_some(), "key {key} was not sent");
     }
-    // Machines of the earlier build are listed again, under the same news: no key is surely free for them.
+    // Servers of the earlier build are listed again with the same release status: any key may be sticky, so
+    // they get none.
     let entries = server_list(3, 3);
     harness.feed(Event::ServerList { kind: ListKind::Full, entries: &entries });
     for key in (1..=200_500).step_by(997).chain(300_000..300_100) {
-        assert!(served(&mut harness, key).is_none_or(|server| server >= 100), "key {key} sent back");
+        assert!(
+            serve_key(&mut harness, key).is_none_or(|server| server >= 100),
+            "key {key} sent to an earlier build"
+        );
     }
-    // With another build all of it is forgotten, and the earlier machines take keys again.
+    // When a newer build is announced, all keys are dropped, and servers of earlier builds get keys again.
     harness.feed(Event::Release(release_status(3, 0, Phase::Trial, 0.16)));
-    let free = (400_000..400_100).filter(|key| served(&mut harness, *key).is_some_and(|server| server < 100));
-    assert!(free.count() > 10);
+    let to_earlier =
+        (400_000..400_100).filter(|key| serve_key(&mut harness, *key).is_some_and(|server| server < 100));
+    assert!(to_earlier.count() > 10);
 }
 
-/// Guards: a popular key bound to the new build early would bring its machines more than their share.
+/// Guards against overloading the few servers of the trial build: a popular key that is sticky to it early
+/// would bring them more than their share of the requests.
 #[test]
 fn a_popular_key_is_not_sent_to_the_trial_build_early() {
     let mut settings = settings();
     settings.rollout.sticky_to_new_build = true;
     let mut harness = Harness::new(settings, &server_list(8, 0), RELEASED);
-    let play = |harness: &mut Harness, i: u64| {
+    let send_request = |harness: &mut Harness, i: u64| {
         let key = if i.is_multiple_of(3) { 1 } else { 100 + i };
         let (id, actions) = harness.request_with_key(IDEMPOTENT, Some(key));
         for (_, server) in sends(&actions) {
@@ -301,21 +334,28 @@
         }
         sends(&actions).iter().filter(|s| s.1 >= 100).map(|_| key).collect::<Vec<u64>>()
     };
-    (0..60).for_each(|i| drop(play(&mut harness, i)));
+    (0..60).for_each(|i| drop(send_request(&mut harness, i)));
     harness.feed(Event::Release(release_status(2, 1, Phase::Trial, 0.5)));
     harness.feed(Event::ServerList { kind: ListKind::Full, entries: &server_list(8, 2) });
-    let on_trial: Vec<u64> = (60..660).flat_map(|i| play(&mut harness, i)).collect();
-    assert!(on_trial.len() > 40, "{} attempts at the new build", on_trial.len());
-    assert!(!on_trial.contains(&1));
+    let trial_keys: Vec<u64> = (60..660).flat_map(|i| send_request(&mut harness, i)).collect();
+    assert!(trial_keys.len() > 40, "{} attempts at the new build", trial_keys.len());
+    assert!(!trial_keys.contains(&1));
 }
 
 #[test]
 fn an_unannounced_build_has_the_limits_of_the_first_stage() {
     let mut harness = Harness::new(settings(), &server_list(2, 8), RELEASED);
     let actions = harness.run_traffic(&[IDEMPOTENT, NON_IDEMPOTENT], 1_000, |_, _| (Outcome::Ok, 20 * MS));
-    let new: Vec<RequestId> = sends(&actions).iter().filter(|s| s.1 >= 100).map(|s| s.0).collect();
-    assert!(!new.is_empty() && new.len() <= 162, "{} of 1000", new.len());
-    assert!(new.iter().all(|id| id % 2 == 1), "a class that is not safe to repeat went to a guarded stage");
+    let to_new: Vec<RequestId> = sends(&actions).iter().filter(|s| s.1 >= 100).map(|s| s.0).collect();
+    assert!(
+        !to_new.is_empty() && to_new.len() <= 162,
+        "{} of 1000 requests went to the new build",
+        to_new.len()
+    );
+    assert!(
+        to_new.iter().all(|id| id % 2 == 1),
+        "a non-idempotent request went to the new build in a stage for idempotent requests only"
+    );
 }
 
 #[test]
@@ -323,18 +363,18 @@
     let mut settings = settings();
     settings.subscribes_to_list = true;
     let mut harness = Harness::new(settings, &server_list(2, 0), RELEASED);
-    let follows = |actions: &[Action]| actions.iter().filter(|a| **a == Action::WatchServerList).count();
+    let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::WatchServerList).count();
     harness.feed(Event::ServerList { kind: ListKind::Failed, entries: &[] });
-    assert_eq!(follows(&harness.advance(S)), 1);
+    assert_eq!(watches(&harness.advance(S)), 1);
     harness.feed(Event::ServerList { kind: ListKind::Delta, entries: &[] });
-    assert_eq!(follows(&harness.advance(9 * S)), 1);
+    assert_eq!(watches(&harness.advance(9 * S)), 1);
 }
 
 #[test]
 fn events_about_unknown_objects_are_ignored() {
     let mut harness = Harness::new(settings(), &server_list(2, 0), RELEASED);
-    let before = harness.end_attempt(999, 3, 77, Outcome::Ok, MS);
-    assert_eq!(before, []);
+    let actions = harness.end_attempt(999, 3, 77, Outcome::Ok, MS);
+    assert_eq!(actions, []);
     assert_eq!(harness.feed(Event::ClientDisconnected { request: 5 }), []);
     assert_eq!(harness.feed(Event::AnswerFlagged { server: 1, class: 99, since: u64::MAX }), []);
     assert_eq!(harness.feed(Event::PeerMessage { from: 9, payload: &[1, 2] }), []);
@@ -347,58 +387,79 @@
     assert_eq!(final_responses(&actions, 1), (1, 0));
 }
 
-/// What the random driver remembers to check the rules on the actions.
+/// Checks the service rules on the actions of a balancer. It records the events and actions that the rules
+/// depend on.
 #[derive(Default)]
-struct Watch {
-    deadline: BTreeMap<RequestId, (Micros, usize)>,
+struct RuleChecker {
+    /// Deadline and class of each request.
+    requests: BTreeMap<RequestId, (Micros, usize)>,
+    /// For each attempt of a request: the server, the outcome once it has ended, and the time of the send.
     attempts: BTreeMap<RequestId, Vec<(ServerId, Option<Outcome>, Micros)>>,
     finished: BTreeSet<RequestId>,
     draining: BTreeMap<ServerId, Micros>,
-    taken: Vec<Micros>,
-    exposed: Vec<Micros>,
+    /// Times at which requests arrived.
+    arrivals: Vec<Micros>,
+    /// Times at which attempts were sent to the trial build.
+    trial_sends: Vec<Micros>,
 }
 
-impl Watch {
-    fn check(&mut self, now: Micros, settings: &Settings, cap: f64, guarded: bool, actions: &[Action]) {
+impl RuleChecker {
+    fn check(
+        &mut self,
+        now: Micros,
+        settings: &Settings,
+        cap: f64,
+        idempotent_only: bool,
+        actions: &[Action],
+    ) {
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => {
-                    assert!(!self.finished.contains(request), "sent after the final answer");
-                    let class = &settings.classes[self.deadline[request].1];
-                    let before = self.attempts.entry(*request).or_default();
-                    assert!(before.iter().all(|a| a.1.is_some()), "two at once");
-                    let ran = before.iter().find(|a| a.1.is_none_or(Outcome::may_have_run));
+                    assert!(!self.finished.contains(request), "an attempt was sent after the final response");
+                    let class = &settings.classes[self.requests[request].1];
+                    let attempts = self.attempts.entry(*request).or_default();
+                    assert!(attempts.iter().all(|a| a.1.is_some()), "two attempts in flight at once");
+                    let ran = attempts.iter().find(|a| a.1.is_none_or(Outcome::may_have_run));
                     if let Some(ran) = ran {
-                        assert!(class.idempotency != Idempotency::NonIdempotent, "fragile sent twice");
+                        assert!(
+                            class.idempotency != Idempotency::NonIdempotent,
+                            "non-idempotent request repeated"
+                        );
                         let keyed = class.idempotency == Idempotency::Keyed;
                         assert!(!keyed || (ran.0 % 2 == server % 2 && now < ran.2 + class.dedup_window));
                     }
-                    before.push((*server, None, now));
+                    attempts.push((*server, None, now));
                     assert!(
                         self.draining.get(server).is_none_or(|at| now <= at + settings.rules.drain_grace)
                     );
                     if *server >= 100 {
-                        assert!(!guarded || class.idempotency == Idempotency::Idempotent, "guarded stage");
-                        self.exposed.push(now);
+                        assert!(
+                            !idempotent_only || class.idempotency == Idempotency::Idempotent,
+                            "a request that is not idempotent was sent to the trial build too early"
+                        );
+                        self.trial_sends.push(now);
                         for &from in
-                            self.exposed.iter().filter(|&&t| t + settings.rollout.exposure_window >= now)
+                            self.trial_sends.iter().filter(|&&t| t + settings.rollout.exposure_window >= now)
                         {
-                            let spent = self.exposed.iter().filter(|&&t| t >= from).count() as f64;
-                            let taken = self.taken.iter().filter(|&&t| t >= from).count() as f64;
-                            let most = settings.rollout.exposure_slack + cap * (taken + 1.0);
-                            assert!(spent <= most + 1e-6, "{spent} attempts over {most}");
+                            let attempts = self.trial_sends.iter().filter(|&&t| t >= from).count() as f64;
+                            let requests = self.arrivals.iter().filter(|&&t| t >= from).count() as f64;
+                            let allowed = settings.rollout.exposure_slack + cap * (requests + 1.0);
+                            assert!(
+                                attempts <= allowed + 1e-6,
+                                "{attempts} attempts at the trial build, {allowed} allowed"
+                            );
                         }
                     }
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    assert!(self.finished.insert(*request), "two final answers");
-                    let class = &settings.classes[self.deadline[request].1];
-                    let tries = self.attempts.get(request).map(Vec::as_slice).unwrap_or_default();
-                    let ran = tries.iter().any(|a| a.1.is_none_or(Outcome::may_have_run));
-                    let refused = matches!(action, Action::Reject { .. });
+                    assert!(self.finished.insert(*request), "a request got two final responses");
+                    let class = &settings.classes[self.requests[request].1];
+                    let attempts = self.attempts.get(request).map(Vec::as_slice).unwrap_or_default();
+                    let may_have_run = attempts.iter().any(|a| a.1.is_none_or(Outcome::may_have_run));
+                    let rejected = matches!(action, Action::Reject { .. });
                     assert!(
-                        !refused || !ran || class.idempotency == Idempotency::Idempotent,
-                        "refusal after an effect"
+                        !rejected || !may_have_run || class.idempotency == Idempotency::Idempotent,
+                        "a request that is not idempotent was rejected after it may have run"
                     );
                 }
                 _ => {}
@@ -407,44 +468,45 @@
     }
 }
 
-/// Plays random steps on one balancer and checks the rules after each.
-struct Driver {
+/// Applies random steps to a balancer and checks the rules after each step.
+struct RandomDriver {
     settings: Settings,
     harness: Harness,
-    watch: Watch,
-    next: RequestId,
+    checker: RuleChecker,
+    next_request: RequestId,
 }
 
-impl Driver {
-    fn new() -> Driver {
+impl RandomDriver {
+    fn new() -> RandomDriver {
         let settings = settings();
         let harness =
             Harness::new(settings.clone(), &server_list(4, 2), release_status(2, 0, Phase::Trial, 0.16));
-        Driver { settings, harness, watch: Watch::default(), next: 1 }
+        RandomDriver { settings, harness, checker: RuleChecker::default(), next_request: 1 }
     }
 
-    /// Attempts in flight: request, number and server.
+    /// Returns the request, the number and the server of each attempt in flight.
     fn in_flight(&self) -> Vec<(RequestId, usize, ServerId)> {
-        let mut open = Vec::new();
-        for (id, tries) in &self.watch.attempts {
-            for (number, (server, outcome, _)) in tries.iter().enumerate() {
+        let mut in_flight = Vec::new();
+        for (id, attempts) in &self.checker.attempts {
+            for (number, (server, outcome, _)) in attempts.iter().enumerate() {
                 if outcome.is_none() {
-                    open.push((*id, number, *server));
+                    in_flight.push((*id, number, *server));
                 }
             }
         }
-        open
+        in_flight
     }
 
-    fn step(&mut self, what: u8, pick: u16) -> Vec<Action> {
+    /// Applies one step. `kind` chooses what happens, and the details are derived from the random `choice`.
+    fn step(&mut self, kind: u8, choice: u16) -> Vec<Action> {
         let in_flight = self.in_flight();
-        match what {
-            0..=4 => self.request(pick),
+        match kind {
+            0..=4 => self.request(choice),
             5..=7 if !in_flight.is_empty() => {
-                let index = usize::from(pick) % in_flight.len();
-                self.end_attempt(in_flight[index], pick)
+                let index = usize::from(choice) % in_flight.len();
+                self.end_attempt(in_flight[index], choice)
             }
-            8 => self.change_list(pick),
+            8 => self.change_list(choice),
             _ => {
                 self.harness.now += 5 * MS;
                 self.harness.feed(Event::Timer { token: 0 })
@@ -452,20 +514,20 @@
         }
     }
 
-    fn request(&mut self, pick: u16) -> Vec<Action> {
-        let id = self.next;
-        let class = usize::from(pick % 3);
-        let deadline = self.harness.now + 200 * MS + u64::from(pick % 1000) * MS;
-        self.watch.deadline.insert(id, (deadline, class));
-        self.watch.taken.push(self.harness.now);
-        self.next += 1;
+    fn request(&mut self, choice: u16) -> Vec<Action> {
+        let id = self.next_request;
+        let class = usize::from(choice % 3);
+        let deadline = self.harness.now + 200 * MS + u64::from(choice % 1000) * MS;
+        self.checker.requests.insert(id, (deadline, class));
+        self.checker.arrivals.push(self.harness.now);
+        self.next_request += 1;
         self.harness.feed(Event::Request(Request { id, deadline, class, ..Request::default() }))
     }
 
     fn end_attempt(
         &mut self,
         (request, attempt, server): (RequestId, usize, ServerId),
-        pick: u16,
+        choice: u16,
     ) -> Vec<Action> {
         const OUTCOMES: [Outcome; 8] = [
             Outcome::Ok,
@@ -477,52 +539,55 @@
             Outcome::Reset,
             Outcome::Cancelled,
         ];
-        let outcome = OUTCOMES[usize::from(pick / 7) % OUTCOMES.len()];
-        self.watch.attempts.get_mut(&request).unwrap()[attempt].1 = Some(outcome);
-        let finishes_request = outcome == Outcome::Ok || self.watch.finished.contains(&request);
+        let outcome = OUTCOMES[usize::from(choice / 7) % OUTCOMES.len()];
+        self.checker.attempts.get_mut(&request).unwrap()[attempt].1 = Some(outcome);
+        let finishes_request = outcome == Outcome::Ok || self.checker.finished.contains(&request);
         if finishes_request {
-            self.watch.finished.insert(request);
+            self.checker.finished.insert(request);
         }
-        let elapsed = u64::from(pick) * 3;
+        let elapsed = u64::from(choice) * 3;
         let end = AttemptEnd { request, attempt, server, outcome, elapsed, finishes_request };
         self.harness.feed(Event::AttemptEnded(end))
     }
 
-    fn change_list(&mut self, pick: u16) -> Vec<Action> {
-        let id = 10 + u64::from(pick % 4);
-        let status = if pick.is_multiple_of(3) { ServerStatus::Draining } else { ServerStatus::Ready };
-        let started_at = if pick.is_multiple_of(5) { self.harness.now } else { 0 };
+    fn change_list(&mut self, choice: u16) -> Vec<Action> {
+        let id = 10 + u64::from(choice % 4);
+        let status = if choice.is_multiple_of(3) { ServerStatus::Draining } else { ServerStatus::Ready };
+        let started_at = if choice.is_multiple_of(5) { self.harness.now } else { 0 };
         if status == ServerStatus::Ready {
-            self.watch.draining.remove(&id);
+            self.checker.draining.remove(&id);
         } else {
-            self.watch.draining.entry(id).or_insert(self.harness.now);
+            self.checker.draining.entry(id).or_insert(self.harness.now);
         }
         let entry = ServerEntry { status, started_at, ..server(id, 1) };
         self.harness.feed(Event::ServerList { kind: ListKind::Delta, entries: &[entry] })
     }
 
     fn check(&mut self, actions: &[Action]) {
-        self.watch.check(self.harness.now, &self.settings, 0.16, true, actions);
-        for (id, (deadline, _)) in &self.watch.deadline {
+        self.checker.check(self.harness.now, &self.settings, 0.16, true, actions);
+        for (id, (deadline, _)) in &self.checker.requests {
             let late = self.harness.now > deadline + self.settings.rules.deadline_grace;
-            assert!(!late || self.watch.finished.contains(id), "request {id} without a final answer");
+            assert!(
+                !late || self.checker.finished.contains(id),
+                "request {id} got no final response in time"
+            );
         }
     }
 }
 
-fn drive(steps: &[(u8, u16)]) -> Vec<Action> {
-    let mut driver = Driver::new();
-    let mut all = Vec::new();
-    for &(what, pick) in steps {
-        let actions = driver.step(what, pick);
+fn run_steps(steps: &[(u8, u16)]) -> Vec<Action> {
+    let mut driver = RandomDriver::new();
+    let mut all_actions = Vec::new();
+    for &(kind, choice) in steps {
+        let actions = driver.step(kind, choice);
         driver.check(&actions);
-        all.extend(actions);
+        all_actions.extend(actions);
     }
-    all
+    all_actions
 }
 
-/// Legal event sequences, drawn with a fixed seed: the rules hold on every action, and the same events
-/// bring the same actions.
+/// Draws valid event sequences from a fixed seed. The rules must hold for every action, and the same events
+/// must lead to the same actions.
 #[test]
 fn the_rules_hold_for_random_events_and_decisions_are_deterministic() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
@@ -531,8 +596,8 @@
     let steps = proptest::collection::vec((0u8..12, any::<u16>()), 200..900);
     runner
         .run(&steps, |steps| {
-            let once = drive(&steps);
-            prop_assert_eq!(once, drive(&steps));
+            let actions = run_steps(&steps);
+            prop_assert_eq!(actions, run_steps(&steps));
             Ok(())
         })
         .unwrap();
