--- a/src/interface.rs
+++ b/src/interface.rs
@@ -71,7 +71,7 @@
     Any,
     /// A share of all balancers must hold a vote to promote.
     Share,
-    /// The release is promoted after a fixed time, unless a vote holds it.
+    /// Time alone promotes the release, unless a vote holds it.
     Timer,
 }
 
@@ -178,7 +178,7 @@
     /// Times and limits of the service rules.
     pub rules: ServiceRules,
     /// Whether the balancer has to subscribe to the server list. Otherwise the list arrives without a
-    /// request.
+    /// subscription.
     pub subscribes_to_list: bool,
     /// Number of balancers in the fleet.
     pub fleet_size: usize,
