--- a/crates/proxy/src/driver/http_request.rs
+++ b/crates/proxy/src/driver/http_request.rs
@@ -1,4 +1,5 @@
-//! A request of the proxy's own, alone on its connection: to discovery, the release service or the publisher.
+//! HTTP requests that the proxy itself makes to discovery, the release service or the publisher. Each has a
+//! connection of its own.
 
 use http::Method;
 use std::net::SocketAddr;
@@ -6,7 +7,7 @@
 use violetseam_http1::Limits;
 use violetseam_http1::client::ClientConnection;
 
-/// An HTTP request of the proxy's own.
+/// An HTTP request that the proxy itself makes.
 pub(super) struct HttpRequest<'a> {
     pub(super) to: SocketAddr,
     method: Method,
@@ -15,17 +16,17 @@
 }
 
 impl<'a> HttpRequest<'a> {
-    /// A GET request.
+    /// Creates a GET request without a body.
     pub(super) fn get(to: SocketAddr, path: &'a str) -> Self {
         HttpRequest { to, method: Method::GET, path, body: &[] }
     }
 
-    /// A POST request with a body.
+    /// Creates a POST request with a body.
     pub(super) fn post(to: SocketAddr, path: &'a str, body: &'a [u8]) -> Self {
         HttpRequest { to, method: Method::POST, path, body }
     }
 
-    /// Queues the request on a new connection; gives the reader of its response.
+    /// Appends the request to the write buffer of a new connection, and returns the parser for its response.
     pub(super) fn queue(&self, socket: &mut Socket) -> ClientConnection {
         let HttpRequest { to, method, path, body } = self;
         let head = format!(
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,21 +1,22 @@
-//! The driver: sockets, datagrams, signals and the clock on one `calloop` event loop, for one [`Engine`].
+//! The driver runs the sockets, datagrams, signals and the clock of one [`Engine`] on one `calloop` event
+//! loop.
 //!
-//! - `options.rs`: how a proxy is started, and what it reports in the end
-//! - `event_loop.rs`: start, and turns of the event loop
-//! - `actions.rs`: the engine's actions
+//! - `options.rs`: the options that a proxy is started with, and the summary that it reports when it stops
+//! - `event_loop.rs`: the start of a proxy, and the iterations of its event loop
+//! - `actions.rs`: performs the engine's actions
 //! - `clock.rs`: the event loop's clock
-//! - `drain.rs`: the end of a proxy's work, and its summary
-//! - `clients/`: listeners and client connections, up to a complete request and from an answer on
+//! - `drain.rs`: drain, shutdown and the summary
+//! - `clients/`: listeners and client connections: reads requests for the engine and writes responses
 //! - `servers/`: connections to servers and the attempts on them
 //! - `site_calls/`: calls to discovery and to the release service
 //! - `server_list.rs`: the server list
-//! - `saved_list.rs`: the server list on disk
-//! - `configuration/`: the subscription to a publisher, reports to it, and the configuration on disk
-//! - `operators/`: the control sockets, commands and the state that they read
-//! - `http_request.rs`: a request of the proxy's own on a connection of its own
-//! - `peers.rs`: datagrams
-//! - `takeover/`: a new process takes the sockets and what the module learned
-//! - `timers.rs`: the driver's own time-outs, all of them bounds of connections
+//! - `saved_list.rs`: the copy of the server list on disk
+//! - `configuration/`: the subscription to a publisher, the reports to it, and the configuration on disk
+//! - `operators/`: the control sockets, the operators' commands and the state that operators read
+//! - `http_request.rs`: HTTP requests that the proxy itself makes, each on a connection of its own
+//! - `peers.rs`: datagrams to and from the other proxies of the fleet
+//! - `takeover/`: hands the sockets and the decision module's state over to a new process
+//! - `timers.rs`: the driver's own time-outs, which all bound connections and calls
 
 mod actions;
 mod clients;
@@ -68,19 +69,20 @@
 use violetseam_recorder::Recorder;
 use violetseam_settings::ProxySettings;
 
-/// The most bytes that one read takes.
+/// The size of the buffer for one read from a socket.
 const READ_BYTES: usize = 64 * 1024;
 
-/// A connection, by its place among those of its kind and its generation, as places are used again.
+/// Identifies a connection by its key in the slab of its kind. Slab keys are reused; the generation
+/// distinguishes the connection from earlier ones that had the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId {
     key: usize,
     generation: u64,
 }
 
-/// One proxy on its event loop.
+/// One proxy, which runs on one event loop.
 pub struct Proxy {
-    /// The control sockets, where a daemon runs this proxy.
+    /// The control sockets, if this proxy runs in a daemon that operators control.
     control: Option<ControlServer>,
     settings: Rc<ProxySettings>,
     engine: Engine,
@@ -91,41 +93,41 @@
     clients: Slab<Client>,
     servers: Slab<Server>,
     site_calls: SiteCalls,
-    /// Requests with an attempt or a response to come.
+    /// Requests that have been passed to the engine and still have an attempt or a response pending.
     in_flight: HashMap<RequestId, InFlightRequest>,
-    /// Connections to servers that are ready for an attempt.
+    /// Idle connections to servers, ready for an attempt.
     idle_servers: IdleConnections<ServerId>,
     timers: Timers,
     server_list: ServerList,
-    /// To a publisher's configuration, where the settings name one.
+    /// The subscription to a publisher's configuration, if the settings name a publisher.
     subscription: Option<Box<Subscription>>,
-    /// For peers, where the settings name an address.
+    /// The UDP socket for messages between peers, if the settings name an address for it.
     peer_socket: Option<PeerSocket>,
-    /// The proxy's entry in a request's `Via` field.
+    /// The value that this proxy adds to the `Via` header field of requests and responses.
     via: String,
-    /// The bounds of a message's head and body.
+    /// The limits on the head and the body of a message.
     head_limits: HeadLimits,
-    /// Read buffer, shared by all connections.
+    /// The read buffer, shared by all connections.
     scratch: Vec<u8>,
     rng: rand_pcg::Pcg64,
-    /// The generation of the latest connection.
+    /// The generation of the connection that was opened last.
     generation: u64,
     lifecycle: Lifecycle,
-    /// When a drain closes the listeners whatever waits in their queues.
+    /// The time at which a drain closes the listeners, even if connections are still waiting in their queues.
     listen_until: Micros,
-    /// Bounds how often lines are logged that others can cause.
+    /// Limits the rate of log lines that other hosts can cause.
     log_limit: LogRateLimit,
-    /// Clients with unprocessed input, to be resumed after the engine's actions.
+    /// Client connections with unprocessed input, to be resumed once the engine's actions are performed.
     clients_to_resume: Vec<ConnectionId>,
-    /// The engine's actions are being performed further up the stack.
+    /// Whether a caller further up the stack is already performing the engine's actions.
     is_running_actions: bool,
-    /// Sockets were ready in this turn.
+    /// Whether sockets were ready in this iteration of the event loop.
     had_socket_events: bool,
-    /// The latest vote, as operators read it.
+    /// The latest vote, in the form that operators read.
     last_vote: Option<String>,
-    /// The latest log line of the analysis, as operators read it.
+    /// The latest log line of the canary analysis, in the form that operators read.
     last_finding: Option<String>,
-    /// When a datagram of each peer was last received.
+    /// When the latest datagram of each peer was received, by the peer's position in the fleet.
     peers_heard_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
@@ -182,12 +184,13 @@
         })
     }
 
-    /// The event loop's clock in microseconds.
+    /// Returns the time of the event loop's clock in microseconds.
     fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Whether each response closes its connection: this process has stopped accepting, or is about to.
+    /// Whether each response closes its connection, because this process accepts no connections any more or
+    /// is about to stop accepting them.
     fn is_leaving(&self) -> bool {
         self.lifecycle.is_draining() || self.is_handing_over()
     }
@@ -197,7 +200,7 @@
         self.generation
     }
 
-    /// A random number, for an answer's identity or a wait.
+    /// Returns a random number, used as the identity of a response or to randomize a waiting time.
     fn draw(&mut self) -> u64 {
         self.rng.random()
     }
@@ -223,7 +226,7 @@
     Ok(engine)
 }
 
-/// The bounds of a client's request.
+/// Returns the limits on the head and the body of a message that the settings state.
 fn head_limits(settings: &ProxySettings) -> HeadLimits {
     HeadLimits {
         max_head_bytes: settings.connections.max_head_bytes,
@@ -232,7 +235,7 @@
     }
 }
 
-/// A seed that differs at each start.
+/// Returns a seed that differs at each start of a process.
 fn fresh_seed() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     (now.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40)
--- a/crates/proxy/src/driver/options.rs
+++ b/crates/proxy/src/driver/options.rs
@@ -1,4 +1,4 @@
-//! How a proxy is started, and what it reports when it stops.
+//! The options that a proxy is started with, and the summary that it reports when it stops.
 
 use crate::engine::Counts;
 use std::path::PathBuf;
@@ -7,55 +7,57 @@
 use std::time::Duration;
 use violetseam_recorder::RecordingLimits;
 
-/// Where a proxy records its events and actions.
+/// Where a proxy records its events and actions, and how much.
 #[derive(Clone, Debug)]
 pub struct Recording {
-    /// The file.
+    /// The path of the recording.
     pub path: PathBuf,
-    /// How much is recorded.
+    /// The limits on the size of the recording.
     pub limits: RecordingLimits,
 }
 
-/// How a proxy is started beside its settings.
+/// The options that a proxy is started with, in addition to its settings.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Records every event and action.
+    /// Where every event and action is recorded; nothing is recorded if this is absent.
     pub record: Option<Recording>,
-    /// Measures the time spent in the module.
+    /// Whether the time spent in the decision module is measured.
     pub time_module: bool,
-    /// Stops by itself after this span.
+    /// The time after which the proxy stops by itself.
     pub stop_after: Option<Duration>,
-    /// Drains once this is set, for proxies that share a process with others and its signals.
+    /// The proxy drains and stops once this flag is set. It is for proxies that share a process with others,
+    /// and therefore cannot be stopped by a signal to the process.
     pub stop: Option<Arc<AtomicBool>>,
-    /// For the checker's own tests: how this proxy breaks the rules on purpose.
+    /// The rule that this proxy breaks on purpose, for the tests of the rule checker.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<Sabotage>,
 }
 
-/// Ways to break the rules on purpose, so that the rule checker can be seen to notice. Only in builds with
-/// the feature `sabotage`; the module and the engine are the ordinary ones.
+/// Ways to break the rules on purpose, so that tests can verify that the rule checker reports them. They
+/// exist only in builds with the feature `sabotage`. The decision module and the engine are not changed by
+/// it.
 #[cfg(feature = "sabotage")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Every twentieth request goes out twice.
+    /// Every twentieth request is sent twice.
     DoubleSend,
-    /// Final answers of the proxy's own are delayed until after the deadline.
+    /// Final responses that the proxy itself generates are delayed until after the deadline.
     LateAnswer,
-    /// Discovery's notice that a server drains is ignored.
+    /// Notices from discovery that a server drains are ignored.
     IgnoreDrains,
-    /// The fleet's budgets are ignored.
+    /// The fleet's retry budgets are ignored.
     Spendthrift,
 }
 
-/// What a proxy did, reported when it stops.
+/// What a proxy did, as it reports it when it stops.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
-    /// Requests and attempts.
+    /// Counts of requests and attempts.
     pub counts: Counts,
-    /// Client connections and server connections left open: 0 after a drain.
+    /// How many client connections and busy server connections were left open; 0 after a complete drain.
     pub left_open: usize,
-    /// Requests left in flight: 0 after a drain.
+    /// How many requests were left in flight; 0 after a complete drain.
     pub left_in_flight: usize,
-    /// Time spent in the module, if measured.
+    /// The time spent in the decision module, if it was measured.
     pub module_time: Duration,
 }
