--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! The engine's actions, and what attempts report back to it.
+//! Performs the engine's actions, and reports the outcomes of attempts to the engine.
 
 use super::Proxy;
 #[cfg(feature = "sabotage")]
@@ -9,13 +9,13 @@
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_site_protocol::peer_datagram::PayloadKind;
 
-/// How much later than its deadline a response is that is delayed on purpose.
+/// How long the sabotage [`Sabotage::LateAnswer`] delays a response, so that it misses its deadline.
 #[cfg(feature = "sabotage")]
 const RESPONSE_DELAY: Micros = 2_000_000;
 
 impl Proxy {
-    /// Performs the engine's actions, and what comes of them, until nothing is left. Called from within, it
-    /// leaves that to the call it came from.
+    /// Performs the engine's actions, and those that result from them, until none is left. A nested call
+    /// returns at once, because the outermost call performs these actions too.
     pub(super) fn run_engine_actions(&mut self) {
         self.had_socket_events = true;
         if std::mem::replace(&mut self.is_running_actions, true) {
@@ -23,7 +23,7 @@
         }
         loop {
             if let Some(action) = self.engine.next_action() {
-                self.perform(action);
+                self.perform_action(action);
             } else if let Some(client) = self.clients_to_resume.pop() {
                 self.resume_client(client);
             } else {
@@ -33,9 +33,10 @@
         self.is_running_actions = false;
     }
 
-    fn perform(&mut self, action: EngineAction) {
-        // These are the successor's now: two processes must not vote or speak as one proxy.
-        if self.has_handed_over() && speaks_as_proxy(&action) {
+    fn perform_action(&mut self, action: EngineAction) {
+        // After a hand-over the new process votes and sends messages in this proxy's place. The two processes
+        // must not both vote or send messages as the same proxy.
+        if self.has_handed_over() && communicates_as_proxy(&action) {
             return;
         }
         match action {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Gives a final response of the proxy's own, unless sabotage delays it.
+    /// Sends a final response that the proxy itself generates; the sabotage `LateAnswer` delays it.
     fn respond(&mut self, request: RequestId, response: LocalResponse) {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(Sabotage::LateAnswer) {
@@ -71,16 +72,17 @@
         self.send_local_response(request, response);
     }
 
-    /// Reports an attempt's end to the engine; the caller's `run_engine_actions` performs the actions that
-    /// come of it.
+    /// Reports the end of an attempt to the engine. The caller must call `run_engine_actions` afterwards,
+    /// which performs the resulting actions. Returns true if the attempt's response is the one to be sent to
+    /// the client.
     pub(super) fn end_attempt(&mut self, request: u64, attempt: usize, outcome: Outcome) -> bool {
         let now = self.now();
         self.engine.on_attempt_ended(now, request, attempt, outcome)
     }
 }
 
-/// Whether an action sends something to others in the proxy's name.
-fn speaks_as_proxy(action: &EngineAction) -> bool {
+/// Whether an action sends something to the site or to peers in the proxy's name.
+fn communicates_as_proxy(action: &EngineAction) -> bool {
     matches!(
         action,
         EngineAction::WatchServerList
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -4,30 +4,30 @@
 use std::time::{Duration, Instant};
 use violetseam::interface::Micros;
 
-/// The clock at the start of a proxy that takes over from nobody.
-const FIRST_CLOCK: Micros = 1_000_000;
+/// The time that the clock starts at in a proxy that does not take over from another process.
+const INITIAL_TIME: Micros = 1_000_000;
 
-/// A monotonic clock in microseconds, which a process that takes over continues.
+/// A monotonic clock in microseconds. A process that takes over continues the clock of the old process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
-    started: Instant,
-    /// The clock at the start.
-    origin: Micros,
+    started_at: Instant,
+    /// The time that the clock showed when this process started.
+    time_at_start: Micros,
 }
 
 impl Clock {
-    /// Starts the clock where the process before this one has it, or at one second.
+    /// Starts the clock at the old process's present time in a takeover, and at [`INITIAL_TIME`] otherwise.
     pub(super) fn start(inherited: Option<&Inherited>) -> Self {
-        Clock { started: Instant::now(), origin: inherited.map_or(FIRST_CLOCK, Inherited::clock) }
+        Clock { started_at: Instant::now(), time_at_start: inherited.map_or(INITIAL_TIME, Inherited::clock) }
     }
 
-    /// The present time.
+    /// Returns the present time.
     pub(super) fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// How long this process has run.
+    /// Returns how long this process has run.
     pub(super) fn uptime(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 }
