--- a/crates/proxy/src/driver/takeover/mod.rs
+++ b/crates/proxy/src/driver/takeover/mod.rs
@@ -1,18 +1,21 @@
-//! Takeover: a new process gets the sockets of the old one and what its decision module has learned.
+//! Takeover: a new process takes over the sockets of the old process and what its decision module has
+//! learned.
 //!
-//! On the control connection, after the question `"takeover"`:
-//! 1. old: a JSON line [`Offer`](protocol::Offer), then the module (postcard, so many bytes), then messages
-//!    of one byte that carry descriptors: listeners, the peers' socket, the listener for control over TCP, idle
-//!    client connections;
-//! 2. new: `ready` and a line end, once all its sockets are open; 3. old: `go` and a line end.
+//! The new process requests the takeover with `"takeover"` on the control connection. Then:
+//! 1. The old process sends an [`Offer`](protocol::Offer) as one line of JSON, then the module (encoded with
+//!    postcard, of the length that the offer states), then messages of one byte that carry file descriptors:
+//!    the listeners, the peers' socket, the listener for control over TCP and the idle client connections.
+//! 2. The new process sends `ready` and a line end once all its sockets are open.
+//! 3. The old process sends `go` and a line end.
 //!
-//! From 1 on the old process accepts nothing, reads no client and starts no attempt, so that what it handed
-//! over stays true: exposure, drains learned, keys and the budgets of servers that warm up bind the new one
-//! as they bound it. If the new one goes away or takes too long before 2, the old one serves on. After 3 the
-//! old one answers its requests in flight, closing each connection with its answer, and ends; those that it
-//! has not sent to a server it rejects.
+//! From step 1 on the old process accepts no connections, reads from no client and starts no attempt, so that
+//! what it handed over stays correct: exposure, drains that it has learned of, idempotency keys and the load
+//! budgets of servers that warm up limit the new process exactly as they limited the old one. If the new
+//! process closes the connection or exceeds its time before step 2, the old process continues to serve. After
+//! step 3 the old process completes its requests in flight, closes each connection with its response, and
+//! ends. It rejects the requests that it has not sent to a server.
 //!
-//! - `protocol.rs`: what the two send each other
+//! - `protocol.rs`: the messages between the two processes
 //! - `old_process.rs`: the process that hands over
 //! - `new_process.rs`: the process that takes over
 //! - `descriptor_passing.rs`: file descriptors in messages
