--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -18,7 +18,7 @@
 
 impl Proxy {
     /// The connections that are between two requests.
-    pub(in super::super) fn idle_clients(&self) -> Vec<usize> {
+    pub(in super::super) fn idle_client_keys(&self) -> Vec<usize> {
         self.clients.iter().filter(|(_, c)| c.is_between_requests()).map(|(key, _)| key).collect()
     }
 
@@ -30,7 +30,7 @@
     /// Before a drain: what has come on idle connections is read. The others close, but those whose first
     /// request may be on its way.
     pub(in super::super) fn close_idle_clients(&mut self) {
-        for key in self.idle_clients() {
+        for key in self.idle_client_keys() {
             self.read_client(key);
             if self.clients.get(key).is_some_and(|c| c.has_received_request && c.is_between_requests()) {
                 self.close_client(key);
@@ -40,7 +40,7 @@
 
     /// After a drain that was cancelled: idle connections have their ordinary time-out again.
     pub(in super::super) fn reset_idle_timeouts(&mut self) {
-        for key in self.idle_clients() {
+        for key in self.idle_client_keys() {
             self.clients[key].timeout.set(None);
             self.rearm_client(key);
         }
@@ -173,7 +173,9 @@
         };
         // A client that sends its head byte by byte must not postpone its own time-out with each byte.
         let timeout_at = timeout.map(|timeout| now + timeout);
-        client.timeout.set(timeout_at.map(|at| client.timeout.at().map_or(at, |running| running.min(at))));
+        client
+            .timeout
+            .set(timeout_at.map(|at| client.timeout.expires_at().map_or(at, |running| running.min(at))));
         let id = ConnectionId { key, generation: client.generation };
         client.timeout.arm(&mut self.timers, TimerKind::Client(id));
     }
@@ -196,7 +198,7 @@
         let Some(client) = self.clients.get_mut(id.key).filter(|c| c.generation == id.generation) else {
             return;
         };
-        if !client.timeout.on_timer(now, &mut self.timers, TimerKind::Client(id)) {
+        if !client.timeout.on_timer_fired(now, &mut self.timers, TimerKind::Client(id)) {
             return;
         }
         let is_receiving =
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -82,7 +82,7 @@
             tracing::warn!(open = self.clients.len(), "accepting pauses: {why}");
         }
         self.set_accepting(false);
-        self.timers.set(now + ACCEPT_PAUSE, TimerKind::Accept);
+        self.timers.set(now + ACCEPT_PAUSE, TimerKind::ResumeAccepting);
     }
 
     /// Goes on accepting after a pause.
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -1,42 +1,43 @@
-//! The end of a proxy's work: a drain, its reversal, the shutdown and the summary.
+//! How a proxy drains, cancels a drain, shuts down and reports its summary.
 
 use super::operators::commands::UndrainError;
 use super::{Proxy, Summary};
 use crate::engine::Counts;
 
-/// How far the end of this process's work has come.
+/// The stage of this process's life: from serving, through a drain, to the end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lifecycle {
-    /// Takes connections and requests.
+    /// The proxy accepts connections and requests.
     #[default]
     Serving,
-    /// Takes nothing new but what is on its way, until an operator calls the drain off.
+    /// The proxy accepts only the connections and requests that are already on their way, until an operator
+    /// cancels the drain.
     Draining,
-    /// The same, and ends once nothing is left in flight.
+    /// The proxy drains, and the process ends once nothing is in flight.
     ShuttingDown,
-    /// Nothing is left: the event loop ends.
+    /// Nothing is in flight any more; the event loop ends.
     Stopped,
 }
 
 impl Lifecycle {
-    /// Whether nothing new is taken but what is on its way.
+    /// Whether only connections and requests that are already on their way are accepted.
     pub(super) fn is_draining(self) -> bool {
         self >= Lifecycle::Draining
     }
 
-    /// Whether the process ends once nothing is left in flight.
+    /// Whether the process ends once nothing is in flight.
     pub(super) fn is_shutting_down(self) -> bool {
         self >= Lifecycle::ShuttingDown
     }
 
-    /// Whether the event loop is to end.
+    /// Whether the event loop must end.
     pub(super) fn has_stopped(self) -> bool {
         self == Lifecycle::Stopped
     }
 }
 
 impl Proxy {
-    /// Starts a drain, after which the event loop ends.
+    /// Starts a drain, after which the event loop ends. This drain cannot be cancelled.
     pub(super) fn shut_down(&mut self) {
         let was_draining = self.lifecycle.is_draining();
         self.lifecycle = self.lifecycle.max(Lifecycle::ShuttingDown);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Starts a drain that an operator may call off.
+    /// Starts a drain that an operator can cancel.
     pub(super) fn start_drain(&mut self) {
         if !self.lifecycle.is_draining() {
             self.lifecycle = Lifecycle::Draining;
@@ -53,9 +54,10 @@
         }
     }
 
-    /// Stops taking connections and requests, but for those on their way: in the listeners' queues, and first
-    /// requests on connections that were accepted. Listeners close once their queues are empty: what waits
-    /// there would be neither accepted nor free to go elsewhere.
+    /// Stops accepting connections and requests, except those that are already on their way: connections that
+    /// wait in the listeners' queues, and the first request on a connection that was accepted. The listeners
+    /// close only when their queues are empty: a connection left in a queue would not be accepted, and its
+    /// client would not be free to connect elsewhere.
     fn drain_listeners_and_clients(&mut self) {
         tracing::info!(owed = self.engine.pending_responses(), "draining");
         self.listen_until = self.listen_deadline();
@@ -64,7 +66,7 @@
         self.run_engine_actions();
     }
 
-    /// Takes connections again after an operator's drain.
+    /// Cancels an operator's drain: the proxy accepts connections again.
     pub(super) fn stop_drain(&mut self) -> Result<(), UndrainError> {
         if self.lifecycle.is_shutting_down() {
             return Err(UndrainError::Ending);
@@ -81,16 +83,16 @@
         Ok(())
     }
 
-    /// Nothing is in flight and nothing can come.
-    pub(super) fn has_ended(&self) -> bool {
-        let nothing_open = self.listeners.is_empty() && self.clients.is_empty();
-        nothing_open && self.engine.pending_responses() == 0 && self.in_flight.is_empty()
+    /// Whether nothing is in flight and nothing more can arrive.
+    pub(super) fn is_drain_complete(&self) -> bool {
+        let are_all_closed = self.listeners.is_empty() && self.clients.is_empty();
+        are_all_closed && self.engine.pending_responses() == 0 && self.in_flight.is_empty()
     }
 
-    /// Stores what has to be stored and sums up.
+    /// Writes unsaved state to disk and returns the summary.
     pub(super) fn finish(mut self) -> Summary {
         if self.server_list.is_unsaved() {
-            self.save_list();
+            self.save_server_list();
         }
         self.finish_configuration();
         self.finish_recording();
@@ -107,11 +109,11 @@
 
     fn finish_recording(&mut self) {
         let Some(recorder) = self.engine.take_recorder() else { return };
-        if let Some(why) = recorder.stop_reason() {
-            tracing::warn!("recording ended early: {why}");
+        if let Some(reason) = recorder.stop_reason() {
+            tracing::warn!("recording ended early: {reason}");
         }
         if let Err(error) = recorder.finish() {
-            tracing::error!("recording: {error}");
+            tracing::error!("the recording could not be completed: {error}");
         }
     }
 }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -1,4 +1,4 @@
-//! Peers' datagrams on one UDP socket.
+//! Sends and receives the datagrams between peers on one UDP socket.
 
 use super::Proxy;
 use calloop::generic::Generic;
@@ -7,30 +7,31 @@
 use std::rc::Rc;
 use violetseam_site_protocol::peer_datagram::{self, Datagram, PayloadKind};
 
-/// Datagrams received in one turn of the event loop; more wait for the next, or are dropped by the kernel.
-const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// The most datagrams received in one iteration of the event loop. More wait for the next iteration, or the
+/// kernel drops them.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
 
-/// The peers' socket on the event loop.
+/// The socket for messages between peers, registered on the event loop.
 pub(super) struct PeerSocket {
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
 }
 
 impl PeerSocket {
-    /// The socket, to be handed over.
+    /// Returns the socket, so that it can be handed over.
     pub(super) fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 }
 
 impl Proxy {
-    /// Opens the socket for peers, where the settings name an address for it.
-    pub(super) fn bind_peers(&mut self) -> std::io::Result<()> {
+    /// Binds the socket for messages between peers, if the settings name an address for it.
+    pub(super) fn bind_peer_socket(&mut self) -> std::io::Result<()> {
         let Some(address) = self.settings.peer_listen else { return Ok(()) };
         self.add_peer_socket(UdpSocket::bind(address)?)
     }
 
-    /// Puts the peers' socket on the event loop.
+    /// Registers the socket for messages between peers on the event loop.
     pub(super) fn add_peer_socket(&mut self, socket: UdpSocket) -> std::io::Result<()> {
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
@@ -48,7 +49,7 @@
 
     fn on_datagrams(&mut self, socket: &UdpSocket) {
         let mut bytes = [0; peer_datagram::MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Ok((length, sender)) = socket.recv_from(&mut bytes) else { return };
             self.on_datagram(sender, &bytes[..length]);
         }
@@ -61,19 +62,20 @@
                 Ok(datagram) => datagram,
                 Err(error) => {
                     if self.log_limit.allows(now) {
-                        tracing::warn!(from = %sender, "datagram dropped: {error}");
+                        tracing::warn!(from = %sender, "peer datagram dropped: {error}");
                     }
                     return;
                 }
             };
         let position = usize::from(position);
-        // A position that does not come from its own address is somebody else's message.
+        // A datagram that states a peer's position but was not sent from that peer's address comes from some
+        // other host.
         if self.settings.peers.get(position) != Some(&sender) {
             if self.log_limit.allows(now) {
                 tracing::warn!(
                     number = position,
                     from = %sender,
-                    "datagram from an address that is not this peer's"
+                    "peer datagram dropped: it was not sent from the address of the peer that it names"
                 );
             }
             return;
@@ -86,14 +88,14 @@
         self.run_engine_actions();
     }
 
-    /// Leaves the peers' socket to the process that has taken over.
-    pub(super) fn leave_peers(&mut self) {
+    /// Closes this process's copy of the socket; the process that has taken over keeps its own.
+    pub(super) fn close_peer_socket(&mut self) {
         if let Some(PeerSocket { token, .. }) = self.peer_socket.take() {
             self.handle.remove(token);
         }
     }
 
-    /// Sends a message to one peer, or to all.
+    /// Sends a message to the peer at position `to`, or to all peers.
     pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: PayloadKind, payload: &[u8]) {
         let own_position = self.settings.decisions.position;
         let Some(PeerSocket { socket, .. }) = &self.peer_socket else { return };
@@ -102,8 +104,8 @@
         for (position, address) in self.settings.peers.iter().enumerate() {
             let is_recipient = to.is_none_or(|to| to == position);
             if position != own_position && is_recipient {
-                // One that cannot be sent is like one that the network lost: counters only grow, so that the
-                // next message makes up for it.
+                // A datagram that cannot be sent is treated like one that the network lost. The counters in
+                // these messages only grow, so the next message makes up for it.
                 let _ = socket.send_to(&datagram, address);
             }
         }
--- a/crates/proxy/src/driver/saved_list.rs
+++ b/crates/proxy/src/driver/saved_list.rs
@@ -1,4 +1,4 @@
-//! The server list on disk, for a restart or a process that takes over.
+//! Saves the server list to disk, for a restart or for a process that takes over.
 
 use super::Proxy;
 use super::operators::wall_clock;
@@ -7,20 +7,21 @@
 use violetseam_site_protocol::MessageError;
 use violetseam_site_protocol::endpoint_list::ListUpdate;
 
-/// Why a saved list is not used.
+/// Why a saved list cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum SavedListError {
-    #[error("no time of saving")]
+    #[error("its first line is not the time of saving in microseconds")]
     NoTime,
-    #[error("{0}")]
+    #[error("its list cannot be parsed: {0}")]
     Malformed(#[source] MessageError),
 }
 
 impl Proxy {
-    /// The list as saved before a restart. Ages count on over the restart by the wall clock; should that have
-    /// gone back, servers look younger than they are, which is the safe side.
-    pub(super) fn load_saved_list(&mut self) -> Option<ListUpdate> {
-        let path = self.settings.state_dir.as_ref()?.join(self.saved_list_file());
+    /// Loads the list that was saved before a restart. The servers' ages include the time that has passed
+    /// since then by the wall clock. If the wall clock was set back meanwhile, servers appear younger than
+    /// they are, which is the safe side: their slow start lasts longer.
+    pub(super) fn load_saved_server_list(&mut self) -> Option<ListUpdate> {
+        let path = self.settings.state_dir.as_ref()?.join(self.saved_list_file_name());
         let bytes = std::fs::read(&path).ok()?;
         let mut parts = bytes.splitn(2, |byte| *byte == b'\n');
         let saved_at = parts.next()?;
@@ -28,39 +29,40 @@
         match parse_saved_list(saved_at, list) {
             Ok(saved) => {
                 let now = self.now();
-                self.server_list.list_saved(now, &saved);
+                self.server_list.set_saved_entries(now, &saved);
                 Some(saved)
             }
             Err(error) => {
-                tracing::warn!("saved roster ignored: {error}");
+                tracing::warn!("saved server list {path:?} ignored: {error}");
                 None
             }
         }
     }
 
-    /// Saves the list for a restart: written aside and renamed, so that a crash leaves the old or the new.
-    pub(super) fn save_list(&mut self) {
+    /// Saves the list for a restart. The list is written to a temporary file that then replaces the old one,
+    /// so that a crash leaves either the old list or the new one.
+    pub(super) fn save_server_list(&mut self) {
         let now = self.now();
-        let Some(folder) = &self.settings.state_dir else { return };
-        let path = folder.join(self.saved_list_file());
-        let aside = folder.join(self.saved_list_file() + ".new");
-        let saved = write_by_rename(&path, &aside, &self.list_to_save(now));
+        let Some(state_dir) = &self.settings.state_dir else { return };
+        let path = state_dir.join(self.saved_list_file_name());
+        let temporary_path = state_dir.join(self.saved_list_file_name() + ".new");
+        let saved = replace_file(&path, &temporary_path, &self.encode_list_to_save(now));
         if let Err(error) = saved
             && self.log_limit.allows(now)
         {
-            tracing::warn!("roster not saved: {error}");
+            tracing::warn!("server list could not be saved to {path:?}: {error}");
         }
     }
 
-    /// The time of saving, then the list as one message.
-    fn list_to_save(&self, now: Micros) -> Vec<u8> {
+    /// Returns the content of the file: a line with the time of saving, then the list as one message.
+    fn encode_list_to_save(&self, now: Micros) -> Vec<u8> {
         let snapshot = self.server_list.snapshot(now);
         let mut bytes = format!("{}\n", wall_clock()).into_bytes();
         bytes.extend(snapshot.write());
         bytes
     }
 
-    fn saved_list_file(&self) -> String {
+    fn saved_list_file_name(&self) -> String {
         format!("roster-{}.json", self.settings.decisions.position)
     }
 }
@@ -76,7 +78,7 @@
     Ok(saved)
 }
 
-fn write_by_rename(path: &Path, aside: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    std::fs::write(aside, bytes)?;
-    std::fs::rename(aside, path)
+fn replace_file(path: &Path, temporary_path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+    std::fs::write(temporary_path, bytes)?;
+    std::fs::rename(temporary_path, path)
 }
--- a/crates/proxy/src/driver/server_list.rs
+++ b/crates/proxy/src/driver/server_list.rs
@@ -1,4 +1,5 @@
-//! The server list as this proxy has it: addresses for the driver, and the entries to be saved and reported.
+//! The server list of this proxy: the servers' addresses for the driver, and the entries that are saved to
+//! disk and reported to operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,15 +9,15 @@
     AppliedUpdate, Endpoint, EndpointList, EndpointState, ListUpdate, UpdateKind,
 };
 
-/// A change of the list, in the decision module's terms.
+/// A change of the list, in the types of the decision module.
 pub(super) struct ListChange {
-    /// Whether the entries are the complete list.
+    /// Whether the entries are the complete list or only those that changed.
     pub(super) kind: ListKind,
-    /// The entries that changed, or all.
+    /// The entries that changed, or all entries.
     pub(super) entries: Vec<ServerEntry>,
 }
 
-/// An entry of the list, and when it was received.
+/// An entry of the list, and the time when it was received.
 struct ListedServer {
     received_at: Micros,
     endpoint: Endpoint,
@@ -26,48 +27,51 @@
 #[derive(Default)]
 pub(super) struct ServerList {
     endpoints: EndpointList,
-    /// The entries as discovery stated them.
+    /// The entries as discovery reported them.
     listed: BTreeMap<ServerId, ListedServer>,
-    /// The list has changed since it was saved.
+    /// Whether the list has changed since it was saved.
     is_unsaved: bool,
     received_at: Option<Micros>,
 }
 
 impl ServerList {
-    /// The version of the list; none before the first update.
+    /// Returns the version of the list, or `None` before the first update.
     pub(super) fn version(&self) -> Option<u64> {
         self.endpoints.version()
     }
 
-    /// Where a server listens; known also after it has left, as attempts may still be in flight.
+    /// Returns the address that a server listens on. The address stays known after the server has left the
+    /// list, because attempts may still be in flight.
     pub(super) fn address(&self, id: ServerId) -> Option<SocketAddr> {
         self.endpoints.address(id)
     }
 
-    /// The build that a server is listed with.
+    /// Returns the build that a server is listed with.
     pub(super) fn build(&self, id: ServerId) -> Option<Build> {
         self.listed.get(&id).map(|server| server.endpoint.build)
     }
 
-    /// How many servers are listed.
+    /// Returns how many servers are listed.
     pub(super) fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// When the latest update was received.
+    /// Returns the time when the latest update was received.
     pub(super) fn received_at(&self) -> Option<Micros> {
         self.received_at
     }
 
-    /// Applies an update.
+    /// Applies an update to the list.
     ///
     /// # Errors
     ///
-    /// If it does not fit the version that the list has; the list stays as it was.
+    /// Returns an error if the update does not apply to the version that the list has. The list then stays as
+    /// it was.
     pub(super) fn apply(&mut self, now: Micros, update: ListUpdate) -> Result<ListChange, MessageError> {
         let applied = self.endpoints.apply(now, &update);
         if applied.is_err() && update.kind == UpdateKind::Delta {
-            // Whatever discovery lost, its complete list is fetched next and must be newer.
+            // Whichever update discovery lost, the complete list is fetched next. It must be newer than this
+            // copy, so its version is not compared with the copy's.
             self.endpoints.forget_version();
         }
         let AppliedUpdate { kind, entries } = applied?;
@@ -86,20 +90,21 @@
         Ok(ListChange { kind, entries })
     }
 
-    /// Lists the servers of a saved list; [`ServerList::restore`] makes their addresses known.
-    pub(super) fn list_saved(&mut self, now: Micros, saved: &ListUpdate) {
-        let listed = |endpoint: &Endpoint| ListedServer { received_at: now, endpoint: endpoint.clone() };
-        self.listed = saved.servers.iter().map(|endpoint| (endpoint.id, listed(endpoint))).collect();
+    /// Sets the listed entries to those of a saved list. [`ServerList::restore`] makes their addresses known.
+    pub(super) fn set_saved_entries(&mut self, now: Micros, saved: &ListUpdate) {
+        let as_listed = |endpoint: &Endpoint| ListedServer { received_at: now, endpoint: endpoint.clone() };
+        self.listed = saved.servers.iter().map(|endpoint| (endpoint.id, as_listed(endpoint))).collect();
     }
 
-    /// Makes a saved list's addresses known; the version is not, so that the complete list is fetched.
+    /// Makes the addresses of a saved list known. The version stays unknown, so that the complete list is
+    /// fetched.
     pub(super) fn restore(&mut self, now: Micros, saved: &ListUpdate) -> Vec<ServerEntry> {
         self.endpoints.restore(now, saved)
     }
 
-    /// The list as one update that can be saved, with the servers' ages at this moment.
+    /// Returns the list as one update that can be saved, with the servers' ages at `now`.
     pub(super) fn snapshot(&self, now: Micros) -> ListUpdate {
-        let aged = |ListedServer { received_at, endpoint }: &ListedServer| Endpoint {
+        let with_current_age = |ListedServer { received_at, endpoint }: &ListedServer| Endpoint {
             age_us: endpoint.age_us.map(|age| age + now.saturating_sub(*received_at)),
             ..endpoint.clone()
         };
@@ -107,7 +112,7 @@
             kind: UpdateKind::Full,
             version: self.version().unwrap_or(0),
             base: 0,
-            servers: self.listed.values().map(aged).collect(),
+            servers: self.listed.values().map(with_current_age).collect(),
         }
     }
 
@@ -116,7 +121,7 @@
         self.is_unsaved
     }
 
-    /// The same, after which it counts as saved.
+    /// Like [`ServerList::is_unsaved`], and marks the list as saved.
     pub(super) fn take_unsaved(&mut self) -> bool {
         std::mem::take(&mut self.is_unsaved)
     }
--- a/crates/proxy/src/driver/servers/connections.rs
+++ b/crates/proxy/src/driver/servers/connections.rs
@@ -49,7 +49,7 @@
         let Some(server) = self.servers.get_mut(id.key).filter(|s| s.generation == id.generation) else {
             return;
         };
-        if !server.timeout.on_timer(now, &mut self.timers, TimerKind::Server(id)) {
+        if !server.timeout.on_timer_fired(now, &mut self.timers, TimerKind::Server(id)) {
             return;
         }
         match server.state {
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -1,45 +1,45 @@
-//! The old process of a takeover: offers itself, and hands over or serves on.
+//! The old process of a takeover: makes the offer, and then hands over or continues to serve.
 
 use super::super::drain::Lifecycle;
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
 use super::descriptor_passing::send_descriptors;
 use super::protocol::{
-    BUSY_LINE, GO_LINE, Offer, PEER_TIMEOUT, READY_LINE, VERSION, VERSION_WITHOUT_CONTROL_LISTENER,
+    BUSY_LINE, GO_LINE, HAND_OVER_TIMEOUT, Offer, READY_LINE, VERSION, VERSION_WITHOUT_CONTROL_LISTENER,
     monotonic_micros,
 };
 use std::io::Write;
 use std::os::fd::{AsFd, BorrowedFd};
 use violetseam::interface::Micros;
 
-/// Why the old process serves on after it has offered itself.
+/// Why the old process continues to serve after it started a hand-over.
 #[derive(Debug, thiserror::Error)]
 pub(in super::super) enum HandOverError {
-    /// The offer could not be written or sent.
-    #[error("nothing could be handed over: {0}")]
+    /// The offer could not be created or sent.
+    #[error("the offer could not be sent: {0}")]
     Offer(#[source] std::io::Error),
-    /// Something else came than the line that says it is ready.
-    #[error("the new process does not speak the protocol")]
+    /// The new process sent something other than the line that reports that it is ready.
+    #[error("the new process sent something other than `ready`")]
     UnexpectedMessage,
-    /// Its connection is closed.
-    #[error("the new process went away")]
+    /// The connection to the new process is closed.
+    #[error("the connection to the new process is closed")]
     SuccessorGone,
-    /// It was not ready within [`PEER_TIMEOUT`].
-    #[error("the new process took too long")]
+    /// The new process was not ready within [`HAND_OVER_TIMEOUT`].
+    #[error("the new process was not ready within {HAND_OVER_TIMEOUT:?}")]
     TimedOut,
 }
 
-/// How far this process has come in handing over.
+/// The stage that this process has reached in handing over.
 #[derive(Default)]
 pub(in super::super) enum HandOver {
     /// No process is taking over.
     #[default]
     NotStarted,
-    /// This process has offered itself and waits until the new one is ready.
+    /// This process has started to make its offer and waits until the new process is ready.
     Offered {
         /// The new process's connection to the control socket.
         successor: ConnectionId,
-        /// The idle client connections that were offered to it.
+        /// The slab keys of the idle client connections that were offered.
         clients: Vec<usize>,
     },
     /// The new process serves.
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Whether an operator's connection is that of the process which is taking over.
+    /// Whether `connection` is the control connection of the process that is taking over.
     pub(in super::super) fn is_to(&self, connection: ConnectionId) -> bool {
         self.successor() == Some(connection)
     }
 }
 
 impl Proxy {
-    /// Whether a new process is taking over, and is not serving yet.
+    /// Whether a new process is taking over and does not serve yet.
     pub(in super::super) fn is_handing_over(&self) -> bool {
         matches!(self.hand_over, HandOver::Offered { .. })
     }
@@ -71,24 +71,25 @@
         matches!(self.hand_over, HandOver::Completed)
     }
 
-    /// The old process: offers itself to the process on this connection.
+    /// In the old process: starts a hand-over to the process on this control connection.
     pub(in super::super) fn start_hand_over(&mut self, key: usize) {
         let Some(connection) = self.operator_connection(key) else { return };
         if self.is_handing_over() || self.lifecycle.is_draining() || self.is_persisting() {
-            // Not in the middle of something else; the new process reads this as a refusal.
+            // A hand-over cannot start during another hand-over, a drain or the storing of a command. The new
+            // process treats this line as a refusal.
             if let Some(mut stream) = self.operator_stream(connection) {
                 let _ = stream.write_all(BUSY_LINE);
             }
             return;
         }
-        tracing::info!("a new process takes over");
+        tracing::info!("a new process asked to take over");
         self.hand_over = HandOver::Offered { successor: connection, clients: Vec::new() };
-        let deadline = self.now() + PEER_TIMEOUT.as_micros() as Micros;
+        let deadline = self.now() + HAND_OVER_TIMEOUT.as_micros() as Micros;
         self.timers.set(deadline, TimerKind::Takeover(connection.generation));
         self.set_accepting(false);
         self.engine.suspend_attempts(true);
         self.rearm_all_clients();
-        self.save_list();
+        self.save_server_list();
         self.release_store();
         self.release_configuration();
         if let Err(error) = self.send_offer(connection) {
@@ -99,43 +100,44 @@
     fn send_offer(&mut self, connection: ConnectionId) -> std::io::Result<()> {
         let seed = self.draw();
         let module = postcard::to_allocvec(&self.engine.successor(seed)).map_err(std::io::Error::other)?;
-        let idle = self.idle_clients();
-        let line = self.offer_line(module.len(), idle.len())?;
+        let idle_clients = self.idle_client_keys();
+        let line = self.offer_line(module.len(), idle_clients.len())?;
         let Some(mut stream) = self.operator_stream(connection) else {
-            return Err(std::io::Error::other("the connection is gone"));
+            return Err(std::io::Error::other("the connection to the new process is closed"));
         };
-        // The event loop blocks for this one exchange, some milliseconds: no client is read meanwhile anyway.
+        // The event loop blocks during this one exchange, for some milliseconds. That is acceptable because
+        // no client is read during a hand-over anyway.
         stream.set_nonblocking(false)?;
-        stream.set_write_timeout(Some(PEER_TIMEOUT))?;
+        stream.set_write_timeout(Some(HAND_OVER_TIMEOUT))?;
         stream.write_all(&line)?;
         stream.write_all(&module)?;
-        send_descriptors(stream, &self.offered_descriptors(&idle))?;
+        send_descriptors(stream, &self.offered_descriptors(&idle_clients))?;
         stream.set_nonblocking(true)?;
-        self.hand_over = HandOver::Offered { successor: connection, clients: idle };
+        self.hand_over = HandOver::Offered { successor: connection, clients: idle_clients };
         Ok(())
     }
 
-    /// The sockets to hand over, in the order of the [`Offer`]'s fields.
+    /// Returns the sockets to be handed over, in the order of the [`Offer`]'s fields.
     fn offered_descriptors(&self, idle_clients: &[usize]) -> Vec<BorrowedFd<'_>> {
         let mut descriptors: Vec<BorrowedFd<'_>> =
-            self.listeners.iter().map(|open| open.socket().as_fd()).collect();
+            self.listeners.iter().map(|listener| listener.socket().as_fd()).collect();
         descriptors.extend(self.peer_socket.as_ref().map(|peers| peers.socket().as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
         descriptors.extend(self.client_streams(idle_clients).into_iter().map(AsFd::as_fd));
         descriptors
     }
 
-    fn offer_line(&self, module_bytes: usize, idle_clients: usize) -> std::io::Result<Vec<u8>> {
+    fn offer_line(&self, module_bytes: usize, client_count: usize) -> std::io::Result<Vec<u8>> {
         let has_control_listener = self.control_listener().is_some();
         let offer = Offer {
             version: if has_control_listener { VERSION } else { VERSION_WITHOUT_CONTROL_LISTENER },
             clock: self.now(),
-            monotonic: monotonic_micros(),
-            listeners: self.listeners.len(),
-            peers: self.peer_socket.is_some(),
-            control: has_control_listener,
+            monotonic_micros: monotonic_micros(),
+            listener_count: self.listeners.len(),
+            has_peer_socket: self.peer_socket.is_some(),
+            has_control_listener,
             release_fence: self.site_calls.highest_fence(),
-            clients: idle_clients,
+            client_count,
             module_bytes: module_bytes as u64,
         };
         let mut line = serde_json::to_vec(&offer)?;
@@ -143,20 +145,20 @@
         Ok(line)
     }
 
-    /// The new process has sent something: that it is ready, or what the protocol does not have.
+    /// Handles bytes from the new process. Only the line that reports that it is ready is valid.
     pub(in super::super) fn on_successor_message(&mut self, bytes: &[u8]) {
         let Some(connection) = self.hand_over.successor() else { return };
         if bytes != READY_LINE {
             return self.abort_hand_over(&HandOverError::UnexpectedMessage);
         }
-        let sent = match self.operator_stream(connection) {
+        let is_sent = match self.operator_stream(connection) {
             Some(mut stream) => stream.write_all(GO_LINE).is_ok(),
             None => false,
         };
-        if !sent {
+        if !is_sent {
             return self.abort_hand_over(&HandOverError::SuccessorGone);
         }
-        tracing::info!(owed = self.engine.pending_responses(), "handed over");
+        tracing::info!(owed = self.engine.pending_responses(), "handed over to the new process");
         self.complete_hand_over();
     }
 
@@ -165,9 +167,10 @@
         self.leave_control();
         self.leave_site();
         self.leave_publisher();
-        self.leave_peers();
-        // Both processes hold these sockets: closing this one's copies ends no connection. Other connections
-        // that have become idle meanwhile were marked to close with their answers.
+        self.close_peer_socket();
+        // Both processes have copies of these sockets, so closing the copies of this process ends no
+        // connection. The other connections, which became idle after the offer, were marked to close with
+        // their responses.
         self.set_accepting(true);
         self.stop_listening();
         if let HandOver::Offered { clients, .. } = previous {
@@ -180,16 +183,17 @@
         self.run_engine_actions();
     }
 
-    /// The new process has had its time, unless the takeover it was for is over.
+    /// Handles the timer for the new process to become ready, unless the takeover that it was set for has
+    /// ended.
     pub(in super::super) fn hand_over_timeout(&mut self, generation: u64) {
         if self.hand_over.successor().is_some_and(|connection| connection.generation == generation) {
             self.abort_hand_over(&HandOverError::TimedOut);
         }
     }
 
-    /// A takeover failed halfway: goes on as before it.
+    /// Cancels a hand-over that failed, and resumes normal service.
     pub(in super::super) fn abort_hand_over(&mut self, error: &HandOverError) {
-        tracing::error!("takeover failed, this process serves on: {error}");
+        tracing::error!("takeover failed, this process continues to serve: {error}");
         if let HandOver::Offered { successor, .. } = std::mem::take(&mut self.hand_over) {
             self.close_operator(successor.key);
         }
@@ -199,7 +203,7 @@
         self.rearm_all_clients();
     }
 
-    /// Sets anew which events each client connection is polled for.
+    /// Updates the events that each client connection is polled for.
     fn rearm_all_clients(&mut self) {
         let keys: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! The driver's own time-outs: bounds of connections and calls, none of requests, which the module times.
+//! The driver's own time-outs. They bound connections and calls; the decision module times requests.
 
 use super::ConnectionId;
 #[cfg(feature = "sabotage")]
@@ -7,88 +7,92 @@
 #[cfg(feature = "sabotage")]
 use violetseam::interface::RequestId;
 
-/// The span between two rounds of upkeep.
-const UPKEEP_INTERVAL: Micros = 200_000;
-/// How long a listener pauses that ran out of descriptors or room.
+/// The time between two rounds of maintenance.
+const MAINTENANCE_INTERVAL: Micros = 200_000;
+/// How long a listener pauses after the process ran out of descriptors or the proxy out of room for
+/// connections.
 pub const ACCEPT_PAUSE: Micros = 50_000;
 
-/// What a timer is for. Timers that were set for one instant come due in the order of these variants.
+/// What a timer is for. Timers that are set for the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// A client's present time-out may be over.
+    /// The time-out of a client connection's present state may have expired.
     Client(ConnectionId),
-    /// A server connection's present time-out may be over.
+    /// The time-out of a server connection's present state may have expired.
     Server(ConnectionId),
-    /// A call's time is over.
+    /// The time-out of a call may have expired.
     Call(ConnectionId),
-    /// Accept again.
-    Accept,
-    /// Open the release service's stream again.
+    /// A pause in accepting connections is over.
+    ResumeAccepting,
+    /// The stream from the release service must be opened again.
     ReleaseStream,
-    /// A process that takes over has had its time.
+    /// The new process of a takeover, on the connection of this generation, was not ready in time.
     Takeover(u64),
-    /// An operator's connection has been idle for long.
+    /// The idle time-out of an operator's connection may have expired.
     Operator(ConnectionId),
-    /// The subscription to a publisher's configuration has something due.
+    /// Work of the subscription to a publisher's configuration is due.
     Configuration,
-    /// A report to the publisher has had its time.
+    /// The time-out of the report to the publisher with this generation has expired.
     ConfigurationReport(u64),
-    /// Slow upkeep.
-    Upkeep,
-    /// A final response that is delayed on purpose.
+    /// A round of maintenance is due.
+    Maintenance,
+    /// A final response that sabotage delays is due.
     #[cfg(feature = "sabotage")]
     DelayedResponse {
-        /// The request that it answers.
+        /// The request that the response belongs to.
         request: RequestId,
         /// The response.
         response: LocalResponse,
     },
 }
 
-/// The driver's timers, by time.
+/// The driver's timers, ordered by time.
 pub type Timers = violetseam_event_io::timers::Timers<TimerKind>;
 
-/// When the present state of a connection has lasted too long.
+/// The time-out of a connection's present state.
 ///
-/// One timer at most is set for it: a later time needs no new one, as a timer that fires early is set again.
+/// At most one timer is set for it. A time-out that moves to a later time needs no new timer: the timer fires
+/// early and is then set again.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StateTimeout {
-    /// [`Micros::MAX`]: the state may last.
-    at: Micros,
-    /// When the timer fires that checks that; [`Micros::MAX`]: none is set.
+    /// When the time-out expires; [`Micros::MAX`] if it never does.
+    expires_at: Micros,
+    /// When the timer fires that checks the time-out; [`Micros::MAX`] if no timer is set.
     armed_at: Micros,
 }
 
 impl StateTimeout {
-    /// A time-out with its timer, which fires as `kind`.
-    pub(super) fn start(at: Micros, timers: &mut Timers, kind: TimerKind) -> Self {
-        let mut timeout = StateTimeout { at, armed_at: Micros::MAX };
+    /// Creates a time-out that expires at `expires_at`, and sets its timer, which fires as `kind`.
+    pub(super) fn start(expires_at: Micros, timers: &mut Timers, kind: TimerKind) -> Self {
+        let mut timeout = StateTimeout { expires_at, armed_at: Micros::MAX };
         timeout.arm(timers, kind);
         timeout
     }
 
-    /// When the state has lasted too long; `None`: never.
-    pub(super) fn at(&self) -> Option<Micros> {
-        (self.at < Micros::MAX).then_some(self.at)
+    /// Returns when the time-out expires, or `None` if it never does.
+    pub(super) fn expires_at(&self) -> Option<Micros> {
+        (self.expires_at < Micros::MAX).then_some(self.expires_at)
     }
 
-    /// Sets another time; [`StateTimeout::arm`] sets its timer.
-    pub(super) fn set(&mut self, at: Option<Micros>) {
-        self.at = at.unwrap_or(Micros::MAX);
+    /// Changes when the time-out expires; `None` means never. [`StateTimeout::arm`] must be called to set its
+    /// timer.
+    pub(super) fn set(&mut self, expires_at: Option<Micros>) {
+        self.expires_at = expires_at.unwrap_or(Micros::MAX);
     }
 
-    /// Sets a timer, unless one fires early enough.
+    /// Sets a timer, unless one is set that fires early enough.
     pub(super) fn arm(&mut self, timers: &mut Timers, kind: TimerKind) {
-        if self.at < self.armed_at {
-            self.armed_at = self.at;
-            timers.set(self.at, kind);
+        if self.expires_at < self.armed_at {
+            self.armed_at = self.expires_at;
+            timers.set(self.expires_at, kind);
         }
     }
 
-    /// A timer has fired: whether the time-out is over. If it is not, a timer is set again.
-    pub(super) fn on_timer(&mut self, now: Micros, timers: &mut Timers, kind: TimerKind) -> bool {
+    /// Handles the timer that has fired, and returns whether the time-out has expired. If it has not, the
+    /// timer is set again.
+    pub(super) fn on_timer_fired(&mut self, now: Micros, timers: &mut Timers, kind: TimerKind) -> bool {
         self.armed_at = Micros::MAX;
-        if self.at <= now {
+        if self.expires_at <= now {
             return true;
         }
         self.arm(timers, kind);
@@ -97,7 +101,7 @@
 }
 
 impl super::Proxy {
-    /// Runs the driver's time-outs that are due.
+    /// Runs the driver's timers that are due.
     pub(super) fn run_timers(&mut self, now: Micros) {
         while let Some(kind) = self.timers.pop(now) {
             self.run_timer(now, kind);
@@ -110,36 +114,36 @@
             TimerKind::Client(connection) => self.client_timeout(now, connection),
             TimerKind::Server(connection) => self.server_timeout(now, connection),
             TimerKind::Call(connection) => self.call_timeout(connection),
-            TimerKind::Accept => self.resume_accepting(),
+            TimerKind::ResumeAccepting => self.resume_accepting(),
             TimerKind::ReleaseStream => self.open_release_stream(),
             TimerKind::Takeover(generation) => self.hand_over_timeout(generation),
             TimerKind::Operator(connection) => self.operator_timeout(connection),
             TimerKind::Configuration => self.run_subscription(),
             TimerKind::ConfigurationReport(generation) => self.report_timeout(generation),
-            TimerKind::Upkeep => self.upkeep(now),
+            TimerKind::Maintenance => self.run_maintenance(now),
             #[cfg(feature = "sabotage")]
             TimerKind::DelayedResponse { request, response } => self.send_local_response(request, response),
         }
     }
 
-    /// Sets the next round of upkeep.
-    pub(super) fn next_upkeep(&mut self, now: Micros) {
-        self.timers.set(now + UPKEEP_INTERVAL, TimerKind::Upkeep);
+    /// Sets the timer for the next round of maintenance.
+    pub(super) fn schedule_maintenance(&mut self, now: Micros) {
+        self.timers.set(now + MAINTENANCE_INTERVAL, TimerKind::Maintenance);
     }
 
-    fn upkeep(&mut self, now: Micros) {
-        self.next_upkeep(now);
+    fn run_maintenance(&mut self, now: Micros) {
+        self.schedule_maintenance(now);
         self.control_upkeep();
         self.store_upkeep();
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
         }
         if self.server_list.take_unsaved() {
-            self.save_list();
+            self.save_server_list();
         }
     }
 
-    /// Gives a final response later, on purpose.
+    /// Sends a final response at a later time, as sabotage requires.
     #[cfg(feature = "sabotage")]
     pub(super) fn delay_response(&mut self, at: Micros, request: RequestId, response: LocalResponse) {
         self.timers.set(at, TimerKind::DelayedResponse { request, response });
