--- a/crates/proxy/src/driver/clients/bodies.rs
+++ b/crates/proxy/src/driver/clients/bodies.rs
@@ -75,7 +75,7 @@
     /// The body of a request that has begun is complete.
     fn complete_body(&mut self, id: RequestId) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
-        request.is_complete = true;
+        request.is_body_complete = true;
         let Some(key) = request.latest_connection() else { return };
         let Some(server) = self.servers.get_mut(key).filter(|server| server.has_request()) else { return };
         if request.is_chunked {
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -105,7 +105,7 @@
         let serve = self.settings.connections.half_close == HalfClose::Serve;
         match client.state {
             ClientState::AwaitingResponse(id)
-                if serve && self.in_flight.get(&id).is_some_and(|request| request.is_complete) =>
+                if serve && self.in_flight.get(&id).is_some_and(|request| request.is_body_complete) =>
             {
                 client.half_closed = true;
             }
@@ -150,7 +150,7 @@
         let is_body_backpressured = self.is_body_backpressured(key);
         let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get(key) else { return };
-        let is_full = client.http.buffered_bytes() > MAX_INPUT_BYTES || client.is_slow();
+        let is_full = client.http.buffered_bytes() > MAX_INPUT_BYTES || client.has_write_backlog();
         // While a process takes over, what arrives next on a connection is for the process that has it then.
         let wants_read = !client.half_closed && !is_body_backpressured && !is_full && !is_handing_over;
         client.socket.set_read_interest(&self.handle, wants_read);
@@ -185,7 +185,7 @@
     fn is_body_backpressured(&self, key: usize) -> bool {
         let request = self.clients.get(key).and_then(Client::waiting_request);
         let request = request.and_then(|id| self.in_flight.get(&id));
-        let Some(request) = request.filter(|request| !request.is_complete) else { return false };
+        let Some(request) = request.filter(|request| !request.is_body_complete) else { return false };
         let latest_server = request.connections.iter().rev().flatten().next();
         let server = latest_server.and_then(|&key| self.servers.get(key));
         let is_server_slow =
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -78,12 +78,12 @@
     pub(super) head: Vec<u8>,
     /// The method is HEAD.
     pub(super) is_head_request: bool,
-    /// The buffered part of the body; all of it once `is_complete`, unless a part went to a server
+    /// The buffered part of the body; all of it once `is_body_complete`, unless a part went to a server
     /// unbuffered.
     pub(super) body: Vec<u8>,
     pub(super) is_chunked: bool,
     /// The body is complete.
-    pub(super) is_complete: bool,
+    pub(super) is_body_complete: bool,
     /// Connections of the attempts, by the attempts' numbers.
     pub(super) connections: Vec<Option<usize>>,
     /// The connection whose response is being streamed to the client.
@@ -97,7 +97,7 @@
     }
 
     /// Whether it reads its response more slowly than the response arrives.
-    pub(super) fn is_slow(&self) -> bool {
+    pub(super) fn has_write_backlog(&self) -> bool {
         self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -64,13 +64,13 @@
     }
 
     /// Passes a request to the engine: complete, or once more of its body has arrived than is buffered.
-    pub(super) fn begin_request(&mut self, key: usize, is_complete: bool) {
+    pub(super) fn begin_request(&mut self, key: usize, is_body_complete: bool) {
         let settings = self.settings.clone();
         let Some(client) = self.clients.get_mut(key) else { return };
         let Some(pending) = client.take_pending_request() else { return };
         let PendingRequest { head, arrived_at, purpose, body } = pending;
         let RequestPurpose::Route { class } = purpose else { return };
-        let framing = if is_complete { Framing::Length(body.len() as u64) } else { head.framing };
+        let framing = if is_body_complete { Framing::Length(body.len() as u64) } else { head.framing };
         let request = InFlightRequest {
             client: ConnectionId { key, generation: client.generation },
             class,
@@ -78,7 +78,7 @@
             is_head_request: head.method == Method::HEAD,
             body,
             is_chunked: framing == Framing::Chunked,
-            is_complete,
+            is_body_complete,
             connections: Vec::new(),
             streaming_from: None,
         };
--- a/crates/proxy/src/driver/servers/attempts.rs
+++ b/crates/proxy/src/driver/servers/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: started on an idle connection or a new one, and ended by the engine.
+//! Starts attempts, on idle connections or new ones, and closes the connections of attempts that the engine
+//! ends.
 
 use super::super::timers::{StateTimeout, TimerKind};
 use super::super::{ConnectionId, Proxy};
@@ -11,9 +12,9 @@
 use violetseam_http1::{write_chunk, write_last_chunk};
 
 impl Proxy {
-    /// Starts an attempt on an idle connection, or on a new one.
+    /// Starts an attempt on an idle connection, or on a new one if none is idle.
     pub(in super::super) fn start_attempt(&mut self, request: RequestId, attempt: usize, server: ServerId) {
-        // Cancelled again by the very actions that started it: nothing of it is sent.
+        // An attempt that was cancelled by the same round of actions that started it is not sent at all.
         if !self.engine.is_attempt_pending(request, attempt) {
             return;
         }
@@ -21,7 +22,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&request) else { return };
         in_flight.connections.resize(attempt + 1, None);
         let id = AttemptId { request, attempt };
-        if let Some(key) = self.take_idle_server(server) {
+        if let Some(key) = self.take_idle_connection(server) {
             if let Some(connection) = self.servers.get_mut(key) {
                 connection.state = ConnectionState::Busy(ActiveAttempt::new(id));
             }
@@ -31,14 +32,15 @@
             self.send_twice(request, server);
             return;
         }
-        if self.open_server(server, id).is_none() {
+        if self.connect_for_attempt(server, id).is_none() {
             self.end_attempt(request, attempt, Outcome::ConnectFailed);
         }
     }
 
-    /// Takes the connection out of the pool that became idle last. Those that their server has closed
-    /// meanwhile are closed here: noticed before anything is sent, no request is lost on them.
-    fn take_idle_server(&mut self, id: ServerId) -> Option<usize> {
+    /// Takes the connection that became idle most recently out of the pool. Connections that their server has
+    /// closed meanwhile are closed here. Because this is noticed before anything is sent, no request is lost
+    /// on them.
+    fn take_idle_connection(&mut self, id: ServerId) -> Option<usize> {
         while let Some(key) = self.idle_servers.pop_newest(&id) {
             let Some(server) = self.servers.get(key) else { continue };
             if !server.socket.is_stale() {
@@ -49,14 +51,15 @@
         None
     }
 
-    /// Begins a connection for an attempt; none if it could not be begun.
-    fn open_server(&mut self, id: ServerId, attempt: AttemptId) -> Option<()> {
+    /// Starts to connect to a server for an attempt. Returns `None` if the server's address is unknown or
+    /// connecting fails at once.
+    fn connect_for_attempt(&mut self, id: ServerId, attempt: AttemptId) -> Option<()> {
         let stream = connect(self.server_list.address(id)?).ok()?;
         let generation = self.next_generation();
         let timeout_at = self.now() + self.settings.connections.connect_timeout;
         let entry = self.servers.vacant_entry();
         let key = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server(key, readiness);
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server_ready(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
         let kind = TimerKind::Server(ConnectionId { key, generation });
         entry.insert(Server {
@@ -71,7 +74,7 @@
         Some(())
     }
 
-    /// Writes the request on a connection that is established.
+    /// Writes the request on an established connection.
     pub(super) fn send_request(&mut self, key: usize) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let Some(active) = server.active() else { return };
@@ -79,15 +82,17 @@
         let Some(in_flight) = self.in_flight.get(&request) else { return self.close_server(key) };
         server.http.expect_response(in_flight.is_head_request);
         write_request(server.socket.write_buffer(), in_flight);
-        if !in_flight.is_complete || in_flight.body.len() > self.settings.connections.max_retained_body_bytes
+        if !in_flight.is_body_complete
+            || in_flight.body.len() > self.settings.connections.max_retained_body_bytes
         {
-            // What arrives of the body from here on goes to this server alone and is not buffered.
+            // The part of the body that arrives from here on is sent only to this server and not buffered.
             self.engine.mark_not_repeatable(request);
         }
         self.flush_server(key);
     }
 
-    /// The engine has ended an attempt: its connection closes, as its response could arrive at any time.
+    /// Closes the connection of an attempt that the engine has ended, because its response could still arrive
+    /// at any time.
     pub(in super::super) fn close_attempt(&mut self, request: RequestId, attempt: usize) {
         let Some(request) = self.in_flight.get_mut(&request) else { return };
         let connection = request.connections.get_mut(attempt).and_then(Option::take);
@@ -96,7 +101,7 @@
         }
     }
 
-    /// Records which connection an attempt is on, or that it is on none any more.
+    /// Records which connection an attempt is on, or with `None` that it is on none any more.
     pub(super) fn set_attempt_connection(&mut self, id: AttemptId, key: Option<usize>) {
         let Some(in_flight) = self.in_flight.get_mut(&id.request) else { return };
         if let Some(connection) = in_flight.connections.get_mut(id.attempt) {
@@ -104,18 +109,18 @@
         }
     }
 
-    /// Sends every twentieth request a second time behind the engine's back.
+    /// Sabotage: sends every twentieth request a second time, without the engine's knowledge.
     #[cfg(feature = "sabotage")]
     fn send_twice(&mut self, request: RequestId, id: ServerId) {
         if self.sabotage != Some(crate::driver::Sabotage::DoubleSend) || !request.is_multiple_of(20) {
             return;
         }
         let Some(in_flight) = self.in_flight.get(&request) else { return };
-        let Some(addr) = self.server_list.address(id) else { return };
+        let Some(address) = self.server_list.address(id) else { return };
         let bytes = [&in_flight.head[..], &in_flight.body].concat();
         std::thread::spawn(move || {
             use std::io::{Read, Write};
-            if let Ok(mut stream) = std::net::TcpStream::connect(addr) {
+            if let Ok(mut stream) = std::net::TcpStream::connect(address) {
                 let _ = stream.write_all(&bytes);
                 let _ = stream.set_read_timeout(Some(std::time::Duration::from_millis(500)));
                 let _ = stream.read(&mut [0; 1024]);
@@ -124,7 +129,7 @@
     }
 }
 
-/// Appends what has been buffered of a request.
+/// Appends the head and the buffered part of the body of a request.
 fn write_request(buffer: &mut Vec<u8>, request: &InFlightRequest) {
     buffer.extend_from_slice(&request.head);
     if !request.is_chunked {
@@ -132,7 +137,7 @@
         return;
     }
     write_chunk(buffer, &request.body);
-    if request.is_complete {
+    if request.is_body_complete {
         write_last_chunk(buffer);
     }
 }
--- a/crates/proxy/src/driver/servers/connections.rs
+++ b/crates/proxy/src/driver/servers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: readiness, time-outs, the idle pool, and their end.
+//! Connections to servers: readiness, time-outs, the idle pool, and the end of a connection.
 
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
@@ -8,12 +8,13 @@
 use violetseam::interface::{Micros, Outcome};
 
 impl Proxy {
-    /// Writes what is unwritten. A connection that fails before its first byte never carried the request.
+    /// Writes the unwritten bytes, and records whether any were written: a connection that fails before the
+    /// first byte never carried the request.
     pub(in super::super) fn flush_server(&mut self, key: usize) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let flushed = server.socket.flush();
-        if let (Some(active), Ok(n)) = (server.active_mut(), &flushed) {
-            active.has_written |= *n > 0;
+        if let (Some(active), Ok(written_bytes)) = (server.active_mut(), &flushed) {
+            active.has_written_bytes |= *written_bytes > 0;
         }
         match flushed {
             Ok(_) => self.rearm_server(key),
@@ -21,18 +22,18 @@
         }
     }
 
-    /// Sets the events that the connection is to be woken for, and its time-out.
+    /// Updates the events that the connection is polled for, and its time-out.
     pub(in super::super) fn rearm_server(&mut self, key: usize) {
         let now = self.now();
         let settings = &self.settings.connections;
         let Some(server) = self.servers.get_mut(key) else { return };
-        let mut reads = true;
+        let mut wants_read = true;
         let timeout = match &server.state {
             ConnectionState::Connecting(_) => return server.socket.set_connect_interest(&self.handle),
             ConnectionState::Busy(active) if active.response.is_streaming() => {
                 let client = self.in_flight.get(&active.id.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
-                reads = !client.is_some_and(Client::is_slow);
+                wants_read = !client.is_some_and(Client::has_write_backlog);
                 Some(settings.stream_idle_timeout)
             }
             ConnectionState::Busy(_) => None,
@@ -41,12 +42,14 @@
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
         server.timeout.arm(&mut self.timers, TimerKind::Server(id));
-        server.socket.set_read_interest(&self.handle, reads);
+        server.socket.set_read_interest(&self.handle, wants_read);
     }
 
-    /// A server connection's time-out may have expired.
+    /// Handles the timer of a server connection. If the time-out has expired, an idle connection is closed,
+    /// and one with an attempt counts as lost.
     pub(in super::super) fn server_timeout(&mut self, now: Micros, id: ConnectionId) {
-        let Some(server) = self.servers.get_mut(id.key).filter(|s| s.generation == id.generation) else {
+        let Some(server) = self.servers.get_mut(id.key).filter(|server| server.generation == id.generation)
+        else {
             return;
         };
         if !server.timeout.on_timer_fired(now, &mut self.timers, TimerKind::Server(id)) {
@@ -58,15 +61,17 @@
         }
     }
 
-    /// Closes a connection without a report: its attempt, if any, has ended already. It ends before anything
-    /// else is written, as the next attempt of the same request would be a second copy beside an open one.
+    /// Closes a connection without reporting it to the engine, because its attempt, if any, has already
+    /// ended. The connection is closed before anything else is written: the next attempt of the same request
+    /// would otherwise be a second copy next to one that is still open.
     pub(super) fn close_server(&mut self, key: usize) {
         let Some(server) = self.servers.try_remove(key) else { return };
         server.socket.close_now(&self.handle);
         self.idle_servers.remove(&server.id, key);
     }
 
-    /// The connection is gone: what that says of its attempt depends on whether a byte of it was written.
+    /// Handles a lost connection. Which outcome is reported for its attempt depends on whether a byte of the
+    /// attempt was written.
     pub(super) fn on_server_lost(&mut self, key: usize) {
         let Some(server) = self.servers.get(key) else { return };
         let active = match &server.state {
@@ -74,20 +79,20 @@
             ConnectionState::Discarding { .. } | ConnectionState::Idle => return self.close_server(key),
         };
         let id = active.id;
-        let outcome = if active.has_written { Outcome::Reset } else { Outcome::ConnectFailed };
+        let outcome = if active.has_written_bytes { Outcome::Reset } else { Outcome::ConnectFailed };
         let was_streaming = active.response.is_streaming();
         self.close_server(key);
         self.set_attempt_connection(id, None);
-        // The client has the beginning of the response: closing its connection is the only way left to report
-        // a failure.
+        // The client has received the beginning of the response, so closing its connection is the only way
+        // left to report a failure.
         if was_streaming && let Some(client) = self.waiting_client(id.request) {
             self.close_client(client);
         }
         self.end_attempt(id.request, id.attempt, outcome);
     }
 
-    /// A connection is ready to be read or written.
-    pub(super) fn on_server(&mut self, key: usize, readiness: Readiness) {
+    /// Handles a connection that is ready to be read or written.
+    pub(super) fn on_server_ready(&mut self, key: usize, readiness: Readiness) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if matches!(server.state, ConnectionState::Connecting(_)) {
             if server.socket.connect_error().is_some() {
@@ -107,12 +112,12 @@
         self.run_engine_actions();
     }
 
-    /// Sends the request on a connection that has been established.
+    /// Sends the request on a connection that has just been established.
     fn on_server_connected(&mut self, key: usize) {
         let now = self.now();
         let Some(active) = self.servers.get(key).and_then(Server::active) else { return };
-        // The attempt was decided on before the connection was established: the engine is asked again before
-        // the first byte, as the server may run the request from then on.
+        // The attempt was started before the connection was established. The engine is asked again before the
+        // first byte is written, because the server may run the request from then on.
         if !self.engine.may_send(now, active.id.request, active.id.attempt) {
             return;
         }
@@ -126,16 +131,17 @@
         }
     }
 
-    /// A client whose incomplete body waited for this server may be read again.
+    /// Resumes reading from a client whose incomplete request body waited for this server.
     fn resume_upload(&mut self, key: usize) {
         let request = self.servers.get(key).and_then(Server::active).map(|active| active.id.request);
         let request = request.and_then(|id| self.in_flight.get(&id));
-        if let Some(request) = request.filter(|request| !request.is_complete) {
+        if let Some(request) = request.filter(|request| !request.is_body_complete) {
             self.rearm_client(request.client_key());
         }
     }
 
-    /// Keeps a connection idle for later attempts, if it can carry them and not too many are idle.
+    /// Puts a connection into the idle pool for later attempts, or closes it if it cannot be reused or the
+    /// pool is full.
     pub(super) fn pool_or_close(&mut self, key: usize, reusable: bool) {
         let max_idle = self.settings.connections.max_idle_per_server;
         let Some(server) = self.servers.get(key) else { return };
--- a/crates/proxy/src/driver/servers/mod.rs
+++ b/crates/proxy/src/driver/servers/mod.rs
@@ -1,12 +1,13 @@
-//! Connections to servers: idle in a pool, or with one attempt in flight.
+//! Connections to servers, each either idle in a pool or with one attempt in flight.
 //!
-//! How an attempt's end is reported to the decisions is settled here: `ConnectFailed` only while not one byte
-//! of the request was written, `Rejected` only for the answer that the servers' protocol states was never
-//! run, `Reset` for a connection that was lost after that, whoever closed it and why.
+//! This module decides how the end of an attempt is reported to the decision module: as `ConnectFailed` only
+//! if no byte of the request was written, as `Rejected` only for a response that, by the servers' protocol,
+//! states that the request was not run, and as `Reset` if the connection was lost after a byte was written,
+//! whoever closed it and for whatever reason.
 //!
-//! - `attempts`: the start of an attempt, and its end by the engine
+//! - `attempts`: starts attempts, and ends them for the engine
 //! - `connections`: readiness, time-outs, the idle pool, and the loss of a connection
-//! - `responses`: from a server's response to the client's
+//! - `responses`: reads servers' responses and passes them on to clients
 
 mod attempts;
 mod connections;
@@ -30,13 +31,13 @@
 
 /// The state of a connection to a server.
 enum ConnectionState {
-    /// Not established yet; nothing has been written.
+    /// The connection is not established yet; nothing has been written.
     Connecting(ActiveAttempt),
-    /// The request is being written, or its response read.
+    /// The request is being written, or its response is being read.
     Busy(ActiveAttempt),
-    /// The rest of the response is read and dropped; once it is complete the connection can be used again.
+    /// The rest of a response is read and dropped. Once it is complete the connection can be reused.
     Discarding { body_bytes: usize },
-    /// In the pool, ready for an attempt.
+    /// The connection is in the idle pool, ready for an attempt.
     Idle,
 }
 
@@ -48,17 +49,17 @@
     attempt: usize,
 }
 
-/// The attempt on a connection.
+/// The attempt that a connection carries.
 struct ActiveAttempt {
     id: AttemptId,
-    /// At least one byte of the request has been written.
-    has_written: bool,
+    /// Whether at least one byte of the request has been written.
+    has_written_bytes: bool,
     response: ResponseState,
 }
 
-/// How much of an attempt's response has arrived.
+/// How much of an attempt's response has arrived, and how it is handled.
 enum ResponseState {
-    /// Nothing, or a part of its head.
+    /// Nothing has arrived, or only a part of the head.
     Awaited,
     /// The head has arrived; the body is buffered until it is complete.
     Buffered { head: Box<ResponseHead>, body: Vec<u8> },
@@ -67,9 +68,9 @@
 }
 
 impl ActiveAttempt {
-    /// An attempt of which nothing has been written yet.
+    /// Creates an attempt of which nothing has been written yet.
     fn new(id: AttemptId) -> Self {
-        ActiveAttempt { id, has_written: false, response: ResponseState::Awaited }
+        ActiveAttempt { id, has_written_bytes: false, response: ResponseState::Awaited }
     }
 }
 
@@ -80,22 +81,23 @@
 }
 
 impl Server {
-    /// Whether no attempt is on it.
+    /// Whether the connection carries no attempt.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, ConnectionState::Idle | ConnectionState::Discarding { .. })
     }
 
-    /// Whether the beginning of a request has been queued on it, so that the rest of the body may follow.
+    /// Whether the beginning of a request has been queued on the connection, so that the rest of its body may
+    /// follow.
     pub fn has_request(&self) -> bool {
         matches!(self.state, ConnectionState::Busy(_))
     }
 
-    /// How many bytes of the write buffer have not been written yet.
+    /// Returns how many bytes of the write buffer have not been written yet.
     pub fn unwritten_bytes(&self) -> usize {
         self.socket.unwritten_bytes()
     }
 
-    /// The buffer of bytes to be written.
+    /// Returns the buffer of bytes to be written.
     pub fn write_buffer(&mut self) -> &mut Vec<u8> {
         self.socket.write_buffer()
     }
--- a/crates/proxy/src/driver/servers/responses.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -1,4 +1,5 @@
-//! Servers' responses: the outcome that their status gives an attempt, and their way to the client.
+//! Servers' responses: the outcome that their status gives an attempt, and how they are passed on to the
+//! client.
 
 use super::super::Proxy;
 use super::{AttemptId, ConnectionState, ResponseState, Server};
@@ -9,14 +10,14 @@
 use violetseam_http1::{Framing, ResponseHead};
 
 impl Proxy {
-    /// Reads once.
+    /// Reads from the connection once, and handles what was read.
     pub(super) fn read_server(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(server) = self.servers.get_mut(key) {
             match server.socket.read(&mut scratch) {
-                ReadOutcome::Bytes(n) => {
-                    server.http.feed(&scratch[..n]);
-                    self.server_events(key);
+                ReadOutcome::Bytes(length) => {
+                    server.http.feed(&scratch[..length]);
+                    self.process_server_events(key);
                 }
                 ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => match server.http.close() {
@@ -29,8 +30,8 @@
         self.scratch = scratch;
     }
 
-    /// Handles what a server's input gives, until it gives nothing more for now.
-    fn server_events(&mut self, key: usize) {
+    /// Handles the events that a server's input contains, until more input is needed for the next one.
+    fn process_server_events(&mut self, key: usize) {
         while let Some(server) = self.servers.get_mut(key) {
             let Some(event) = server.http.next_event() else { return self.rearm_server(key) };
             match event {
@@ -42,27 +43,27 @@
                         return;
                     }
                 }
-                ClientEvent::Error(fault) => {
+                ClientEvent::Error(error) => {
                     let id = server.id;
-                    tracing::debug!(server = id, "malformed answer: {fault}");
+                    tracing::debug!(server = id, "malformed response: {error}");
                     return self.on_server_lost(key);
                 }
             }
         }
     }
 
-    /// The outcome that a response's status gives its attempt.
-    fn outcome_of(&self, head: &ResponseHead) -> Outcome {
-        let not_run = head.headers.contains_key(&self.settings.headers.not_processed);
+    /// Returns the outcome that a response's status gives its attempt.
+    fn attempt_outcome(&self, head: &ResponseHead) -> Outcome {
+        let is_marked_not_processed = head.headers.contains_key(&self.settings.headers.not_processed);
         match head.status {
-            StatusCode::SERVICE_UNAVAILABLE if not_run => Outcome::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE if is_marked_not_processed => Outcome::Rejected,
             status if status.is_server_error() => Outcome::Error,
             _ => Outcome::Ok,
         }
     }
 
     fn on_response_head(&mut self, key: usize, head: Box<ResponseHead>) {
-        let outcome = self.outcome_of(&head);
+        let outcome = self.attempt_outcome(&head);
         let Some(server) = self.servers.get_mut(key) else { return };
         let ConnectionState::Busy(active) = &mut server.state else { return };
         let id = active.id;
@@ -71,7 +72,8 @@
             .get(&id.request)
             .is_some_and(|in_flight| self.settings.decisions.classes[in_flight.class].stream);
         if outcome != Outcome::Ok {
-            // Reported at once: the rest of such a response is read only to use the connection again.
+            // The outcome is reported at once. The rest of such a response is read only so that the
+            // connection can be reused.
             server.state = ConnectionState::Discarding { body_bytes: 0 };
             self.set_attempt_connection(id, None);
             self.end_attempt(id.request, id.attempt, outcome);
@@ -83,19 +85,19 @@
     }
 
     fn on_response_body(&mut self, key: usize, bytes: &[u8]) {
-        let max_buffered = self.settings.connections.max_buffered_response_bytes;
+        let max_buffered_bytes = self.settings.connections.max_buffered_response_bytes;
         let Some(server) = self.servers.get_mut(key) else { return };
         match &mut server.state {
             ConnectionState::Discarding { body_bytes } => {
                 *body_bytes += bytes.len();
-                if *body_bytes > max_buffered {
+                if *body_bytes > max_buffered_bytes {
                     self.close_server(key);
                 }
             }
             ConnectionState::Busy(active) => match &mut active.response {
                 ResponseState::Buffered { head, body } => {
                     body.extend_from_slice(bytes);
-                    if body.len() > max_buffered {
+                    if body.len() > max_buffered_bytes {
                         let head = head.clone();
                         let body = std::mem::take(body);
                         self.start_streaming(key, &head, &body);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Begins to pass a response on as it arrives: no time-out of the request applies from here on.
+    /// Starts to pass a response on as it arrives. From here on no time-out of the request applies.
     fn start_streaming(&mut self, key: usize, head: &ResponseHead, body: &[u8]) {
         let Some(active) = self.servers.get_mut(key).and_then(Server::active_mut) else { return };
         active.response = ResponseState::Streaming;
@@ -122,7 +124,7 @@
         let AttemptId { request, attempt } = id;
         let now = self.now();
         if !self.engine.on_stream_started(now, request, attempt) {
-            // The client already gets another attempt's response.
+            // The client already receives another attempt's response.
             self.set_attempt_connection(id, None);
             self.close_server(key);
             self.end_attempt(request, attempt, Outcome::Cancelled);
@@ -140,15 +142,16 @@
         }
     }
 
-    /// The response is complete.
+    /// Handles a response that is complete.
     fn on_response_complete(&mut self, key: usize, reusable: bool) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        // A request that is not completely written cannot be distinguished from a next one by the server.
+        // The connection cannot be reused before the request is completely written: the server would take a
+        // next request for the rest of this one.
         let reusable = reusable && !server.socket.has_unwritten_bytes();
         let state = std::mem::replace(&mut server.state, ConnectionState::Idle);
         let ConnectionState::Busy(active) = state else { return self.pool_or_close(key, reusable) };
         let AttemptId { request, attempt } = active.id;
-        let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_complete);
+        let is_request_written = self.in_flight.get(&request).is_none_or(|request| request.is_body_complete);
         self.set_attempt_connection(active.id, None);
         self.pool_or_close(key, reusable && is_request_written);
         match active.response {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Gives the client a response that is complete.
+    /// Sends a complete response to the client.
     fn deliver_buffered_response(
         &mut self,
         request: RequestId,
@@ -178,13 +181,16 @@
         body: &[u8],
         answer: u64,
     ) {
-        tracing::debug!(request, status = head.status.as_u16(), "final answer");
-        // A response without a body may still state the length that one would have (HEAD, 304).
-        let stated =
-            head.headers.get(http::header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-        let bodiless = body.is_empty() && head.framing == Framing::Length(0);
-        let framing = match stated {
-            Some(length) if bodiless => Framing::Length(length),
+        tracing::debug!(request, status = head.status.as_u16(), "final response");
+        // A response without a body may still state the length that the body would have (to HEAD, or with
+        // status 304).
+        let stated_length = head
+            .headers
+            .get(http::header::CONTENT_LENGTH)
+            .and_then(|value| value.to_str().ok()?.parse().ok());
+        let has_no_body = body.is_empty() && head.framing == Framing::Length(0);
+        let framing = match stated_length {
+            Some(length) if has_no_body => Framing::Length(length),
             None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
             _ => Framing::Length(body.len() as u64),
         };
