--- a/crates/proxy/src/driver/clients/bodies.rs
+++ b/crates/proxy/src/driver/clients/bodies.rs
@@ -1,4 +1,6 @@
-//! Bodies of clients' requests: buffered until the request is complete or begins, passed on from then on.
+//! The bodies of clients' requests. A body is buffered until it is complete or exceeds the limit of what may
+//! be buffered. Then the request is passed to the engine, and the rest of the body is forwarded as it
+//! arrives.
 
 use super::super::Proxy;
 use super::{ClientState, RequestPurpose};
@@ -7,9 +9,9 @@
 use violetseam_site_protocol::answer_report;
 
 impl Proxy {
-    /// Bytes of a body have arrived.
-    pub(super) fn on_body(&mut self, key: usize, bytes: Vec<u8>) {
-        let max_buffered = self.settings.connections.max_retained_body_bytes;
+    /// Handles bytes of a request's body that have arrived.
+    pub(super) fn on_body_bytes(&mut self, key: usize, bytes: Vec<u8>) {
+        let max_buffered_bytes = self.settings.connections.max_retained_body_bytes;
         let Some(client) = self.clients.get_mut(key) else { return };
         match &mut client.state {
             ClientState::ReceivingBody(pending) => {
@@ -20,26 +22,26 @@
                     }
                     _ => pending.body.extend_from_slice(&bytes),
                 }
-                if pending.body.len() > max_buffered
+                if pending.body.len() > max_buffered_bytes
                     && matches!(pending.purpose, RequestPurpose::Route { .. })
                 {
-                    self.begin_request(key, false);
+                    self.submit_request(key, false);
                 }
             }
             ClientState::AwaitingResponse(id) => {
                 let id = *id;
-                self.append_body(id, &bytes);
+                self.forward_body(id, &bytes);
             }
             ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
         }
     }
 
-    /// A body is complete.
-    pub(super) fn on_end(&mut self, key: usize) {
+    /// Handles the end of a request's body.
+    pub(super) fn on_body_complete(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         match &client.state {
             ClientState::ReceivingBody(pending) => match pending.purpose {
-                RequestPurpose::Route { .. } => self.begin_request(key, true),
+                RequestPurpose::Route { .. } => self.submit_request(key, true),
                 RequestPurpose::AnswerReport => self.on_answer_report(key),
                 RequestPurpose::RespondWithError { status, reason } => {
                     self.respond_with_error(key, status, reason);
@@ -47,15 +49,15 @@
             },
             ClientState::AwaitingResponse(id) => {
                 let id = *id;
-                self.complete_body(id);
+                self.finish_forwarded_body(id);
             }
             ClientState::Idle | ClientState::Closing | ClientState::Lingering => {}
         }
     }
 
-    /// More of a body whose request has begun: to the server that has the rest, or buffered until there is
-    /// one.
-    fn append_body(&mut self, id: RequestId, bytes: &[u8]) {
+    /// Forwards further bytes of the body of a request that the engine has. The bytes go to the server that
+    /// has received the rest of the request, or are buffered until there is such a server.
+    fn forward_body(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         let Some(key) = request.latest_connection() else { return request.body.extend_from_slice(bytes) };
         match self.servers.get_mut(key) {
@@ -72,8 +74,8 @@
         }
     }
 
-    /// The body of a request that has begun is complete.
-    fn complete_body(&mut self, id: RequestId) {
+    /// Handles the end of the body of a request that the engine has.
+    fn finish_forwarded_body(&mut self, id: RequestId) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         request.is_body_complete = true;
         let Some(key) = request.latest_connection() else { return };
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -11,34 +11,39 @@
 use violetseam_http1::server::ServerEvent;
 use violetseam_settings::HalfClose;
 
-/// A client's unread input is bounded by this and one read.
+/// The limit of a client's unparsed input, in bytes; one read may exceed it.
 const MAX_INPUT_BYTES: usize = 64 * 1024;
 /// How long the input of a connection is read and dropped after its last response.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 impl Proxy {
-    /// The connections that are between two requests.
+    /// Returns the slab keys of the connections that are between two requests.
     pub(in super::super) fn idle_client_keys(&self) -> Vec<usize> {
-        self.clients.iter().filter(|(_, c)| c.is_between_requests()).map(|(key, _)| key).collect()
+        self.clients.iter().filter(|(_, client)| client.is_between_requests()).map(|(key, _)| key).collect()
     }
 
-    /// The sockets of these connections.
+    /// Returns the sockets of these connections.
     pub(in super::super) fn client_streams(&self, keys: &[usize]) -> Vec<&TcpStream> {
         keys.iter().filter_map(|key| Some(self.clients.get(*key)?.socket.stream())).collect()
     }
 
-    /// Before a drain: what has come on idle connections is read. The others close, but those whose first
-    /// request may be on its way.
+    /// Called when a drain starts: reads what has arrived on idle connections, and then closes those that are
+    /// still idle. Connections that have carried no request yet stay open, because their first request may be
+    /// on its way.
     pub(in super::super) fn close_idle_clients(&mut self) {
         for key in self.idle_client_keys() {
             self.read_client(key);
-            if self.clients.get(key).is_some_and(|c| c.has_received_request && c.is_between_requests()) {
+            if self
+                .clients
+                .get(key)
+                .is_some_and(|client| client.has_received_request && client.is_between_requests())
+            {
                 self.close_client(key);
             }
         }
     }
 
-    /// After a drain that was cancelled: idle connections have their ordinary time-out again.
+    /// Called when a drain is cancelled: gives idle connections their ordinary time-out again.
     pub(in super::super) fn reset_idle_timeouts(&mut self) {
         for key in self.idle_client_keys() {
             self.clients[key].timeout.set(None);
@@ -46,32 +51,32 @@
         }
     }
 
-    /// How long a connection may be idle that has carried no request yet.
+    /// Returns how long a connection that has carried no request yet may be idle.
     pub(super) fn first_request_timeout(&self) -> Micros {
         let idle = self.settings.connections.client_idle_timeout;
         if self.lifecycle.is_draining() { idle.min(FIRST_REQUEST_TIMEOUT) } else { idle }
     }
 
-    /// Closes a connection without a report to the engine.
+    /// Closes a connection without reporting it to the engine.
     pub(in super::super) fn close_client(&mut self, key: usize) {
         if let Some(client) = self.clients.try_remove(key) {
             client.socket.remove(&self.handle);
         }
     }
 
-    /// The connection failed, or its client closed it: its request needs no response any more.
+    /// Handles a connection that failed or that its client closed: its request needs no response any more.
     pub(super) fn on_client_lost(&mut self, key: usize) {
         let Some(client) = self.clients.get(key) else { return };
-        let waiting = client.waiting_request();
+        let awaited_request = client.request_awaiting_response();
         self.close_client(key);
-        if let Some(id) = waiting {
+        if let Some(id) = awaited_request {
             let now = self.now();
             self.engine.on_client_disconnected(now, id);
         }
     }
 
-    /// A connection is ready to be read or written.
-    pub(super) fn on_client(&mut self, key: usize, readiness: Readiness) {
+    /// Handles a connection that is ready to be read or written.
+    pub(super) fn on_client_ready(&mut self, key: usize, readiness: Readiness) {
         if readiness.writable {
             self.flush_client(key);
         }
@@ -81,14 +86,14 @@
         self.run_engine_actions();
     }
 
-    /// Reads once.
+    /// Reads from the connection once, and handles what was read.
     pub(super) fn read_client(&mut self, key: usize) {
         let mut scratch = std::mem::take(&mut self.scratch);
         if let Some(client) = self.clients.get_mut(key) {
             match client.socket.read(&mut scratch) {
-                ReadOutcome::Bytes(n) => {
-                    client.http.feed(&scratch[..n]);
-                    self.client_events(key);
+                ReadOutcome::Bytes(length) => {
+                    client.http.feed(&scratch[..length]);
+                    self.process_client_events(key);
                 }
                 ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed => self.on_client_half_closed(key),
@@ -99,60 +104,64 @@
         self.rearm_client(key);
     }
 
-    /// The client has closed its write side.
+    /// Handles that the client has closed its sending side.
     fn on_client_half_closed(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let serve = self.settings.connections.half_close == HalfClose::Serve;
+        let serves_half_closed = self.settings.connections.half_close == HalfClose::Serve;
         match client.state {
             ClientState::AwaitingResponse(id)
-                if serve && self.in_flight.get(&id).is_some_and(|request| request.is_body_complete) =>
+                if serves_half_closed
+                    && self.in_flight.get(&id).is_some_and(|request| request.is_body_complete) =>
             {
-                client.half_closed = true;
+                client.is_half_closed = true;
             }
-            ClientState::Closing => client.half_closed = true,
+            ClientState::Closing => client.is_half_closed = true,
             ClientState::Lingering => self.close_client(key),
             _ => self.on_client_lost(key),
         }
     }
 
-    /// Handles what a client's input gives, until it gives nothing more for now.
-    pub(super) fn client_events(&mut self, key: usize) {
+    /// Handles the events that a client's input contains, until more input is needed for the next one.
+    pub(super) fn process_client_events(&mut self, key: usize) {
         while let Some(client) = self.clients.get_mut(key) {
             let Some(event) = client.http.next_event() else { return };
             match event {
-                ServerEvent::Head(head) => self.on_head(key, *head),
-                ServerEvent::Body(bytes) => self.on_body(key, bytes),
-                ServerEvent::End => self.on_end(key),
-                ServerEvent::Error(fault) => {
-                    tracing::debug!("request refused: {fault}");
+                ServerEvent::Head(head) => self.on_request_head(key, *head),
+                ServerEvent::Body(bytes) => self.on_body_bytes(key, bytes),
+                ServerEvent::End => self.on_body_complete(key),
+                ServerEvent::Error(error) => {
+                    tracing::debug!("request rejected: {error}");
                     if let ClientState::AwaitingResponse(id) = client.state {
                         client.state = ClientState::Idle;
                         let now = self.now();
                         self.engine.on_client_disconnected(now, id);
                     }
-                    self.respond_with_error(key, fault.status(), fault.reason());
+                    self.respond_with_error(key, error.status(), error.reason());
                 }
             }
         }
     }
 
-    /// Goes on with input that waited for the response to the request before it.
+    /// Handles input that had to wait for the response to the request before it.
     pub(in super::super) fn resume_client(&mut self, id: ConnectionId) {
         if self.clients.get(id.key).is_some_and(|client| client.generation == id.generation) {
-            self.client_events(id.key);
+            self.process_client_events(id.key);
             self.rearm_client(id.key);
         }
     }
 
-    /// Sets the events that the connection is to be woken for, and its time-out.
+    /// Updates the events that the connection is polled for, and its time-out.
     pub(in super::super) fn rearm_client(&mut self, key: usize) {
         self.set_client_timeout(key);
         let is_body_backpressured = self.is_body_backpressured(key);
         let is_handing_over = self.is_handing_over();
         let Some(client) = self.clients.get(key) else { return };
-        let is_full = client.http.buffered_bytes() > MAX_INPUT_BYTES || client.has_write_backlog();
-        // While a process takes over, what arrives next on a connection is for the process that has it then.
-        let wants_read = !client.half_closed && !is_body_backpressured && !is_full && !is_handing_over;
+        let is_over_buffer_limit =
+            client.http.buffered_bytes() > MAX_INPUT_BYTES || client.has_write_backlog();
+        // During a hand-over nothing is read, because the next bytes on a connection belong to the process
+        // that owns the connection after it.
+        let wants_read =
+            !client.is_half_closed && !is_body_backpressured && !is_over_buffer_limit && !is_handing_over;
         client.socket.set_read_interest(&self.handle, wants_read);
     }
 
@@ -171,7 +180,8 @@
             ClientState::Closing => Some(settings.head_timeout),
             ClientState::Lingering => Some(LINGER_TIMEOUT),
         };
-        // A client that sends its head byte by byte must not postpone its own time-out with each byte.
+        // A time-out that is running is never postponed: otherwise a client that sends its head byte by byte
+        // could postpone it with each byte.
         let timeout_at = timeout.map(|timeout| now + timeout);
         client
             .timeout
@@ -180,22 +190,25 @@
         client.timeout.arm(&mut self.timers, TimerKind::Client(id));
     }
 
-    /// Whether the body of a request that has begun has to wait: it is read as fast as its server takes it,
-    /// and beyond what may be buffered not before it has a server.
+    /// Whether reading the body of a request that has been passed to the engine must pause. The body is read
+    /// as fast as the server accepts it. Beyond the limit of what may be buffered, it is not read before
+    /// there is a server.
     fn is_body_backpressured(&self, key: usize) -> bool {
-        let request = self.clients.get(key).and_then(Client::waiting_request);
+        let request = self.clients.get(key).and_then(Client::request_awaiting_response);
         let request = request.and_then(|id| self.in_flight.get(&id));
         let Some(request) = request.filter(|request| !request.is_body_complete) else { return false };
-        let latest_server = request.connections.iter().rev().flatten().next();
-        let server = latest_server.and_then(|&key| self.servers.get(key));
+        let latest_server_key = request.connections.iter().rev().flatten().next();
+        let server = latest_server_key.and_then(|&key| self.servers.get(key));
         let is_server_slow =
             server.is_none_or(|server| server.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK);
         is_server_slow && request.body.len() > self.settings.connections.max_retained_body_bytes
     }
 
-    /// A client connection's time-out may have expired.
+    /// Handles the timer of a client connection. If the time-out has expired, a client that is still sending
+    /// a request is sent a response with status 408; any other connection is closed.
     pub(in super::super) fn client_timeout(&mut self, now: Micros, id: ConnectionId) {
-        let Some(client) = self.clients.get_mut(id.key).filter(|c| c.generation == id.generation) else {
+        let Some(client) = self.clients.get_mut(id.key).filter(|client| client.generation == id.generation)
+        else {
             return;
         };
         if !client.timeout.on_timer_fired(now, &mut self.timers, TimerKind::Client(id)) {
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners for clients, and the connections that they accept.
+//! The listeners for clients, and accepting connections on them.
 
 use super::super::timers::{ACCEPT_PAUSE, StateTimeout, TimerKind};
 use super::super::{ConnectionId, Proxy};
@@ -10,32 +10,33 @@
 use violetseam_event_io::{AcceptOutcome, Listener, Socket, accept, listen};
 use violetseam_http1::server::ServerConnection;
 
-/// Connections that may wait in a listener's queue.
+/// How many connections may wait in a listener's queue.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// Connections accepted in one turn of the event loop.
-const MAX_ACCEPTS_PER_TURN: usize = 128;
+/// The most connections accepted from a listener at once. Except in a drain, further ones wait for the next
+/// iteration of the event loop.
+const MAX_ACCEPTS_AT_ONCE: usize = 128;
 
-/// The state of a listener's queue after one turn of accepting.
+/// The state of a listener's queue after connections have been accepted from it.
 enum QueueState {
-    /// No connection waits.
+    /// No connection is waiting.
     Empty,
-    /// More connections may wait that could be accepted now.
+    /// More connections may be waiting and could be accepted now.
     MoreQueued,
-    /// Connections may wait for which there is no room or descriptor: accepting pauses.
+    /// Connections may be waiting, but there is no room or no file descriptor for them: accepting is paused.
     Paused,
 }
 
 impl Proxy {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses that the settings state.
     pub(in super::super) fn bind_listeners(&mut self) -> std::io::Result<()> {
         let settings = self.settings.clone();
-        for addr in &settings.listen {
-            self.add_listener(listen(*addr, LISTEN_BACKLOG)?)?;
+        for address in &settings.listen {
+            self.add_listener(listen(*address, LISTEN_BACKLOG)?)?;
         }
         Ok(())
     }
 
-    /// Puts a listening socket on the event loop.
+    /// Registers a listening socket on the event loop.
     pub(in super::super) fn add_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
         let on_ready = |listener: &TcpListener, proxy: &mut Proxy| {
             proxy.accept_clients(listener);
@@ -44,24 +45,24 @@
         Ok(())
     }
 
-    /// Accepts one turn's share of the connections that wait.
+    /// Accepts waiting connections, at most [`MAX_ACCEPTS_AT_ONCE`].
     fn accept_clients(&mut self, listener: &TcpListener) -> QueueState {
         self.had_socket_events = true;
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_AT_ONCE {
             if self.clients.len() >= self.settings.connections.max_clients {
-                self.pause_accepting("as many clients as the settings allow");
+                self.pause_accepting("the limit of client connections in the settings is reached");
                 return QueueState::Paused;
             }
             match accept(listener) {
                 AcceptOutcome::Accepted(stream) => {
-                    if let Err(e) = self.add_client(stream) {
-                        tracing::warn!("client not taken: {e}");
+                    if let Err(error) = self.add_client(stream) {
+                        tracing::warn!("accepted client connection dropped: {error}");
                     }
                 }
                 AcceptOutcome::QueueEmpty => return QueueState::Empty,
                 AcceptOutcome::Retry => {}
-                AcceptOutcome::OutOfResources(e) => {
-                    self.pause_accepting(&e.to_string());
+                AcceptOutcome::OutOfResources(error) => {
+                    self.pause_accepting(&error.to_string());
                     return QueueState::Paused;
                 }
             }
@@ -69,23 +70,23 @@
         QueueState::MoreQueued
     }
 
-    /// Stops or goes on accepting.
+    /// Starts or stops accepting connections on all listeners.
     pub(in super::super) fn set_accepting(&mut self, is_accepting: bool) {
         for listener in &self.listeners {
             listener.set_accepting(&self.handle, is_accepting);
         }
     }
 
-    fn pause_accepting(&mut self, why: &str) {
+    fn pause_accepting(&mut self, reason: &str) {
         let now = self.now();
         if self.log_limit.allows(now) {
-            tracing::warn!(open = self.clients.len(), "accepting pauses: {why}");
+            tracing::warn!(open = self.clients.len(), "accepting connections is paused: {reason}");
         }
         self.set_accepting(false);
         self.timers.set(now + ACCEPT_PAUSE, TimerKind::ResumeAccepting);
     }
 
-    /// Goes on accepting after a pause.
+    /// Resumes accepting after a pause.
     pub(in super::super) fn resume_accepting(&mut self) {
         if self.lifecycle.is_draining() {
             self.accept_queued();
@@ -94,19 +95,19 @@
         }
     }
 
-    /// Takes what waits in the kernel's queues, so that none is reset, and listens no more once they are
-    /// empty. Where there is no room for all, the rest is taken as clients leave, for as long as it may have
-    /// an answer in time.
+    /// Accepts the connections that wait in the kernel's queues, so that none is reset, and closes the
+    /// listeners once the queues are empty. If there is no room for all of them, the rest is accepted as
+    /// clients leave, for as long as their requests can still be answered in time.
     pub(in super::super) fn accept_queued(&mut self) {
         let listeners: Vec<Rc<TcpListener>> =
-            self.listeners.iter().map(|open| open.socket().clone()).collect();
+            self.listeners.iter().map(|listener| listener.socket().clone()).collect();
         let are_queues_empty = listeners.iter().all(|listener| self.accept_queued_on(listener));
         if are_queues_empty || self.now() >= self.listen_until {
             self.stop_listening();
         }
     }
 
-    /// Whether nothing is left in a listener's queue.
+    /// Accepts what waits in a listener's queue; returns whether the queue is empty.
     fn accept_queued_on(&mut self, listener: &TcpListener) -> bool {
         loop {
             match self.accept_clients(listener) {
@@ -117,8 +118,9 @@
         }
     }
 
-    /// When a drain abandons what still waits for room: first requests have had their time to come, and those
-    /// that keep the room their deadline.
+    /// Returns the time at which a drain gives up on connections that still wait for room. By then the first
+    /// request of every accepted connection has had time to arrive, and the requests that occupy the room
+    /// have reached their deadlines.
     pub(in super::super) fn listen_deadline(&self) -> Micros {
         self.now() + FIRST_REQUEST_TIMEOUT + self.settings.decisions.longest_deadline()
     }
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Puts a client connection on the event loop.
+    /// Registers a client connection on the event loop.
     pub(in super::super) fn add_client(&mut self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -139,7 +141,7 @@
         let http = ServerConnection::new(self.head_limits);
         let entry = self.clients.vacant_entry();
         let key = entry.key();
-        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client(key, readiness);
+        let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client_ready(key, readiness);
         let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
         let kind = TimerKind::Client(ConnectionId { key, generation });
         entry.insert(Client {
@@ -148,7 +150,7 @@
             http,
             state: ClientState::Idle,
             has_received_request: false,
-            half_closed: false,
+            is_half_closed: false,
             timeout: StateTimeout::start(timeout_at, &mut self.timers, kind),
         });
         Ok(())
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -1,10 +1,10 @@
-//! Client connections: from bytes to a complete request for the engine, and from a response to bytes.
+//! Client connections: reads requests for the engine from the clients' bytes, and writes the responses.
 //!
-//! - `listeners`: listening and accepting
+//! - `listeners`: listening for connections and accepting them
 //! - `connections`: readiness, time-outs and the end of a connection
-//! - `requests`: heads, routes, and the passing of requests to the engine
-//! - `bodies`: bodies of requests
-//! - `responses`: the proxy's own responses and those of servers
+//! - `requests`: request heads, routes, and passing requests to the engine
+//! - `bodies`: the bodies of requests
+//! - `responses`: responses that the proxy itself generates, and responses of servers
 
 mod bodies;
 mod connections;
@@ -20,7 +20,8 @@
 use violetseam_http1::RequestHead;
 use violetseam_http1::server::ServerConnection;
 
-/// While draining, a connection that has carried no request yet may take so long to begin its first one.
+/// During a drain, the time within which a connection that has carried no request yet must begin its first
+/// one.
 const FIRST_REQUEST_TIMEOUT: Micros = 1_000_000;
 
 /// A client connection.
@@ -29,30 +30,30 @@
     socket: Socket,
     http: ServerConnection,
     state: ClientState,
-    /// A request's head has arrived on it.
+    /// Whether a request's head has arrived on this connection.
     has_received_request: bool,
-    /// The client has closed its write side; it may still read.
-    half_closed: bool,
+    /// Whether the client has closed its sending side. It may still read.
+    is_half_closed: bool,
     timeout: StateTimeout,
 }
 
 /// The state of a client connection.
 enum ClientState {
-    /// Between requests, or within a head.
+    /// Between two requests, or while a request's head is arriving.
     Idle,
-    /// A head has arrived; its body is still arriving.
+    /// A request's head has arrived; its body is still arriving.
     ReceivingBody(Box<PendingRequest>),
-    /// The engine has the request, and the response is not complete.
+    /// The request has been passed to the engine, and its response is not complete.
     AwaitingResponse(RequestId),
     /// The last response is being written.
     Closing,
-    /// The last response is written and the write side closed. What the client still sends is read and
-    /// dropped for a while: closing at once would reset the connection, and the response could be lost before
-    /// it is read.
+    /// The last response is written and the sending side closed. For a while, what the client still sends is
+    /// read and dropped: closing at once would reset the connection, and the response could be lost before
+    /// the client reads it.
     Lingering,
 }
 
-/// A request whose body is not complete.
+/// A request whose body is still arriving, and which has not been passed to the engine.
 struct PendingRequest {
     head: RequestHead,
     arrived_at: Micros,
@@ -60,48 +61,49 @@
     body: Vec<u8>,
 }
 
-/// What a request is for.
+/// What the proxy does with a request.
 enum RequestPurpose {
-    /// It is routed to a server, as a request of this class.
+    /// The request is routed to a server, as a request of this class.
     Route { class: usize },
-    /// It reports an earlier response wrong.
+    /// The request reports that an earlier response was wrong.
     AnswerReport,
-    /// It gets this response of the proxy's own, once it is complete.
+    /// The proxy itself sends this response once the request is complete.
     RespondWithError { status: StatusCode, reason: &'static str },
 }
 
-/// A request that the engine has: what it takes to send it, and where its response goes.
+/// A request that has been passed to the engine: what is needed to send it, and where its response goes.
 pub(super) struct InFlightRequest {
     client: ConnectionId,
     pub(super) class: usize,
-    /// The head as servers get it.
+    /// The head in the form in which it is sent to servers.
     pub(super) head: Vec<u8>,
-    /// The method is HEAD.
+    /// Whether the request's method is HEAD.
     pub(super) is_head_request: bool,
-    /// The buffered part of the body; all of it once `is_body_complete`, unless a part went to a server
-    /// unbuffered.
+    /// The buffered part of the body. Once `is_body_complete` is set this is the whole body, unless a part of
+    /// it was sent to a server without being buffered.
     pub(super) body: Vec<u8>,
     pub(super) is_chunked: bool,
-    /// The body is complete.
+    /// Whether the body is complete.
     pub(super) is_body_complete: bool,
-    /// Connections of the attempts, by the attempts' numbers.
+    /// The slab key of each attempt's connection, indexed by the attempt's number; `None` for an attempt that
+    /// is on no connection.
     pub(super) connections: Vec<Option<usize>>,
-    /// The connection whose response is being streamed to the client.
+    /// The slab key of the server connection whose response is being streamed to the client.
     pub(super) streaming_from: Option<usize>,
 }
 
 impl Client {
-    /// Whether no response is pending and nothing of a next request has arrived.
+    /// Whether no response is pending and no byte of a further request has arrived.
     fn is_between_requests(&self) -> bool {
         matches!(self.state, ClientState::Idle) && self.http.is_idle()
     }
 
-    /// Whether it reads its response more slowly than the response arrives.
+    /// Whether the client reads its response more slowly than the response arrives.
     pub(super) fn has_write_backlog(&self) -> bool {
         self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
-    /// Takes the request whose body has been arriving; the connection is idle from then on.
+    /// Takes the request whose body has been arriving. The connection is idle from then on.
     fn take_pending_request(&mut self) -> Option<PendingRequest> {
         match std::mem::replace(&mut self.state, ClientState::Idle) {
             ClientState::ReceivingBody(pending) => Some(*pending),
@@ -109,8 +111,8 @@
         }
     }
 
-    /// The request whose response is pending.
-    fn waiting_request(&self) -> Option<RequestId> {
+    /// Returns the request whose response is pending.
+    fn request_awaiting_response(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse(id) => Some(id),
             _ => None,
@@ -119,12 +121,12 @@
 }
 
 impl InFlightRequest {
-    /// The place of the client's connection.
+    /// Returns the slab key of the client's connection.
     pub(super) fn client_key(&self) -> usize {
         self.client.key
     }
 
-    /// The connection of the latest attempt, if that is still on one.
+    /// Returns the slab key of the latest attempt's connection, if that attempt is still on one.
     fn latest_connection(&self) -> Option<usize> {
         self.connections.last().copied().flatten()
     }
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: their routes, and the forms that the engine and the servers get.
+//! Clients' requests: finds their routes, and creates the forms that the engine and the servers receive.
 
 use super::super::{ConnectionId, Proxy};
 use super::{ClientState, InFlightRequest, PendingRequest, RequestPurpose};
@@ -10,15 +10,16 @@
 use violetseam_settings::ProxySettings;
 use violetseam_site_protocol::{answer_report, key_number};
 
-/// A longer expected service time is taken for an unknown one.
+/// The limit of a stated service time, in microseconds. A time that reaches it is treated as unknown.
 const MAX_COST_HINT: Micros = 3_600_000_000;
 
 impl Proxy {
-    /// A request's head has arrived.
-    pub(super) fn on_head(&mut self, key: usize, head: RequestHead) {
+    /// Handles a request's head that has arrived.
+    pub(super) fn on_request_head(&mut self, key: usize, head: RequestHead) {
         let purpose = self.request_purpose(&head);
-        // The client's wait began when it sent; for as long as this event loop is late, the head may have
-        // been unread.
+        // The request's deadline counts from the time when the client sent it. For as long as this event loop
+        // is late, the head may have been waiting unread, so the time of arrival is set back by that
+        // lateness.
         let now = self.now();
         let arrived_at = now - self.timers.lateness(now, self.engine.next_deadline());
         let Some(client) = self.clients.get_mut(key) else { return };
@@ -34,7 +35,7 @@
         }
     }
 
-    /// What a request with this head is for, by its path and the routes in force.
+    /// Returns what the proxy does with a request with this head, from its path and the routes in force.
     fn request_purpose(&self, head: &RequestHead) -> RequestPurpose {
         let settings = &self.settings;
         let path = head.target.split(['?', '#']).next().unwrap_or("");
@@ -47,12 +48,12 @@
                 },
             };
         }
-        let distributed = self.subscription.as_ref().and_then(|subscription| subscription.table());
-        let routes = distributed.unwrap_or(&settings.route_table);
+        let distributed_routes = self.subscription.as_ref().and_then(|subscription| subscription.table());
+        let routes = distributed_routes.unwrap_or(&settings.route_table);
         let Some(route) = routes.find(&head.method, path) else {
             return RequestPurpose::RespondWithError { status: StatusCode::NOT_FOUND, reason: "no route" };
         };
-        // Without its key no server could drop a repeat.
+        // Without an idempotency key no server could recognize and drop a repeated attempt.
         let needs_key = settings.decisions.classes[route.class].idempotency == Idempotency::Keyed;
         if needs_key && !head.headers.contains_key(&settings.headers.idempotency_key) {
             return RequestPurpose::RespondWithError {
@@ -63,8 +64,9 @@
         RequestPurpose::Route { class: route.class }
     }
 
-    /// Passes a request to the engine: complete, or once more of its body has arrived than is buffered.
-    pub(super) fn begin_request(&mut self, key: usize, is_body_complete: bool) {
+    /// Passes a request to the engine, either because it is complete or because more of its body has arrived
+    /// than may be buffered.
+    pub(super) fn submit_request(&mut self, key: usize, is_body_complete: bool) {
         let settings = self.settings.clone();
         let Some(client) = self.clients.get_mut(key) else { return };
         let Some(pending) = client.take_pending_request() else { return };
@@ -90,18 +92,18 @@
         self.in_flight.insert(id, request);
     }
 
-    /// A client reports a response wrong.
+    /// Handles a client's report that a response was wrong.
     pub(super) fn on_answer_report(&mut self, key: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
         let Some(pending) = client.take_pending_request() else { return };
         match answer_report::parse(&pending.body) {
-            Ok(answer) if self.engine.on_answer_reported(now, answer) => {
+            Ok(response_id) if self.engine.on_answer_reported(now, response_id) => {
                 self.write_local_response(key, StatusCode::ACCEPTED, "", &[]);
             }
             Ok(_) => self.write_local_response(key, StatusCode::NOT_FOUND, "no such answer\n", &[]),
-            Err(fault) => {
-                self.write_local_response(key, StatusCode::BAD_REQUEST, &format!("{fault}\n"), &[]);
+            Err(error) => {
+                self.write_local_response(key, StatusCode::BAD_REQUEST, &format!("{error}\n"), &[]);
             }
         }
     }
@@ -112,10 +114,10 @@
     }
 }
 
-/// The head of a request as servers get it.
+/// Returns the head of a request in the form in which it is sent to servers.
 fn server_request_head(settings: &ProxySettings, head: &RequestHead, via: &str, framing: Framing) -> Vec<u8> {
     let names = &settings.headers;
-    let forwarded = [
+    let protected_fields = [
         names.idempotency_key.clone(),
         names.tenant.clone(),
         names.cost.clone(),
@@ -123,24 +125,26 @@
         names.retry.clone(),
     ];
     let mut bytes = Vec::with_capacity(256);
-    write_request_head(&mut bytes, head, &forwarded, &[("via", via.as_bytes())], framing);
+    write_request_head(&mut bytes, head, &protected_fields, &[("via", via.as_bytes())], framing);
     bytes
 }
 
-/// A request as the engine gets it.
+/// Returns a request in the form in which it is passed to the engine.
 fn routed_request(settings: &ProxySettings, head: &RequestHead, class: usize, arrived_at: Micros) -> Request {
     let names = &settings.headers;
-    let text = |name: &HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let number = |name: &HeaderName| text(name).and_then(|value| value.trim().parse::<u64>().ok());
-    let longest = settings.decisions.classes[class].deadline;
-    let wait = number(&names.deadline).map_or(longest, |ms| ms.saturating_mul(1_000).min(longest));
-    let tenant = text(&names.tenant).and_then(|name| settings.tenants.get(name).copied());
+    let field_text = |name: &HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
+    let field_number =
+        |name: &HeaderName| field_text(name).and_then(|value| value.trim().parse::<u64>().ok());
+    let class_deadline = settings.decisions.classes[class].deadline;
+    let allowed_time = field_number(&names.deadline)
+        .map_or(class_deadline, |ms| ms.saturating_mul(1_000).min(class_deadline));
+    let tenant = field_text(&names.tenant).and_then(|name| settings.tenants.get(name).copied());
     let unknown_tenant = settings.decisions.tenants.len();
     Request {
         id: 0,
-        deadline: arrived_at + wait,
+        deadline: arrived_at + allowed_time,
         class,
-        cost_hint: number(&names.cost).filter(|us| *us > 0 && *us < MAX_COST_HINT),
+        cost_hint: field_number(&names.cost).filter(|us| *us > 0 && *us < MAX_COST_HINT),
         key: head.headers.get(&names.idempotency_key).map(|value| key_number(value.as_bytes())),
         tenant: tenant.unwrap_or(unknown_tenant),
         is_retry: head.headers.contains_key(&names.retry),
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: the proxy's own, and those of servers as they are passed on.
+//! Responses to clients: those that the proxy itself generates, and those that it passes on from servers.
 
 use super::super::{ConnectionId, Proxy};
 use super::ClientState;
@@ -11,18 +11,18 @@
 use violetseam_http1::{Framing, ResponseHead};
 use violetseam_site_protocol::answer_report;
 
-/// States the outcome of a final response: served, refused or failed.
+/// The header that states the outcome of a final response: served, refused or failed.
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("violetseam-answer");
 
 impl Proxy {
-    /// Responds to a request that never reaches the engine.
+    /// Responds to a request that is never passed to the engine.
     pub(super) fn respond_with_error(&mut self, key: usize, status: StatusCode, reason: &str) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.state = ClientState::Idle;
         self.write_local_response(key, status, &format!("{reason}\n"), &[]);
     }
 
-    /// Writes a response of the proxy's own.
+    /// Writes a response that the proxy itself generates.
     pub(super) fn write_local_response(
         &mut self,
         key: usize,
@@ -44,17 +44,19 @@
         self.finish_response(key);
     }
 
-    /// Sends a final response that no server gave: rejected 503, failed 502 or 504.
+    /// Sends a final response that does not come from a server: 503 if the request was rejected, 502 or 504
+    /// if it failed.
     pub(in super::super) fn send_local_response(&mut self, request: RequestId, response: LocalResponse) {
         let Some(key) = self.waiting_client(request) else { return };
-        tracing::debug!(request, answer = ?response, "final answer");
+        tracing::debug!(request, answer = ?response, "final response");
         match response {
             LocalResponse::Rejected { retry_after } => {
-                // Retry-After counts whole seconds; rounded up, as the client must not retry earlier.
+                // `Retry-After` is in whole seconds. It is rounded up, because the client must not retry
+                // earlier.
                 let seconds = retry_after.div_ceil(1_000_000).to_string();
-                let advice = (RETRY_AFTER, seconds.as_bytes());
+                let retry_after_field = (RETRY_AFTER, seconds.as_bytes());
                 let outcome = (OUTCOME_HEADER, &b"refused"[..]);
-                let fields = if retry_after > 0 { vec![outcome, advice] } else { vec![outcome] };
+                let fields = if retry_after > 0 { vec![outcome, retry_after_field] } else { vec![outcome] };
                 self.write_local_response(key, StatusCode::SERVICE_UNAVAILABLE, "refused\n", &fields);
             }
             LocalResponse::Failed { timed_out } => {
@@ -64,40 +66,41 @@
         }
     }
 
-    /// The client that waits for a request's response.
+    /// Returns the slab key of the client connection that waits for a request's response.
     pub(in super::super) fn waiting_client(&self, id: RequestId) -> Option<usize> {
         let request = self.in_flight.get(&id)?;
         let client = self.clients.get(request.client.key)?;
-        let is_waiting = client.waiting_request() == Some(id);
+        let is_waiting = client.request_awaiting_response() == Some(id);
         (is_waiting && client.generation == request.client.generation).then_some(request.client.key)
     }
 
-    /// Starts a client's response with a server's head; none if no client waits for it any more.
+    /// Starts a client's response with a server's head. Returns the client's slab key, or `None` if no client
+    /// waits for the response any more.
     pub(in super::super) fn start_response(
         &mut self,
         id: RequestId,
         head: &ResponseHead,
         framing: Framing,
-        answer: u64,
+        response_id: u64,
     ) -> Option<usize> {
         let key = self.waiting_client(id)?;
-        let answer = answer_report::write_id(answer);
-        let leaving = self.is_leaving();
+        let response_id_text = answer_report::write_id(response_id);
+        let close = self.is_leaving();
         let client = self.clients.get_mut(key)?;
         let fields = [
             (VIA, self.via.as_bytes()),
-            (self.settings.headers.response_id.clone(), answer.as_bytes()),
+            (self.settings.headers.response_id.clone(), response_id_text.as_bytes()),
             (OUTCOME_HEADER, &b"served"[..]),
         ];
-        let out = client.socket.write_buffer();
+        let write_buffer = client.socket.write_buffer();
         let response = ResponseStart {
             status: head.status,
             headers: Some(&head.headers),
             extra_fields: &fields,
             framing,
-            close: leaving,
+            close,
         };
-        client.http.start_response(out, response);
+        client.http.start_response(write_buffer, response);
         Some(key)
     }
 
@@ -107,25 +110,26 @@
         client.http.write_body(client.socket.write_buffer(), bytes);
     }
 
-    /// Completes the present response: the connection carries on, or closes once all is written.
+    /// Completes the present response. The connection stays open for further requests, or closes once
+    /// everything is written.
     pub(in super::super) fn finish_response(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let carries_on = client.http.finish_response(client.socket.write_buffer()) && !client.half_closed;
-        client.state = if carries_on { ClientState::Idle } else { ClientState::Closing };
+        let stays_open = client.http.finish_response(client.socket.write_buffer()) && !client.is_half_closed;
+        client.state = if stays_open { ClientState::Idle } else { ClientState::Closing };
         self.flush_client(key);
     }
 
-    /// Writes what is unwritten; then the connection may close, a next request begin or a paused server be
-    /// read.
+    /// Writes the unwritten bytes. After that the connection may close, the next request may start, or a
+    /// server connection may be read again that was paused because this client read too slowly.
     pub(in super::super) fn flush_client(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.socket.flush().is_err() {
             return self.on_client_lost(key);
         }
-        let drained = !client.socket.has_unwritten_bytes();
+        let is_all_written = !client.socket.has_unwritten_bytes();
         match client.state {
-            ClientState::Closing if drained && client.half_closed => return self.close_client(key),
-            ClientState::Closing if drained => {
+            ClientState::Closing if is_all_written && client.is_half_closed => return self.close_client(key),
+            ClientState::Closing if is_all_written => {
                 client.state = ClientState::Lingering;
                 client.timeout.set(None);
                 client.socket.close_write();
@@ -138,11 +142,11 @@
                     self.rearm_server(server);
                 }
             }
-            ClientState::Idle if self.lifecycle.is_draining() && client.http.is_idle() && drained => {
+            ClientState::Idle if self.lifecycle.is_draining() && client.http.is_idle() && is_all_written => {
                 return self.close_client(key);
             }
-            // A pipelined request may be waiting in the input: it gets its turn from `run_engine_actions`, as
-            // to handle it from here would go a level deeper with each one that is answered at once.
+            // A pipelined request may be waiting in the input. `run_engine_actions` handles it: handling it
+            // here would nest one call deeper for each request that is answered at once.
             ClientState::Idle if client.http.buffered_bytes() > 0 => {
                 self.clients_to_resume.push(ConnectionId { key, generation: client.generation });
             }
--- a/crates/proxy/src/driver/servers/responses.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -130,13 +130,13 @@
             self.end_attempt(request, attempt, Outcome::Cancelled);
             return;
         }
-        let answer = self.draw();
-        self.engine.record_delivered_answer(request, attempt, answer);
+        let response_id = self.draw();
+        self.engine.record_delivered_answer(request, attempt, response_id);
         let framing = if head.framing == Framing::UntilClose { Framing::Chunked } else { head.framing };
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
             in_flight.streaming_from = Some(key);
         }
-        if let Some(client) = self.start_response(request, head, framing, answer) {
+        if let Some(client) = self.start_response(request, head, framing, response_id) {
             self.write_response_body(client, body);
             self.flush_client(client);
         }
@@ -156,10 +156,10 @@
         self.pool_or_close(key, reusable && is_request_written);
         match active.response {
             ResponseState::Buffered { head, body } => {
-                let answer = self.draw();
-                self.engine.record_delivered_answer(request, attempt, answer);
+                let response_id = self.draw();
+                self.engine.record_delivered_answer(request, attempt, response_id);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
-                    self.deliver_buffered_response(request, &head, &body, answer);
+                    self.deliver_buffered_response(request, &head, &body, response_id);
                 }
             }
             ResponseState::Streaming => {
@@ -179,7 +179,7 @@
         request: RequestId,
         head: &ResponseHead,
         body: &[u8],
-        answer: u64,
+        response_id: u64,
     ) {
         tracing::debug!(request, status = head.status.as_u16(), "final response");
         // A response without a body may still state the length that the body would have (to HEAD, or with
@@ -194,7 +194,7 @@
             None if head.status == StatusCode::NOT_MODIFIED => Framing::UntilClose,
             _ => Framing::Length(body.len() as u64),
         };
-        if let Some(client) = self.start_response(request, head, framing, answer) {
+        if let Some(client) = self.start_response(request, head, framing, response_id) {
             self.write_response_body(client, body);
             self.finish_response(client);
         }
