--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -96,10 +96,10 @@
         }
         self.finish_configuration();
         self.finish_recording();
-        let busy_servers = self.servers.iter().filter(|(_, server)| !server.is_idle()).count();
+        let busy_server_connections = self.servers.iter().filter(|(_, server)| !server.is_idle()).count();
         let summary = Summary {
             counts: self.engine.counts(),
-            left_open: self.clients.len() + busy_servers,
+            left_open: self.clients.len() + busy_server_connections,
             left_in_flight: self.engine.pending_responses() + self.in_flight.len(),
             module_time: self.engine.module_time(),
         };
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -159,9 +159,9 @@
                 self.shut_down();
             }
         }
-        if let Some(stop) = &options.stop {
+        if let Some(stop_flag) = &options.stop {
             timeout = timeout.min(STOP_POLL_INTERVAL);
-            if stop.load(Ordering::Relaxed) {
+            if stop_flag.load(Ordering::Relaxed) {
                 self.shut_down();
             }
         }
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Sends a message to the peer at position `to`, or to all peers.
-    pub(super) fn send_to_peers(&mut self, to: Option<usize>, kind: PayloadKind, payload: &[u8]) {
+    /// Sends a message to the peer at position `recipient`, or to all peers.
+    pub(super) fn send_to_peers(&mut self, recipient: Option<usize>, kind: PayloadKind, payload: &[u8]) {
         let own_position = self.settings.decisions.position;
         let Some(PeerSocket { socket, .. }) = &self.peer_socket else { return };
         let Ok(sender) = u16::try_from(own_position) else { return };
         let Some(datagram) = peer_datagram::encode(self.settings.site, sender, kind, payload) else { return };
         for (position, address) in self.settings.peers.iter().enumerate() {
-            let is_recipient = to.is_none_or(|to| to == position);
+            let is_recipient = recipient.is_none_or(|recipient| recipient == position);
             if position != own_position && is_recipient {
                 // A datagram that cannot be sent is treated like one that the network lost. The counters in
                 // these messages only grow, so the next message makes up for it.
--- a/crates/proxy/src/driver/takeover/mod.rs
+++ b/crates/proxy/src/driver/takeover/mod.rs
@@ -11,9 +11,9 @@
 //! From step 1 on the old process accepts no connections, reads from no client and starts no attempt, so that
 //! what it handed over stays correct: exposure, drains that it has learned of, idempotency keys and the load
 //! budgets of servers that warm up limit the new process exactly as they limited the old one. If the new
-//! process closes the connection or exceeds its time before step 2, the old process continues to serve. After
-//! step 3 the old process completes its requests in flight, closes each connection with its response, and
-//! ends. It rejects the requests that it has not sent to a server.
+//! process closes the connection before step 2, or is not ready in time, the old process continues to serve.
+//! After step 3 the old process completes its requests in flight, closes each connection with its response,
+//! and ends. It rejects the requests that it has not sent to a server.
 //!
 //! - `protocol.rs`: the messages between the two processes
 //! - `old_process.rs`: the process that hands over
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -40,7 +40,7 @@
         /// The new process's connection to the control socket.
         successor: ConnectionId,
         /// The slab keys of the idle client connections that were offered.
-        clients: Vec<usize>,
+        client_keys: Vec<usize>,
     },
     /// The new process serves.
     Completed,
@@ -71,7 +71,7 @@
         matches!(self.hand_over, HandOver::Completed)
     }
 
-    /// In the old process: starts a hand-over to the process on this control connection.
+    /// In the old process: starts a hand-over to the process on the control connection with this slab key.
     pub(in super::super) fn start_hand_over(&mut self, key: usize) {
         let Some(connection) = self.operator_connection(key) else { return };
         if self.is_handing_over() || self.lifecycle.is_draining() || self.is_persisting() {
@@ -83,7 +83,7 @@
             return;
         }
         tracing::info!("a new process asked to take over");
-        self.hand_over = HandOver::Offered { successor: connection, clients: Vec::new() };
+        self.hand_over = HandOver::Offered { successor: connection, client_keys: Vec::new() };
         let deadline = self.now() + HAND_OVER_TIMEOUT.as_micros() as Micros;
         self.timers.set(deadline, TimerKind::Takeover(connection.generation));
         self.set_accepting(false);
@@ -100,8 +100,8 @@
     fn send_offer(&mut self, connection: ConnectionId) -> std::io::Result<()> {
         let seed = self.draw();
         let module = postcard::to_allocvec(&self.engine.successor(seed)).map_err(std::io::Error::other)?;
-        let idle_clients = self.idle_client_keys();
-        let line = self.offer_line(module.len(), idle_clients.len())?;
+        let idle_client_keys = self.idle_client_keys();
+        let line = self.offer_line(module.len(), idle_client_keys.len())?;
         let Some(mut stream) = self.operator_stream(connection) else {
             return Err(std::io::Error::other("the connection to the new process is closed"));
         };
@@ -111,19 +111,19 @@
         stream.set_write_timeout(Some(HAND_OVER_TIMEOUT))?;
         stream.write_all(&line)?;
         stream.write_all(&module)?;
-        send_descriptors(stream, &self.offered_descriptors(&idle_clients))?;
+        send_descriptors(stream, &self.offered_descriptors(&idle_client_keys))?;
         stream.set_nonblocking(true)?;
-        self.hand_over = HandOver::Offered { successor: connection, clients: idle_clients };
+        self.hand_over = HandOver::Offered { successor: connection, client_keys: idle_client_keys };
         Ok(())
     }
 
     /// Returns the sockets to be handed over, in the order of the [`Offer`]'s fields.
-    fn offered_descriptors(&self, idle_clients: &[usize]) -> Vec<BorrowedFd<'_>> {
+    fn offered_descriptors(&self, idle_client_keys: &[usize]) -> Vec<BorrowedFd<'_>> {
         let mut descriptors: Vec<BorrowedFd<'_>> =
             self.listeners.iter().map(|listener| listener.socket().as_fd()).collect();
-        descriptors.extend(self.peer_socket.as_ref().map(|peers| peers.socket().as_fd()));
+        descriptors.extend(self.peer_socket.as_ref().map(|peer_socket| peer_socket.socket().as_fd()));
         descriptors.extend(self.control_listener().map(AsFd::as_fd));
-        descriptors.extend(self.client_streams(idle_clients).into_iter().map(AsFd::as_fd));
+        descriptors.extend(self.client_streams(idle_client_keys).into_iter().map(AsFd::as_fd));
         descriptors
     }
 
@@ -173,8 +173,8 @@
         // their responses.
         self.set_accepting(true);
         self.stop_listening();
-        if let HandOver::Offered { clients, .. } = previous {
-            for key in clients {
+        if let HandOver::Offered { client_keys, .. } = previous {
+            for key in client_keys {
                 self.close_client(key);
             }
         }
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -26,7 +26,8 @@
     ResumeAccepting,
     /// The stream from the release service must be opened again.
     ReleaseStream,
-    /// The new process of a takeover, on the connection of this generation, was not ready in time.
+    /// The time for the new process of a takeover to become ready, on the connection of this generation, is
+    /// over.
     Takeover(u64),
     /// The idle time-out of an operator's connection may have expired.
     Operator(ConnectionId),
