--- a/crates/proxy/src/engine/action.rs
+++ b/crates/proxy/src/engine/action.rs
@@ -1,34 +1,34 @@
-//! What the engine asks its driver to do.
+//! The actions that the engine asks its driver to perform.
 
 use violetseam::interface::{Build, Micros, RequestId, ServerId, Verdict};
 
-/// Something the driver must do.
+/// An action that the driver must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineAction {
-    /// Send the request to a server.
+    /// Start an attempt: send the request to a server.
     StartAttempt {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: usize,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
     },
-    /// Close an attempt's connection; its end has been reported to the decision module already.
+    /// Close the connection of an attempt whose end has already been reported to the decision module.
     CloseAttempt {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
-    /// Write a final response that no server gave.
+    /// Write a final response that the proxy itself generates.
     Respond {
         /// The request.
         request: RequestId,
         /// The response.
         response: LocalResponse,
     },
-    /// The request is complete and none of its attempts is in flight any more.
+    /// Drop all state of a request: it is finished and has no attempt in flight.
     Forget {
         /// The request.
         request: RequestId,
@@ -39,42 +39,42 @@
     FetchServerList,
     /// Send a vote to the release service.
     Vote {
-        /// The build.
+        /// The build that the vote is about.
         build: Build,
-        /// The stage.
+        /// The stage of the build's release.
         stage: u8,
         /// The verdict.
         verdict: Verdict,
     },
-    /// Send peers a gossip message of the decision module.
+    /// Send a gossip message of the decision module to peers.
     Gossip {
-        /// One of them, or all.
+        /// The receiving peer's number; `None` for all peers.
         to: Option<usize>,
-        /// The bytes.
+        /// The encoded message.
         payload: Vec<u8>,
     },
-    /// Send a peer a message about leases on the fleet's budgets.
+    /// Send a peer a message about leases on the fleet's retry budgets.
     BudgetMessage {
-        /// The peer.
+        /// The receiving peer's number.
         to: usize,
-        /// The bytes.
+        /// The encoded message.
         payload: Vec<u8>,
     },
-    /// Write a line of the decision module to the log.
+    /// Write a log line of the decision module.
     Log(String),
 }
 
-/// A final response that the proxy gives itself.
+/// A final response that the proxy generates without a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LocalResponse {
-    /// Rejected: it never ran, or repeating it is harmless.
+    /// The request is rejected: no server ran it, or running it again does no harm.
     Rejected {
-        /// How long the client should wait before it retries; 0: no advice.
+        /// How long the client should wait before it retries, in microseconds; 0 states no time.
         retry_after: Micros,
     },
-    /// Failed: it may have run.
+    /// The request failed: a server may have run it.
     Failed {
-        /// No server answered in time.
+        /// Whether it failed because no server answered in time.
         timed_out: bool,
     },
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! One proxy: routes requests to servers as the decisions say, over real sockets.
+//! One proxy process. It forwards client requests to servers over TCP, as its decision module chooses.
 //!
-//! [`engine::Engine`] is the part without I/O: it keeps the requests and attempts in flight, passes each
-//! event to the decision module, and turns its actions into [`engine::EngineAction`]s. [`driver::Proxy`] is
-//! the thin part: sockets and the clock on one `calloop` event loop. Neither decides on routing, time-outs,
-//! retries, rejections or releases. One event loop is one balancer and shares nothing with another.
+//! [`engine::Engine`] does no I/O: it tracks the requests and attempts in flight, passes each event to the
+//! decision module, and turns the module's actions into [`engine::EngineAction`]s. [`driver::Proxy`] is a
+//! thin layer that owns the sockets and the clock and runs them on one `calloop` event loop. Routing,
+//! time-outs, retries, rejections and releases are decided by the decision module alone. Each event loop runs
+//! one balancer and shares no state with another event loop.
 
 pub mod distributed_routes;
 pub mod driver;
