--- a/crates/proxy/src/engine/shutdown.rs
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of this process's part: permissions to send, the hand-over to a successor and the shutdown.
+//! Permissions to send, the hand-over to a successor process, and the shutdown of this process.
 
 use super::deadlines::TimerKind;
 use super::{Engine, LocalResponse};
@@ -7,25 +7,26 @@
 use violetseam::lease::{ListLease, SendPermissions, ShutdownSchedule};
 
 impl Engine {
-    /// The decision module as a process that takes over will have it.
+    /// The decision module for a process that takes over; see [`Balancer::successor`].
     pub fn successor(&self, seed: u64) -> Balancer {
         self.module.successor(seed)
     }
 
-    /// Suspends new attempts, or resumes them: while suspended, each attempt that the decision module asks for
-    /// ends as not sent. After a hand-over the successor's module counts exposure and the load of servers that
-    /// warm up, and nothing may be sent that it cannot know of.
+    /// Suspends new attempts, or resumes them. While they are suspended, each attempt that the decision
+    /// module asks for ends as not sent. After a hand-over, the successor's module counts the exposure of
+    /// builds and the load of servers that are warming up, so this process must send nothing that the
+    /// successor cannot know of.
     pub fn suspend_attempts(&mut self, suspended: bool) {
         self.permissions.set_handed_over(suspended);
     }
 
-    /// Limits the list's use from now on: it is used only while this lease holds. Before the first request.
+    /// Limits the use of the server list to the time of this lease. Must be called before the first request.
     pub fn set_list_lease(&mut self, now: Micros, lease: ListLease) {
         self.permissions.list = lease;
         self.feed(now, Event::ListLease { until: lease.until() });
     }
 
-    /// Changes the lease on the list.
+    /// Changes the lease on the server list, and tells the decision module if its end has moved.
     pub fn update_list_lease(&mut self, now: Micros, change: impl FnOnce(&mut ListLease)) {
         let before = self.permissions.list.until();
         change(&mut self.permissions.list);
@@ -35,41 +36,42 @@
         }
     }
 
-    /// What this process may do now.
+    /// What limits the requests that this process may send now.
     pub fn permissions(&self) -> &SendPermissions {
         &self.permissions
     }
 
-    /// The process is shutting down: nothing is sent after, and each request has its final answer by, the times that
-    /// are returned. They are earlier ones where a shutdown had begun before.
+    /// Begins the shutdown of the process and returns the schedule in force. Each request gets its final
+    /// answer by the schedule's `answer_by`, and nothing is sent after it. If a shutdown has begun before,
+    /// the earlier schedule stays in force.
     pub fn begin_shutdown(&mut self, now: Micros, schedule: ShutdownSchedule) -> ShutdownSchedule {
         let schedule = self.permissions.begin_shutdown(schedule);
-        let at = schedule.answer_by;
-        let mut shortened = Vec::new();
+        let answer_by = schedule.answer_by;
+        let mut moved_deadlines = Vec::new();
         for (&id, request) in &mut self.requests {
-            if request.deadline <= at {
+            if request.deadline <= answer_by {
                 continue;
             }
-            request.deadline = at;
-            shortened.push(TimerKind::RequestOverdue(id));
+            request.deadline = answer_by;
+            moved_deadlines.push(TimerKind::RequestOverdue(id));
             for (number, attempt) in request.attempts.iter_mut().enumerate() {
-                if attempt.cut_at > at {
-                    attempt.cut_at = at;
-                    shortened.push(TimerKind::AttemptTimeout { request: id, attempt: number });
+                if attempt.timeout_at > answer_by {
+                    attempt.timeout_at = answer_by;
+                    moved_deadlines.push(TimerKind::AttemptTimeout { request: id, attempt: number });
                 }
             }
         }
-        // The map's order is random.
-        shortened.sort_unstable();
-        for kind in shortened {
-            self.schedule(at, kind);
+        // The map's order is random; sorting makes the order of the deadlines deterministic.
+        moved_deadlines.sort_unstable();
+        for kind in moved_deadlines {
+            self.schedule(answer_by, kind);
         }
-        self.feed(now, Event::ShutdownAt { at });
+        self.feed(now, Event::ShutdownAt { at: answer_by });
         schedule
     }
 
-    /// The process ends: each request without a final answer fails, and the decision module hears that its client
-    /// has disconnected.
+    /// Fails each request without a final answer, as the process is about to exit. For the decision module
+    /// its client has disconnected.
     pub fn fail_pending_requests(&mut self, now: Micros) {
         let pending = self.requests.iter().filter(|(_, request)| request.awaits_response());
         let mut ids: Vec<RequestId> = pending.map(|(id, _)| *id).collect();
