--- a/crates/proxy/src/engine/deadlines.rs
+++ b/crates/proxy/src/engine/deadlines.rs
@@ -1,24 +1,27 @@
-//! The engine's deadlines: the decision module's timers, the ends of attempts, overdue requests and budget rounds.
+//! The engine's deadlines: the decision module's timers, attempt time-outs, overdue requests and budget
+//! rounds.
 
 use super::Engine;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use violetseam::interface::{Event, Micros, RequestId};
 
-/// What a deadline is for. Deadlines that fall on one instant together are set in the order of these variants.
+/// What a deadline is for. Deadlines that a shutdown moves to the same instant are set in the order of the
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The span that the decision module set for an attempt ends.
+    /// An attempt times out, at the time that the decision module set.
     AttemptTimeout { request: RequestId, attempt: usize },
-    /// A timer of the decision module, by its token.
-    Module(u64),
-    /// The request must have its final answer.
+    /// A timer of the decision module is due; the value is its token.
+    ModuleTimer(u64),
+    /// The final answer of a request is overdue.
     RequestOverdue(RequestId),
-    /// The next round of leases on the fleet's budgets.
+    /// The next round of lease requests for the fleet's budgets is due.
     BudgetRound,
 }
 
-/// A point in time at which something is due. Of two with the same time, the one that was set first comes first.
+/// A point in time at which something is due. Deadlines at the same time run in the order in which they were
+/// set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
@@ -26,7 +29,7 @@
     kind: TimerKind,
 }
 
-/// Deadlines in the order in which they come due.
+/// All pending deadlines, in the order in which they come due.
 #[derive(Debug, Default)]
 pub(super) struct DeadlineQueue {
     deadlines: BinaryHeap<Reverse<Deadline>>,
@@ -44,7 +47,8 @@
         self.deadlines.peek().map(|Reverse(deadline)| deadline.at)
     }
 
-    fn pop_until(&mut self, until: Micros) -> Option<Deadline> {
+    /// Removes the first deadline if it is due at `until`.
+    fn pop_due(&mut self, until: Micros) -> Option<Deadline> {
         if self.next_at()? > until {
             return None;
         }
@@ -58,18 +62,20 @@
         self.deadlines.next_at()
     }
 
-    /// Runs what is due, in the order in which it came due: after a standstill of the event loop the decision
-    /// module gets every event as it would have, only later.
+    /// Runs all deadlines that are due, in the order in which they came due. After the event loop has
+    /// stalled, the decision module thus gets the same events in the same order as without the stall, only
+    /// later.
     pub fn run_deadlines(&mut self, now: Micros) {
         self.run_deadlines_until(now, now);
     }
 
-    /// The same for what had come due by `until`, when a driver last polled its sockets: what came due since
-    /// then may have been overtaken by an answer that has not been read yet.
+    /// Runs the deadlines that had come due by `until`, which is when the driver last polled its sockets. An
+    /// answer that arrived after that poll has not been read yet, and it may have arrived before a later
+    /// deadline.
     pub fn run_deadlines_until(&mut self, now: Micros, until: Micros) {
-        while let Some(deadline) = self.deadlines.pop_until(until) {
+        while let Some(deadline) = self.deadlines.pop_due(until) {
             match deadline.kind {
-                TimerKind::Module(token) => self.feed(now, Event::Timer { token }),
+                TimerKind::ModuleTimer(token) => self.feed(now, Event::Timer { token }),
                 TimerKind::AttemptTimeout { request, attempt } => {
                     self.time_out_attempt(now, deadline.at, request, attempt);
                 }
--- a/crates/proxy/src/engine/dispatch.rs
+++ b/crates/proxy/src/engine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Events for the decision module, and what becomes of the actions that it returns.
+//! Passes events to the decision module and applies the actions that it returns.
 
 use super::deadlines::TimerKind;
 use super::{Engine, EngineAction, LocalResponse};
@@ -8,35 +8,35 @@
 };
 
 impl Engine {
-    /// The server list has changed, or a call for it has failed.
+    /// Handles a new or changed server list, or a failed call for it.
     pub fn on_server_list(&mut self, now: Micros, kind: ListKind, entries: &[ServerEntry]) {
         self.feed(now, Event::ServerList { kind, entries });
     }
 
-    /// The release service pushed the state of the newest build.
+    /// Handles the status of the newest build's release, pushed by the release service.
     pub fn on_release_status(&mut self, now: Micros, release: ReleaseStatus) {
         self.release = Some(release);
         self.feed(now, Event::Release(release));
     }
 
-    /// A vote's reply.
+    /// Handles the release service's reply to a vote, or the vote's failure.
     pub fn on_vote_reply(&mut self, now: Micros, outcome: Outcome, release: Option<ReleaseStatus>) {
         self.release = release.or(self.release);
         self.feed(now, Event::VoteReply { outcome, release });
     }
 
-    /// An operator's command about the present stage.
+    /// Handles an operator's command about the current stage.
     pub fn on_operator_command(&mut self, now: Micros, command: OperatorCommand) {
         self.feed(now, Event::Operator(command));
     }
 
-    /// A peer's gossip message.
+    /// Handles a peer's gossip message.
     pub fn on_peer_message(&mut self, now: Micros, from: usize, payload: &[u8]) {
         self.feed(now, Event::PeerMessage { from, payload });
     }
 
-    /// Passes an event on that may come of the decision module's own actions: then it has to wait until the module
-    /// has been given what came before.
+    /// Passes an event to the decision module, or defers it if it was caused by an action that is being
+    /// applied now: the module gets events in the order in which they occurred.
     pub(super) fn feed_or_defer(&mut self, now: Micros, event: Event<'static>) {
         if self.dispatching {
             self.deferred_events.push_back(event);
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Passes an event to the decision module, applies its actions, then passes on what came of these.
+    /// Passes an event to the decision module and applies its actions, then does the same with the deferred
+    /// events.
     pub(super) fn feed(&mut self, now: Micros, event: Event<'_>) {
         self.dispatching = true;
         self.dispatch(now, &event);
@@ -57,9 +58,9 @@
 
     fn dispatch(&mut self, now: Micros, event: &Event<'_>) {
         let mut actions = std::mem::take(&mut self.action_buffer);
-        let began = self.measures_module_time.then(Instant::now);
+        let started_at = self.measures_module_time.then(Instant::now);
         self.module.on_event(now, *event, &mut actions);
-        self.module_time += began.map_or(Duration::ZERO, |began| began.elapsed());
+        self.module_time += started_at.map_or(Duration::ZERO, |started_at| started_at.elapsed());
         if let Some(recorder) = &mut self.recorder {
             recorder.record_event(now, event, &actions);
         }
@@ -81,7 +82,7 @@
                 let timed_out = self.has_timed_out(request);
                 self.respond(request, LocalResponse::Failed { timed_out });
             }
-            Action::SetTimer { after, token } => self.schedule(now + after, TimerKind::Module(token)),
+            Action::SetTimer { after, token } => self.schedule(now + after, TimerKind::ModuleTimer(token)),
             Action::WatchServerList => self.pending_actions.push_back(EngineAction::WatchServerList),
             Action::FetchServerList => self.pending_actions.push_back(EngineAction::FetchServerList),
             Action::Vote { build, stage, verdict } => {
