--- a/crates/proxy/src/engine/budgets.rs
+++ b/crates/proxy/src/engine/budgets.rs
@@ -1,4 +1,5 @@
-//! This proxy's part of the fleet's budgets of further attempts (retries and hedges).
+//! This proxy's share of the fleet's retry budgets. They limit attempts after a request's first: retries and
+//! hedges.
 
 use super::deadlines::TimerKind;
 use super::{Engine, EngineAction};
@@ -7,19 +8,20 @@
 use violetseam_fleet_state::fleet_quotas::{FleetQuotas, QuotaStatus};
 
 impl Engine {
-    /// Keeps to the fleet's budgets from now on: an attempt beyond a request's first is started only if the
-    /// budget covers it, whatever the decision module asks for. Before the first request of an incarnation.
+    /// Enforces the fleet's budgets from now on: an attempt after a request's first starts only if the budget
+    /// covers it, whatever the decision module asks for. Must be called before the first request of an
+    /// incarnation.
     pub fn set_budgets(&mut self, now: Micros, budgets: FleetQuotas) {
         self.budgets = Some(budgets);
         self.run_budget_round(now);
     }
 
-    /// The state of this proxy's leases on the fleet's budgets.
+    /// The state of this proxy's leases on the fleet's budgets; empty without budgets.
     pub fn budgets(&self, now: Micros) -> Vec<QuotaStatus> {
         self.budgets.as_ref().map_or_else(Vec::new, |budgets| budgets.status(now))
     }
 
-    /// A peer's message about the fleet's budgets.
+    /// Handles a peer's message about the fleet's budgets, and queues the reply if there is one.
     pub fn on_budget_message(&mut self, now: Micros, from: usize, payload: &[u8]) {
         let Some(budgets) = &mut self.budgets else { return };
         if let Some(payload) = budgets.on_message(now, from, payload) {
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Requests leases from peers where this proxy's budgets are short, and schedules the next round.
+    /// Requests leases from peers for each class whose budget runs short, and schedules the next round.
     pub(super) fn run_budget_round(&mut self, now: Micros) {
         let Some(budgets) = &mut self.budgets else { return };
         let lease_requests = budgets.poll_requests(now);
@@ -38,7 +40,9 @@
         self.schedule(next_round, TimerKind::BudgetRound);
     }
 
-    /// Spends one further attempt: one that a cancelled attempt left unused, or one of the fleet's budget.
+    /// Charges one attempt after a request's first. It uses up a charge left by an attempt that was cancelled
+    /// before it was sent, if there is one, and the fleet's budget otherwise. Returns false if the budget does
+    /// not cover the attempt.
     pub(super) fn spend_budget(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.unused_budget > 0 {
--- a/crates/proxy/src/engine/delivered.rs
+++ b/crates/proxy/src/engine/delivered.rs
@@ -1,13 +1,13 @@
-//! Answers that were delivered to clients, for as long as a client may still report one of them wrong.
+//! The latest answers that were delivered to clients, kept so that a client can report one of them as wrong.
 
 use super::Engine;
 use std::collections::{HashMap, VecDeque};
 use violetseam::interface::{Event, Micros, RequestId, ServerId};
 
-/// So many answers can be reported wrong; older ones are forgotten.
+/// The number of answers that are kept; an older answer can no longer be reported as wrong.
 const MAX_DELIVERED_ANSWERS: usize = 65_536;
 
-/// The server and the request class of a delivered answer.
+/// The facts about a delivered answer that are needed when a client reports it as wrong.
 #[derive(Clone, Copy, Debug)]
 struct DeliveredAnswer {
     server: ServerId,
@@ -15,7 +15,7 @@
     sent_at: Micros,
 }
 
-/// The latest delivered answers, by their identity.
+/// The latest delivered answers, by the answer id that the client was given.
 #[derive(Debug, Default)]
 pub(super) struct DeliveredAnswers {
     by_id: HashMap<u64, DeliveredAnswer>,
@@ -36,7 +36,8 @@
 }
 
 impl Engine {
-    /// Records an answer that is delivered under the identity `answer`, so that the client can report it wrong.
+    /// Records an answer that is about to be delivered with the id `answer`, so that the client can report it
+    /// as wrong. An answer that will not be delivered is not recorded.
     pub fn record_delivered_answer(&mut self, id: RequestId, number: usize, answer: u64) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_final = request.streaming.is_none_or(|streaming| streaming == number) && !request.finished;
@@ -49,7 +50,8 @@
         self.delivered.insert(answer, delivered);
     }
 
-    /// A client reports the answer with this identity wrong. False if it is not known, or was reported before.
+    /// Handles a client's report that the answer with this id is wrong. Returns false if the id is unknown or
+    /// the answer was reported before.
     pub fn on_answer_reported(&mut self, now: Micros, answer: u64) -> bool {
         let Some(delivered) = self.delivered.by_id.remove(&answer) else { return false };
         let since = now.saturating_sub(delivered.sent_at);
@@ -57,7 +59,8 @@
         true
     }
 
-    /// A platform that names the server itself reports a wrong answer.
+    /// Handles a report of a wrong answer from a platform that names the server itself. `since` is the time
+    /// since the attempt was sent, in microseconds.
     pub fn on_answer_flagged(&mut self, now: Micros, server: ServerId, class: usize, since: Micros) {
         self.feed(now, Event::AnswerFlagged { server, class, since });
     }
