--- a/crates/proxy/src/engine/mod.rs
+++ b/crates/proxy/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! Requests and attempts in flight, between the sockets and the decisions; without I/O or a clock.
+//! Tracks the requests and attempts in flight between the sockets and the decision module. It does no I/O and
+//! reads no clock: the driver reports events with their time and performs the [`EngineAction`]s that result.
 //!
-//! What it guarantees whatever the decision module asks for: each attempt ends exactly once in the module's
-//! eyes, a request gets one final answer, and nothing starts for a request that has had it. In the order of a
-//! request's course: [`Engine::on_request`], [`Engine::on_attempt_ended`] or [`Engine::on_stream_started`], and
-//! the [`EngineAction`]s that come of them. Its deadlines are the module's timers, the time-outs that the module
-//! set for attempts, the last moment for each final answer, and the rounds of the fleet's budgets.
+//! Whatever the decision module asks for, the engine guarantees that the module gets exactly one end of each
+//! attempt, that a request gets one final answer, and that no attempt starts for a request that has its final
+//! answer. A request enters with [`Engine::on_request`]; its attempts report [`Engine::on_attempt_ended`] or
+//! [`Engine::on_stream_started`]. The engine's deadlines are the module's timers, the time-outs that the
+//! module sets for attempts, the latest time of each final answer, and the rounds of the fleet's budgets.
 
 mod action;
 mod attempts;
@@ -30,7 +31,7 @@
 use violetseam_fleet_state::fleet_quotas::FleetQuotas;
 use violetseam_recorder::Recorder;
 
-/// One proxy's requests, attempts and decisions.
+/// The requests, the attempts and the decision module of one proxy.
 pub struct Engine {
     module: Balancer,
     settings: Settings,
@@ -39,15 +40,16 @@
     deadlines: DeadlineQueue,
     last_id: RequestId,
     delivered: DeliveredAnswers,
-    /// Empty between two events; its allocation is used again.
+    /// Empty between two events; kept to reuse its allocation.
     action_buffer: Vec<Action>,
     pending_actions: VecDeque<EngineAction>,
-    /// Events that the module's own actions brought about: it hears them after all of these are done.
+    /// Events caused by the module's own actions. The module gets them after all actions of the event have
+    /// been applied.
     deferred_events: VecDeque<Event<'static>>,
-    /// An event is with the module, or its actions are being applied.
+    /// The module is handling an event, or the actions that it returned are being applied.
     dispatching: bool,
     permissions: SendPermissions,
-    /// What this proxy may spend of the fleet's budgets of further attempts.
+    /// This proxy's share of the fleet's retry budgets; `None` if nothing limits it.
     budgets: Option<FleetQuotas>,
     counts: Counts,
     release: Option<ReleaseStatus>,
@@ -56,7 +58,7 @@
 }
 
 impl Engine {
-    /// A fresh engine round a fresh decision module.
+    /// Creates an engine with a new decision module.
     pub fn new(settings: Settings, seed: u64, recorder: Option<Recorder>) -> Self {
         Engine {
             module: Balancer::new(settings.clone(), seed),
@@ -79,42 +81,43 @@
         }
     }
 
-    /// An engine that goes on with what a process before it had learned; see [`Balancer::successor`].
+    /// Creates an engine with a decision module that an earlier process handed over; see
+    /// [`Balancer::successor`].
     pub fn with_module(settings: Settings, module: Balancer) -> Self {
         Engine { module, ..Engine::new(settings, 0, None) }
     }
 
-    /// The next action for the driver.
+    /// Removes and returns the next action that the driver must perform.
     pub fn next_action(&mut self) -> Option<EngineAction> {
         self.pending_actions.pop_front()
     }
 
-    /// Counts since the start.
+    /// Counts of requests and attempts since the process started.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The latest state of the newest build's release.
+    /// The latest known release status of the newest build.
     pub fn release(&self) -> Option<ReleaseStatus> {
         self.release
     }
 
-    /// Measures from now on how long the decision module takes.
+    /// Starts measuring the time that the decision module takes.
     pub fn measure_module_time(&mut self) {
         self.measures_module_time = true;
     }
 
-    /// Time spent in the decision module while measured.
+    /// The time spent in the decision module since [`Self::measure_module_time`].
     pub fn module_time(&self) -> Duration {
         self.module_time
     }
 
-    /// The flight recorder.
+    /// The flight recorder; `None` if nothing is recorded.
     pub fn recorder(&mut self) -> Option<&mut Recorder> {
         self.recorder.as_mut()
     }
 
-    /// Gives the recorder up, to be finished.
+    /// Takes the flight recorder out, so that the caller can finish the recording.
     pub fn take_recorder(&mut self) -> Option<Recorder> {
         self.recorder.take()
     }
--- a/crates/proxy/src/engine/requests.rs
+++ b/crates/proxy/src/engine/requests.rs
@@ -1,23 +1,23 @@
-//! Requests in flight, from their arrival to their one final answer.
+//! Requests in flight, from their arrival to their single final answer.
 
 use super::attempts::Attempt;
 use super::deadlines::TimerKind;
 use super::{Engine, EngineAction, LocalResponse};
 use violetseam::interface::{Event, Micros, Outcome, Request, RequestId};
 
-/// A request that lacks its final answer or still has an attempt in flight.
+/// A request that has no final answer yet or still has an attempt in flight.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     pub(super) class: usize,
     pub(super) deadline: Micros,
-    /// The final answer was given, or the client disconnected.
+    /// The request has had its final answer, or its client has disconnected.
     pub(super) finished: bool,
     /// The attempt whose answer is being streamed to the client.
     pub(super) streaming: Option<usize>,
-    /// Its body can be sent again.
+    /// The request's body can be sent again.
     pub(super) repeatable: bool,
     pub(super) timed_out: bool,
-    /// Further attempts that the budget covered and that were cancelled before they were sent.
+    /// Attempts after the first that were charged to the budget and then cancelled before they were sent.
     pub(super) unused_budget: usize,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -36,12 +36,12 @@
         }
     }
 
-    /// An attempt that has not ended.
+    /// The attempt with this number, unless it has ended.
     pub(super) fn pending_attempt(&self, number: usize) -> Option<&Attempt> {
         self.attempts.get(number).filter(|attempt| !attempt.ended)
     }
 
-    /// The same, to change it.
+    /// Like [`Self::pending_attempt`], but mutable.
     pub(super) fn pending_attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
         self.attempts.get_mut(number).filter(|attempt| !attempt.ended)
     }
@@ -50,31 +50,32 @@
         self.attempts.iter().any(|attempt| !attempt.ended)
     }
 
-    /// Whether an attempt before this one was sent: one that was cancelled before it was sent has used nothing of
-    /// the body, nor of the budget.
+    /// Whether an attempt before this one was sent. An attempt that was cancelled before it was sent does not
+    /// count, as it has used neither the body nor the budget.
     pub(super) fn sent_before(&self, number: usize) -> bool {
         self.attempts.iter().take(number).any(|attempt| !attempt.cancelled_before_send)
     }
 
-    /// Whether the proxy itself could still give the final answer: there is none, and none is being streamed.
+    /// Whether the proxy itself may still give the final answer: none was given and none is being streamed.
     pub(super) fn awaits_response(&self) -> bool {
         !self.finished && self.streaming.is_none()
     }
 }
 
 impl Engine {
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests without a final answer.
+    /// The number of requests without a final answer.
     pub fn pending_responses(&self) -> usize {
         self.requests.values().filter(|request| !request.finished).count()
     }
 
-    /// A request has arrived; returns its identity. `deadline` is when its client stops waiting. A request whose
-    /// body cannot be sent twice (`repeatable` false) still gets its first attempt.
+    /// Handles a request that has arrived and returns its id. Its `deadline` is when the client stops
+    /// waiting. If `repeatable` is false, the body can be sent only once, and only one attempt of the request
+    /// is sent.
     pub fn on_request(&mut self, now: Micros, request: Request, repeatable: bool) -> RequestId {
         self.last_id += 1;
         let id = self.last_id;
@@ -89,20 +90,22 @@
         id
     }
 
-    /// Bytes of the request's body have been sent that are not buffered: it cannot be sent again.
+    /// Notes that unbuffered bytes of the request's body have been sent, so that the body cannot be sent
+    /// again.
     pub fn mark_not_repeatable(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.repeatable = false;
         }
     }
 
-    /// The client has disconnected and needs no answer any more.
+    /// Handles a client that has disconnected: its request needs no answer any more.
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
         request.finished = true;
         self.counts.disconnected += 1;
         let streaming = request.streaming;
-        // A stream's connection is the driver's to close; the module never cancels one.
+        // The module never cancels an attempt that is being streamed, so the engine has its connection closed
+        // here.
         if let Some(attempt) = streaming {
             self.pending_actions.push_back(EngineAction::CloseAttempt { request: id, attempt });
         }
@@ -113,8 +116,9 @@
         self.forget_if_complete(id);
     }
 
-    /// The decision module has to give each final answer before the deadline; should it ever not give one, the
-    /// client still gets its answer and the module hears that the request is over.
+    /// Fails a request whose final answer is overdue. The decision module must give each final answer before
+    /// the deadline; if a fault makes it miss one, the client still gets an answer and the module learns that
+    /// the request has ended.
     pub(super) fn fail_overdue_request(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.awaits_response()) else {
             return;
@@ -128,7 +132,7 @@
         self.forget_if_complete(id);
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Gives a request its final answer, unless it has one or one is being streamed.
     pub(super) fn respond(&mut self, id: RequestId, response: LocalResponse) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.awaits_response()) else {
             return;
@@ -142,12 +146,14 @@
         self.forget_if_complete(id);
     }
 
-    /// Whether a request that the decision module fails now has timed out. The module fails a request shortly
-    /// before its deadline, with the last attempt still in flight.
+    /// Whether a request that the decision module fails now counts as timed out. It does if an attempt timed
+    /// out, or if one is still in flight, as the module fails a request shortly before its deadline without
+    /// waiting for the last attempt.
     pub(super) fn has_timed_out(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| request.timed_out || request.has_pending_attempt())
     }
 
+    /// Removes a request that is finished and has no attempt in flight.
     pub(super) fn forget_if_complete(&mut self, id: RequestId) {
         let is_complete = |request: &InFlightRequest| request.finished && !request.has_pending_attempt();
         if self.requests.get(&id).is_some_and(is_complete) {
