--- a/crates/recorder/src/frame.rs
+++ b/crates/recorder/src/frame.rs
@@ -1,13 +1,14 @@
-//! The frames that a recording consists of, and their encoding.
+//! The frames of a recording and their encoding.
 
 use serde::{Deserialize, Serialize};
 use violetseam::interface::*;
 
-/// The version of the format.
+/// The version of the recording format.
 pub(crate) const VERSION: u8 = 1;
-/// The first bytes of each segment.
+/// The bytes that each segment starts with: the name of the format and its version.
 pub(crate) const MAGIC: [u8; 5] = [b'V', b'S', b'F', b'R', VERSION];
-/// The maximum length of a frame's content that is read, in bytes. A list of 20,000 servers is shorter.
+/// The maximum length of a frame's content that a reader accepts, in bytes. A list of 20,000 servers is
+/// shorter.
 pub(crate) const MAX_FRAME_BYTES: usize = 4 << 20;
 /// The length of a frame's header, in bytes.
 pub(crate) const FRAME_HEADER_BYTES: usize = 8;
@@ -15,27 +16,28 @@
 /// One frame. The order of variants and fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The start of a decision module.
+    /// A decision module was started.
     Start {
-        /// Its settings.
+        /// The module's settings.
         settings: Box<RecordedSettings>,
-        /// Its seed.
+        /// The seed of the module's random numbers.
         seed: u64,
     },
-    /// An event and the actions that it caused.
+    /// An event was given to the module, which returned these actions.
     Event {
         /// The module's clock at the event, in microseconds.
         now: Micros,
-        /// The event.
+        /// The event that was given to the module.
         event: OwnedEvent,
-        /// The actions.
+        /// The actions that the module returned.
         actions: Vec<Action>,
     },
-    /// The recording has reached its size limit; nothing follows.
+    /// The recording has reached its size limit. No frame follows.
     Full,
 }
 
-/// Recorded settings. Compared by their debug text, as the settings do not implement `PartialEq`.
+/// Recorded settings. They are compared by their debug output, as [`Settings`] does not implement
+/// `PartialEq`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordedSettings(pub Settings);
 
@@ -50,9 +52,9 @@
 pub enum OwnedEvent {
     /// See [`Event::ServerList`].
     ServerList {
-        /// Whether the entries are all servers.
+        /// What the entries are: the whole list, a saved list or changes; none for a failed call.
         kind: ListKind,
-        /// The servers.
+        /// The listed servers.
         entries: Vec<ServerEntry>,
     },
     /// See [`Event::Request`].
@@ -73,11 +75,11 @@
     },
     /// See [`Event::AnswerFlagged`].
     AnswerFlagged {
-        /// The server.
+        /// The server that gave the answer.
         server: ServerId,
         /// The request's class.
         class: usize,
-        /// The time since that attempt was sent, in microseconds.
+        /// The time since the attempt was sent, in microseconds.
         since: Micros,
     },
     /// See [`Event::ClientDisconnected`].
@@ -89,36 +91,36 @@
     Release(ReleaseStatus),
     /// See [`Event::VoteReply`].
     VoteReply {
-        /// The outcome.
+        /// The outcome of the vote.
         outcome: Outcome,
-        /// The release status that came with it.
+        /// The release status in the reply.
         release: Option<ReleaseStatus>,
     },
     /// See [`Event::PeerMessage`].
     PeerMessage {
-        /// The sender's number.
+        /// The number of the peer that sent it.
         from: usize,
-        /// The payload.
+        /// The message's payload.
         payload: Vec<u8>,
     },
     /// See [`Event::HealthChecked`].
     HealthChecked {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// The outcome.
+        /// The outcome of the check.
         outcome: Outcome,
     },
     /// See [`Event::LoadReport`].
     LoadReport {
-        /// The build.
+        /// The build that the report is about.
         build: Build,
-        /// The request's class.
+        /// The request class that the report is about.
         class: usize,
         /// The number of attempts.
         attempts: u32,
         /// The number of failed attempts.
         failed: u32,
-        /// The mean latency of the other attempts, in microseconds.
+        /// The mean latency of the attempts that did not fail, in microseconds.
         mean: Micros,
         /// The time since the report's period ended, in microseconds.
         age: Micros,
@@ -134,12 +136,12 @@
     },
     /// See [`Event::ListLease`].
     ListLease {
-        /// Until when, in microseconds.
+        /// The end of the lease on the module's clock, in microseconds.
         until: Micros,
     },
     /// See [`Event::ShutdownAt`].
     ShutdownAt {
-        /// When, in microseconds.
+        /// The time on the module's clock until which requests are answered, in microseconds.
         at: Micros,
     },
 }
@@ -180,7 +182,7 @@
 }
 
 impl OwnedEvent {
-    /// The event as the decision module takes it.
+    /// Borrows the event in the form that the decision module takes.
     pub fn event(&self) -> Event<'_> {
         match *self {
             OwnedEvent::ServerList { kind, ref entries } => Event::ServerList { kind, entries },
@@ -206,7 +208,7 @@
         }
     }
 
-    /// The plural name of its kind, for people.
+    /// The plural name of the event's kind, as the `replay` command prints it.
     pub fn kind(&self) -> &'static str {
         match self {
             OwnedEvent::ServerList { .. } => "server lists",
@@ -232,9 +234,9 @@
 /// The header of a frame: length and CRC-32 of its content, each four bytes, little-endian.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FrameHeader {
-    /// The length of the content, in bytes.
+    /// The length of the frame's content, in bytes.
     pub length: usize,
-    /// The checksum of the content.
+    /// The CRC-32 of the frame's content.
     pub checksum: u32,
 }
 
@@ -259,12 +261,12 @@
     }
 }
 
-/// Appends a frame with its header.
+/// Appends a frame to `out`, with its header.
 pub(crate) fn write_frame(out: &mut Vec<u8>, frame: &Frame) {
     let start = out.len();
     let content_start = start + FRAME_HEADER_BYTES;
     out.resize(content_start, 0);
-    // Encoding into memory fails for no type here.
+    // Postcard can encode every type in a frame, and appending to a vector cannot fail.
     if let Ok(extended) = postcard::to_extend(frame, std::mem::take(out)) {
         *out = extended;
     }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,14 +1,15 @@
-//! The flight recorder: each event given to the decision module with its clock, and the actions that it
-//! caused.
+//! The flight recorder. It writes each event that is given to the decision module, the module's clock at that
+//! event, and the actions that the module returned.
 //!
-//! The decision module is deterministic, so a recording from a proxy's start is enough to repeat all its
-//! decisions: [`replay()`] feeds a new module and compares. [`Recorder`] writes on a thread of its own, so
-//! that a slow disk never holds up traffic. If the disk does not keep up, the recording ends, as a replay
-//! with a gap would prove nothing.
+//! The decision module is deterministic, so a recording that begins at the start of a proxy is enough to
+//! repeat all its decisions: [`replay()`] feeds the events to a new module and compares the actions.
+//! [`Recorder`] writes on a separate thread, so that a slow disk never delays requests. If the disk does not
+//! keep up, the recording ends, because a replay of a recording with a gap would prove nothing.
 //!
-//! A file is `VSFR` and a version byte, then frames: length and CRC-32 (each four bytes, little-endian)
-//! and a postcard-encoded [`Frame`]. A recording is bounded: segments `FILE`, `FILE.1`, `FILE.2` ... up to
-//! a total size, where it ends with [`Frame::Full`].
+//! A file starts with `VSFR` and a version byte. Frames follow: the length and the CRC-32 of the content
+//! (each four bytes, little-endian), then a postcard-encoded [`Frame`]. The size of a recording is limited:
+//! it consists of the segments `FILE`, `FILE.1`, `FILE.2` ... and ends with [`Frame::Full`] when their total
+//! size reaches the limit.
 
 mod frame;
 mod read;
