--- a/crates/recorder/src/read.rs
+++ b/crates/recorder/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads the frames of all segments in order, up to the first damaged one.
+//! Reads the frames of all segments in order, up to the first damaged frame.
 
 use crate::frame::{FRAME_HEADER_BYTES, Frame, FrameHeader, MAGIC, MAX_FRAME_BYTES, VERSION};
 use crate::write::segment_path;
@@ -10,15 +10,15 @@
 /// The size of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 1 << 20;
 
-/// Where and why reading stopped before the end.
+/// Where and why reading a recording stopped before its end.
 #[derive(Debug, Error)]
 #[error("{} at byte {offset}: {reason}", .file.display())]
 pub struct ReadError {
-    /// The file.
+    /// The segment's file.
     pub file: PathBuf,
-    /// The offset in it, in bytes.
+    /// The offset of the damaged frame in the file, in bytes.
     pub offset: u64,
-    /// What is wrong there.
+    /// What is wrong at that offset.
     #[source]
     pub reason: ReadErrorKind,
 }
@@ -29,34 +29,34 @@
     /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file does not start as a recording does.
+    /// The file does not start with the bytes of a recording.
     #[error("not a recording")]
     NotARecording,
-    /// The recording has another version.
-    #[error("a recording of version {0}")]
+    /// The recording has a version of the format that is not supported.
+    #[error("the recording has version {0} of the format, which is not supported")]
     UnsupportedVersion(u8),
     /// The file ends within a frame's header.
     #[error("the file ends within a frame's head")]
     TruncatedHeader,
-    /// A frame's header states a length over the bound.
-    #[error("a frame of {length} bytes")]
+    /// A frame's header states a length over the maximum.
+    #[error("the frame header states a length of {length} bytes, which is over the maximum")]
     OversizedFrame {
-        /// The stated length.
+        /// The length that the header states, in bytes.
         length: usize,
     },
     /// The file ends within a frame's content.
     #[error("the file ends after {available} of a frame's {length} bytes")]
     TruncatedFrame {
-        /// The bytes that there are.
+        /// The number of bytes up to the end of the file.
         available: usize,
-        /// The stated length.
+        /// The length that the header states, in bytes.
         length: usize,
     },
     /// A frame's content does not have the checksum that its header states.
-    #[error("a frame whose checksum does not fit")]
+    #[error("the frame's content does not match the checksum in its header")]
     ChecksumMismatch,
     /// A frame's content cannot be decoded.
-    #[error("a frame that cannot be read: {0}")]
+    #[error("the frame's content cannot be decoded: {0}")]
     MalformedFrame(#[source] postcard::Error),
 }
 
@@ -66,7 +66,7 @@
     path: PathBuf,
     segment: u32,
     file: BufReader<File>,
-    /// Where the next frame starts in the segment, in bytes.
+    /// The offset of the next frame in the segment, in bytes.
     offset: u64,
 }
 
@@ -74,16 +74,16 @@
     /// Opens a recording's first segment.
     ///
     /// # Errors
-    /// [`ReadError`] if the file cannot be read, is not a recording, or has another version.
+    /// [`ReadError`] if the file cannot be read, is not a recording, or has an unsupported version.
     pub fn open(path: &Path) -> Result<Self, ReadError> {
         let file = open_segment(path)?;
         Ok(Reader { path: path.to_owned(), segment: 0, file, offset: MAGIC.len() as u64 })
     }
 
-    /// The next frame; none at the end.
+    /// Reads the next frame, also from the following segments; `None` at the end of the recording.
     ///
     /// # Errors
-    /// [`ReadError`] if the file cannot be read, is cut short, or the frame is damaged.
+    /// [`ReadError`] if the file cannot be read or ends within the frame, or if the frame is damaged.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, ReadError> {
         loop {
             if let Some(header) = self.read_header().map_err(|reason| self.error(reason))? {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Reads a frame's header; none at the end of the segment.
+    /// Reads a frame's header; `None` at the end of the segment.
     fn read_header(&mut self) -> Result<Option<FrameHeader>, ReadErrorKind> {
         let mut bytes = [0; FRAME_HEADER_BYTES];
         match read_up_to(&mut self.file, &mut bytes)? {
@@ -123,7 +123,7 @@
         postcard::from_bytes(&content).map_err(ReadErrorKind::MalformedFrame)
     }
 
-    /// Continues with the next segment. Returns false if there is none.
+    /// Opens the next segment. Returns false if there is none.
     fn open_next_segment(&mut self) -> Result<bool, ReadError> {
         let next = segment_path(&self.path, self.segment + 1);
         if !next.exists() {
@@ -140,17 +140,17 @@
     }
 }
 
-/// Opens a segment and checks its first bytes.
+/// Opens a segment and checks that it starts with the bytes of a supported recording.
 fn open_segment(path: &Path) -> Result<BufReader<File>, ReadError> {
-    open_checked(path).map_err(|reason| ReadError { file: path.to_owned(), offset: 0, reason })
+    open_and_check(path).map_err(|reason| ReadError { file: path.to_owned(), offset: 0, reason })
 }
 
-fn open_checked(path: &Path) -> Result<BufReader<File>, ReadErrorKind> {
+fn open_and_check(path: &Path) -> Result<BufReader<File>, ReadErrorKind> {
     let mut file = BufReader::with_capacity(READ_BUFFER_BYTES, File::open(path)?);
     let mut magic = [0; MAGIC.len()];
     read_up_to(&mut file, &mut magic)?;
-    let (name, version) = (&magic[..MAGIC.len() - 1], magic[MAGIC.len() - 1]);
-    if !MAGIC.starts_with(name) {
+    let (format_name, version) = (&magic[..MAGIC.len() - 1], magic[MAGIC.len() - 1]);
+    if !MAGIC.starts_with(format_name) {
         return Err(ReadErrorKind::NotARecording);
     }
     if version != VERSION {
@@ -159,7 +159,7 @@
     Ok(file)
 }
 
-/// Reads until the buffer is full or the file ends. Returns how much it read.
+/// Reads until the buffer is full or the file ends. Returns the number of bytes read.
 fn read_up_to(file: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -1,5 +1,5 @@
-//! Replays recordings: a new decision module gets the recorded events, and its actions are compared with the
-//! recorded ones.
+//! Replays recordings: feeds the recorded events to a new decision module and compares its actions with the
+//! recorded actions.
 
 use crate::frame::{Frame, OwnedEvent};
 use crate::read::{ReadError, Reader};
@@ -11,13 +11,13 @@
 /// Which events and actions of a replay are printed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayFilter {
-    /// Those that concern this request.
+    /// Print the events and actions of this request.
     pub request: Option<RequestId>,
-    /// Release statuses, votes and log lines about this build.
+    /// Print the release statuses, votes and log lines about this build.
     pub build: Option<Build>,
 }
 
-/// What a replay found.
+/// The result of a replay.
 #[derive(Debug, Default)]
 pub struct ReplayReport {
     /// The number of replayed events.
@@ -26,31 +26,32 @@
     pub kinds: BTreeMap<&'static str, u64>,
     /// The number of recorded actions.
     pub actions: u64,
-    /// How often the module was started.
+    /// How often a decision module was started.
     pub starts: u64,
-    /// The first event whose actions differ; the replay ends there.
+    /// The first event whose actions differ from the recorded ones. The replay stops there.
     pub difference: Option<Difference>,
-    /// Where the recording is damaged or cut off; all before it was replayed.
+    /// Where the recording is damaged or truncated. Everything before that was replayed.
     pub read_error: Option<ReadError>,
     /// Whether the recording ended at its size limit.
     pub reached_size_limit: bool,
 }
 
-/// An event that did not cause the recorded actions.
+/// An event for which the replay did not return the recorded actions.
 #[derive(Debug)]
 pub struct Difference {
-    /// The event's number, from 1; 0 for an event before the start of a module.
+    /// The event's number, counted from 1; 0 for an event that was recorded before any start of a module.
     pub event_number: u64,
-    /// What was recorded.
+    /// The event and the recorded actions.
     pub recorded: String,
-    /// What the replay gave.
+    /// The actions that the replay returned.
     pub replayed: String,
 }
 
-/// Replays a recording; `print` gets the lines that the filter selects.
+/// Replays a recording. `print` is called with each line that the filter selects.
 ///
 /// # Errors
-/// [`ReadError`] if the recording cannot be opened. Damage further on is part of the report.
+/// [`ReadError`] if the recording cannot be opened. Damage after its first bytes is part of the report
+/// instead.
 pub fn replay(
     path: &Path,
     filter: ReplayFilter,
@@ -72,12 +73,12 @@
     Ok(replay.report)
 }
 
-/// A replay that is under way.
+/// The state of a running replay.
 struct Replay<'a> {
     filter: ReplayFilter,
     print: &'a mut dyn FnMut(String),
     module: Option<Balancer>,
-    /// The clock of the first event, in microseconds.
+    /// The module's clock at the first event, in microseconds.
     first_event_at: Option<Micros>,
     report: ReplayReport,
 }
@@ -98,7 +99,7 @@
         let Some(module) = &mut self.module else {
             self.report.difference = Some(Difference {
                 event_number: 0,
-                recorded: "an event before a start".to_owned(),
+                recorded: "an event before any start of a module".to_owned(),
                 replayed: String::new(),
             });
             return;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Prints what the filter selects, with the time since the first event.
+    /// Prints the events and actions that the filter selects, with the time since the first event.
     fn print_selected(&mut self, now: Micros, event: &OwnedEvent, actions: &[Action]) {
         let first_event_at = *self.first_event_at.get_or_insert(now);
         let time = format!("{:>12.6} s", now.saturating_sub(first_event_at) as f64 / 1e6);
@@ -134,14 +135,14 @@
             if event_build(event) == Some(build) {
                 (self.print)(format!("{time}  event   {event:?}"));
             }
-            for action in actions.iter().filter(|action| concerns_build(action, build)) {
+            for action in actions.iter().filter(|action| is_about_build(action, build)) {
                 (self.print)(format!("{time}  action  {action:?}"));
             }
         }
     }
 }
 
-/// The request that an event concerns.
+/// The request that an event is about, for the kinds of events that the filter prints.
 fn event_request(event: &OwnedEvent) -> Option<RequestId> {
     match event {
         OwnedEvent::Request(request) => Some(request.id),
@@ -153,7 +154,7 @@
     }
 }
 
-/// The request that an action concerns.
+/// The request that an action is about, for the kinds of actions that the filter prints.
 fn action_request(action: &Action) -> Option<RequestId> {
     match action {
         Action::Send { request, .. }
@@ -164,7 +165,7 @@
     }
 }
 
-/// The build whose release status an event has.
+/// The build whose release status an event carries.
 fn event_build(event: &OwnedEvent) -> Option<Build> {
     match event {
         OwnedEvent::Release(release) => Some(release.build),
@@ -174,7 +175,7 @@
 }
 
 /// Whether an action is a vote on a build or a log line about it.
-fn concerns_build(action: &Action, build: Build) -> bool {
+fn is_about_build(action: &Action, build: Build) -> bool {
     match action {
         Action::Vote { build: voted, .. } => *voted == build,
         Action::Log(text) => text.contains(&format!("build {build} ")),
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings are read back as written, replay the same, and stop plainly where they are damaged.
+//! Recordings are read back and replayed with the same actions; damage stops a replay and is reported.
 
 use std::path::{Path, PathBuf};
 use violetseam::balancer::Balancer;
@@ -20,11 +20,11 @@
     }
 }
 
-/// Records `count` requests over three servers and returns the recording's path.
-fn record(name: &str, count: u64, limits: RecordingLimits) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("violetseam-recording-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let path = folder.join("flight");
+/// Records a module that handles `request_count` requests with three servers; returns the recording's path.
+fn record(name: &str, request_count: u64, limits: RecordingLimits) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("violetseam-recording-{}-{name}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let path = directory.join("flight");
     let (mut module, seed) = (Balancer::new(settings(), 9), 9);
     let mut recorder = Recorder::start(&path, limits, &settings(), seed).unwrap();
     let mut feed = |now: Micros, event: Event<'_>| {
@@ -44,7 +44,7 @@
     };
     let entries = [entry(1), entry(2), entry(3)];
     feed(1_000, Event::ServerList { kind: ListKind::Full, entries: &entries });
-    for id in 1..=count {
+    for id in 1..=request_count {
         let now = 2_000 + id * 500;
         let request = Request { id, deadline: now + 1_000_000, ..Request::default() };
         for action in feed(now, Event::Request(request)) {
@@ -65,6 +65,7 @@
     path
 }
 
+/// Removes the recording's directory.
 fn remove(path: &Path) {
     std::fs::remove_dir_all(path.parent().unwrap()).unwrap();
 }
@@ -73,13 +74,13 @@
 fn a_recording_over_several_segments_replays_the_same() {
     let limits = RecordingLimits { max_segment_bytes: 200_000, max_total_bytes: 1 << 30 };
     let path = record("same", 20_000, limits);
-    assert!(path.with_extension("1").exists(), "no second segment was written");
+    assert!(path.with_extension("1").exists(), "the recording has no second segment");
     let mut lines = Vec::new();
     let filter = ReplayFilter { request: Some(77), build: None };
     let report = replay(&path, filter, &mut |line| lines.push(line)).unwrap();
     assert_eq!((report.events, report.starts), (40_001, 1));
     assert!(report.difference.is_none() && report.read_error.is_none() && !report.reached_size_limit);
-    assert_eq!(lines.len(), 3, "the request, its send and its end: {lines:?}");
+    assert_eq!(lines.len(), 3, "want the request, its attempt and the attempt's end: {lines:?}");
     remove(&path);
 }
 
@@ -96,19 +97,19 @@
 #[test]
 fn damaged_and_truncated_frames_stop_a_replay_and_are_reported() {
     let path = record("damage", 500, RecordingLimits::default());
-    let sound = std::fs::read(&path).unwrap();
-    for (cut, reason) in [(sound.len() - 3, "ends after"), (5 + 4, "within a frame's head")] {
-        std::fs::write(&path, &sound[..cut]).unwrap();
+    let intact = std::fs::read(&path).unwrap();
+    for (length, reason) in [(intact.len() - 3, "ends after"), (5 + 4, "within a frame's head")] {
+        std::fs::write(&path, &intact[..length]).unwrap();
         let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
         assert!(
-            report.read_error.as_ref().is_some_and(|e| e.reason.to_string().contains(reason)),
+            report.read_error.as_ref().is_some_and(|error| error.reason.to_string().contains(reason)),
             "{report:?}"
         );
         assert!(report.difference.is_none());
     }
-    let mut flipped = sound.clone();
-    flipped[sound.len() / 2] ^= 0x10;
-    std::fs::write(&path, &flipped).unwrap();
+    let mut corrupted = intact.clone();
+    corrupted[intact.len() / 2] ^= 0x10;
+    std::fs::write(&path, &corrupted).unwrap();
     assert!(replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap().read_error.is_some());
     std::fs::write(&path, b"VSFR\x09").unwrap();
     assert!(Reader::open(&path).unwrap_err().reason.to_string().contains("version 9"));
@@ -120,7 +121,7 @@
 #[test]
 fn a_module_that_decides_differently_is_detected() {
     let path = record("other", 50, RecordingLimits::default());
-    // The same events recorded with actions of another seed.
+    // Rewrites the recording with another server in each first send, so that it no longer matches the module.
     let mut reader = Reader::open(&path).unwrap();
     let mut bytes = b"VSFR\x01".to_vec();
     while let Some(mut frame) = reader.next_frame().unwrap() {
@@ -129,10 +130,10 @@
         {
             *server = server.wrapping_add(1);
         }
-        let body = postcard::to_allocvec(&frame).unwrap();
-        bytes.extend((body.len() as u32).to_le_bytes());
-        bytes.extend(crc32fast::hash(&body).to_le_bytes());
-        bytes.extend(body);
+        let content = postcard::to_allocvec(&frame).unwrap();
+        bytes.extend((content.len() as u32).to_le_bytes());
+        bytes.extend(crc32fast::hash(&content).to_le_bytes());
+        bytes.extend(content);
     }
     std::fs::write(&path, bytes).unwrap();
     let report = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
