--- a/crates/proxy/src/engine/budgets.rs
+++ b/crates/proxy/src/engine/budgets.rs
@@ -41,8 +41,8 @@
     }
 
     /// Charges one attempt after a request's first. It uses up a charge left by an attempt that was cancelled
-    /// before it was sent, if there is one, and the fleet's budget otherwise. Returns false if the budget does
-    /// not cover the attempt.
+    /// before it was sent, if there is one, and the fleet's budget otherwise. Returns false if the budget
+    /// does not cover the attempt.
     pub(super) fn spend_budget(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.unused_budget > 0 {
--- a/crates/recorder/src/write.rs
+++ b/crates/recorder/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes recordings: frames are buffered on the caller's thread and written by another.
+//! Writes recordings. Frames are buffered on the caller's thread and written to disk by a separate thread.
 
 use crate::frame::{Frame, MAGIC, OwnedEvent, RecordedSettings, write_frame};
 use std::fs::File;
@@ -9,19 +9,19 @@
 use thiserror::Error;
 use violetseam::interface::{Action, Event, Micros, Settings};
 
-/// Frames are sent to the writer's thread once there are this many bytes of them.
+/// Buffered frames are sent to the writer thread once they have this many bytes.
 const CHUNK_BYTES: usize = 128 * 1024;
-/// The memory that a chunk is given, so that its last frame fits as a rule, in bytes.
+/// The initial capacity of a chunk's buffer, in bytes, so that its last frame rarely makes it grow.
 const CHUNK_CAPACITY: usize = 2 * CHUNK_BYTES;
-/// The maximum number of chunks that wait for the disk.
+/// The maximum number of chunks that wait to be written to disk.
 const MAX_QUEUED_CHUNKS: usize = 64;
 
-/// How large a recording may become.
+/// The size limits of a recording.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordingLimits {
-    /// The size of one file, in bytes. A single chunk of frames may exceed it.
+    /// The maximum size of one segment, in bytes. A segment with a single chunk of frames may exceed it.
     pub max_segment_bytes: u64,
-    /// The size of all files, in bytes.
+    /// The maximum size of all segments together, in bytes.
     pub max_total_bytes: u64,
 }
 
@@ -31,26 +31,26 @@
     }
 }
 
-/// Why a recording stopped before the process did.
+/// Why a recording stopped before the process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StopReason {
-    /// The recording has [`RecordingLimits::max_total_bytes`].
-    #[error("the recording's bound is reached")]
+    /// The recording has reached [`RecordingLimits::max_total_bytes`].
+    #[error("the recording has reached its size limit")]
     SizeLimit,
-    /// Too many chunks wait for the disk.
-    #[error("the disk does not keep up")]
+    /// Too many chunks wait to be written to disk.
+    #[error("the disk does not keep up with the recording")]
     SlowDisk,
-    /// The writer's thread has ended with an error, which [`Recorder::finish`] returns.
-    #[error("the file cannot be written")]
+    /// The writer thread has ended with an error, which [`Recorder::finish`] returns.
+    #[error("the recording's file cannot be written")]
     WriteFailed,
 }
 
 /// Writes a recording.
 #[derive(Debug)]
 pub struct Recorder {
-    /// Frames that have not been sent to the writer's thread.
+    /// Frames that have not been sent to the writer thread.
     chunk: Vec<u8>,
-    /// Bytes sent to the writer's thread.
+    /// The number of bytes sent to the writer thread.
     sent_bytes: u64,
     limits: RecordingLimits,
     chunk_sender: Option<SyncSender<Vec<u8>>>,
@@ -59,10 +59,10 @@
 }
 
 impl Recorder {
-    /// Starts a recording at `path`, with the settings and the seed of the recorded decision module.
+    /// Starts a recording at `path`. `settings` and `seed` are those of the recorded decision module.
     ///
     /// # Errors
-    /// Errors of creating the file or the writer's thread.
+    /// If the file or the writer thread cannot be created.
     pub fn start(path: &Path, limits: RecordingLimits, settings: &Settings, seed: u64) -> io::Result<Self> {
         let file = create_segment(path)?;
         let (chunk_sender, chunks) = sync_channel(MAX_QUEUED_CHUNKS);
@@ -83,7 +83,7 @@
         Ok(recorder)
     }
 
-    /// Records an event at `now` and the actions that it caused.
+    /// Records an event that was given to the module at `now`, and the actions that the module returned.
     pub fn record_event(&mut self, now: Micros, event: &Event<'_>, actions: &[Action]) {
         if self.stop_reason.is_some() {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends the buffered frames to the writer's thread. Called from time to time, it limits what a crash
+    /// Sends the buffered frames to the writer thread. Regular calls limit how much of the recording a crash
     /// loses.
     pub fn flush(&mut self) {
         if self.stop_reason.is_none() && !self.chunk.is_empty() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Why nothing more is recorded; none while recording.
+    /// Why the recording has stopped; `None` while it goes on.
     pub fn stop_reason(&self) -> Option<StopReason> {
         self.stop_reason
     }
@@ -122,29 +122,29 @@
         }
     }
 
-    /// Stops recording; the first reason stays.
+    /// Stops recording. If it has stopped before, the earlier reason stays.
     fn stop(&mut self, reason: StopReason) {
         self.stop_reason.get_or_insert(reason);
         self.chunk_sender = None;
         self.chunk = Vec::new();
     }
 
-    /// Writes the buffered frames and waits until the file has been synchronized.
+    /// Writes the buffered frames and waits until the file has been synchronized to disk.
     ///
     /// # Errors
-    /// The first error of writing the recording.
+    /// The error with which the writer thread ended.
     pub fn finish(mut self) -> io::Result<()> {
         self.flush();
         self.chunk_sender = None;
         match self.writer.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
-            Some(Err(_)) => Err(io::Error::other("the recorder's thread failed")),
+            Some(Err(_)) => Err(io::Error::other("the flight recorder's writer thread panicked")),
             None => Ok(()),
         }
     }
 }
 
-/// The writer's thread. Chunks have complete frames, so a segment ends between two of them.
+/// Runs on the writer thread. Each chunk holds complete frames, so a segment always ends between two frames.
 fn write_segments(
     path: &Path,
     mut file: File,
@@ -167,14 +167,14 @@
     file.sync_data()
 }
 
-/// Creates a segment without frames.
+/// Creates a segment's file with its first bytes and no frames.
 fn create_segment(path: &Path) -> io::Result<File> {
     let mut file = File::create(path)?;
     file.write_all(&MAGIC)?;
     Ok(file)
 }
 
-/// The path of a segment; the first has the recording's own.
+/// The path of a segment. The first segment has the path of the recording itself.
 pub(crate) fn segment_path(path: &Path, segment: u32) -> PathBuf {
     if segment == 0 {
         return path.to_owned();
