--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,35 +1,35 @@
-//! Writing actions as the simulator's wire lays them out.
+//! Writes actions in the byte layout of the simulator's wire protocol.
 
 use violetseam::interface::{Action, ServerId, Verdict};
 
-// Codes of the records.
+// Codes of the records in a reply.
 const LOG: u8 = 17;
-const WATCH_LIST: u8 = 18;
-const MESSAGE: u8 = 19;
+const WATCH_SERVER_LIST: u8 = 18;
+const PEER_MESSAGE: u8 = 19;
 const REJECT: u8 = 21;
 const CANCEL: u8 = 22;
 const FAIL: u8 = 23;
 const SET_TIMER: u8 = 24;
-const GIVE_IN: u8 = 25;
-const FETCH_LIST: u8 = 26;
+const DECISION_FAILED: u8 = 25;
+const FETCH_SERVER_LIST: u8 = 26;
 const VOTE: u8 = 27;
-const BY: u8 = 28;
+const INSTANCE: u8 = 28;
 const SEND: u8 = 29;
 
-/// The number that stands for every peer.
+/// The peer number that addresses all peers.
 const ALL_PEERS: u16 = u16::MAX;
-/// Bytes of a message to peers.
+/// The maximum length of a message to peers, in bytes. A longer message is truncated.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Writes the record that names the instance of the following actions.
-pub fn write_by(out: &mut Vec<u8>, instance: u32) {
-    out.push(BY);
+/// Writes the record that names the instance whose actions follow.
+pub fn write_instance(out: &mut Vec<u8>, instance: u32) {
+    out.push(INSTANCE);
     out.extend(instance.to_le_bytes());
 }
 
-/// Writes the record that declares that decision code failed.
-pub fn write_give_in(out: &mut Vec<u8>, text: &str) {
-    write_text(out, GIVE_IN, text.as_bytes());
+/// Writes the record that reports a panic of the decision module, with the panic's message.
+pub fn write_decision_failure(out: &mut Vec<u8>, text: &str) {
+    write_text(out, DECISION_FAILED, text.as_bytes());
 }
 
 /// Writes one action.
@@ -46,16 +46,16 @@
         }
         Action::Reject { request, retry_after } => {
             write_request(out, REJECT, *request);
-            out.extend(span(*retry_after));
+            out.extend(encode_duration(*retry_after));
         }
         Action::Fail { request } => write_request(out, FAIL, *request),
         Action::SetTimer { after, token } => {
             out.push(SET_TIMER);
-            out.extend(span(*after));
+            out.extend(encode_duration(*after));
             out.extend(token.to_le_bytes());
         }
-        Action::WatchServerList => out.extend([WATCH_LIST, 1]),
-        Action::FetchServerList => out.push(FETCH_LIST),
+        Action::WatchServerList => out.extend([WATCH_SERVER_LIST, 1]),
+        Action::FetchServerList => out.push(FETCH_SERVER_LIST),
         Action::Vote { build, stage, verdict } => {
             out.extend([VOTE, *stage]);
             out.extend(build.to_le_bytes());
@@ -63,19 +63,21 @@
         }
         Action::GossipToAll { payload } => write_message(out, ALL_PEERS, payload),
         Action::GossipToPeer { to, payload } => {
-            // A peer with the number of all peers, or a higher one, cannot be named on this wire.
+            // The wire has 16 bits for a peer's number, and the highest number stands for all peers. A
+            // message to a peer with that number or a higher one is dropped.
             if let Some(to) = u16::try_from(*to).ok().filter(|&to| to != ALL_PEERS) {
                 write_message(out, to, payload);
             }
         }
         Action::Log(text) => write_text(out, LOG, text.as_bytes()),
-        // An attempt is sent there in the tick in which it is decided: it is never asked about again.
+        // The simulator sends an attempt in the tick in which it is decided on and never asks again before
+        // sending, so there is nothing to cancel.
         Action::CancelBeforeSend { .. } => {}
     }
 }
 
-/// A span in 32 bits; a longer one is the longest.
-fn span(microseconds: u64) -> [u8; 4] {
+/// A duration as 32 bits on the wire. A duration that does not fit is written as the longest one that does.
+fn encode_duration(microseconds: u64) -> [u8; 4] {
     u32::try_from(microseconds).unwrap_or(u32::MAX).to_le_bytes()
 }
 
@@ -106,7 +108,7 @@
 }
 
 fn write_message(out: &mut Vec<u8>, to: u16, payload: &[u8]) {
-    out.push(MESSAGE);
+    out.push(PEER_MESSAGE);
     out.extend(to.to_le_bytes());
     let payload = &payload[..payload.len().min(MAX_MESSAGE_BYTES)];
     out.extend((payload.len() as u16).to_le_bytes());
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,6 +1,6 @@
-//! Hosts many isolated balancers: batches in, replies out.
+//! Runs many isolated balancers: takes batches of records and returns replies with their actions.
 
-use crate::action::{write_action, write_by, write_give_in};
+use crate::action::{write_action, write_decision_failure, write_instance};
 use crate::reader::{Reader, WireError};
 use crate::record::{Record, read_record};
 use std::collections::BTreeMap;
@@ -8,50 +8,52 @@
 use violetseam::balancer::Balancer;
 use violetseam::interface::{Action, Event, ListKind, Micros, ServerEntry};
 
-/// Bytes of a frame's length field.
+/// The length of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// All instances of one process. They share nothing but the numbered lists that the wire defines.
+/// All balancer instances of the process. They share nothing but the server tables, which the wire
+/// protocol defines for the whole process.
 #[derive(Default)]
 pub struct Host {
     balancers: BTreeMap<u32, Balancer>,
-    tables: BTreeMap<u8, Vec<ServerEntry>>,
-    /// The instance that the last record of the reply named.
-    named: Option<u32>,
+    server_tables: BTreeMap<u8, Vec<ServerEntry>>,
+    /// The instance that the reply has last named: the actions that are written next belong to it.
+    named_in_reply: Option<u32>,
 }
 
 impl Host {
-    /// Plays one batch (all bytes after its length field) and returns the whole reply frame.
+    /// Processes one batch, given without its length field, and returns the whole reply frame.
     ///
     /// # Errors
-    /// [`WireError`] if a record cannot be read, or names a list or an instance that is not known.
-    pub fn batch(&mut self, body: &[u8]) -> Result<Vec<u8>, WireError> {
+    /// [`WireError`] if a record cannot be read, names a server table that was not sent, or needs an instance
+    /// and none has been named.
+    pub fn process_batch(&mut self, body: &[u8]) -> Result<Vec<u8>, WireError> {
         let mut reader = Reader::new(body);
         let count = reader.u32()?;
         let now = reader.u64()?;
         let mut out = vec![0; LENGTH_BYTES];
         let mut instance = None;
-        self.named = None;
+        self.named_in_reply = None;
         for _ in 0..count {
             match read_record(&mut reader)? {
-                Record::Context(id) => instance = Some(id),
+                Record::Instance(id) => instance = Some(id),
                 Record::ServerTable(number, entries) => {
-                    self.tables.insert(number, entries);
+                    self.server_tables.insert(number, entries);
                 }
-                Record::Born(seed, settings) => {
-                    let id = named(instance)?;
+                Record::InstanceStarted(seed, settings) => {
+                    let id = require_instance(instance)?;
                     let settings = violetseam_instance_settings::parse(settings)?;
                     self.balancers.insert(id, Balancer::new(settings, seed));
                 }
-                Record::Kill => {
-                    self.balancers.remove(&named(instance)?);
+                Record::InstanceKilled => {
+                    self.balancers.remove(&require_instance(instance)?);
                 }
                 Record::ServerList(kind, number) => {
-                    let id = named(instance)?;
-                    let entries = self.entries(kind, number)?;
+                    let id = require_instance(instance)?;
+                    let entries = self.list_entries(kind, number)?;
                     self.deliver(id, now, Event::ServerList { kind, entries: &entries }, &mut out);
                 }
-                Record::Event(event) => self.deliver(named(instance)?, now, event, &mut out),
+                Record::Event(event) => self.deliver(require_instance(instance)?, now, event, &mut out),
             }
         }
         if !reader.is_empty() {
@@ -62,25 +64,27 @@
         Ok(out)
     }
 
-    /// What a server list event carries: nothing for a failed call, else the list of that number.
-    fn entries(&self, kind: ListKind, number: u8) -> Result<Vec<ServerEntry>, WireError> {
+    /// The entries of a server list event: none for a failed call, otherwise those of the numbered server
+    /// table.
+    fn list_entries(&self, kind: ListKind, number: u8) -> Result<Vec<ServerEntry>, WireError> {
         if kind == ListKind::Failed {
             return Ok(Vec::new());
         }
-        self.tables.get(&number).cloned().ok_or(WireError::UnknownList(number))
+        self.server_tables.get(&number).cloned().ok_or(WireError::UnknownServerTable(number))
     }
 
     fn deliver(&mut self, id: u32, now: Micros, event: Event, out: &mut Vec<u8>) {
         let Some(balancer) = self.balancers.get_mut(&id) else { return };
         let mut actions: Vec<Action> = Vec::new();
-        let failure = catch_unwind(AssertUnwindSafe(|| balancer.on_event(now, event, &mut actions))).err();
-        let silent = failure.is_none() && actions.is_empty();
-        if !silent && self.named != Some(id) {
-            write_by(out, id);
-            self.named = Some(id);
+        let panic_payload =
+            catch_unwind(AssertUnwindSafe(|| balancer.on_event(now, event, &mut actions))).err();
+        let writes_nothing = panic_payload.is_none() && actions.is_empty();
+        if !writes_nothing && self.named_in_reply != Some(id) {
+            write_instance(out, id);
+            self.named_in_reply = Some(id);
         }
-        if let Some(cause) = failure {
-            write_give_in(out, &panic_text(cause.as_ref()));
+        if let Some(payload) = panic_payload {
+            write_decision_failure(out, &panic_message(payload.as_ref()));
             self.balancers.remove(&id);
             return;
         }
@@ -90,14 +94,14 @@
     }
 }
 
-/// The instance that a record is about.
-fn named(instance: Option<u32>) -> Result<u32, WireError> {
-    instance.ok_or(WireError::NoContext)
+/// The instance that the records are for now; an error if none has been named.
+fn require_instance(instance: Option<u32>) -> Result<u32, WireError> {
+    instance.ok_or(WireError::NoInstance)
 }
 
-/// What a panic said.
-fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
-    let owned = cause.downcast_ref::<String>().cloned();
-    let text = owned.or_else(|| cause.downcast_ref::<&str>().map(ToString::to_string));
+/// The message of a panic.
+fn panic_message(payload: &(dyn std::any::Any + Send)) -> String {
+    let owned = payload.downcast_ref::<String>().cloned();
+    let text = owned.or_else(|| payload.downcast_ref::<&str>().map(ToString::to_string));
     text.unwrap_or_else(|| "decision code failed".into())
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The adapter between the simulator's wire and the decision module.
+//! The adapter between the simulator's wire protocol and the decision module.
 //!
-//! A batch of records is read in `record`, its events are delivered to the balancers in `host`, and their actions
-//! are written in `action`. Little-endian packed frames, read and written field by field.
+//! `record` reads the records of a batch, `host` delivers their events to the balancers, and `action` writes
+//! the balancers' actions. Frames are packed and little-endian; they are read and written field by field.
 
 pub mod action;
 pub mod host;
--- a/crates/simulator-adapter/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -1,66 +1,66 @@
-//! Reading fields off a frame; every read is checked.
+//! Reads fields from a frame. Every read is checked against the frame's end.
 
 use violetseam::interface::{Outcome, ServerId};
 
-/// Why a batch cannot be read or played.
+/// Why a batch cannot be read or processed.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The input ends within a record.
-    #[error("record cut short: {wanted} bytes wanted, {left} left")]
-    CutShort {
-        /// Bytes that the field needs.
-        wanted: usize,
-        /// Bytes that are left.
-        left: usize,
+    /// The batch ends within a field of a record.
+    #[error("record truncated: the next field needs {needed} bytes, {available} are left")]
+    Truncated {
+        /// The number of bytes that the field needs.
+        needed: usize,
+        /// The number of bytes that are left.
+        available: usize,
     },
-    /// A field holds a value that has no meaning.
+    /// A field has a value that the protocol does not define.
     #[error("unknown {field} {value}")]
     UnknownValue {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The value.
+        /// The value that was read.
         value: u16,
     },
-    /// A record of an instance comes before any record that names one.
-    #[error("event before any context record")]
-    NoContext,
-    /// A list is named that was never sent.
-    #[error("list {0} was never sent")]
-    UnknownList(u8),
-    /// An instance's settings do not read.
+    /// A record that is for an instance comes before any record that names an instance.
+    #[error("a record for an instance comes before any record that names an instance")]
+    NoInstance,
+    /// A record names a server table that was not sent.
+    #[error("server table {0} is used but was never sent")]
+    UnknownServerTable(u8),
+    /// The settings of an instance cannot be used.
     #[error(transparent)]
     Settings(#[from] violetseam_instance_settings::SettingsError),
-    /// Bytes are left after the last record.
-    #[error("bytes left over after the last record")]
+    /// The batch has bytes after its last record.
+    #[error("the batch has bytes after its last record")]
     TrailingBytes,
-    /// The reply does not fit into a frame.
-    #[error("reply too long")]
+    /// The reply is longer than the length field of a frame can state.
+    #[error("the reply is too long for the length field of a frame")]
     ReplyTooLong,
 }
 
-/// Reads fields off a byte slice.
+/// Reads fields from the front of a byte slice.
 pub struct Reader<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Reader<'a> {
-    /// Starts at the front of `bytes`.
+    /// Creates a reader that starts at the front of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Reader { bytes }
     }
 
-    /// Whether all has been read.
+    /// Whether all bytes have been read.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Takes `count` bytes.
+    /// Reads `count` bytes.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer are left.
+    /// [`WireError::Truncated`] if fewer are left.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         if self.bytes.len() < count {
-            return Err(WireError::CutShort { wanted: count, left: self.bytes.len() });
+            return Err(WireError::Truncated { needed: count, available: self.bytes.len() });
         }
         let (head, tail) = self.bytes.split_at(count);
         self.bytes = tail;
@@ -73,61 +73,61 @@
         Ok(out)
     }
 
-    /// One byte.
+    /// Reads one byte.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer bytes are left.
+    /// [`WireError::Truncated`] if fewer bytes are left.
     pub fn u8(&mut self) -> Result<u8, WireError> {
         Ok(self.array::<1>()?[0])
     }
 
-    /// Two bytes, little-endian.
+    /// Reads two bytes, little-endian.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer bytes are left.
+    /// [`WireError::Truncated`] if fewer bytes are left.
     pub fn u16(&mut self) -> Result<u16, WireError> {
         self.array().map(u16::from_le_bytes)
     }
 
-    /// Four bytes, little-endian.
+    /// Reads four bytes, little-endian.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer bytes are left.
+    /// [`WireError::Truncated`] if fewer bytes are left.
     pub fn u32(&mut self) -> Result<u32, WireError> {
         self.array().map(u32::from_le_bytes)
     }
 
-    /// Eight bytes, little-endian.
+    /// Reads eight bytes, little-endian.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer bytes are left.
+    /// [`WireError::Truncated`] if fewer bytes are left.
     pub fn u64(&mut self) -> Result<u64, WireError> {
         self.array().map(u64::from_le_bytes)
     }
 
-    /// A 32-bit float, little-endian.
+    /// Reads a 32-bit float, little-endian.
     ///
     /// # Errors
-    /// [`WireError::CutShort`] if fewer bytes are left.
+    /// [`WireError::Truncated`] if fewer bytes are left.
     pub fn f32(&mut self) -> Result<f32, WireError> {
         self.array().map(f32::from_le_bytes)
     }
 
-    /// A server's address and port, which are its identity.
+    /// Reads a server's IPv4 address and port, which together are its id.
     pub(crate) fn server(&mut self) -> Result<ServerId, WireError> {
         let address = u32::from_be_bytes(self.array()?);
         let port = self.u16()?;
         Ok(u64::from(address) << 16 | u64::from(port))
     }
 
-    /// Skips a load report, which no decision uses.
-    pub(crate) fn skip_load_report(&mut self) -> Result<(), WireError> {
-        let figures = usize::from(self.u8()?);
-        self.take(figures * 4)?;
+    /// Skips the load figures that a server reports; the decision module does not use them.
+    pub(crate) fn skip_load_figures(&mut self) -> Result<(), WireError> {
+        let figure_count = usize::from(self.u8()?);
+        self.take(figure_count * 4)?;
         Ok(())
     }
 
-    /// How an attempt, a health check or a vote ended.
+    /// Reads the outcome of an attempt, a health check or a vote.
     pub(crate) fn outcome(&mut self) -> Result<Outcome, WireError> {
         Ok(match self.u16()? {
             10 => Outcome::Ok,
