--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -1,26 +1,27 @@
-//! The settings of a fresh instance: JSON with the wire's names, read into the interface's types. The
-//! simulator's adapter and the proxy on sockets both read them here, so that neither can take one differently.
+//! Reads the settings of a new balancer instance: a JSON text with the key names of the simulator's and the
+//! platform's protocols, read into the types of the decision module's interface. The simulator adapter and
+//! the platform proxy both read it here, so that they cannot interpret a setting differently.
 //!
-//! Unknown keys are skipped. A missing optional figure gets its neutral meaning: nothing permitted, no
-//! bound that the site did not state, one class of one kind.
+//! Unknown keys are skipped. A missing optional setting has a neutral meaning: a permission is not given, a
+//! limit does not apply, and all servers and requests count alike.
 
 use serde::Deserialize;
 use violetseam::interface::{
     DedupGroup, GateMode, Idempotency, Limits, Micros, RequestClass, Rollout, ServiceRules, Settings, Tenant,
 };
 
-/// Why a settings text cannot be used.
+/// Why a settings text is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not JSON of this form.
-    #[error("settings: {0}")]
+    /// The text is not JSON, or a key has a value of the wrong type.
+    #[error("cannot parse the settings as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field names something that is not known.
-    #[error("unknown {field} {value:?}")]
+    /// A field that is an enumeration has an unknown value.
+    #[error("settings: unknown {field} {value:?}")]
     UnknownValue {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it names.
+        /// The unknown value.
         value: String,
     },
 }
@@ -31,187 +32,224 @@
     }
 }
 
+/// The settings text. This struct and its parts use the field names of the decision module's interface; the
+/// `rename` attributes hold the names in the text where they differ.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct Info {
-    caps: Caps,
-    classes: Vec<ClassInfo>,
-    contract: ContractInfo,
+struct SettingsText {
+    #[serde(rename = "Caps")]
+    limits: LimitsText,
+    classes: Vec<ClassText>,
+    #[serde(rename = "Contract")]
+    rules: RulesText,
     discovery: String,
-    family_info: Family,
+    #[serde(rename = "FamilyInfo")]
+    rollout: RolloutText,
     fleet_size: usize,
-    granularity: u64,
-    localities: Vec<String>,
-    over_share_worth: Option<f64>,
+    #[serde(rename = "Granularity")]
+    tick: u64,
+    #[serde(rename = "Localities")]
+    zones: Vec<String>,
+    #[serde(rename = "OverShareWorth")]
+    over_quota_weight: Option<f64>,
     position: usize,
-    tenants: Vec<TenantInfo>,
-    weights: String,
+    tenants: Vec<TenantText>,
+    #[serde(rename = "Weights")]
+    server_sizes: String,
     zone: u16,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct Caps {
-    attempts_cap: Option<usize>,
-    cancelling: bool,
+struct LimitsText {
+    #[serde(rename = "AttemptsCap")]
+    max_attempts: Option<usize>,
+    #[serde(rename = "Cancelling")]
+    cancel: bool,
     connect_timeout: Option<u64>,
     idle_close: Option<u64>,
     max_retry_after: u64,
-    may_duplicate: bool,
-    may_probe: bool,
-    may_tell: bool,
+    #[serde(rename = "MayDuplicate")]
+    hedging: bool,
+    #[serde(rename = "MayProbe")]
+    health_checks: bool,
+    #[serde(rename = "MayTell")]
+    gossip: bool,
     open_cap: Option<usize>,
     retry_after: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct ClassInfo {
-    effect: String,
-    gain: Option<f64>,
-    group: String,
-    hard_limit: u64,
-    late_worth: f64,
+struct ClassText {
+    #[serde(rename = "Effect")]
+    idempotency: String,
+    #[serde(rename = "Gain")]
+    priority_weight: Option<f64>,
+    #[serde(rename = "Group")]
+    dedup_group: String,
+    #[serde(rename = "HardLimit")]
+    deadline: u64,
+    #[serde(rename = "LateWorth")]
+    late_weight: f64,
     name: String,
-    objective: u64,
+    #[serde(rename = "Objective")]
+    latency_objective: u64,
     stream: bool,
-    window: u64,
+    #[serde(rename = "Window")]
+    dedup_window: u64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct ContractInfo {
-    ask_within: Option<u64>,
-    cold: u64,
-    cold_from: Option<f64>,
+struct RulesText {
+    #[serde(rename = "AskWithin")]
+    poll_interval_max: Option<u64>,
+    #[serde(rename = "Cold")]
+    slow_start_span: u64,
+    #[serde(rename = "ColdFrom")]
+    slow_start_floor: Option<f64>,
     drain_grace: u64,
-    fall_multiple: Option<f64>,
-    grace_to_answer: u64,
-    tip_after: u64,
+    #[serde(rename = "FallMultiple")]
+    overload_multiple: Option<f64>,
+    #[serde(rename = "GraceToAnswer")]
+    deadline_grace: u64,
+    #[serde(rename = "TipAfter")]
+    overload_span: u64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct Family {
-    call_timeout: Option<u64>,
-    counted_over: u64,
+struct RolloutText {
+    #[serde(rename = "CallTimeout")]
+    vote_timeout: Option<u64>,
+    #[serde(rename = "CountedOver")]
+    exposure_window: u64,
     flag_share: f64,
     gate_mode: String,
-    noes_needed: Option<f64>,
-    one_way: bool,
-    per: String,
-    safe_only_stages: u8,
-    stage_cap: Vec<f64>,
+    #[serde(rename = "NoesNeeded")]
+    votes_to_roll_back: Option<f64>,
+    #[serde(rename = "OneWay")]
+    sticky_to_new_build: bool,
+    #[serde(rename = "Per")]
+    exposure_scope: String,
+    #[serde(rename = "SafeOnlyStages")]
+    idempotent_only_stages: u8,
+    #[serde(rename = "StageCap")]
+    stage_caps: Vec<f64>,
     style: String,
-    to_advance: Option<f64>,
-    uncounted: f64,
-    vote_allowance: Option<f64>,
+    #[serde(rename = "ToAdvance")]
+    votes_to_promote: Option<f64>,
+    #[serde(rename = "Uncounted")]
+    exposure_slack: f64,
+    #[serde(rename = "VoteAllowance")]
+    vote_rate_limit: Option<f64>,
     vote_ttl: Option<u64>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct TenantInfo {
+struct TenantText {
     name: String,
     quota_per_s: f64,
 }
 
-/// All that the text states: what the decisions need, and what only a driver of sockets does.
+/// All settings in the text: those of the decision module, and those that only a proxy with sockets needs.
 #[derive(Clone, Debug, Default)]
 pub struct Instance {
-    /// For the decision module.
+    /// The settings of the decision module.
     pub decisions: Settings,
-    /// Names of the classes, by index.
+    /// The names of the request classes, by class index.
     pub classes: Vec<String>,
-    /// Names of the tenants, by index.
+    /// The names of the tenants, by tenant index.
     pub tenants: Vec<String>,
-    /// Names of the zones, by index.
+    /// The names of the zones, by zone index.
     pub zones: Vec<String>,
-    /// A connection that is not up after this span counts as failed, in microseconds.
+    /// The time after which an attempt to connect to a server counts as failed, in microseconds.
     pub connect_timeout: Micros,
-    /// A connection that was idle for this span is closed by its server, in microseconds.
+    /// The time after which a server closes an idle connection, in microseconds.
     pub idle_close: Micros,
-    /// Requests that may be open at once.
+    /// The maximum number of requests that are open at once.
     pub open_cap: usize,
 }
 
-/// Where a site states no bound on connecting.
+/// The connect time-out if the text states none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// Where a site does not say when idle connections close.
+/// The idle time before a server closes a connection if the text states none, in microseconds.
 const DEFAULT_IDLE_CLOSE: Micros = 5_000_000;
 
-/// Reads the settings text for the decision module alone.
+/// Reads only the settings of the decision module.
 ///
 /// # Errors
-/// [`SettingsError`] if the text is not JSON of this form, or names something that is not known.
-pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
-    read(text).map(|instance| instance.decisions)
+/// [`SettingsError`] if the text is not JSON of the expected form, or an enumeration has an unknown value.
+pub fn parse(json: &[u8]) -> Result<Settings, SettingsError> {
+    read(json).map(|instance| instance.decisions)
 }
 
-/// Reads the settings text.
+/// Reads all settings in the text.
 ///
 /// # Errors
-/// [`SettingsError`] if the text is not JSON of this form, or names something that is not known.
-pub fn read(text: &[u8]) -> Result<Instance, SettingsError> {
-    let info: Info = serde_json::from_slice(text)?;
+/// [`SettingsError`] if the text is not JSON of the expected form, or an enumeration has an unknown value.
+pub fn read(json: &[u8]) -> Result<Instance, SettingsError> {
+    let text: SettingsText = serde_json::from_slice(json)?;
     Ok(Instance {
-        classes: info.classes.iter().map(|class| class.name.clone()).collect(),
-        tenants: info.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-        zones: info.localities.clone(),
-        connect_timeout: info.caps.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-        idle_close: info.caps.idle_close.unwrap_or(DEFAULT_IDLE_CLOSE),
-        open_cap: info.caps.open_cap.unwrap_or(usize::MAX),
-        decisions: settings(info)?,
+        classes: text.classes.iter().map(|class| class.name.clone()).collect(),
+        tenants: text.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        zones: text.zones.clone(),
+        connect_timeout: text.limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+        idle_close: text.limits.idle_close.unwrap_or(DEFAULT_IDLE_CLOSE),
+        open_cap: text.limits.open_cap.unwrap_or(usize::MAX),
+        decisions: decision_settings(text)?,
     })
 }
 
-fn settings(info: Info) -> Result<Settings, SettingsError> {
+fn decision_settings(text: SettingsText) -> Result<Settings, SettingsError> {
     let classes: Result<Vec<RequestClass>, SettingsError> =
-        info.classes.into_iter().map(request_class).collect();
-    let tenants = info.tenants.into_iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s });
+        text.classes.into_iter().map(request_class).collect();
+    let tenants = text.tenants.into_iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s });
     Ok(Settings {
         classes: classes?,
         tenants: tenants.collect(),
-        rollout: rollout(info.family_info)?,
-        limits: limits(&info.caps),
-        rules: rules(&info.contract),
-        subscribes_to_list: info.discovery == "on_request",
-        fleet_size: info.fleet_size.max(1),
-        position: info.position,
-        zone: info.zone,
-        tick: info.granularity,
-        over_quota_weight: info.over_share_worth.unwrap_or(1.0),
-        sizes_known: !matches!(info.weights.as_str(), "silent" | ""),
+        rollout: rollout(text.rollout)?,
+        limits: limits(&text.limits),
+        rules: rules(&text.rules),
+        subscribes_to_list: text.discovery == "on_request",
+        fleet_size: text.fleet_size.max(1),
+        position: text.position,
+        zone: text.zone,
+        tick: text.tick,
+        over_quota_weight: text.over_quota_weight.unwrap_or(1.0),
+        sizes_known: !matches!(text.server_sizes.as_str(), "silent" | ""),
     })
 }
 
-fn request_class(info: ClassInfo) -> Result<RequestClass, SettingsError> {
-    let idempotency = match info.effect.as_str() {
+fn request_class(text: ClassText) -> Result<RequestClass, SettingsError> {
+    let idempotency = match text.idempotency.as_str() {
         "retryable" => Idempotency::Idempotent,
         "dedup" => Idempotency::Keyed,
         "fragile" | "" => Idempotency::NonIdempotent,
         other => return Err(SettingsError::unknown("effect", other)),
     };
-    let dedup_group = match info.group.as_str() {
+    let dedup_group = match text.dedup_group.as_str() {
         "zone" => DedupGroup::Zone,
         "cell" => DedupGroup::Cell,
         "all" | "" => DedupGroup::All,
         other => return Err(SettingsError::unknown("group", other)),
     };
     Ok(RequestClass {
-        latency_objective: info.objective,
-        deadline: info.hard_limit,
+        latency_objective: text.latency_objective,
+        deadline: text.deadline,
         idempotency,
         dedup_group,
-        dedup_window: info.window,
-        priority_weight: info.gain.unwrap_or(1.0),
-        late_weight: info.late_worth,
-        stream: info.stream,
+        dedup_window: text.dedup_window,
+        priority_weight: text.priority_weight.unwrap_or(1.0),
+        late_weight: text.late_weight,
+        stream: text.stream,
     })
 }
 
-fn rollout(family: Family) -> Result<Rollout, SettingsError> {
-    let gate = match family.gate_mode.as_str() {
+fn rollout(text: RolloutText) -> Result<Rollout, SettingsError> {
+    let gate = match text.gate_mode.as_str() {
         "any" | "" => GateMode::Any,
         "share" => GateMode::Share,
         "timer" => GateMode::Timer,
@@ -219,42 +257,42 @@
     };
     Ok(Rollout {
         gate,
-        in_place: family.style == "in_place",
-        stage_caps: family.stage_cap,
-        idempotent_only_stages: family.safe_only_stages,
-        exposure_window: family.counted_over,
-        exposure_slack: family.uncounted,
-        exposure_per_class: family.per == "class",
-        sticky_to_new_build: family.one_way,
-        vote_ttl: family.vote_ttl.unwrap_or(u64::MAX),
-        vote_timeout: family.call_timeout.unwrap_or(u64::MAX),
-        flag_share: family.flag_share,
-        votes_to_promote: family.to_advance.unwrap_or(1.0),
-        votes_to_roll_back: family.noes_needed.unwrap_or(1.0),
-        vote_rate_limit: family.vote_allowance.unwrap_or(f64::INFINITY),
+        in_place: text.style == "in_place",
+        stage_caps: text.stage_caps,
+        idempotent_only_stages: text.idempotent_only_stages,
+        exposure_window: text.exposure_window,
+        exposure_slack: text.exposure_slack,
+        exposure_per_class: text.exposure_scope == "class",
+        sticky_to_new_build: text.sticky_to_new_build,
+        vote_ttl: text.vote_ttl.unwrap_or(u64::MAX),
+        vote_timeout: text.vote_timeout.unwrap_or(u64::MAX),
+        flag_share: text.flag_share,
+        votes_to_promote: text.votes_to_promote.unwrap_or(1.0),
+        votes_to_roll_back: text.votes_to_roll_back.unwrap_or(1.0),
+        vote_rate_limit: text.vote_rate_limit.unwrap_or(f64::INFINITY),
     })
 }
 
-fn limits(caps: &Caps) -> Limits {
+fn limits(text: &LimitsText) -> Limits {
     Limits {
-        max_attempts: caps.attempts_cap.unwrap_or(1),
-        hedging: caps.may_duplicate,
-        cancel: caps.cancelling,
-        health_checks: caps.may_probe,
-        gossip: caps.may_tell,
-        retry_after: caps.retry_after,
-        max_retry_after: caps.max_retry_after,
+        max_attempts: text.max_attempts.unwrap_or(1),
+        hedging: text.hedging,
+        cancel: text.cancel,
+        health_checks: text.health_checks,
+        gossip: text.gossip,
+        retry_after: text.retry_after,
+        max_retry_after: text.max_retry_after,
     }
 }
 
-fn rules(contract: &ContractInfo) -> ServiceRules {
+fn rules(text: &RulesText) -> ServiceRules {
     ServiceRules {
-        deadline_grace: contract.grace_to_answer,
-        poll_interval_max: contract.ask_within.unwrap_or(u64::MAX),
-        slow_start_floor: contract.cold_from.unwrap_or(1.0),
-        slow_start_span: contract.cold,
-        drain_grace: contract.drain_grace,
-        overload_multiple: contract.fall_multiple.unwrap_or(f64::INFINITY),
-        overload_span: contract.tip_after,
+        deadline_grace: text.deadline_grace,
+        poll_interval_max: text.poll_interval_max.unwrap_or(u64::MAX),
+        slow_start_floor: text.slow_start_floor.unwrap_or(1.0),
+        slow_start_span: text.slow_start_span,
+        drain_grace: text.drain_grace,
+        overload_multiple: text.overload_multiple.unwrap_or(f64::INFINITY),
+        overload_span: text.overload_span,
     }
 }
--- a/crates/instance-settings/tests/settings.rs
+++ b/crates/instance-settings/tests/settings.rs
@@ -1,7 +1,7 @@
-//! The settings text: what is not known, what is missing, what is wrong.
+//! Unknown keys, missing keys and unknown values in the settings text.
 
 #[test]
-fn settings_skip_unknown_keys_and_give_missing_ones_their_neutral_meaning() {
+fn unknown_keys_are_skipped_missing_keys_are_neutral_and_unknown_values_are_rejected() {
     let settings =
         violetseam_instance_settings::parse(br#"{"Novel": {"A": 1}, "Classes": [{"Effect": "retryable"}]}"#);
     let settings = settings.unwrap();
