--- a/crates/proxy/tests/site.rs
+++ b/crates/proxy/tests/site.rs
@@ -11,53 +11,58 @@
 
 const READ: &str = "GET /read/1 HTTP/1.1";
 
-fn delta(version: u64, base: u64, lines: &[String]) -> String {
-    format!("{{\"kind\":\"delta\",\"version\":{version},\"base\":{base},\"servers\":[{}]}}", lines.join(","))
+/// The JSON of a change of the server list from version `base` to `version`.
+fn delta(version: u64, base: u64, entries: &[String]) -> String {
+    format!(
+        "{{\"kind\":\"delta\",\"version\":{version},\"base\":{base},\"servers\":[{}]}}",
+        entries.join(",")
+    )
 }
 
-/// A server that answers with its name.
-fn named(name: &'static str) -> ScriptedServer {
+/// Starts a server that answers each request with its name.
+fn server_with_name(name: &'static str) -> ScriptedServer {
     scripted_server(move |_, mut stream| {
         while read_request(&stream).is_some() {
-            answer(&mut stream, "200 OK", "", name);
+            write_response(&mut stream, "200 OK", "", name);
         }
     })
 }
 
 #[test]
-fn drains_and_new_servers_are_followed() {
-    let (old, new) = (named("old"), named("new"));
+fn requests_move_from_a_draining_server_to_a_new_one() {
+    let (old, new) = (server_with_name("old"), server_with_name("new"));
     let proxy = Proxy::with_servers(&[old.addr], "");
     assert!(proxy.request(READ, "").ends_with("old"));
-    proxy.site.push(&delta(6, 5, &[line(1, old.addr, "draining"), line(2, new.addr, "ready")]));
-    wait_for("requests to move", || proxy.request(READ, "").ends_with("new"));
+    proxy.site.push(&delta(6, 5, &[server_json(1, old.addr, "draining"), server_json(2, new.addr, "ready")]));
+    wait_for("requests to go to the new server", || proxy.request(READ, "").ends_with("new"));
     for _ in 0..30 {
-        assert!(proxy.request(READ, "").ends_with("new"), "sent to a draining server");
+        assert!(proxy.request(READ, "").ends_with("new"), "a request was sent to the draining server");
     }
     proxy.drain();
 }
 
 #[test]
-fn garbage_gaps_and_versions_that_go_back_change_nothing_and_the_list_is_asked_for_again() {
-    let (server, other) = (named("right"), named("wrong"));
+fn invalid_or_outdated_list_updates_are_ignored_and_the_list_is_fetched_again() {
+    let (server, other) = (server_with_name("right"), server_with_name("wrong"));
     let proxy = Proxy::with_servers(&[server.addr], "");
-    let stale = format!("{{\"kind\":\"full\",\"version\":2,\"servers\":[{}]}}", line(9, other.addr, "ready"));
-    let lines = [
+    let stale =
+        format!("{{\"kind\":\"full\",\"version\":2,\"servers\":[{}]}}", server_json(9, other.addr, "ready"));
+    let invalid_lines = [
         "not json at all".to_owned(),
         "{\"kind\":\"full\",\"version\":9,\"servers\":7}".to_owned(),
         stale,
-        delta(12, 11, &[line(9, other.addr, "ready")]),
-        format!("{{\"kind\":\"full\",\"version\":9,\"servers\":[{}]}}", line(9, other.addr, "gone")),
+        delta(12, 11, &[server_json(9, other.addr, "ready")]),
+        format!("{{\"kind\":\"full\",\"version\":9,\"servers\":[{}]}}", server_json(9, other.addr, "gone")),
         "x".repeat(5 << 20),
     ];
-    for bad in lines {
+    for line in invalid_lines {
         let sent_before = proxy.site.lists_sent.load(Ordering::SeqCst);
-        proxy.site.push(&bad);
-        wait_for("the roster to be asked again", || {
+        proxy.site.push(&line);
+        wait_for("discovery to be asked for the list again", || {
             proxy.site.lists_sent.load(Ordering::SeqCst) > sent_before
         });
         for _ in 0..5 {
-            assert!(proxy.request(READ, "").ends_with("right"), "after {:.40}", bad);
+            assert!(proxy.request(READ, "").ends_with("right"), "after {:.40}", line);
         }
     }
     assert_eq!(other.accepted.load(Ordering::SeqCst), 0);
@@ -65,22 +70,22 @@
 }
 
 #[test]
-fn a_restart_goes_on_with_the_list_saved_and_without_the_roster() {
-    let server = named("saved");
-    let folder = std::env::temp_dir().join(format!("violetseam-saved-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let more = format!("STATE = \"{}\"", folder.display());
+fn a_restarted_proxy_uses_the_saved_list_while_discovery_does_not_respond() {
+    let server = server_with_name("saved");
+    let directory = std::env::temp_dir().join(format!("violetseam-saved-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let state_setting = format!("STATE = \"{}\"", directory.display());
     let with_state =
-        |site: &Site, more: &str| settings(site, more).replace("seed = 3", "seed = 3, state_dir = STATE");
-    // The script is read top down: the folder's name comes before the section that uses it.
+        |site: &Site, end: &str| settings_text(site, end).replace("seed = 3", "seed = 3, state_dir = STATE");
+    // The script is evaluated from top to bottom, so STATE must be defined before the section that uses it.
     let start = |site: Site| {
-        let text = format!("{more}\n{}", with_state(&site, ""));
+        let text = format!("{state_setting}\n{}", with_state(&site, ""));
         Proxy::with_settings(site, &text)
     };
-    let first = start(Site::start(list(&[server.addr])));
-    wait_for("the list to be known", || first.request(READ, "").ends_with("saved"));
+    let first = start(Site::start(full_list(&[server.addr])));
+    wait_for("the proxy to have the server list", || first.request(READ, "").ends_with("saved"));
     first.drain();
-    // Discovery never answers: the saved list is used.
+    // Discovery never responds, so the saved list is used.
     let mut site = Site::start(String::new());
     site.discovery = scripted_server(|_, stream| {
         std::thread::sleep(Duration::from_secs(5));
@@ -89,35 +94,35 @@
     let second = start(site);
     assert!(second.request(READ, "").ends_with("saved"));
     second.drain();
-    // What was saved is damaged: it is ignored, requests are refused until a list comes.
-    std::fs::write(folder.join("roster-0.json"), "17\n{\"kind\"").unwrap();
-    let third = start(Site::start(list(&[server.addr])));
-    wait_for("the list to be known", || third.request(READ, "").ends_with("saved"));
+    // The saved list is damaged and ignored; requests are refused until discovery has sent a list.
+    std::fs::write(directory.join("roster-0.json"), "17\n{\"kind\"").unwrap();
+    let third = start(Site::start(full_list(&[server.addr])));
+    wait_for("the proxy to have the server list", || third.request(READ, "").ends_with("saved"));
     third.drain();
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
-fn a_silent_or_rude_desk_disturbs_no_request() {
-    let server = named("fine");
-    for rude in [false, true] {
-        let mut site = Site::start(list(&[server.addr]));
+fn a_silent_or_invalid_release_service_disturbs_no_request() {
+    let server = server_with_name("fine");
+    for invalid in [false, true] {
+        let mut site = Site::start(full_list(&[server.addr]));
         site.release_service = scripted_server(move |_, mut stream| {
-            if rude {
-                answer(&mut stream, "200 OK", "", "{\"build\":-1}\n");
+            if invalid {
+                write_response(&mut stream, "200 OK", "", "{\"build\":-1}\n");
             } else {
                 std::thread::sleep(Duration::from_secs(2));
             }
         });
-        let text = settings(&site, "");
+        let text = settings_text(&site, "");
         let proxy = Proxy::with_settings(site, &text);
-        wait_for("the list to be known", || proxy.request(READ, "").ends_with("fine"));
+        wait_for("the proxy to have the server list", || proxy.request(READ, "").ends_with("fine"));
         for _ in 0..20 {
             assert!(proxy.request(READ, "").ends_with("fine"));
         }
-        if rude {
+        if invalid {
             let calls_before = proxy.site.release_service.accepted.load(Ordering::SeqCst);
-            wait_for("the desk to be called again", || {
+            wait_for("the release service to be called again", || {
                 proxy.site.release_service.accepted.load(Ordering::SeqCst) > calls_before + 2
             });
         }
@@ -126,23 +131,25 @@
 }
 
 #[test]
-fn datagrams_from_strangers_other_versions_and_garbage_are_dropped() {
-    let (seen, _requests) = channel();
-    let server = healthy_server(seen);
+fn datagrams_from_unknown_senders_of_other_versions_or_malformed_are_dropped() {
+    let (request_sender, _requests) = channel();
+    let server = healthy_server(request_sender);
     let peer_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let free = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let own: SocketAddr = free.local_addr().unwrap();
-    drop(free);
-    let peers =
-        format!("peers(listen = \"{own}\", addrs = [\"{own}\", \"{}\"])", peer_socket.local_addr().unwrap());
-    let site = Site::start(list(&[server.addr]));
-    let text = settings(&site, &peers).replace("size = 1", "size = 2, site = 4");
+    let reserved = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let own_addr: SocketAddr = reserved.local_addr().unwrap();
+    drop(reserved);
+    let peers = format!(
+        "peers(listen = \"{own_addr}\", addrs = [\"{own_addr}\", \"{}\"])",
+        peer_socket.local_addr().unwrap()
+    );
+    let site = Site::start(full_list(&[server.addr]));
+    let text = settings_text(&site, &peers).replace("size = 1", "size = 2, site = 4");
     let proxy = Proxy::with_settings(site, &text);
-    wait_for("the list to be known", || outcome(&proxy.request(READ, "")) == "served");
-    let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let sound = peer_datagram::encode(4, 1, PayloadKind::Gossip, &[0; 64]).unwrap();
+    wait_for("the proxy to have the server list", || outcome(&proxy.request(READ, "")) == "served");
+    let unknown_sender = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let valid = peer_datagram::encode(4, 1, PayloadKind::Gossip, &[0; 64]).unwrap();
     for n in 0..2_000u32 {
-        let mut bytes = sound.clone();
+        let mut bytes = valid.clone();
         match n % 5 {
             0 => bytes[2] = 9,
             1 => bytes.truncate((n % 60) as usize),
@@ -150,8 +157,8 @@
             3 => bytes = peer_datagram::encode(4, n as u16, PayloadKind::Gossip, &[n as u8; 200]).unwrap(),
             _ => {}
         }
-        stranger.send_to(&bytes, own).unwrap();
-        peer_socket.send_to(&bytes, own).unwrap();
+        unknown_sender.send_to(&bytes, own_addr).unwrap();
+        peer_socket.send_to(&bytes, own_addr).unwrap();
     }
     for _ in 0..20 {
         assert_eq!(outcome(&proxy.request(READ, "")), "served");
@@ -160,27 +167,29 @@
 }
 
 #[test]
-fn a_controller_that_stood_still_is_left_for_the_next_and_its_older_word_is_not_obeyed() {
+fn a_silent_controller_is_left_for_the_standby_and_its_outdated_status_is_ignored() {
     use std::io::{Read, Write};
     let status_response = |fence: u64, stage: u8, phase: &str| {
-        let line = format!(
+        let status = format!(
             "{{\"build\":2,\"stage\":{stage},\"phase\":\"{phase}\",\"cap\":0.5,\"fence\":{fence}}}\n"
         );
-        format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n", line.len())
+        format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{status}\r\n", status.len())
     };
-    // The first tells once and stands still; asked again, it is still where it was, and further.
-    let (left, is_left) = channel();
-    let left = std::sync::Mutex::new(left);
-    let first = scripted_server(move |n, mut stream| {
+    // The first controller sends one status and then nothing more. When it is asked again, it still has its
+    // old fence, now with a later stage.
+    let (close_sender, closed) = channel();
+    let close_sender = std::sync::Mutex::new(close_sender);
+    let first = scripted_server(move |number, mut stream| {
         if read_request(&stream).is_none() {
             return;
         }
-        let line = if n == 0 { status_response(1, 0, "trial") } else { status_response(1, 1, "trial") };
-        let _ = stream.write_all(line.as_bytes());
-        let began = std::time::Instant::now();
-        // Until the proxy goes away.
-        while !matches!(stream.read(&mut [0; 64]), Ok(0)) && began.elapsed() < Duration::from_secs(5) {}
-        let _ = left.lock().unwrap().send((n, began.elapsed()));
+        let response =
+            if number == 0 { status_response(1, 0, "trial") } else { status_response(1, 1, "trial") };
+        let _ = stream.write_all(response.as_bytes());
+        let started_at = std::time::Instant::now();
+        // Waits until the proxy closes the connection.
+        while !matches!(stream.read(&mut [0; 64]), Ok(0)) && started_at.elapsed() < Duration::from_secs(5) {}
+        let _ = close_sender.lock().unwrap().send((number, started_at.elapsed()));
     });
     let second = scripted_server(move |_, mut stream| {
         if read_request(&stream).is_some() {
@@ -188,21 +197,28 @@
             std::thread::sleep(Duration::from_millis(50));
         }
     });
-    let server = named("served");
-    let site = Site::start(list(&[server.addr]));
-    let desks = format!(
+    let server = server_with_name("served");
+    let site = Site::start(full_list(&[server.addr]));
+    let controllers = format!(
         "desk(addr = \"{}\", standby = [\"{}\"], silence = \"300ms\", reconnect = \"20ms\")",
         first.addr, second.addr
     );
-    let text = settings(&site, "");
-    let old = text.lines().find(|l| l.starts_with("desk(")).unwrap().to_owned();
-    let proxy = Proxy::with_settings(site, &text.replace(&old, &desks));
-    let (n, stood) = is_left.recv_timeout(Duration::from_secs(10)).unwrap();
-    assert!(n == 0 && stood >= Duration::from_millis(200), "silence is waited for: {stood:?}");
-    // From then on the first one's word is older than what was heard: left at once, each time.
+    let text = settings_text(&site, "");
+    let old_section = text.lines().find(|line| line.starts_with("desk(")).unwrap().to_owned();
+    let proxy = Proxy::with_settings(site, &text.replace(&old_section, &controllers));
+    let (number, open_for) = closed.recv_timeout(Duration::from_secs(10)).unwrap();
+    assert!(
+        number == 0 && open_for >= Duration::from_millis(200),
+        "connection {number} to the silent controller was closed after {open_for:?}"
+    );
+    // The status of the first controller is now older than the one received from the second, so that the
+    // proxy leaves the first at once each time.
     for _ in 0..3 {
-        let (n, stood) = is_left.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(n > 0 && stood < Duration::from_millis(200), "an older word was listened to for {stood:?}");
+        let (number, open_for) = closed.recv_timeout(Duration::from_secs(10)).unwrap();
+        assert!(
+            number > 0 && open_for < Duration::from_millis(200),
+            "connection {number} to the outdated controller stayed open for {open_for:?}"
+        );
     }
     assert!(second.accepted.load(Ordering::SeqCst) >= 3);
     assert!(proxy.request(READ, "").ends_with("served"));
