--- a/crates/proxy/tests/engine.rs
+++ b/crates/proxy/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine without sockets: a loop that stood still, and what it guarantees whatever the module does.
+//! The engine without sockets: a stalled event loop, and the guarantees that hold whatever the decision
+//! module does.
 
 use std::collections::BTreeMap;
 use violetseam::interface::*;
@@ -8,10 +9,10 @@
 const MS: Micros = 1_000;
 
 fn settings() -> Settings {
-    let class = |effect| RequestClass {
+    let class = |idempotency| RequestClass {
         latency_objective: 300 * MS,
         deadline: 1_000 * MS,
-        idempotency: effect,
+        idempotency,
         dedup_window: 500 * MS,
         ..RequestClass::default()
     };
@@ -37,7 +38,8 @@
     }
 }
 
-fn engine(servers: u64) -> Engine {
+/// An engine with `server_count` ready servers, whose ids count from 1.
+fn engine(server_count: u64) -> Engine {
     let mut engine = Engine::new(settings(), 5, None);
     let entry = |id| ServerEntry {
         id,
@@ -48,42 +50,47 @@
         size: 1.0,
         started_at: 0,
     };
-    let entries: Vec<ServerEntry> = (1..=servers).map(entry).collect();
+    let entries: Vec<ServerEntry> = (1..=server_count).map(entry).collect();
     engine.on_server_list(1_000 * MS, ListKind::Full, &entries);
     engine
 }
 
+/// A request of a class that arrives at `now`, with a deadline one second later.
 fn request(now: Micros, class: usize) -> Request {
     Request { deadline: now + 1_000 * MS, class, ..Request::default() }
 }
 
-fn actions(engine: &mut Engine) -> Vec<EngineAction> {
+/// Takes all actions that the engine has queued.
+fn take_actions(engine: &mut Engine) -> Vec<EngineAction> {
     std::iter::from_fn(|| engine.next_action()).collect()
 }
 
 #[test]
-fn a_thousand_requests_due_in_one_tick_after_a_standstill_each_get_one_answer() {
+fn after_a_stall_a_thousand_overdue_requests_each_get_one_response() {
     let mut engine = engine(20);
-    // None of the servers answers; then the loop stands still for 700 ms past all that was due.
+    // No server responds. Then the event loop stalls until 700 ms after the first request's deadline.
     for n in 0..1_000 {
         let now = 1_100 * MS + n * 100;
         engine.on_request(now, request(now, (n % 2) as usize), true);
     }
-    actions(&mut engine);
+    take_actions(&mut engine);
     let now = 1_100 * MS + 1_700 * MS;
     engine.run_deadlines(now);
-    let mut answers: BTreeMap<RequestId, usize> = BTreeMap::new();
-    let mut answered_then_sent = 0;
-    for action in actions(&mut engine) {
+    let mut responses_by_request: BTreeMap<RequestId, usize> = BTreeMap::new();
+    let mut started_after_response = 0;
+    for action in take_actions(&mut engine) {
         match action {
-            EngineAction::Respond { request, .. } => *answers.entry(request).or_default() += 1,
-            EngineAction::StartAttempt { request, .. } if answers.contains_key(&request) => {
-                answered_then_sent += 1;
+            EngineAction::Respond { request, .. } => *responses_by_request.entry(request).or_default() += 1,
+            EngineAction::StartAttempt { request, .. } if responses_by_request.contains_key(&request) => {
+                started_after_response += 1;
             }
             _ => {}
         }
     }
-    assert_eq!((answers.len(), answers.values().all(|n| *n == 1), answered_then_sent), (1_000, true, 0));
+    assert_eq!(
+        (responses_by_request.len(), responses_by_request.values().all(|n| *n == 1), started_after_response),
+        (1_000, true, 0)
+    );
     assert_eq!((engine.in_flight(), engine.pending_responses()), (0, 0));
 }
 
@@ -92,26 +99,29 @@
     let mut engine = engine(1);
     let first = engine.on_request(1_100 * MS, Request { deadline: 1_400 * MS, ..request(0, 1) }, true);
     let second = engine.on_request(1_101 * MS, Request { deadline: 1_300 * MS, ..request(0, 1) }, true);
-    actions(&mut engine);
+    take_actions(&mut engine);
     engine.run_deadlines(3_000 * MS);
-    let answered = actions(&mut engine).into_iter().filter_map(|o| match o {
+    let responded = take_actions(&mut engine).into_iter().filter_map(|action| match action {
         EngineAction::Respond { request, .. } => Some(request),
         _ => None,
     });
-    assert_eq!(answered.collect::<Vec<_>>(), [second, first]);
+    assert_eq!(responded.collect::<Vec<_>>(), [second, first]);
 }
 
 #[test]
-fn an_attempt_ends_once_and_a_late_answer_goes_to_nobody() {
+fn an_attempt_ends_once_and_a_late_response_is_discarded() {
     let mut engine = engine(2);
     let id = engine.on_request(1_100 * MS, request(1_100 * MS, 1), true);
     assert!(
-        actions(&mut engine).contains(&EngineAction::StartAttempt { request: id, attempt: 0, server: 1 })
-            || engine.is_attempt_pending(id, 0)
+        take_actions(&mut engine).contains(&EngineAction::StartAttempt {
+            request: id,
+            attempt: 0,
+            server: 1
+        }) || engine.is_attempt_pending(id, 0)
     );
     engine.run_deadlines(2_200 * MS);
     assert!(matches!(
-        actions(&mut engine).iter().find(|o| matches!(o, EngineAction::Respond { .. })),
+        take_actions(&mut engine).iter().find(|action| matches!(action, EngineAction::Respond { .. })),
         Some(EngineAction::Respond { response: LocalResponse::Failed { timed_out: true }, .. })
     ));
     assert!(!engine.on_attempt_ended(2_201 * MS, id, 0, Outcome::Ok));
@@ -119,36 +129,39 @@
 }
 
 #[test]
-fn a_body_that_is_gone_gets_no_second_attempt_and_its_answer_at_once() {
+fn a_request_whose_body_cannot_be_sent_again_gets_no_second_attempt_and_a_response_at_once() {
     let mut engine = engine(3);
     let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
     engine.mark_not_repeatable(id);
-    actions(&mut engine);
+    take_actions(&mut engine);
     engine.on_attempt_ended(1_150 * MS, id, 0, Outcome::Reset);
-    let after = actions(&mut engine);
-    assert!(!after.iter().any(|o| matches!(o, EngineAction::StartAttempt { .. })), "{after:?}");
-    assert!(after.iter().any(|o| matches!(o, EngineAction::Respond { .. })), "{after:?}");
+    let after = take_actions(&mut engine);
+    assert!(!after.iter().any(|action| matches!(action, EngineAction::StartAttempt { .. })), "{after:?}");
+    assert!(after.iter().any(|action| matches!(action, EngineAction::Respond { .. })), "{after:?}");
     assert_eq!(engine.in_flight(), 0);
 }
 
 #[test]
-fn a_stream_is_the_clients_from_its_first_byte_and_its_break_ends_the_request() {
+fn a_started_stream_does_not_time_out_and_its_reset_ends_the_request() {
     let mut engine = engine(3);
     let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
-    actions(&mut engine);
+    take_actions(&mut engine);
     assert!(engine.on_stream_started(1_110 * MS, id, 0));
     engine.run_deadlines(5_000 * MS);
     assert!(
-        !actions(&mut engine)
+        !take_actions(&mut engine)
             .iter()
-            .any(|o| matches!(o, EngineAction::CloseAttempt { .. } | EngineAction::Respond { .. }))
+            .any(|action| matches!(action, EngineAction::CloseAttempt { .. } | EngineAction::Respond { .. }))
+    );
+    assert!(
+        !engine.on_attempt_ended(5_001 * MS, id, 0, Outcome::Reset),
+        "the rest of a broken stream cannot be delivered"
     );
-    assert!(!engine.on_attempt_ended(5_001 * MS, id, 0, Outcome::Reset), "nothing of it can be passed on");
     assert_eq!((engine.in_flight(), engine.counts().failed), (0, 1));
 }
 
 #[test]
-fn answers_are_reported_wrong_once_and_only_those_passed_on() {
+fn only_delivered_answers_can_be_reported_wrong_and_only_once() {
     let mut engine = engine(1);
     let id = engine.on_request(1_100 * MS, request(1_100 * MS, 0), true);
     engine.record_delivered_answer(id, 0, 77);
@@ -158,9 +171,9 @@
     assert!(!engine.on_answer_reported(1_200 * MS, 77) && !engine.on_answer_reported(1_200 * MS, 78));
 }
 
-/// One class has two further attempts a second in a fleet of one; servers reset every attempt.
+/// One class has a budget of two retries a second, in a fleet of one. The servers reset every attempt.
 #[test]
-fn attempts_beyond_the_first_need_a_right_and_the_rest_end_with_their_answer() {
+fn retries_need_budget_and_requests_without_budget_still_get_a_response() {
     let mut engine = engine(6);
     let plan = QuotaPlan {
         members: 1,
@@ -172,35 +185,38 @@
         burst: 2_000 * MS,
     };
     engine.set_budgets(2_000 * MS, FleetQuotas::new(2_000 * MS, plan, 1));
-    let (mut further, mut answered, mut taken) = (Vec::new(), 0, 0);
+    let (mut retry_times, mut response_count, mut received) = (Vec::new(), 0, 0);
     for step in 0..1_000 {
         let now = 2_000 * MS + step * 10 * MS;
         engine.run_deadlines(now);
         engine.on_request(now, request(now, 0), true);
-        taken += 1;
-        let mut todo = actions(&mut engine);
-        while let Some(action) = todo.pop() {
+        received += 1;
+        let mut queue = take_actions(&mut engine);
+        while let Some(action) = queue.pop() {
             match action {
                 EngineAction::StartAttempt { request, attempt, .. } => {
-                    further.extend((attempt > 0).then_some(now));
+                    retry_times.extend((attempt > 0).then_some(now));
                     engine.on_attempt_ended(now, request, attempt, Outcome::Reset);
-                    todo.extend(actions(&mut engine));
+                    queue.extend(take_actions(&mut engine));
                 }
-                EngineAction::Respond { .. } => answered += 1,
+                EngineAction::Respond { .. } => response_count += 1,
                 _ => {}
             }
         }
     }
-    // 10 s at two a second, and what two seconds may save up; asked for more than that all the while.
-    assert!((16..=24).contains(&further.len()), "{}", further.len());
+    // 10 s at two retries a second, and a burst of two seconds. Requests ask for more than that all the time.
+    assert!((16..=24).contains(&retry_times.len()), "{}", retry_times.len());
     let in_a_second =
-        |from: &Micros| further.iter().filter(|at| (*from..from + 1_000 * MS).contains(at)).count();
-    assert!(further.iter().map(in_a_second).max() <= Some(6), "{further:?}");
-    let sight = engine.budgets(12_000 * MS)[0];
-    assert_eq!(sight.spent, further.len() as u64);
-    assert!(sight.denied > 50, "{sight:?}");
-    // Nobody waits for a right: each request has its answer by its deadline.
+        |from: &Micros| retry_times.iter().filter(|at| (*from..from + 1_000 * MS).contains(at)).count();
+    assert!(retry_times.iter().map(in_a_second).max() <= Some(6), "{retry_times:?}");
+    let budget = engine.budgets(12_000 * MS)[0];
+    assert_eq!(budget.spent, retry_times.len() as u64);
+    assert!(budget.denied > 50, "{budget:?}");
+    // No request waits for budget: each has its response by its deadline.
     engine.run_deadlines(13_500 * MS);
-    answered += actions(&mut engine).iter().filter(|o| matches!(o, EngineAction::Respond { .. })).count();
-    assert_eq!((answered, engine.pending_responses()), (taken, 0));
+    response_count += take_actions(&mut engine)
+        .iter()
+        .filter(|action| matches!(action, EngineAction::Respond { .. }))
+        .count();
+    assert_eq!((response_count, engine.pending_responses()), (received, 0));
 }
--- a/crates/proxy/tests/stored_module.rs
+++ b/crates/proxy/tests/stored_module.rs
@@ -1,16 +1,18 @@
-//! A module handed over by an earlier build is read, written again to the same bytes, and decides as it did
-//! there.
+//! A decision module that an earlier build stored at a hand-over can be read, is written again to the same
+//! bytes, and makes the same decisions as in that build.
 
 use std::path::{Path, PathBuf};
 use violetseam::balancer::Balancer;
 use violetseam::interface::*;
 
-fn stored(name: &str) -> PathBuf {
+/// The path of a file that an earlier build stored.
+fn stored_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../cli/tests/stored").join(name)
 }
 
-fn module() -> Balancer {
-    let bytes = std::fs::read(stored("takeover/module.postcard")).unwrap();
+/// Reads the stored module.
+fn read_module() -> Balancer {
+    let bytes = std::fs::read(stored_path("takeover/module.postcard")).unwrap();
     let (module, rest) = postcard::take_from_bytes(&bytes).unwrap();
     assert!(rest.is_empty());
     module
@@ -18,16 +20,16 @@
 
 #[test]
 fn a_stored_module_is_written_again_to_the_same_bytes() {
-    let bytes = std::fs::read(stored("takeover/module.postcard")).unwrap();
-    assert!(postcard::to_allocvec(&module()).unwrap() == bytes);
+    let bytes = std::fs::read(stored_path("takeover/module.postcard")).unwrap();
+    assert!(postcard::to_allocvec(&read_module()).unwrap() == bytes);
 }
 
-/// Feeds requests, ends of attempts, a list and the release service's word, and gives all actions.
-fn decide(module: &mut Balancer) -> Vec<Action> {
+/// Feeds requests, ends of attempts, timers and a release status to the module; returns all its actions.
+fn feed_events(module: &mut Balancer) -> Vec<Action> {
     const START: Micros = 6_200_000;
-    let mut all = Vec::new();
+    let mut all_actions = Vec::new();
     let mut now = START;
-    let mut attempts_of = std::collections::BTreeMap::<RequestId, usize>::new();
+    let mut last_attempts = std::collections::BTreeMap::<RequestId, usize>::new();
     for id in 1..=400u64 {
         now += 3_000;
         let class = (id % 3) as usize;
@@ -38,7 +40,7 @@
         let mut next = 0;
         while next < actions.len() {
             if let Action::Send { request, server, .. } = actions[next] {
-                let attempt = *attempts_of.entry(request).and_modify(|n| *n += 1).or_insert(0);
+                let attempt = *last_attempts.entry(request).and_modify(|number| *number += 1).or_insert(0);
                 let outcome = match (id + attempt as u64) % 11 {
                     0 => Outcome::Error,
                     1 => Outcome::Rejected,
@@ -47,10 +49,9 @@
                     _ => Outcome::Ok,
                 };
                 now += 1_500;
-                let settled = outcome == Outcome::Ok;
+                let finishes_request = outcome == Outcome::Ok;
                 let elapsed = 1_500 + id % 7 * 900;
-                let end =
-                    AttemptEnd { request, attempt, server, outcome, elapsed, finishes_request: settled };
+                let end = AttemptEnd { request, attempt, server, outcome, elapsed, finishes_request };
                 module.on_event(now, Event::AttemptEnded(end), &mut actions);
             }
             next += 1;
@@ -59,19 +60,19 @@
             module.on_event(now, Event::Timer { token: 0 }, &mut actions);
         }
         if id == 200 {
-            let news = ReleaseStatus { build: 2, stage: 2, phase: Phase::Trial, cap: 1.0 };
-            module.on_event(now, Event::Release(news), &mut actions);
+            let release = ReleaseStatus { build: 2, stage: 2, phase: Phase::Trial, cap: 1.0 };
+            module.on_event(now, Event::Release(release), &mut actions);
         }
-        all.append(&mut actions);
+        all_actions.append(&mut actions);
     }
-    all
+    all_actions
 }
 
 #[test]
-fn a_stored_module_decides_as_it_did_where_it_was_written() {
-    let actions = decide(&mut module());
+fn a_stored_module_makes_the_same_decisions_as_in_the_build_that_stored_it() {
+    let actions = feed_events(&mut read_module());
     let written = postcard::to_allocvec(&actions).unwrap();
-    let expected = std::fs::read(stored("expected/actions.postcard")).unwrap();
-    assert!(actions.len() > 600, "{}", actions.len());
-    assert!(written == expected, "{} bytes against {}", written.len(), expected.len());
+    let expected = std::fs::read(stored_path("expected/actions.postcard")).unwrap();
+    assert!(actions.len() > 600, "only {} actions", actions.len());
+    assert!(written == expected, "the actions differ: {} bytes, expected {}", written.len(), expected.len());
 }
