--- a/crates/proxy/src/engine/attempts.rs
+++ b/crates/proxy/src/engine/attempts.rs
@@ -62,17 +62,17 @@
         !denied
     }
 
-    /// Reports the end of an attempt. Returns true if its answer is to be sent to the client, which holds for
-    /// the first successful answer to a request without a final answer. An answer that arrives after the
-    /// final one, or after the attempt was cancelled, is discarded.
+    /// Reports the end of an attempt. Returns true if its response is to be sent to the client, which holds
+    /// for the first successful response to a request without a final response. A response that arrives after
+    /// the final one, or after the attempt was cancelled, is discarded.
     pub fn on_attempt_ended(&mut self, now: Micros, id: RequestId, number: usize, outcome: Outcome) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let Some(attempt) = request.pending_attempt_mut(number) else { return false };
         attempt.ended = true;
         let server = attempt.server;
         let elapsed = now.saturating_sub(attempt.sent_at);
-        // The client has received the start of a streamed answer: if the stream breaks, the request has ended
-        // too.
+        // The client has received the start of a streamed response: if the stream breaks, the request has
+        // ended too.
         let was_streaming = request.streaming == Some(number);
         let served = outcome == Outcome::Ok;
         let finishes_request = !request.finished && (served || was_streaming);
@@ -95,8 +95,8 @@
         finishes_request && served
     }
 
-    /// Reports the start of an answer that can be streamed. Returns true if it is to be streamed to the
-    /// client; from then on no time-out ends it and every other answer is discarded.
+    /// Reports the start of a response that can be streamed. Returns true if it is to be streamed to the
+    /// client; from then on no time-out ends it and every other response is discarded.
     pub fn on_stream_started(&mut self, now: Micros, id: RequestId, number: usize) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if !request.awaits_response() || request.pending_attempt(number).is_none() {
@@ -169,7 +169,7 @@
         self.abort_attempt(now, id, number, Outcome::Cancelled);
     }
 
-    /// Closes a pending attempt's connection and reports its end. An attempt whose answer is being streamed
+    /// Closes a pending attempt's connection and reports its end. An attempt whose response is being streamed
     /// goes on.
     fn abort_attempt(&mut self, now: Micros, id: RequestId, number: usize, outcome: Outcome) {
         let Some(request) = self.requests.get(&id) else { return };
--- a/crates/proxy/src/engine/counts.rs
+++ b/crates/proxy/src/engine/counts.rs
@@ -11,12 +11,12 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client disconnected before the final answer.
+    /// Requests whose client disconnected before the final response.
     pub disconnected: u64,
     /// Attempts that were started, without those cancelled before they were sent.
     pub attempts: u64,
-    /// Requests that the decision module had not answered when their final answer was overdue; above 0 it is
-    /// a fault of the module.
+    /// Requests that the decision module had not answered when their final response was overdue; above 0 it
+    /// is a fault of the module.
     pub overdue: u64,
     /// Attempts that the decision module asked for when the process may send nothing at all; above 0 it is a
     /// fault of the module.
--- a/crates/proxy/src/engine/deadlines.rs
+++ b/crates/proxy/src/engine/deadlines.rs
@@ -14,7 +14,7 @@
     AttemptTimeout { request: RequestId, attempt: usize },
     /// A timer of the decision module is due; the value is its token.
     ModuleTimer(u64),
-    /// The final answer of a request is overdue.
+    /// The final response of a request is overdue.
     RequestOverdue(RequestId),
     /// The next round of lease requests for the fleet's budgets is due.
     BudgetRound,
@@ -69,8 +69,8 @@
         self.run_deadlines_until(now, now);
     }
 
-    /// Runs the deadlines that had come due by `until`, which is when the driver last polled its sockets. An
-    /// answer that arrived after that poll has not been read yet, and it may have arrived before a later
+    /// Runs the deadlines that had come due by `until`, which is when the driver last polled its sockets. A
+    /// response that arrived after that poll has not been read yet, and it may have arrived before a later
     /// deadline.
     pub fn run_deadlines_until(&mut self, now: Micros, until: Micros) {
         while let Some(deadline) = self.deadlines.pop_due(until) {
--- a/crates/proxy/src/engine/mod.rs
+++ b/crates/proxy/src/engine/mod.rs
@@ -2,10 +2,11 @@
 //! reads no clock: the driver reports events with their time and performs the [`EngineAction`]s that result.
 //!
 //! Whatever the decision module asks for, the engine guarantees that the module gets exactly one end of each
-//! attempt, that a request gets one final answer, and that no attempt starts for a request that has its final
-//! answer. A request enters with [`Engine::on_request`]; its attempts report [`Engine::on_attempt_ended`] or
-//! [`Engine::on_stream_started`]. The engine's deadlines are the module's timers, the time-outs that the
-//! module sets for attempts, the latest time of each final answer, and the rounds of the fleet's budgets.
+//! attempt, that a request gets one final response, and that no attempt starts for a request that has its
+//! final response. A request enters with [`Engine::on_request`]; its attempts report
+//! [`Engine::on_attempt_ended`] or [`Engine::on_stream_started`]. The engine's deadlines are the module's
+//! timers, the time-outs that the module sets for attempts, the latest time of each final response, and the
+//! rounds of the fleet's budgets.
 
 mod action;
 mod attempts;
--- a/crates/proxy/src/engine/requests.rs
+++ b/crates/proxy/src/engine/requests.rs
@@ -1,18 +1,18 @@
-//! Requests in flight, from their arrival to their single final answer.
+//! Requests in flight, from their arrival to their single final response.
 
 use super::attempts::Attempt;
 use super::deadlines::TimerKind;
 use super::{Engine, EngineAction, LocalResponse};
 use violetseam::interface::{Event, Micros, Outcome, Request, RequestId};
 
-/// A request that has no final answer yet or still has an attempt in flight.
+/// A request that has no final response yet or still has an attempt in flight.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     pub(super) class: usize,
     pub(super) deadline: Micros,
-    /// The request has had its final answer, or its client has disconnected.
+    /// The request has had its final response, or its client has disconnected.
     pub(super) finished: bool,
-    /// The attempt whose answer is being streamed to the client.
+    /// The attempt whose response is being streamed to the client.
     pub(super) streaming: Option<usize>,
     /// The request's body can be sent again.
     pub(super) repeatable: bool,
@@ -56,7 +56,7 @@
         self.attempts.iter().take(number).any(|attempt| !attempt.cancelled_before_send)
     }
 
-    /// Whether the proxy itself may still give the final answer: none was given and none is being streamed.
+    /// Whether the proxy itself may still give the final response: none was given and none is being streamed.
     pub(super) fn awaits_response(&self) -> bool {
         !self.finished && self.streaming.is_none()
     }
@@ -68,7 +68,7 @@
         self.requests.len()
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests without a final response.
     pub fn pending_responses(&self) -> usize {
         self.requests.values().filter(|request| !request.finished).count()
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Handles a client that has disconnected: its request needs no answer any more.
+    /// Handles a client that has disconnected: its request needs no response any more.
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
         request.finished = true;
@@ -116,9 +116,9 @@
         self.forget_if_complete(id);
     }
 
-    /// Fails a request whose final answer is overdue. The decision module must give each final answer before
-    /// the deadline; if a fault makes it miss one, the client still gets an answer and the module learns that
-    /// the request has ended.
+    /// Fails a request whose final response is overdue. The decision module must give each final response
+    /// before the deadline; if a fault makes it miss one, the client still gets a response and the module
+    /// learns that the request has ended.
     pub(super) fn fail_overdue_request(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.awaits_response()) else {
             return;
@@ -132,7 +132,7 @@
         self.forget_if_complete(id);
     }
 
-    /// Gives a request its final answer, unless it has one or one is being streamed.
+    /// Gives a request its final response, unless it has one or one is being streamed.
     pub(super) fn respond(&mut self, id: RequestId, response: LocalResponse) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.awaits_response()) else {
             return;
--- a/crates/proxy/src/engine/shutdown.rs
+++ b/crates/proxy/src/engine/shutdown.rs
@@ -42,7 +42,7 @@
     }
 
     /// Begins the shutdown of the process and returns the schedule in force. Each request gets its final
-    /// answer by the schedule's `answer_by`, and nothing is sent after it. If a shutdown has begun before,
+    /// response by the schedule's `answer_by`, and nothing is sent after it. If a shutdown has begun before,
     /// the earlier schedule stays in force.
     pub fn begin_shutdown(&mut self, now: Micros, schedule: ShutdownSchedule) -> ShutdownSchedule {
         let schedule = self.permissions.begin_shutdown(schedule);
@@ -70,7 +70,7 @@
         schedule
     }
 
-    /// Fails each request without a final answer, as the process is about to exit. For the decision module
+    /// Fails each request without a final response, as the process is about to exit. For the decision module
     /// its client has disconnected.
     pub fn fail_pending_requests(&mut self, now: Micros) {
         let pending = self.requests.iter().filter(|(_, request)| request.awaits_response());
