--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/answers.rs
@@ -198,7 +198,7 @@
     /// Renews the lease on the list. `at` is a time at which the list was current.
     fn confirm_list(&mut self, now: Micros, at: Micros) {
         let was_usable = self.engine.permissions().list.holds(now);
-        self.engine.update_list_lease(now, |lease| lease.confirm(at));
+        self.engine.update_list_lease(now, |lease| lease.record_confirmation(at));
         let is_usable = self.engine.permissions().list.holds(now);
         if is_usable && !was_usable {
             tracing::info!(version = self.server_list.version(), "the server list may be used");
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records that the list was current at that time.
-    pub fn confirm(&mut self, at: Micros) {
+    pub fn record_confirmation(&mut self, at: Micros) {
         if let Some(LeaseTerms { span, .. }) = self.terms {
             self.missed_change_limit = None;
             self.until = self.until.max(at.saturating_add(span));
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -31,9 +31,9 @@
 fn the_lease_holds_from_the_first_confirmation_until_a_missed_change_could_exceed_its_grace() {
     let mut lease = lease();
     assert!(!lease.holds(0) && !lease.holds(100 * S), "the lease holds for a list that was never confirmed");
-    lease.confirm(100 * S);
+    lease.record_confirmation(100 * S);
     assert!(lease.holds(106 * S + GRACE - 1) && !lease.holds(106 * S + GRACE));
-    lease.confirm(99 * S);
+    lease.record_confirmation(99 * S);
     assert_eq!(lease.until(), 106 * S + GRACE, "an older confirmation shortened the lease");
 }
 
@@ -42,21 +42,21 @@
     let mut rules = settings().rules;
     rules.poll_interval_max = 2 * S;
     let mut lease = ListLease::unconfirmed(&rules);
-    lease.confirm(100 * S);
+    lease.record_confirmation(100 * S);
     assert_eq!(lease.until(), 102 * S + GRACE);
 }
 
 #[test]
 fn an_outage_extends_the_lease_unless_a_notification_was_missed() {
     let mut lease = lease();
-    lease.confirm(100 * S);
+    lease.record_confirmation(100 * S);
     lease.discovery_down(104 * S);
     assert_eq!(lease.until(), 110 * S + GRACE);
     lease.notification_missed(105 * S);
     assert_eq!(lease.until(), 105 * S + GRACE);
     lease.discovery_down(106 * S);
     assert_eq!(lease.until(), 105 * S + GRACE, "an outage extended the lease after a missed notification");
-    lease.confirm(107 * S);
+    lease.record_confirmation(107 * S);
     lease.discovery_down(108 * S);
     assert_eq!(lease.until(), 114 * S + GRACE);
 }
@@ -64,7 +64,7 @@
 #[test]
 fn a_move_of_discovery_and_the_loss_of_a_watch_shorten_the_lease() {
     let mut moved = lease();
-    moved.confirm(100 * S);
+    moved.record_confirmation(100 * S);
     moved.discovery_moved(100 * S);
     assert_eq!(moved.until(), 104 * S + GRACE);
     moved.discovery_moved(101 * S);
@@ -75,7 +75,7 @@
         "a later move or an outage changed the lease after the first move"
     );
     let mut watched = lease();
-    watched.confirm(100 * S);
+    watched.record_confirmation(100 * S);
     watched.watch_lost(101 * S);
     assert_eq!(watched.until(), 101 * S + GRACE);
 }
@@ -101,7 +101,7 @@
     let mut permissions = SendPermissions::new(list);
     let now = 100 * S;
     assert_eq!(permissions.may_start(now, &attempt(now + S)), Err(SendDenial::LeaseExpired));
-    list.confirm(now);
+    list.record_confirmation(now);
     permissions.list = list;
     assert_eq!(permissions.may_start(now, &attempt(now + S)), Ok(()));
     let finished = AttemptFacts { request_finished: true, ..attempt(now + S) };
