--- a/src/analysis/comparison.rs
+++ b/src/analysis/comparison.rs
@@ -2,7 +2,7 @@
 
 use super::verdict::{MIN_CLASS_ATTEMPTS, MIN_WINDOW_ATTEMPTS};
 use crate::balancer::Balancer;
-use crate::evidence::{HitKind, OutcomeCounts};
+use crate::evidence::{OutcomeCounts, SliceMetric};
 use crate::statistics::{Proportion, difference_lower, wilson_lower};
 
 /// The normal quantile of a 95% confidence interval.
@@ -39,14 +39,14 @@
     /// What was observed.
     pub(super) reason: String,
     /// The kind of hit in which the violation shows.
-    pub(super) hit_kind: HitKind,
+    pub(super) metric: SliceMetric,
     /// Whether the violation counts only if it lasts for the whole span of a window.
     pub(super) mild: bool,
 }
 
 impl Violation {
     fn in_failures(reason: String) -> Self {
-        Violation { reason, hit_kind: HitKind::Failed, mild: false }
+        Violation { reason, metric: SliceMetric::Failed, mild: false }
     }
 }
 
@@ -157,7 +157,7 @@
     let attempts = totals.new.attempts;
     Err(Violation {
         reason: format!("slower: median x{median:.2}, p95 x{tail:.2} over {attempts}"),
-        hit_kind: HitKind::Slow,
+        metric: SliceMetric::Slow,
         mild: median < max_ratio * max_ratio,
     })
 }
--- a/src/analysis/gossip.rs
+++ b/src/analysis/gossip.rs
@@ -46,7 +46,7 @@
             let aggregator = aggregator(release, draw, fleet_size);
             if aggregator == self.settings.position {
                 let header = GossipHeader { is_total: true, ..header };
-                let payload = encode(header, &self.state.analysis.evidence.total());
+                let payload = encode(header, &self.state.analysis.evidence.pooled_total());
                 out.push(Action::GossipToAll { payload });
             } else {
                 out.push(Action::GossipToPeer { to: aggregator, payload: payload.clone() });
--- a/src/analysis/verdict.rs
+++ b/src/analysis/verdict.rs
@@ -3,7 +3,7 @@
 use super::comparison::{LatencyComparison, Significance, Violation};
 use super::windows::{MAX_LATENCY_RATIO, MAX_WINDOW_ATTEMPTS, MAX_WINDOW_SPAN};
 use crate::balancer::Balancer;
-use crate::evidence::{Arm, Evidence, HitKind, OutcomeCounts, SliceCounts, StageEvidence, hit_share};
+use crate::evidence::{Arm, Evidence, OutcomeCounts, SliceCounts, SliceMetric, StageEvidence, hit_share};
 use crate::interface::{GateMode, Idempotency, Micros, ReleaseStatus, RequestClass};
 use std::fmt;
 
@@ -87,13 +87,13 @@
             return self.evaluate_sparse_window(age, window);
         }
         let no_baseline = window.attempts(Arm::Earlier) < MIN_WINDOW_ATTEMPTS;
-        self.state.analysis.compared |= !no_baseline;
+        self.state.analysis.compared_with_earlier |= !no_baseline;
         let significance = self.significance(window);
         let over_window = self.compare_arms(window, no_baseline, MAX_LATENCY_RATIO, significance);
         let over_stage = over_window.and_then(|latency| {
             self.compare_arms(&evidence.stage, no_baseline, f64::INFINITY, significance).map(|_| latency)
         });
-        let many_servers = window.slices(Arm::New, HitKind::Failed).len() >= MIN_CLEARING_SLICES;
+        let many_servers = window.slices(Arm::New, SliceMetric::Failed).len() >= MIN_CLEARING_SLICES;
         let latency = match over_stage {
             Ok(latency) => latency,
             Err(attributed) => match weigh_violation(attributed, age, many_servers) {
@@ -117,7 +117,7 @@
         let combined_attempts = window.attempts(Arm::New) * rollout.votes_to_promote;
         let votes_are_counted = rollout.gate == GateMode::Share && age >= SPARSE_SPAN;
         let no_failure = window.counts(Arm::New).iter().all(|counts| counts.failed == 0.0);
-        let slow_share = hit_share(&window.slices(Arm::New, HitKind::Slow));
+        let slow_share = hit_share(&window.slices(Arm::New, SliceMetric::Slow));
         let nothing_against_build = no_failure && slow_share < MAX_SPARSE_SLOW_SHARE;
         if votes_are_counted && nothing_against_build && combined_attempts >= MAX_WINDOW_ATTEMPTS as f64 {
             WindowResult::Clean
@@ -157,7 +157,7 @@
         }
         let compared = self.compare(&new, &earlier, max_latency_ratio, significance);
         compared.map_err(|violation| AttributedViolation {
-            caused_by_few_servers: is_caused_by_few_servers(evidence, violation.hit_kind),
+            caused_by_few_servers: is_caused_by_few_servers(evidence, violation.metric),
             violation,
         })
     }
@@ -199,9 +199,9 @@
 /// Whether only a part of the servers causes a violation over all servers. That is so if the better half of
 /// the new build's slices is hardly worse than the better half of the earlier build's. A single slice must be
 /// worse than the worst earlier slice to count against the build.
-fn is_caused_by_few_servers(evidence: &Evidence, hits: HitKind) -> bool {
-    let new = evidence.slices(Arm::New, hits);
-    let earlier = evidence.slices(Arm::Earlier, hits);
+fn is_caused_by_few_servers(evidence: &Evidence, metric: SliceMetric) -> bool {
+    let new = evidence.slices(Arm::New, metric);
+    let earlier = evidence.slices(Arm::Earlier, metric);
     if let ([only_slice], Some(worst_earlier)) = (&new[..], earlier.last()) {
         return hit_share(&[*only_slice]) <= hit_share(&[*worst_earlier]);
     }
--- a/src/analysis/windows.rs
+++ b/src/analysis/windows.rs
@@ -93,7 +93,8 @@
     /// with an earlier build is left out.
     pub(super) fn release_under_analysis(&self) -> Option<ReleaseStatus> {
         self.state.release.filter(|release| {
-            let released_after_comparison = release.phase == Phase::Released && self.state.analysis.compared;
+            let released_after_comparison =
+                release.phase == Phase::Released && self.state.analysis.compared_with_earlier;
             release.phase == Phase::Trial || released_after_comparison
         })
     }
@@ -126,7 +127,7 @@
 
     fn window_result(&mut self, now: Micros, release: ReleaseStatus, age: Micros) -> WindowResult {
         let evidence =
-            self.state.analysis.evidence.widest(self.settings.position, MAX_WINDOW_ATTEMPTS as f64);
+            self.state.analysis.evidence.best_available(self.settings.position, MAX_WINDOW_ATTEMPTS as f64);
         let not_full = (evidence.window.attempts(Arm::New) as usize) < MAX_WINDOW_ATTEMPTS;
         if age < MAX_WINDOW_SPAN && not_full {
             return WindowResult::Insufficient;
--- a/src/evidence/counters.rs
+++ b/src/evidence/counters.rs
@@ -80,7 +80,7 @@
 
 /// The kind of event that counts as a hit in a slice of the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HitKind {
+pub enum SliceMetric {
     /// Failed attempts.
     Failed,
     /// Slow attempts.
@@ -191,7 +191,7 @@
     }
 
     /// Returns what has been added since the counters stood at `baseline`, or all of it without a baseline.
-    pub fn since(&self, baseline: Option<&Evidence>) -> Evidence {
+    pub fn difference_since(&self, baseline: Option<&Evidence>) -> Evidence {
         let Some(baseline) = baseline else { return self.clone() };
         Evidence(self.0.iter().zip(&baseline.0).map(|(now, then)| (now - then).max(0.0)).collect())
     }
@@ -226,11 +226,11 @@
     }
 
     /// Returns the slices of an arm that have attempts, sorted by rising share of hits.
-    pub fn slices(&self, arm: Arm, hits: HitKind) -> Vec<SliceCounts> {
+    pub fn slices(&self, arm: Arm, metric: SliceMetric) -> Vec<SliceCounts> {
         let rows = self.0.chunks_exact(SLICE_COUNTERS).skip(arm.index() * SLICES).take(SLICES);
         let counts = rows.map(|row| SliceCounts {
             attempts: row[0],
-            hits: if hits == HitKind::Failed { row[1] } else { row[2] },
+            hits: if metric == SliceMetric::Failed { row[1] } else { row[2] },
         });
         let mut slices: Vec<SliceCounts> = counts.filter(|slice| slice.attempts > 0.0).collect();
         slices.sort_by(|left, right| hit_share(&[*left]).total_cmp(&hit_share(&[*right])));
--- a/src/evidence/mod.rs
+++ b/src/evidence/mod.rs
@@ -10,7 +10,7 @@
 mod message;
 mod pool;
 
-pub use counters::{Arm, Evidence, HitKind, OutcomeCounts, SLICES, Sample, SliceCounts, hit_share};
+pub use counters::{Arm, Evidence, OutcomeCounts, SLICES, Sample, SliceCounts, SliceMetric, hit_share};
 pub use histogram::{BINS, Histogram};
 pub use message::{GossipHeader, MAX_MESSAGE_BYTES, decode, encode};
 pub use pool::{EvidencePool, StageEvidence};
--- a/src/evidence/pool.rs
+++ b/src/evidence/pool.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns the sum of the own counters and all reports.
-    pub fn total(&self) -> Evidence {
+    pub fn pooled_total(&self) -> Evidence {
         let mut total = self.own.clone();
         total.merge(&self.ended);
         for report in self.reports.values() {
@@ -97,26 +97,26 @@
         self.own_at_window_start = self.own.clone();
         let totals = self.totals.iter().map(|(from, total)| (*from, total.evidence.clone()));
         self.totals_at_window_start = totals.collect();
-        self.totals_at_window_start.insert(position, self.total());
+        self.totals_at_window_start.insert(position, self.pooled_total());
     }
 
     /// Returns the evidence to judge by. That is the balancer's own evidence if its window holds at least
     /// `min_attempts` attempts at the new build. Otherwise it is the largest available total: this balancer's
     /// or that of one aggregator. Totals are never added up, so that no attempt counts twice.
-    pub fn widest(&self, position: usize, min_attempts: f64) -> StageEvidence {
-        let own_window = self.own.since(Some(&self.own_at_window_start));
+    pub fn best_available(&self, position: usize, min_attempts: f64) -> StageEvidence {
+        let own_window = self.own.difference_since(Some(&self.own_at_window_start));
         if own_window.attempts(Arm::New) >= min_attempts {
             return StageEvidence { stage: self.own.clone(), window: own_window };
         }
-        let total = self.total();
-        let window = total.since(self.totals_at_window_start.get(&position));
-        let mut widest = StageEvidence { stage: total, window };
+        let total = self.pooled_total();
+        let window = total.difference_since(self.totals_at_window_start.get(&position));
+        let mut best = StageEvidence { stage: total, window };
         for (from, total) in &self.totals {
-            let window = total.evidence.since(self.totals_at_window_start.get(from));
-            if window.attempts(Arm::New) > widest.window.attempts(Arm::New) {
-                widest = StageEvidence { stage: total.evidence.clone(), window };
+            let window = total.evidence.difference_since(self.totals_at_window_start.get(from));
+            if window.attempts(Arm::New) > best.window.attempts(Arm::New) {
+                best = StageEvidence { stage: total.evidence.clone(), window };
             }
         }
-        widest
+        best
     }
 }
--- a/src/release.rs
+++ b/src/release.rs
@@ -28,7 +28,7 @@
         }
         self.restart_analysis(now);
         if new_build {
-            self.state.analysis.compared = false;
+            self.state.analysis.compared_with_earlier = false;
         }
     }
 
--- a/src/state/analysis.rs
+++ b/src/state/analysis.rs
@@ -35,7 +35,8 @@
     /// Whether an operator has suspended votes.
     pub paused: bool,
     /// Whether the build on trial has been compared with an earlier build.
-    pub compared: bool,
+    #[cfg_attr(feature = "serde", serde(rename = "compared"))]
+    pub compared_with_earlier: bool,
     /// Vote that the release service holds.
     pub standing_vote: Option<Vote>,
     /// Vote whose reply is outstanding.
