--- a/src/interface.rs
+++ b/src/interface.rs
@@ -392,7 +392,7 @@
     RollBack,
 }
 
-/// An event that the balancer has to handle.
+/// An event that the balancer is given.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The server list changed, or a call for it failed.
@@ -463,7 +463,7 @@
         build: Build,
         /// Request class that the report is about.
         class: usize,
-        /// Number of attempts in the sample.
+        /// Number of attempts in the period.
         attempts: u32,
         /// Number of attempts that failed.
         failed: u32,
@@ -481,7 +481,7 @@
         /// Number of the attempt.
         attempt: usize,
     },
-    /// The lease on the server list changed. Without this event the list may be used without limit.
+    /// The lease on the server list changed. Until the first such event the list may be used without limit.
     ListLease {
         /// Time until which the list may be used unless it is confirmed again.
         until: Micros,
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases: what a process may use for a limited time, and whether an attempt may be sent under them.
 //!
 //! - [`ListLease`]: how long the server list may be used without confirmation by discovery
-//! - [`ShutdownSchedule`]: how long a process that shuts down continues to answer
+//! - [`ShutdownSchedule`]: how long a process that shuts down continues to respond
 //! - [`SendPermissions`]: combines both and decides whether an attempt may start or be sent now; if not, it
 //!   returns a [`SendDenial`]
 //!
@@ -16,28 +16,31 @@
 /// After discovery moves to another address, the platform counts its changes as notified this long after the
 /// order to move.
 const NOTIFICATION_DELAY_AFTER_MOVE: Micros = 4_000_000;
-/// Allowance for a process that stalls between reading its clock and writing, and for the time that an answer
-/// spends on the network.
+/// Allowance for a process that stalls between reading its clock and writing, and for the time that a
+/// response spends on the network.
 const MAX_STALL: Micros = 250_000;
 /// The platform counts at most this much of the longest deadline when it sets the time at which it kills a
 /// process.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// The platform kills a process no earlier than this span plus the counted longest deadline after the order
-/// to shut down.
+/// After the order to shut down, the platform waits at least for the counted part of the longest deadline and
+/// for this span before it kills a process.
 const MIN_KILL_DELAY: Micros = 700_000;
 /// The time that clients need to read the final responses and to see their connections closed.
 const FINAL_RESPONSE_SPAN: Micros = 200_000;
 
-/// How long the server list may be used. The lease ends before any change that was missed can have counted as
-/// notified for longer than its grace period.
+/// How long the server list may be used.
+///
+/// The platform counts each change of the list as notified from some time on, even if the process missed the
+/// notification. From then on the process may use the old list only for a grace period. The lease therefore
+/// ends at the earliest time at which the grace period of a missed change could end.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLease {
     /// The spans of the lease; `None` if nothing limits the use of the list.
     terms: Option<LeaseTerms>,
     /// When the lease ends; 0 until the list has been confirmed for the first time.
     until: Micros,
-    /// The latest end of the lease while changes that counted as notified have been missed. An outage of
-    /// discovery cannot extend the lease beyond it; only a new list can.
+    /// The latest end of the lease after a missed change that counts as notified; `None` if no such change is
+    /// known. An outage of discovery cannot extend the lease beyond it; only a new confirmation can.
     missed_change_limit: Option<Micros>,
 }
 
@@ -62,7 +65,7 @@
         ListLease { terms: Some(LeaseTerms { span, grace }), until: 0, missed_change_limit: None }
     }
 
-    /// Records that the list was current at that time.
+    /// Records that discovery confirmed the list as current at that time.
     pub fn record_confirmation(&mut self, at: Micros) {
         if let Some(LeaseTerms { span, .. }) = self.terms {
             self.missed_change_limit = None;
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Records that discovery was certainly down at that time and notified nobody of a change.
+    /// Records that discovery was certainly down at that time, so that it notified nobody of any change.
     pub fn discovery_down(&mut self, at: Micros) {
         if let Some(LeaseTerms { span, .. }) = self.terms {
             let until = at.saturating_add(span).min(self.missed_change_limit.unwrap_or(Micros::MAX));
@@ -84,7 +87,7 @@
         self.notification_missed(at.saturating_add(NOTIFICATION_DELAY_AFTER_MOVE));
     }
 
-    /// Records that changes counted as notified at that time and were missed.
+    /// Records that changes may have been missed that count as notified from that time on.
     pub fn notification_missed(&mut self, at: Micros) {
         if let Some(LeaseTerms { grace, .. }) = self.terms {
             let until = at.saturating_add(grace);
@@ -113,10 +116,10 @@
     }
 }
 
-/// When a process that shuts down stops answering, and when it exits.
+/// When a process that shuts down stops responding, and when it exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// By this time every request has its final answer, and nothing more is sent.
+    /// By this time every request has its final response, and nothing more is sent.
     pub answer_by: Micros,
     /// By this time the process exits on its own, even if work is left.
     pub exit_by: Micros,
@@ -134,9 +137,9 @@
 /// Why an attempt may not start or be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendDenial {
-    /// The request has its final answer, or its client has disconnected.
+    /// The request has its final response, or its client has disconnected.
     RequestFinished,
-    /// An answer is already being streamed to the client.
+    /// A response is already being streamed to the client.
     Streaming,
     /// The request has had as many attempts as the settings allow.
     AttemptsExhausted,
@@ -155,13 +158,13 @@
 /// The facts about an attempt that decide whether it may start or be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
-    /// Whether the request has its final answer, or its client has disconnected.
+    /// Whether the request has its final response, or its client has disconnected.
     pub request_finished: bool,
-    /// Whether an answer is already being streamed to the client.
+    /// Whether a response is already being streamed to the client.
     pub streaming: bool,
     /// The number of attempts made before this one.
     pub earlier_attempts: usize,
-    /// Whether any of them was sent.
+    /// Whether any of the earlier attempts was sent.
     pub earlier_sent: bool,
     /// The number of attempts that the settings allow for a request.
     pub max_attempts: usize,
@@ -197,7 +200,7 @@
         *self.shutdown.get_or_insert(schedule)
     }
 
-    /// When a request with this deadline must have its final answer.
+    /// When a request with this deadline must have its final response.
     pub fn answer_by(&self, deadline: Micros) -> Micros {
         self.shutdown.map_or(deadline, |schedule| deadline.min(schedule.answer_by))
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -284,7 +284,7 @@
 }
 
 /// Guards against a released build that gets no more keyed requests once 200,000 keys are remembered. The
-/// fault occurred over real connections with keys that never repeat: every further key was refused for good.
+/// fault occurred over real connections with keys that never repeat: every further key was rejected for good.
 /// Keys that can no longer be remembered count as sticky instead, and no keyed request goes to an earlier
 /// build.
 #[test]
