--- a/src/analysis/comparison.rs
+++ b/src/analysis/comparison.rs
@@ -9,7 +9,7 @@
 const Z95: f64 = 1.96;
 /// How far the new build's failure share may exceed the earlier build's.
 const FAILURE_MARGIN: f64 = 0.02;
-/// Fewer flagged answers than this are not evidence of a violation.
+/// Fewer flagged responses than this are not evidence of a violation.
 const MIN_FLAGGED: f64 = 2.0;
 
 /// The confidence that a violation requires, as a normal quantile.
@@ -17,8 +17,8 @@
 pub(super) struct Significance(f64);
 
 impl Significance {
-    /// The quantile for 95% confidence in a single test, and for more when many balancers test independently,
-    /// since any of them may find a violation by chance.
+    /// The quantile for 95% confidence in a single test. It is higher when many balancers test independently,
+    /// because any of them may find a violation by chance.
     pub(super) fn for_independent_tests(tests: f64) -> Self {
         Significance((Z95 * Z95 + 2.0 * tests.max(1.0).ln()).sqrt())
     }
@@ -29,7 +29,7 @@
 pub(super) enum LatencyComparison {
     /// The latency was compared.
     Done,
-    /// There were too few answers to compare the latency.
+    /// There were too few attempts to compare the latency.
     TooFew,
 }
 
@@ -38,7 +38,7 @@
 pub(super) struct Violation {
     /// What was observed.
     pub(super) reason: String,
-    /// The kind of hit in which the violation shows.
+    /// The metric in which the violation shows.
     pub(super) metric: SliceMetric,
     /// Whether the violation counts only if it lasts for the whole span of a window.
     pub(super) mild: bool,
@@ -66,7 +66,8 @@
 }
 
 impl Balancer {
-    /// Compares the arms class by class, weighted by the same mix of classes, and then over all classes.
+    /// Compares the failures of each class, and then failures, flagged responses and latency over all
+    /// classes. The earlier build's counts are scaled to the new build's mix of classes.
     pub(super) fn compare(
         &self,
         new: &[OutcomeCounts],
@@ -80,8 +81,8 @@
         compare_latency(&totals, max_latency_ratio)
     }
 
-    /// Compares the shares of flagged answers. Clients report only a share of the wrong answers, so the
-    /// margin is scaled down by that share.
+    /// Compares the shares of flagged responses. Clients report only a share of the wrong responses, so the
+    /// margin is multiplied by that share.
     fn compare_flagged(&self, totals: &ArmTotals, Significance(z): Significance) -> Result<(), Violation> {
         let attempts = totals.new.attempts;
         let flagged = totals.new.flagged;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Compares the failures in each class, and adds up the counts of all classes.
+/// Compares the failures of each class, and adds up the counts of all classes.
 fn compare_classes(
     new: &[OutcomeCounts],
     earlier: &[OutcomeCounts],
--- a/src/analysis/gossip.rs
+++ b/src/analysis/gossip.rs
@@ -11,13 +11,14 @@
 use crate::state::RandomSource;
 use crate::time::MILLISECOND;
 
-/// The time between two messages while a build is on trial; it is doubled after the release.
+/// The time between two messages while a build is on trial. It is doubled once the build is released.
 pub(crate) const GOSSIP_INTERVAL: Micros = 800 * MILLISECOND;
 /// The largest fleet in which every balancer sends to every other. Larger fleets use aggregators.
 const MAX_FULL_MESH: usize = 20;
 /// The number of aggregators of a stage.
 const AGGREGATORS: u64 = 3;
-/// A peer's counters are accepted up to this multiple of the balancer's own counters plus one full window.
+/// A peer's counters are accepted if they hold at most this multiple of the balancer's own attempts plus one
+/// full window. A total may hold as many for each balancer of the fleet.
 const MAX_PEER_RATIO: f64 = 4.0;
 
 impl Balancer {
--- a/src/analysis/verdict.rs
+++ b/src/analysis/verdict.rs
@@ -1,4 +1,4 @@
-//! Evaluates a closed window: what its evidence says about the build on trial.
+//! Evaluates a window that is full or old enough: what its evidence says about the new build.
 
 use super::comparison::{LatencyComparison, Significance, Violation};
 use super::windows::{MAX_LATENCY_RATIO, MAX_WINDOW_ATTEMPTS, MAX_WINDOW_SPAN};
@@ -15,13 +15,13 @@
 /// A window with too little evidence may lead to a vote once it is this old, because counting the votes adds
 /// up the evidence of the balancers.
 const SPARSE_SPAN: Micros = 2 * MAX_WINDOW_SPAN;
-/// A sparse window counts against the build when its share of slow answers reaches this value.
+/// A sparse window is not clean if its share of slow attempts reaches this value.
 const MAX_SPARSE_SLOW_SHARE: f64 = 0.5;
 /// Evidence with more than this multiple of the balancer's own attempts counts as pooled, and is tested at
 /// the confidence of a single test.
 const POOLED_RATIO: f64 = 2.0;
-/// The better half of the servers must show at least this share of the excess over all servers, or the
-/// violation is attributed to a few servers.
+/// The better half of the servers must show more than this share of the excess that all servers show over
+/// the earlier build. Otherwise the violation is attributed to a few servers.
 const MIN_BETTER_HALF_EXCESS: f64 = 0.25;
 /// The number of slices of the new build's servers that is needed to clear the build of a violation caused by
 /// a few servers.
@@ -29,7 +29,7 @@
 /// An inconclusive result keeps the window open for up to this many times [`MAX_WINDOW_SPAN`].
 const MAX_INCONCLUSIVE_WINDOWS: Micros = 3;
 
-/// The result of a closed window.
+/// The result of evaluating a window.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum WindowResult {
     /// There is too little evidence for a result.
@@ -109,9 +109,11 @@
         WindowResult::Clean
     }
 
-    /// Evaluates a window with little traffic and without gossip. Where the gate counts votes, the votes add
-    /// up what each balancer has seen: those whose attempts make up a full window together promote a stage,
-    /// and a single failure suspends this balancer's vote.
+    /// Evaluates a window with too few attempts for a comparison, as with little traffic and without gossip.
+    ///
+    /// With a share gate, counting the votes adds up what the balancers have seen. A sparse window that is
+    /// old enough is then clean if it shows no failure and few slow attempts, and if as many balancers as the
+    /// gate requires, with as many attempts each, would together have a full window.
     fn evaluate_sparse_window(&self, age: Micros, window: &Evidence) -> WindowResult {
         let rollout = &self.settings.rollout;
         let combined_attempts = window.attempts(Arm::New) * rollout.votes_to_promote;
@@ -138,8 +140,9 @@
         Significance::for_independent_tests(self.settings.fleet_size as f64 / votes)
     }
 
-    /// Compares the arms. `no_baseline` means that there is no earlier arm to compare with. Time-outs and
-    /// resets may then come from the load or the servers, so only errors and wrong answers count.
+    /// Compares the arms. `no_baseline` means that the earlier arm has too few attempts to compare with.
+    /// Time-outs and resets may then come from the load or the servers, so only errors and wrong responses
+    /// count as failures.
     fn compare_arms(
         &self,
         evidence: &Evidence,
@@ -162,9 +165,9 @@
         })
     }
 
-    /// Whether the evidence is too little to call the window clean: either an admitted class lacks attempts
-    /// of its own, as one that was admitted late may, or the latency was not compared and so cannot clear an
-    /// earlier violation.
+    /// Whether the evidence is too little to call the window clean. That is so if a class that the stage
+    /// admits has too few attempts, for example because it was admitted late, or if the latency was not
+    /// compared, which is required to clear an earlier violation.
     fn is_inconclusive(&self, release: ReleaseStatus, window: &Evidence, latency: LatencyComparison) -> bool {
         let idempotent_only = release.stage < self.settings.rollout.idempotent_only_stages;
         let admitted =
@@ -181,8 +184,8 @@
 /// The result that a violation leads to; `None` if the build is cleared of it.
 ///
 /// A queue that builds up and drains raises the median and the tail for a while, so a mild violation counts
-/// only over the full span of a window; until then no vote to promote is in force. When a few of many servers
-/// cause a violation over a full span, the other servers clear the build.
+/// only over the full span of a window. Until then the balancer does not vote to promote. When a few of many
+/// servers cause a violation over a full span, the other servers clear the build.
 fn weigh_violation(attributed: AttributedViolation, age: Micros, many_servers: bool) -> Option<WindowResult> {
     let AttributedViolation { violation, caused_by_few_servers } = attributed;
     let full_span = age >= MAX_WINDOW_SPAN;
--- a/src/analysis/votes.rs
+++ b/src/analysis/votes.rs
@@ -59,7 +59,7 @@
         self.vote(now, out);
     }
 
-    /// Handles the reply to a vote. A reply to a vote on another stage says nothing about the present one.
+    /// Handles the reply to a vote. A vote on another stage than the current one is not recorded as standing.
     pub(crate) fn on_vote_reply(&mut self, now: Micros, outcome: Outcome, release: Option<ReleaseStatus>) {
         let current_stage = self.state.release.map(|release| (release.build, release.stage));
         let pending = self.state.analysis.pending_vote.take();
--- a/src/analysis/windows.rs
+++ b/src/analysis/windows.rs
@@ -19,7 +19,7 @@
 /// Latency is a violation only if both the median and the 95th percentile exceed this multiple of the earlier
 /// build's.
 pub(super) const MAX_LATENCY_RATIO: f64 = 1.3;
-/// This many consecutive windows with a violation roll a build back.
+/// A build is rolled back once the weights of the violations in consecutive windows add up to this value.
 const VIOLATIONS_TO_ROLL_BACK: f64 = 2.0;
 /// The most lines that a balancer writes to the log during its life.
 const MAX_LOG_LINES: u32 = 100;
@@ -30,8 +30,8 @@
     pub attempt: &'a Attempt,
     /// The class of its request.
     pub class: usize,
-    /// The request's work in units. Counters of different balancers are added up, so all balancers use the
-    /// same unit.
+    /// The expected work of the request: its cost hint, or the latency objective of its class. All balancers
+    /// use the same unit, because their counters are added up.
     pub work: f64,
     /// Whether the attempt ended after the latency objective.
     pub late: bool,
@@ -40,9 +40,10 @@
 impl Balancer {
     /// Counts the end of an attempt as evidence about its build.
     ///
-    /// Rejections, failed connects and attempts that were never sent are not answers of the build. An attempt
-    /// that was cut short took at least its elapsed time, which is evidence only if that exceeds the typical
-    /// latency.
+    /// Rejections, failed connects and attempts that were never sent are not evidence about the build. An
+    /// attempt that was cut short would have taken at least its elapsed time. That is evidence only if the
+    /// elapsed time reaches the typical latency, or if the attempt timed out at a warm server after the
+    /// latency objective.
     pub(crate) fn record_build_outcome(&mut self, context: &AttemptContext, end: AttemptEnd) {
         let &AttemptContext { attempt, class, work, late } = context;
         let elapsed = end.elapsed as f64;
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Counts an answer that a client found wrong. Such reports arrive late, so they count in the window that
-    /// is open now.
+    /// Counts a response that a client reported as wrong. Such reports arrive late, so they count in the
+    /// window that is open now.
     pub(crate) fn on_answer_flagged(&mut self, now: Micros, server: ServerId, class: usize, since: Micros) {
         let Some(server) = self.state.servers.get(&server).map(|server| server.entry) else { return };
         let Some(release) = self.state.release else { return };
@@ -89,8 +90,8 @@
         self.state.analysis.evidence.start_window(self.settings.position);
     }
 
-    /// The release that can be voted on. A release that was complete before this balancer could compare it
-    /// with an earlier build is left out.
+    /// The release that can be voted on: a build on trial, or a released build if this balancer has compared
+    /// it with an earlier one.
     pub(super) fn release_under_analysis(&self) -> Option<ReleaseStatus> {
         self.state.release.filter(|release| {
             let released_after_comparison =
@@ -135,8 +136,8 @@
         self.evaluate_window(now, release, &evidence)
     }
 
-    /// The verdict after a window. A verdict to roll back stays in force until the release changes: it must
-    /// not have been replaced by the time that a release service which was unreachable hears of it.
+    /// The verdict after a window. A verdict to roll back stays in force until the release status changes:
+    /// the release service may be unreachable for a while and must still receive it afterwards.
     fn verdict_after(&self, phase: Phase, violated: bool) -> Verdict {
         let analysis = &self.state.analysis;
         let promoted_by_clock = self.settings.rollout.gate == GateMode::Timer;
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -28,8 +28,8 @@
         let trial_gained_servers = self.state.apply_list(kind, entries, trial.map(|release| release.build));
         self.bind_relisted_keys();
         if trial_gained_servers {
-            // Each stage is judged with the servers that it has: some faults show only under load or after a
-            // while.
+            // The evidence must come from all servers that the stage has now, because some faults show only
+            // under load or after a while. The window starts again, and a vote to promote is withdrawn.
             self.start_window(now);
             if self.state.analysis.verdict == Verdict::Promote {
                 self.state.analysis.verdict = Verdict::Withdraw;
--- a/src/evidence/counters.rs
+++ b/src/evidence/counters.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// The kind of event that counts as a hit in a slice of the servers.
+/// Which attempts count as hits in a slice of the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SliceMetric {
     /// Failed attempts.
--- a/src/evidence/message.rs
+++ b/src/evidence/message.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// Encodes one counter. A zero is encoded as a run of a single zero.
 fn encode_counter(mut counter: u32, bytes: &mut Vec<u8>) {
     while counter > u32::from(VALUE_MASK) {
         bytes.push((counter as u8 & VALUE_MASK) | CONTINUATION_BIT);
--- a/src/evidence/pool.rs
+++ b/src/evidence/pool.rs
@@ -34,7 +34,7 @@
     ended: Evidence,
     /// Latest total of each aggregator, by the aggregator's position.
     totals: BTreeMap<usize, PeerReport>,
-    /// Values of all totals when the open window began.
+    /// Values of all totals when the open window began, including this balancer's own pooled total.
     totals_at_window_start: BTreeMap<usize, Evidence>,
     /// Values of the own counters when the open window began.
     own_at_window_start: Evidence,
