--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -11,9 +11,9 @@
 const MAX_RECENT_LATENCIES: usize = 100;
 /// The weight of the newest outcome in a server's record.
 const RECORD_SMOOTHING: f64 = 0.15;
-/// The weight of an answer that was faster than the server's record.
+/// The weight of a response that was faster than the server's record.
 const FASTER_SMOOTHING: f64 = 0.5;
-/// The weight of the newest answer in the late shares.
+/// The weight of the newest outcome in the late shares.
 const LATE_SMOOTHING: f64 = 0.1;
 /// Slowness, the ratio of a latency to the typical one, is limited to this value in a server's record.
 const MAX_SLOWNESS: f64 = 10.0;
@@ -57,10 +57,12 @@
         }
     }
 
-    /// Records whether an attempt was late. The late share covers all servers, because with little traffic no
-    /// single server's queue shows in it. A lane that is late by much more than the rest is late for reasons
-    /// of its own and is left out of the overall share: it must neither cause other lanes to be shed nor
-    /// occupy their slots.
+    /// Records whether an attempt was late.
+    ///
+    /// The late share covers all servers together, because with little traffic the queue of a single server
+    /// is not visible to this balancer. A lane that is late by much more than the rest has a cause of its
+    /// own. It is shed by its own late share and left out of the overall one, so that it neither causes other
+    /// lanes to be shed nor takes up their capacity.
     fn record_lateness(&mut self, lane: Lane, late: bool, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Rejected) {
             return;
@@ -108,16 +110,16 @@
             Outcome::Cancelled | Outcome::NotSent | Outcome::CancelledBeforeSend => {}
             _ => smooth(&mut server.failure_share, 1.0, RECORD_SMOOTHING),
         }
-        // A cancelled attempt took at least this long.
+        // A cancelled attempt would have taken at least this long.
         let slower_than_recorded = outcome == Outcome::Cancelled && slowness > server.slowness;
         if outcome == Outcome::Ok || slower_than_recorded {
             smooth(&mut server.slowness, slowness, RECORD_SMOOTHING / 2.0);
         }
     }
 
-    /// Makes a key sticky to the newest build once that build has answered it. Even a good answer may have
-    /// been lost, because it was damaged, late, or written to a connection that had fallen silent; a key
-    /// whose answer may be lost is kept as in flight.
+    /// Makes a key sticky to the newest build once that build has answered it. An attempt that was reset,
+    /// timed out or was cancelled may have been answered too: its response may have been damaged, late, or
+    /// written to a connection that had fallen silent. The key of such an attempt is kept as in flight.
     fn record_key_outcome(&mut self, key: u64, attempt: &Attempt, outcome: Outcome) {
         let newest_release = self.state.release.filter(|release| release.build == attempt.to.build);
         let build_is_live =
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -37,10 +37,12 @@
     admits: bool,
 }
 
-/// The servers of one pool that may take a request, and the summed warm fractions of all its ready servers.
+/// The servers of one pool that may take a request, and the capacity of the pool.
 #[derive(Default)]
 struct Pool {
     candidates: Vec<Candidate>,
+    /// The sum of the warm fractions of the ready servers that the request may be sent to without taking
+    /// effect twice, whether or not their build admits it.
     warm_capacity: f64,
 }
 
@@ -123,12 +125,12 @@
         pools
     }
 
-    /// A server's weight in its pool: its size and warm fraction, reduced by the failures, slowness and
-    /// stalls that this balancer has observed.
+    /// A server's weight in its pool: the product of its size and warm fraction, reduced by the failures,
+    /// slowness and stalls that this balancer has observed.
     fn weight(&self, now: Micros, server: &ServerRecord, typical_latency: f64) -> f64 {
         let health = (1.0 - server.failure_share).powi(3) / server.slowness.max(1.0).powi(2);
-        // With attempts in flight and no answer for a long time, the server is paused, unreachable or dead;
-        // the cause does not matter.
+        // A server with attempts in flight and no response for a long time is paused, unreachable or dead.
+        // The cause does not matter.
         let long_without_answer =
             now.saturating_sub(server.waiting_since) as f64 > STALL_LATENCY_FACTOR * typical_latency;
         let stalled = server.in_flight > 0 && long_without_answer;
@@ -159,12 +161,12 @@
         }
     }
 
-    /// Each new request earns the build on trial credit in proportion to its share of the listed capacity.
+    /// Adds the credit that a new request earns for the build on trial: the build's share of the capacity.
     fn earn_trial_credit(&mut self, pools: &Pools) {
         let stable = pools.stable.warm_capacity;
         let trial = pools.trial.warm_capacity;
-        // Where new servers run beside the ones that they replace, the capacity is counted once: the new
-        // servers must show how they perform under full load.
+        // Where new servers run beside the ones that they replace, the capacity is counted only once, because
+        // the new servers must show how they perform under full load.
         let capacity = if self.settings.rollout.in_place { stable + trial } else { stable.max(trial) };
         self.state.trial_credit = (self.state.trial_credit + trial / capacity).min(MAX_TRIAL_CREDIT);
     }
@@ -191,8 +193,8 @@
             [PoolKind::Stable, PoolKind::Trial]
         };
         for kind in order {
-            // A pool out of turn may be offered the whole traffic, especially the first few servers that come
-            // up in a rollback.
+            // A pool out of turn may be offered the whole traffic. This matters most for the first few
+            // servers that come up in a rollback.
             let in_turn = match kind {
                 PoolKind::Stable => !rolling_back,
                 PoolKind::Trial => trial_is_due,
@@ -210,8 +212,8 @@
         if chosen == PoolKind::Trial {
             self.state.trial_credit = (self.state.trial_credit - 1.0).max(MIN_TRIAL_CREDIT);
         } else if trial_is_due {
-            // The pool had no room. If the credit were saved up, the turns of all balancers would come in one
-            // burst.
+            // The trial pool had no server for the request. If the credit were saved up, the turns of all
+            // balancers would come in one burst.
             self.state.trial_credit = self.state.random.unit();
         }
     }
@@ -231,7 +233,7 @@
         };
         candidates.retain(|candidate| candidate.weight > 0.0);
         let limited_weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-        // Where hardly any servers are left but those in slow start, most requests must not be sent.
+        // When almost all servers that are left are in slow start, most requests must not be sent now.
         let warming_up = candidates.iter().any(|candidate| candidate.warm_fraction < 1.0);
         if limited_weight <= 0.0
             || (warming_up && self.state.random.unit() * offered_weight > 2.0 * limited_weight)
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -6,20 +6,22 @@
 
 /// The share of a warming server's budget that this balancer uses.
 const BUDGET_SHARE: f64 = 0.6;
-/// The share of a warming server's budget that is spent at random when the budget is below one request.
+/// The share of a warming server's budget that is used, by random choice, when the budget is below the cost
+/// of one request.
 const SMALL_BUDGET_SHARE: f64 = 0.5;
 /// The window over which offered and served load are averaged.
 const LOAD_WINDOW: Micros = 2 * SECOND;
-/// The estimate of the capacity falls to no less than this share of itself in each round of maintenance.
+/// In each round of maintenance the capacity estimate falls to no less than this share of its value.
 const CAPACITY_ESTIMATE_RETAINED: f64 = 0.995;
 
 impl Balancer {
     /// The largest share of all weight that a warming server may have, from 0 to 1.
     ///
-    /// The server's budget over any overload span is small enough to hold even when every balancer spends the
-    /// same: each balancer counts its own sends against the load that its own warm servers are seen to carry.
-    /// When the budget is below one request, requests are sent at random with a chance that keeps to the
-    /// budget: if each of hundreds of balancers sent one request, the server would get hundreds.
+    /// The budget limits the cost that this balancer sends to the server within an overload span. It is
+    /// derived from the load that this balancer alone puts on a warm server, so the server is not overloaded
+    /// even if every balancer uses up its budget. When the budget is below the cost of one request, requests
+    /// are sent at random with a probability that keeps to the budget: if each of hundreds of balancers sent
+    /// one request, the server would get hundreds.
     pub(crate) fn slow_start_share(
         &mut self,
         now: Micros,
@@ -45,8 +47,8 @@
         if sent + cost <= budget { 1.0 } else { 0.0 }
     }
 
-    /// Updates the estimate of the load that a warm server of size 1 carries, provided that at least half of
-    /// the listed capacity is warm.
+    /// Updates the estimate of the load that a warm server of size 1 carries for this balancer, provided that
+    /// at least half of the ready capacity is warm.
     pub(crate) fn update_capacity_estimate(&mut self, now: Micros) {
         let sizes = self.state.ready_sizes(now, &self.settings.rules, self.settings.sizes_known);
         if sizes.warm * 2.0 >= sizes.all && sizes.warm > 0.0 {
--- a/src/state/exposure_counter.rs
+++ b/src/state/exposure_counter.rs
@@ -51,7 +51,7 @@
         for low in self.lows.range_mut(first..) {
             low.level -= 1.0;
         }
-        // An earlier level that a later one has fallen to is no longer the lowest of any span, so it is
+        // An earlier level that is no longer below a later one cannot be the lowest of any span, so it is
         // dropped.
         if let Some(&Low { level: later, .. }) = self.lows.get(first) {
             let kept = self.lows.iter().take(first).take_while(|low| low.level < later).count();
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -107,10 +107,10 @@
     pub retry_budget: f64,
     /// Cost of the requests that warm servers have served.
     pub served_cost: SlidingSum,
-    /// Cost per second that a warm server of size 1 has been seen to serve.
+    /// Estimated cost per second that a warm server of size 1 serves for this balancer.
     #[cfg_attr(feature = "serde", serde(rename = "warm_rate"))]
     pub warm_capacity_rate: f64,
-    /// Number of first attempts that the build on trial has earned.
+    /// Number of first attempts that the build on trial is due. It may be negative.
     pub trial_credit: f64,
     /// Cost of the requests that arrived.
     pub offered_cost: SlidingSum,
@@ -249,8 +249,8 @@
         self.log_lines <= max_lines
     }
 
-    /// Returns the counter of attempts at a build: the one for the class if `per_class` is set, otherwise the
-    /// one for all classes.
+    /// Returns the counter of attempts at a build, which is created if necessary: the one for the class if
+    /// `per_class` is set, otherwise the one for all classes.
     pub fn exposure_counter_mut(
         &mut self,
         build: Build,
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -3,7 +3,7 @@
 use super::sliding_sum::SlidingSum;
 use crate::interface::{Micros, ServerEntry, ServerId, ServiceRules};
 
-/// Smallest size that a server counts with.
+/// Smallest size that is assumed for a server. The list may state a smaller one.
 const MIN_SIZE: f64 = 0.01;
 
 /// A server's entry in the server list, with the balancer's own observations of the server.
--- a/src/state/sticky_keys.rs
+++ b/src/state/sticky_keys.rs
@@ -71,8 +71,8 @@
         self.bound.insert(key);
     }
 
-    /// Records that a key was sent to the newest build. With more than `capacity` attempts the key counts as
-    /// answered there.
+    /// Records that a key was sent to the newest build. If it already has `capacity` attempts, the key counts
+    /// as answered by that build.
     pub fn record_sent(&mut self, key: u64, now: Micros, capacity: usize) {
         let send_times = self.in_flight.entry(key).or_default();
         if send_times.len() < capacity {
