--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -44,7 +44,9 @@
         if exposed {
             let history_span = self.settings.rollout.exposure_window * 2;
             let per_class = self.settings.rollout.exposure_per_class;
-            self.state.exposure_of(server_entry.build, class, per_class).spend(now, history_span);
+            self.state
+                .exposure_counter_mut(server_entry.build, class, per_class)
+                .record_attempt(now, history_span);
         }
         if let Some(attempt) = self.state.attempt_mut(id, attempt_number) {
             attempt.sent_at = now;
@@ -62,7 +64,7 @@
             return;
         }
         if self.state.sticky_keys.has_room_for(key) {
-            self.state.sticky_keys.sent(key, now, MAX_ATTEMPTS_PER_KEY);
+            self.state.sticky_keys.record_sent(key, now, MAX_ATTEMPTS_PER_KEY);
         } else {
             self.state.sticky_keys.clear(true);
         }
@@ -84,10 +86,10 @@
             && let Some(counters) = self.state.exposures.get_mut(&to.build)
             && let Some(counter) = counters.get_mut(counter_index)
         {
-            counter.give_back(sent_at);
+            counter.remove_attempt(sent_at);
         }
         if let Some(server) = self.state.servers.get_mut(&to.id) {
-            server.sent_cost.take_back(sent_at, cost);
+            server.sent_cost.remove(sent_at, cost);
         }
     }
 
@@ -95,17 +97,17 @@
         let newest_build = self.state.release.map(|release| release.build);
         let listed_build = self.state.servers.get(&to.id).map_or(to.build, |server| server.entry.build);
         if newest_build == Some(to.build) {
-            self.state.sticky_keys.settled(key, sent_at);
+            self.state.sticky_keys.remove_attempt(key, sent_at);
         } else if newest_build == Some(listed_build) {
             // The key was bound when the server was listed with the newest build; see `bind_relisted_keys`.
-            self.state.sticky_keys.settled(key, sent_at.saturating_sub(MAINTENANCE_INTERVAL));
+            self.state.sticky_keys.remove_attempt(key, sent_at.saturating_sub(MAINTENANCE_INTERVAL));
         }
     }
 
     /// Handles an attempt that can be sent now. Its preconditions are checked again because they may have
     /// changed since it was started: the server may be draining or replaced, the cap may have been lowered,
-    /// another attempt may have answered the key, the deduplication window may be over, or the client may
-    /// have disconnected. An attempt that may still be sent is reserved again from the current time on.
+    /// the key may have been answered by the new build, the deduplication window may be over, or the client
+    /// may have disconnected. An attempt that may still be sent is reserved again as of the current time.
     pub(crate) fn on_ready_to_send(
         &mut self,
         now: Micros,
@@ -159,15 +161,15 @@
     /// end.
     pub(crate) fn may_send(&self, now: Micros) -> bool {
         let lease_is_valid = self.state.list.lease_until.is_none_or(|until| now < until);
-        let before_shutdown = self.state.shutdown_at.is_none_or(|at| now + self.final_answer_margin() < at);
+        let before_shutdown = self.state.shutdown_at.is_none_or(|at| now + self.final_response_margin() < at);
         lease_is_valid && before_shutdown
     }
 
-    /// Begins the shutdown of the process: a request with a later deadline gets its final answer shortly
-    /// before the shutdown.
+    /// Begins the shutdown of the process: a request whose deadline is after the shutdown gets its final
+    /// response shortly before the shutdown.
     pub(crate) fn on_shutdown(&mut self, shutdown_at: Micros) {
         self.state.shutdown_at = Some(shutdown_at);
-        let final_check_at = shutdown_at.saturating_sub(self.final_answer_margin());
+        let final_check_at = shutdown_at.saturating_sub(self.final_response_margin());
         let mut checks = Vec::new();
         for (&id, request) in &mut self.state.requests {
             let unanswered = !request.done && !request.streaming;
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -45,12 +45,12 @@
     /// announced, but none of the requests in flight: the process that hands over finishes those.
     pub fn successor(&self, seed: u64) -> Self {
         let mut successor = self.clone();
-        successor.state.leave_requests(seed);
+        successor.state.drop_requests_for_hand_over(seed);
         successor
     }
 }
 
-/// The latency estimate of a class before its first answer, guessed from its latency objective.
+/// The latency estimate of a class before its first responses, derived from its latency objective.
 fn initial_latency(class: &RequestClass) -> LatencyEstimate {
     let objective = class.latency_objective as f64;
     LatencyEstimate::new(objective / 4.0, objective / 2.0)
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -3,7 +3,7 @@
 use super::sliding_sum::SlidingSum;
 use crate::interface::{Micros, ServerEntry, ServerId, ServiceRules};
 
-/// Smallest size that a server counts with.
+/// Smallest size that is assumed for a server. The list may state a smaller one.
 const MIN_SIZE: f64 = 0.01;
 
 /// A server's entry in the server list, with the balancer's own observations of the server.
@@ -57,7 +57,7 @@
     }
 
     /// Moves the observations by `share` of the difference towards those of a healthy server.
-    pub fn fade(&mut self, share: f64) {
+    pub fn decay(&mut self, share: f64) {
         self.failure_share *= 1.0 - share;
         self.slowness += (1.0 - self.slowness) * share;
         self.latency_per_attempt *= 1.0 - share;
