--- a/crates/release/src/event.rs
+++ b/crates/release/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: what happens to a release, and when.
+//! The events that the release state machine takes, and the time of an event.
 
 use crate::PlaceState;
 use serde::{Deserialize, Serialize};
@@ -7,93 +7,94 @@
 /// The time of an event on two clocks, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Now {
-    /// Since 1970 UTC, as the controller's clock has it.
+    /// Time since 1970-01-01 UTC by the controller's wall clock, which may jump.
     pub wall: Micros,
-    /// Of a monotonic clock; its zero is arbitrary and changes with each start.
+    /// Time by a monotonic clock. Its origin is arbitrary and differs each time the controller starts.
     pub steady: Micros,
 }
 
-/// What a proxy votes for.
+/// The verdict that a proxy's vote carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Move on to the next wave.
+    /// Promote the build to the next wave.
     On,
-    /// Stay in this wave.
+    /// Keep the build in its current wave.
     Hold,
     /// Roll the build back.
     Back,
-    /// Withdraw the vote.
+    /// Withdraw this proxy's earlier vote.
     Withdraw,
 }
 
-/// A proxy's vote.
+/// A proxy's vote on a build in one stage of its release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// The proxy's number.
+    /// The number of the proxy that votes.
     pub proxy: u32,
-    /// The build.
+    /// The build that the vote is about.
     pub build: u16,
-    /// The stage.
+    /// The stage that the build was in when the proxy voted.
     pub stage: u8,
-    /// The verdict.
+    /// What the proxy votes for.
     pub verdict: Verdict,
 }
 
-/// An order of an operator outside the plan.
+/// An operator's order that intervenes in a running plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Stay in this wave, for at most so long.
+    /// Begin no further wave for this long, unless a resume ends the hold earlier.
     Hold(Micros),
-    /// End a hold.
+    /// End a hold early.
     Resume,
-    /// Roll the build back.
+    /// Roll the build back, or drop the plan if its first wave has not begun.
     Back,
-    /// Skip what is left of the soak.
+    /// Skip the rest of the current wave's soak time.
     Skip,
 }
 
-/// An event that the release takes in.
+/// An event that the release state machine applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A controller started from the durable state: its steady clock is another one.
+    /// A controller started from the durable state. Its monotonic clock has a new origin.
     Started,
-    /// Time passed.
+    /// Time passed. Only this event and [`Event::Started`] begin a wave or release a build; a rollback may
+    /// begin with any event.
     Tick,
-    /// An operator offers a plan.
+    /// An operator submits a plan.
     Offer(Box<Plan>),
-    /// A proxy votes.
+    /// A proxy votes on the newest build.
     Vote(Vote),
     /// An operator approves a wave.
     Sign {
-        /// The operator.
+        /// The operator who approves.
         who: String,
-        /// The wave.
+        /// The name of the approved wave.
         wave: String,
     },
     /// An operator revokes an approval.
     Unsign {
-        /// The operator.
+        /// The operator who had approved the wave.
         who: String,
-        /// The wave.
+        /// The name of the wave.
         wave: String,
     },
     /// An operator gives an order.
     Order {
-        /// The operator.
+        /// The operator who gives the order.
         who: String,
-        /// The order.
+        /// What the operator orders.
         order: Order,
     },
-    /// The platform reports a build in a place.
+    /// The platform reports the state of a build in a place.
     Place {
-        /// Its number.
+        /// The number of the place.
         place: u32,
-        /// The build.
+        /// The build that the report is about.
         build: u16,
-        /// Its state.
+        /// The state of that build in that place.
         state: PlaceState,
     },
 }
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -1,22 +1,24 @@
-//! The release controller's decisions, without I/O: events in, a reply and the changed state out.
+//! The release controller's decisions, as a state machine without I/O.
 //!
-//! [`Release`] is given what happened ([`Event`]) and when ([`Now`]), and decides which stage the newest build is
-//! in, under which cap, and which places run which build. It is deterministic: no clock, no random draws, no
-//! unordered iteration, no panics. Its caller makes every event that changed something durable **before** acting
-//! on the outcome ([`Release::announcement`], [`Release::desired_builds`], the reply); replaying the same events gives the same
-//! state.
+//! [`Release`] takes events ([`Event`]), each with its time ([`Now`]). It decides which stage the newest
+//! build is in, what share of the traffic that build may get, and which builds each place is to run. It is
+//! deterministic: it reads no clock, draws no random numbers, iterates over ordered collections only, and
+//! does not panic. The caller must make every event that changed the state durable **before** it acts on the
+//! outcome ([`Release::announcement`], [`Release::desired_builds`] and the reply). Replaying the recorded
+//! events rebuilds the same state.
 //!
-//! - `event.rs`: events and their times
-//! - `reply.rs`: replies, and why an event is declined
+//! - `event.rs`: events and the time of an event
+//! - `reply.rs`: replies, and the reasons for declining an event
 //! - `release.rs`: the state machine
-//! - `plan_run.rs`: a plan since its offer: approvals, holds, windows, deadlines
-//! - `trial.rs`: a build that runs in places: its wave and its soak
-//! - `votes.rs`: votes in force
-//! - `vote_rate.rs`: the rate limit of votes
-//! - `places.rs`: which builds each place runs, and which it is to run
+//! - `plan_run.rs`: the progress of a submitted plan: approvals, holds, calendar windows and deadlines
+//! - `trial.rs`: the trial of a build: its current wave and that wave's soak time
+//! - `votes.rs`: the votes in force
+//! - `vote_rate.rs`: the rate limit for votes
+//! - `places.rs`: the builds that each place reports, and the builds that it should run
 //!
-//! Two clocks: `wall` decides what the windows say, `steady` measures spans. A wall clock that jumps affects no
-//! soak, no limit and no vote's lifetime.
+//! Every event carries two clocks. The wall clock (`wall`) decides whether a calendar window is open. The
+//! monotonic clock (`steady`) measures elapsed time. A jump of the wall clock therefore changes no elapsed
+//! time of a wave, a limit or a vote.
 
 mod event;
 mod places;
--- a/crates/release/src/vote_rate.rs
+++ b/crates/release/src/vote_rate.rs
@@ -1,12 +1,12 @@
-//! The rate limit of votes.
+//! The rate limit for votes.
 
 use violetseam_plan::Micros;
 
-/// Seconds of the rate that a full bucket holds.
+/// The capacity of the bucket, as seconds of votes at the configured rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// A token bucket that limits the votes of all proxies together. It is not part of the durable state: a vote over
-/// the limit is answered `full` and never becomes an event.
+/// A token bucket that limits the rate of votes from all proxies together. It is not part of the durable
+/// state, because a vote over the limit is answered with `full` and never becomes an event.
 #[derive(Clone, Copy, Debug)]
 pub struct VoteRateLimit {
     votes_per_s: f64,
@@ -15,17 +15,17 @@
 }
 
 impl VoteRateLimit {
-    /// A full bucket.
+    /// Creates a full bucket. `steady` is the current time of the monotonic clock, as in [`crate::Now`].
     pub fn new(votes_per_s: f64, steady: Micros) -> Self {
         VoteRateLimit { votes_per_s, tokens: BURST_SECONDS * votes_per_s, refilled_at: steady }
     }
 
-    /// Changes the rate, when another plan says so.
+    /// Sets the rate, which each plan states for itself.
     pub fn set_rate(&mut self, votes_per_s: f64) {
         self.votes_per_s = votes_per_s;
     }
 
-    /// Takes a token for one vote; `false` if there is none.
+    /// Takes a token for one vote. Returns `false` if the rate limit is exceeded.
     pub fn try_take(&mut self, steady: Micros) -> bool {
         let elapsed_s = steady.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(steady);
