--- a/crates/controller/src/serve/requests.rs
+++ b/crates/controller/src/serve/requests.rs
@@ -59,7 +59,7 @@
         if is_complete {
             let reported: BTreeSet<(u32, u16)> =
                 reports.iter().map(|report| (report.place, report.build)).collect();
-            for (place, build) in term.release.known_places() {
+            for (place, build) in term.release.reported_builds() {
                 if !reported.contains(&(place, build)) {
                     let event = Event::Place { place, build, state: PlaceState::Gone };
                     term.queue.push(QueuedEvent { event, origin: Origin::Internal });
--- a/crates/release/src/places.rs
+++ b/crates/release/src/places.rs
@@ -1,6 +1,9 @@
-//! Which builds each place runs, and which it is to run. The controller sends the platform the complete desired
-//! set, again and again; the platform starts what is missing and drains the rest. So a lost message, a restart on
-//! either side or a dead machine needs no repair of its own.
+//! The builds that each place reports, and the builds that each place should run.
+//!
+//! The controller sends the platform the complete set of desired builds, and repeats it periodically. The
+//! platform starts the builds that are missing and drains those that are not in the set. Lost messages,
+//! restarts on either side and failed machines are corrected by the next repetition and need no special
+//! handling.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,22 +12,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlaceState {
-    /// It starts.
+    /// The build is starting.
     Starting,
-    /// It runs.
+    /// The build is running.
     Running,
-    /// It finishes its requests.
+    /// The build is finishing its requests and takes no new ones.
     Draining,
-    /// It is not there.
+    /// The build is no longer present in the place.
     Gone,
 }
 
-/// What the places run, as reported.
+/// The builds in each place, as last reported by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Places(BTreeMap<u32, BTreeMap<u16, PlaceState>>);
 
 impl Places {
-    /// Takes a report; whether it changed anything.
+    /// Applies a report. Returns whether it changed anything.
     pub fn report(&mut self, place: u32, build: u16, state: PlaceState) -> bool {
         let builds = self.0.entry(place).or_default();
         if state == PlaceState::Gone {
@@ -34,32 +37,33 @@
         }
     }
 
-    /// All builds in all places, as pairs of place and build.
-    pub fn known(&self) -> Vec<(u32, u16)> {
-        let mut known = Vec::new();
+    /// Returns all builds that are present in a place, as pairs of place and build.
+    pub fn reported_builds(&self) -> Vec<(u32, u16)> {
+        let mut reported = Vec::new();
         for (place, builds) in &self.0 {
-            known.extend(builds.keys().map(|build| (*place, *build)));
+            reported.extend(builds.keys().map(|build| (*place, *build)));
         }
-        known
+        reported
     }
 
     fn is_running(&self, place: u32, build: u16) -> bool {
         self.0.get(&place).and_then(|builds| builds.get(&build)) == Some(&PlaceState::Running)
     }
 
-    /// Counts the places in which a build is not gone.
-    pub fn count_with(&self, build: u16) -> usize {
+    /// Counts the places in which a build is present, in whatever state.
+    pub fn count_hosting(&self, build: u16) -> usize {
         self.0.values().filter(|builds| builds.contains_key(&build)).count()
     }
 
-    /// Of these places, counts those that run a build.
+    /// Counts those of the given places in which a build is running.
     pub fn count_running(&self, places: &BTreeSet<u32>, build: u16) -> usize {
         places.iter().filter(|place| self.is_running(**place, build)).count()
     }
 
-    /// The desired builds of a roll-out: in the `chosen` places `new`; `old` stays there until `new` runs, or in
-    /// any case if `side_by_side`.
-    pub fn roll_out(
+    /// Returns the desired builds of a rollout, as pairs of place and build. The `chosen` places should run
+    /// the `new` build; the other places should run the `old` one. In a chosen place the old build also stays
+    /// until the new one is running, or throughout if `side_by_side` is set.
+    pub fn desired_for_rollout(
         &self,
         place_count: u32,
         chosen: &BTreeSet<u32>,
@@ -80,9 +84,10 @@
         desired
     }
 
-    /// The desired builds of a rollback: `old` everywhere again. `new` stays in a place that runs it until `old`
-    /// runs there, and is not started anywhere only to be drained.
-    pub fn roll_back(&self, place_count: u32, new: u16, old: u16) -> BTreeSet<(u32, u16)> {
+    /// Returns the desired builds of a rollback, as pairs of place and build. All places should run the `old`
+    /// build again. A place that is running the `new` build keeps it until the old one is running there. The
+    /// new build is started nowhere, since it would only be drained again.
+    pub fn desired_for_rollback(&self, place_count: u32, new: u16, old: u16) -> BTreeSet<(u32, u16)> {
         let mut desired = BTreeSet::new();
         for place in 0..place_count {
             desired.insert((place, old));
--- a/crates/release/src/plan_run.rs
+++ b/crates/release/src/plan_run.rs
@@ -1,4 +1,4 @@
-//! A plan since its offer: approvals, holds, windows and deadlines.
+//! The progress of a submitted plan: approvals, holds, calendar windows and deadlines.
 
 use crate::Now;
 use crate::release::MAX_TICK_SPAN;
@@ -7,43 +7,43 @@
 use std::fmt;
 use violetseam_plan::{Hold, Micros, Plan, SignOff};
 
-/// A plan since its offer.
+/// A submitted plan and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanRun {
     pub plan: Plan,
-    /// Since the offer.
+    /// The time since the plan was submitted.
     pub elapsed: Micros,
-    /// Who approved which wave.
+    /// The operators who have approved each wave, by the wave's name.
     #[serde(rename = "signed")]
     pub approvals: BTreeMap<String, BTreeSet<String>>,
-    /// The plan's hold before the next wave.
+    /// The hold that the plan defines before the next wave; `None` if it defines none.
     #[serde(rename = "held")]
     pub plan_hold: Option<PlanHold>,
-    /// What is left of an operator's hold.
+    /// The remaining time of an operator's hold; `None` if no operator holds the release.
     #[serde(rename = "stopped")]
     pub operator_hold: Option<Micros>,
-    /// A window was open at the last event.
+    /// Whether the plan's calendar was open at the last event.
     #[serde(rename = "open")]
     pub window_open: bool,
 }
 
-/// The state of a hold of the plan's.
+/// The state of a hold that the plan defines before a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PlanHold {
-    /// In force for so long.
+    /// The hold is in force and has been for this long.
     #[serde(rename = "For")]
     Active(Micros),
-    /// Ended by a person.
+    /// An operator has ended the hold.
     #[serde(rename = "Left")]
     Ended,
 }
 
-/// Why a build is rolled back.
+/// The reason for rolling a build back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RollbackReason {
-    Operator(String),
-    Proxies,
-    ProxiesAfterRelease,
+    OperatorOrder(String),
+    Votes,
+    VotesOnReleasedBuild,
     PlanExpired,
     ApprovalExpired { wave: String },
     WindowClosed { wave: String },
@@ -52,9 +52,9 @@
 impl fmt::Display for RollbackReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RollbackReason::Operator(who) => write!(f, "called back by {who}"),
-            RollbackReason::Proxies => f.write_str("called back by the proxies"),
-            RollbackReason::ProxiesAfterRelease => {
+            RollbackReason::OperatorOrder(who) => write!(f, "called back by {who}"),
+            RollbackReason::Votes => f.write_str("called back by the proxies"),
+            RollbackReason::VotesOnReleasedBuild => {
                 f.write_str("called back by the proxies after its release")
             }
             RollbackReason::PlanExpired => f.write_str("it took longer than its plan permits"),
@@ -65,7 +65,7 @@
 }
 
 impl PlanRun {
-    /// A plan that was just offered.
+    /// Starts the run of a plan that was just submitted.
     pub fn new(plan: Plan) -> Self {
         let mut run = PlanRun {
             plan,
@@ -79,28 +79,29 @@
         run
     }
 
-    /// The plan's hold before a wave.
+    /// Returns the hold that the plan defines before a wave, if any.
     pub fn hold_before(&self, wave: usize) -> Option<&Hold> {
         let name = &self.plan.waves.get(wave)?.name;
         self.plan.holds.iter().find(|hold| hold.before == *name)
     }
 
-    /// Begins the plan's hold before a wave, if it has one.
+    /// Begins the hold that the plan defines before a wave. Without one, no hold of the plan is in force.
     pub fn begin_hold_before(&mut self, wave: usize) {
         self.plan_hold = self.hold_before(wave).map(|_| PlanHold::Active(0));
     }
 
-    /// Whether the plan lets a person end its hold before a wave.
-    pub fn may_end_hold(&self, who: &str, wave: usize) -> bool {
-        self.hold_before(wave).is_some_and(|hold| hold.leave.iter().any(|name| name == who))
+    /// Returns whether the plan permits this operator to end its hold before a wave.
+    pub fn may_end_hold(&self, operator: &str, wave: usize) -> bool {
+        self.hold_before(wave).is_some_and(|hold| hold.leave.iter().any(|name| name == operator))
     }
 
-    /// The number of a wave.
+    /// Returns the index of a wave in the plan.
     pub fn wave_index(&self, name: &str) -> Option<usize> {
         self.plan.waves.iter().position(|wave| wave.name == name)
     }
 
-    /// Lets a span pass; whether a window or an operator's hold changed with it.
+    /// Counts `span` against the plan's limit and its holds. Returns whether an operator's hold has expired
+    /// or the calendar has opened or closed.
     pub fn advance(&mut self, now: Now, span: Micros) -> bool {
         self.elapsed += span;
         if let Some(remaining) = &mut self.operator_hold {
@@ -118,17 +119,18 @@
         hold_expired || self.window_open != was_open
     }
 
-    /// Whether a wave may begin, as far as approvals, holds and windows go.
+    /// Returns whether holds, approvals and the calendar permit a wave to begin.
     pub fn may_begin(&self, now: Now, wave: usize) -> bool {
         let Some(name) = self.plan.waves.get(wave).map(|wave| &wave.name) else { return false };
-        let mut approvals = self.plan.sign_offs.iter().filter(|sign_off| sign_off.wave == *name);
+        let mut sign_offs = self.plan.sign_offs.iter().filter(|sign_off| sign_off.wave == *name);
         self.operator_hold.is_none()
             && !self.is_held_before(wave)
-            && approvals.all(|sign_off| self.is_approved(sign_off))
+            && sign_offs.all(|sign_off| self.is_approved(sign_off))
             && self.window_open
             && self.plan.calendar.is_open(now.wall)
     }
 
+    /// Returns whether the plan's hold before a wave is still in force.
     fn is_held_before(&self, wave: usize) -> bool {
         match (self.hold_before(wave), self.plan_hold) {
             (None, _) | (_, Some(PlanHold::Ended)) => false,
@@ -137,28 +139,30 @@
         }
     }
 
-    /// Whether enough of those who were asked have approved.
+    /// Returns whether the required number of the named approvers have approved the wave.
     pub fn is_approved(&self, sign_off: &SignOff) -> bool {
         let Some(approvers) = self.approvals.get(&sign_off.wave) else { return sign_off.count == 0 };
-        let given = sign_off.by.iter().filter(|name| approvers.contains(*name)).count();
-        given >= sign_off.count
+        let approval_count = sign_off.by.iter().filter(|name| approvers.contains(*name)).count();
+        approval_count >= sign_off.count
     }
 
-    /// Why the plan cannot go on: its time is over, or an approval did not come in time.
-    pub fn expired(&self, begun_waves: usize) -> Option<RollbackReason> {
+    /// Returns why the plan must end, if it must: its time limit has passed, or the deadline of an approval
+    /// for a wave that has not begun. `begun_waves` is the number of waves that have begun.
+    pub fn expiry(&self, begun_waves: usize) -> Option<RollbackReason> {
         if self.elapsed >= self.plan.longest {
             return Some(RollbackReason::PlanExpired);
         }
-        let waves_ahead = &self.plan.waves[begun_waves.min(self.plan.waves.len())..];
-        let expired = self.plan.sign_offs.iter().find(|sign_off| {
-            waves_ahead.iter().any(|wave| wave.name == sign_off.wave)
+        let remaining_waves = &self.plan.waves[begun_waves.min(self.plan.waves.len())..];
+        let overdue = self.plan.sign_offs.iter().find(|sign_off| {
+            remaining_waves.iter().any(|wave| wave.name == sign_off.wave)
                 && self.elapsed > sign_off.within
                 && !self.is_approved(sign_off)
         });
-        expired.map(|sign_off| RollbackReason::ApprovalExpired { wave: sign_off.wave.clone() })
+        overdue.map(|sign_off| RollbackReason::ApprovalExpired { wave: sign_off.wave.clone() })
     }
 
-    /// Spans after which time alone may decide something.
+    /// Returns the times from now until each limit, hold or calendar change that may cause a decision without
+    /// another event.
     pub fn due_spans(&self, now: Now, next_wave: usize) -> Vec<Micros> {
         let mut spans = vec![self.plan.longest.saturating_sub(self.elapsed)];
         spans.extend(self.operator_hold);
--- a/crates/release/src/release.rs
+++ b/crates/release/src/release.rs
@@ -1,10 +1,10 @@
 //! The state machine of a release.
 //!
-//! - `time.rs`: time that passes between events and over restarts
-//! - `operators.rs`: offers, approvals and orders
-//! - `reports.rs`: votes of proxies and reports of places
-//! - `progress.rs`: when a wave moves on, and when a build is rolled back
-//! - `status.rs`: a description for people
+//! - `time.rs`: accounting of the time between events and across restarts
+//! - `operators.rs`: operators' plans, approvals and orders
+//! - `reports.rs`: votes from proxies and place reports from the platform
+//! - `progress.rs`: the start of waves, and rollback
+//! - `status.rs`: the status description for operators
 
 mod operators;
 mod progress;
@@ -22,39 +22,42 @@
 use std::collections::BTreeSet;
 use violetseam_plan::{Micros, Plan};
 
-/// Time passes in steps of at most this, so that what was counted is durable and a restart loses little.
+/// After this much time without a recorded event, a tick is due and is recorded even if it changes nothing
+/// else. The elapsed times become durable with it, so that a restart loses little of them.
 pub(crate) const MAX_TICK_SPAN: Micros = 5_000_000;
 
-/// The controller's state.
+/// The state of the release: the newest build, its plan, the votes in force and the builds in each place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// The build that runs everywhere, or did before the newest.
+    /// The build that runs in all places, or that did before the newest build.
     #[serde(rename = "earlier")]
     previous_build: u16,
+    /// What proxies are told about the newest build.
     #[serde(rename = "news")]
     announcement: Announcement,
-    /// The newest build's plan, from its first wave on.
+    /// The trial of the newest build, from its first wave on; kept after its release or rollback.
     trial: Option<Trial>,
-    /// Offered, and its first wave has not begun.
+    /// A submitted plan whose first wave has not begun.
     #[serde(rename = "next")]
     pending: Option<PlanRun>,
     votes: Votes,
     places: Places,
-    /// Builds that must not come again under their numbers.
+    /// Builds that were rolled back. A plan for the same build number is rejected.
     #[serde(rename = "called_back")]
     rolled_back: BTreeSet<u16>,
+    /// The time of the last event.
     #[serde(rename = "last")]
     last_event: Option<Now>,
-    /// The last event that changed something, and so was recorded.
+    /// The time of the last recorded event. Only events that changed the state are recorded.
     #[serde(rename = "kept_at")]
     last_recorded: Option<Now>,
-    /// Spans counted since then.
+    /// The elapsed time that was counted since the last recorded event.
     #[serde(rename = "unkept")]
     unrecorded_span: Micros,
 }
 
 impl Release {
-    /// A fleet whose places all run one build.
+    /// Creates the state of a fleet whose places all run the same build.
     pub fn new(build: u16) -> Self {
         Release {
             previous_build: build,
@@ -70,35 +73,37 @@
         }
     }
 
-    /// What is announced to proxies.
+    /// Returns what the controller announces to proxies.
     pub fn announcement(&self) -> Announcement {
         self.announcement
     }
 
-    /// The plan under way, or the one that waits, or the last one.
+    /// Returns the plan of the build on trial. Without one, it returns the plan that waits for its first
+    /// wave, else that of the last trial.
     pub fn plan(&self) -> Option<&Plan> {
         let newest = self.trial.as_ref().map(|trial| &trial.run.plan);
         let pending = self.pending.as_ref().map(|run| &run.plan);
         if self.announcement.phase == Phase::Trial { newest } else { pending.or(newest) }
     }
 
-    /// How many votes are in force.
+    /// Returns the number of votes in force.
     pub fn votes(&self) -> usize {
         self.votes.len()
     }
 
-    /// Builds that places have reported and that are not gone, as pairs of place and build.
-    pub fn known_places(&self) -> Vec<(u32, u16)> {
-        self.places.known()
+    /// Returns the builds that are present in a place by the platform's reports, as pairs of place and build.
+    pub fn reported_builds(&self) -> Vec<(u32, u16)> {
+        self.places.reported_builds()
     }
 
-    /// Whether nothing is left to wait for.
+    /// Returns whether the newest build is released or rolled back and no plan waits.
     pub fn is_settled(&self) -> bool {
         let is_over = matches!(self.announcement.phase, Phase::Released | Phase::Withdrawn);
         is_over && self.pending.is_none()
     }
 
-    /// Which build each place is to run, as pairs of place and build; none before a plan has named the places.
+    /// Returns the builds that each place should run, as pairs of place and build. The set is empty before
+    /// the first trial, because only a plan states how many places there are.
     pub fn desired_builds(&self) -> BTreeSet<(u32, u16)> {
         let Some(trial) = &self.trial else { return BTreeSet::new() };
         let fleet = &trial.run.plan.fleet;
@@ -107,17 +112,20 @@
         match self.announcement.phase {
             Phase::Trial => {
                 let chosen = &trial.current_wave().places;
-                self.places.roll_out(fleet.places, chosen, previous, newest, fleet.beside)
+                self.places.desired_for_rollout(fleet.places, chosen, previous, newest, fleet.beside)
             }
             Phase::Released => {
-                let everywhere = (0..fleet.places).collect();
-                self.places.roll_out(fleet.places, &everywhere, previous, newest, false)
+                let all_places = (0..fleet.places).collect();
+                self.places.desired_for_rollout(fleet.places, &all_places, previous, newest, false)
+            }
+            Phase::RollingBack | Phase::Withdrawn => {
+                self.places.desired_for_rollback(fleet.places, newest, previous)
             }
-            Phase::RollingBack | Phase::Withdrawn => self.places.roll_back(fleet.places, newest, previous),
         }
     }
 
-    /// How long until time alone may decide something, from the last event on.
+    /// Returns the time from the last event until a tick may cause a decision; `None` if nothing waits for
+    /// time to pass.
     pub fn next_due(&self) -> Option<Micros> {
         let last_event = self.last_event?;
         let mut spans = Vec::new();
@@ -138,11 +146,12 @@
             return None;
         }
         spans.push(MAX_TICK_SPAN.saturating_sub(self.unrecorded_span));
-        // What is due already did not decide anything by itself: it is checked again with the next tick.
+        // A limit that has passed and caused no decision waits for something else. It is checked again at
+        // each tick.
         spans.into_iter().filter(|span| *span > 0).min()
     }
 
-    /// Takes an event.
+    /// Applies an event, and then decides on the transitions that follow from it.
     pub fn on_event(&mut self, now: Now, event: &Event) -> EventOutcome {
         let time_changed = match event {
             Event::Started => self.restart(now),
@@ -154,11 +163,12 @@
             Ok(_) => Reply::Accepted,
             Err(declined) => declined.into(),
         };
-        // A build progresses with time alone: everything that arrives together is taken in before it does.
+        // Waves begin only on a tick or a start. All events of a batch are thus applied before a wave begins:
+        // votes for a rollback prevail over votes for promotion that arrived with them.
         let may_progress = matches!(event, Event::Tick | Event::Started);
-        let progressed = self.decide(now, may_progress);
+        let has_transitioned = self.decide(now, may_progress);
         let is_recorded =
-            time_changed || event_changed || progressed || self.unrecorded_span >= MAX_TICK_SPAN;
+            time_changed || event_changed || has_transitioned || self.unrecorded_span >= MAX_TICK_SPAN;
         if is_recorded {
             self.unrecorded_span = 0;
             self.last_recorded = Some(now);
@@ -169,7 +179,8 @@
         EventOutcome { reply, changed: is_recorded }
     }
 
-    /// Applies what an event says by itself; whether it changed anything.
+    /// Applies the event itself, without the transitions that follow from it. Returns whether it changed
+    /// anything.
     fn apply(&mut self, event: &Event) -> Result<bool, Declined> {
         match event {
             Event::Started => Ok(true),
--- a/crates/release/src/release/operators.rs
+++ b/crates/release/src/release/operators.rs
@@ -1,4 +1,4 @@
-//! Offers, approvals and orders of operators.
+//! Events from operators: plans, approvals and orders.
 
 use super::Release;
 use crate::plan_run::{PlanHold, PlanRun, RollbackReason};
@@ -6,9 +6,11 @@
 use crate::{Order, Phase};
 use violetseam_plan::{Micros, Plan, Power};
 
-/// The plan that approvals and orders are about: the one on trial, else the one that waits for its first wave.
+/// The plan that approvals and orders apply to: that of the build on trial, or else the plan that waits for
+/// its first wave.
 struct CurrentRun<'a> {
     run: &'a mut PlanRun,
+    /// The index of the first wave that has not begun.
     next_wave: usize,
 }
 
@@ -23,7 +25,7 @@
             return Err(Rejection::WasRolledBack(build).into());
         }
         if build == self.previous_build {
-            return Err(Rejection::IsInUse(build).into());
+            return Err(Rejection::RunsEverywhere(build).into());
         }
         if self.trial.as_ref().is_some_and(|trial| trial.run.plan.fleet.places != plan.fleet.places) {
             return Err(Rejection::FleetChanged.into());
@@ -41,7 +43,7 @@
         if plan.waves.is_empty() {
             return Err(Rejection::NoWaves.into());
         }
-        // It waits while another one is rolled back: a place would run three builds.
+        // The plan waits while another build is rolled back. Otherwise a place would run three builds.
         self.pending = Some(PlanRun::new(plan.clone()));
         Ok(true)
     }
@@ -56,20 +58,20 @@
         }
     }
 
-    /// Why there is no current plan.
-    fn nothing_under_way(&self) -> Obsolete {
+    /// Returns the reason for declining an event when there is no current plan.
+    fn no_current_plan(&self) -> Obsolete {
         match self.announcement.phase {
             Phase::RollingBack | Phase::Withdrawn => Obsolete::BuildWasRolledBack(self.announcement.build),
-            Phase::Trial | Phase::Released => Obsolete::NothingUnderWay,
+            Phase::Trial | Phase::Released => Obsolete::NoCurrentPlan,
         }
     }
 
     pub(super) fn approve(&mut self, who: &str, wave: &str) -> Result<bool, Declined> {
-        let nothing_under_way = self.nothing_under_way();
-        let CurrentRun { run, next_wave } = self.current_run().ok_or(nothing_under_way)?;
+        let no_current_plan = self.no_current_plan();
+        let CurrentRun { run, next_wave } = self.current_run().ok_or(no_current_plan)?;
         let index = run.wave_index(wave).ok_or_else(|| Rejection::UnknownWave(wave.to_owned()))?;
         if index < next_wave {
-            return Err(Obsolete::WaveHasBegun(wave.to_owned()).into());
+            return Err(Obsolete::WaveAlreadyBegun(wave.to_owned()).into());
         }
         let mut sign_offs = run.plan.sign_offs.iter().filter(|sign_off| sign_off.wave == wave);
         let sign_off = sign_offs
@@ -78,18 +80,18 @@
         if run.elapsed > sign_off.within {
             return Err(Rejection::ApprovalDeadlinePassed.into());
         }
-        let is_new = run.approvals.entry(wave.to_owned()).or_default().insert(who.to_owned());
-        if is_new { Ok(true) } else { Err(Obsolete::AlreadyApproved.into()) }
+        let newly_approved = run.approvals.entry(wave.to_owned()).or_default().insert(who.to_owned());
+        if newly_approved { Ok(true) } else { Err(Obsolete::AlreadyApproved.into()) }
     }
 
     pub(super) fn revoke_approval(&mut self, who: &str, wave: &str) -> Result<bool, Declined> {
-        let nothing_under_way = self.nothing_under_way();
-        let CurrentRun { run, next_wave } = self.current_run().ok_or(nothing_under_way)?;
+        let no_current_plan = self.no_current_plan();
+        let CurrentRun { run, next_wave } = self.current_run().ok_or(no_current_plan)?;
         if run.wave_index(wave).is_some_and(|index| index < next_wave) {
-            return Err(Obsolete::ApprovalWasUsed(wave.to_owned()).into());
+            return Err(Obsolete::ApprovalAlreadyUsed(wave.to_owned()).into());
         }
         let was_approved = run.approvals.get_mut(wave).is_some_and(|approvers| approvers.remove(who));
-        if was_approved { Ok(true) } else { Err(Obsolete::NoApproval.into()) }
+        if was_approved { Ok(true) } else { Err(Obsolete::NothingToRevoke.into()) }
     }
 
     pub(super) fn order(&mut self, who: &str, order: Order) -> Result<bool, Declined> {
@@ -103,10 +105,10 @@
             return Err(Rejection::NotAllowed { who: who.to_owned(), order: name }.into());
         }
         match order {
-            Order::Hold(span) => hold(run, span)?,
-            Order::Resume => resume(run, may_end_hold)?,
+            Order::Hold(span) => begin_operator_hold(run, span)?,
+            Order::Resume => end_holds(run, may_end_hold)?,
             Order::Back if self.announcement.phase == Phase::Trial => {
-                self.begin_rollback(&RollbackReason::Operator(who.to_owned()));
+                self.begin_rollback(&RollbackReason::OperatorOrder(who.to_owned()));
             }
             Order::Back => self.pending = None,
             Order::Skip => self.skip_soak()?,
@@ -114,36 +116,37 @@
         Ok(true)
     }
 
-    /// A build that runs everywhere can still be rolled back, while the one before it is known.
+    /// Applies an order while no plan is current. A released build can still be rolled back if the build
+    /// before it is known.
     fn order_after_release(&mut self, who: &str, order: Order) -> Result<bool, Declined> {
         if order != Order::Back || self.announcement.phase != Phase::Released {
-            return Err(self.nothing_under_way().into());
+            return Err(self.no_current_plan().into());
         }
-        let Some(trial) = &self.trial else { return Err(self.nothing_under_way().into()) };
+        let Some(trial) = &self.trial else { return Err(self.no_current_plan().into()) };
         if !trial.run.plan.permits(who, Power::Back) {
             return Err(Rejection::NotAllowed { who: who.to_owned(), order: "back" }.into());
         }
         if self.previous_build == self.announcement.build {
-            return Err(self.nothing_under_way().into());
+            return Err(self.no_current_plan().into());
         }
-        self.begin_rollback(&RollbackReason::Operator(who.to_owned()));
+        self.begin_rollback(&RollbackReason::OperatorOrder(who.to_owned()));
         Ok(true)
     }
 
-    /// Counts the rest of the current wave's soak as done.
+    /// Treats the soak time of the current wave as complete.
     fn skip_soak(&mut self) -> Result<(), Obsolete> {
         let is_on_trial = self.announcement.phase == Phase::Trial;
         let trial = self.trial.as_mut().filter(|_| is_on_trial).ok_or(Obsolete::NotOnTrial)?;
         let soak = trial.current_wave().soak;
         if trial.soaked >= soak {
-            return Err(Obsolete::HasSoaked);
+            return Err(Obsolete::SoakComplete);
         }
         trial.soaked = soak;
         Ok(())
     }
 }
 
-/// The power that an order needs, and its name in messages.
+/// Returns the power that the plan must give an operator for an order, and the order's name in messages.
 fn power_of(order: Order) -> (Power, &'static str) {
     match order {
         Order::Hold(_) => (Power::Hold, "hold"),
@@ -153,7 +156,8 @@
     }
 }
 
-fn hold(run: &mut PlanRun, span: Micros) -> Result<(), Rejection> {
+/// Begins an operator's hold.
+fn begin_operator_hold(run: &mut PlanRun, span: Micros) -> Result<(), Rejection> {
     if span == 0 || span > run.plan.longest {
         return Err(Rejection::InvalidHold);
     }
@@ -161,8 +165,8 @@
     Ok(())
 }
 
-/// Ends an operator's hold, and the plan's hold if this person may end that.
-fn resume(run: &mut PlanRun, may_end_hold: bool) -> Result<(), Obsolete> {
+/// Ends an operator's hold, and also the plan's hold if the plan permits this operator to end it.
+fn end_holds(run: &mut PlanRun, may_end_hold: bool) -> Result<(), Obsolete> {
     let ends_operator_hold = run.operator_hold.take().is_some();
     let ends_plan_hold = may_end_hold && matches!(run.plan_hold, Some(PlanHold::Active(_)));
     if ends_plan_hold {
--- a/crates/release/src/release/reports.rs
+++ b/crates/release/src/release/reports.rs
@@ -1,11 +1,11 @@
-//! Votes of proxies and reports of places.
+//! Events from proxies and the platform: votes and place reports.
 
 use super::Release;
 use crate::reply::{Declined, Obsolete, Rejection};
 use crate::{Phase, PlaceState, Verdict, Vote};
 use violetseam_plan::Gate;
 
-/// Places are numbered below this.
+/// The number of a place must be below this limit.
 const MAX_PLACES: u32 = 20_000;
 
 impl Release {
@@ -16,26 +16,27 @@
             return Err(Rejection::UnknownProxy(vote.proxy).into());
         }
         self.check_vote_target(vote)?;
-        let is_timer = trial.current_wave().gate == Gate::Timer;
+        let is_timer_gate = trial.current_wave().gate == Gate::Timer;
         match vote.verdict {
-            Verdict::On if is_timer => return Err(Obsolete::TimerGate.into()),
-            Verdict::Hold if !is_timer => return Err(Obsolete::VoteGate.into()),
+            Verdict::On if is_timer_gate => return Err(Obsolete::PromoteVoteAtTimerGate.into()),
+            Verdict::Hold if !is_timer_gate => return Err(Obsolete::HoldVoteAtVoteGate.into()),
             _ => {}
         }
         self.votes.cast(vote, fleet.vote_ttl);
         Ok(true)
     }
 
-    /// Checks that a vote is about the newest build and, where that matters, its stage.
+    /// Checks that a vote is about the newest build. A vote to promote or to hold must also be about its
+    /// current stage.
     fn check_vote_target(&self, vote: &Vote) -> Result<(), Obsolete> {
         if vote.build != self.announcement.build {
             return Err(Obsolete::OtherBuild);
         }
-        let is_for_any_stage = matches!(vote.verdict, Verdict::Back | Verdict::Withdraw);
+        let counts_in_any_stage = matches!(vote.verdict, Verdict::Back | Verdict::Withdraw);
         match self.announcement.phase {
-            Phase::Trial if is_for_any_stage || vote.stage == self.announcement.stage => Ok(()),
+            Phase::Trial if counts_in_any_stage || vote.stage == self.announcement.stage => Ok(()),
             Phase::Trial => Err(Obsolete::OtherStage),
-            Phase::Released if is_for_any_stage => Ok(()),
+            Phase::Released if counts_in_any_stage => Ok(()),
             Phase::Released => Err(Obsolete::IsReleased),
             Phase::RollingBack | Phase::Withdrawn => Err(Obsolete::WasRolledBack),
         }
--- a/crates/release/src/release/status.rs
+++ b/crates/release/src/release/status.rs
@@ -1,4 +1,4 @@
-//! A description of the release for people.
+//! The status description of the release for operators.
 
 use super::Release;
 use crate::plan_run::PlanHold;
@@ -7,7 +7,7 @@
 use violetseam_plan::Gate;
 
 impl Release {
-    /// One line on where the release stands and what it waits for.
+    /// Describes the state of the release and what it waits for, in one line.
     pub fn describe(&self) -> String {
         let Announcement { build, stage, phase, cap } = self.announcement;
         let pending = self.pending_status();
@@ -21,7 +21,7 @@
                 format!("build {build}: wave {wave:?} (stage {stage}), cap {cap}; lacks {missing}")
             }
             Phase::RollingBack => {
-                let remaining = self.places.count_with(build);
+                let remaining = self.places.count_hosting(build);
                 format!("build {build} goes back ({reason}): {remaining} places have it{pending}")
             }
             Phase::Released => format!("build {build} is released{pending}"),
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Describes the plan that waits for its first wave; empty if none does.
     fn pending_status(&self) -> String {
         match &self.pending {
             Some(run) if !run.window_open => format!("; build {} waits for a window", run.plan.build),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// What the build on trial waits for.
+    /// Lists what is missing before the build on trial can move to its next wave.
     fn missing_for_next_wave(&self, trial: &Trial) -> Vec<String> {
         let run = &trial.run;
         let wave = trial.current_wave();
--- a/crates/release/src/release/time.rs
+++ b/crates/release/src/release/time.rs
@@ -1,14 +1,15 @@
-//! Time that passes between events and over restarts.
+//! Accounting of the time that passes between events and across restarts.
 
 use super::Release;
 use crate::{Now, Phase, Verdict};
 use violetseam_plan::{Downtime, Gate, Micros};
 
-/// Clocks that differ by more than this between two events have jumped.
+/// If the two clocks differ by more than this over the same period, the wall clock was set.
 const CLOCK_JUMP_THRESHOLD: Micros = 2_000_000;
 
 impl Release {
-    /// Lets the time between two events of one process pass; whether it changed anything by itself.
+    /// Counts the time since the last event of the same process. Returns whether the passing of time changed
+    /// anything.
     pub(super) fn advance(&mut self, now: Now) -> bool {
         let Some(last_event) = self.last_event.replace(now) else { return true };
         let span = now.steady.saturating_sub(last_event.steady);
@@ -20,20 +21,21 @@
         self.count_span(now, span, soak_span) || clock_jumped
     }
 
-    /// Whether the wall clock was set: what the windows say of such a span is unknown, so that nothing soaks in
-    /// it. The span is that since the last recorded event: a replay, which has only those, must come to the same.
+    /// Returns whether the wall clock was set. It is then unknown whether the calendar was open during the
+    /// span, so the span does not count as soak time. The clocks are compared since the last recorded event,
+    /// because a replay has only the recorded events and must come to the same result.
     fn clock_jumped(&self, now: Now, last_event: Now) -> bool {
-        let since = self.last_recorded.unwrap_or(last_event);
-        let span = now.steady.saturating_sub(since.steady);
-        now.wall.abs_diff(since.wall.saturating_add(span)) > CLOCK_JUMP_THRESHOLD
+        let reference = self.last_recorded.unwrap_or(last_event);
+        let span = now.steady.saturating_sub(reference.steady);
+        now.wall.abs_diff(reference.wall.saturating_add(span)) > CLOCK_JUMP_THRESHOLD
     }
 
-    /// A controller starts: only the wall clock knows the time since the last event.
+    /// Counts the time since the last event of an earlier process. Only the wall clock can measure it.
     pub(super) fn restart(&mut self, now: Now) -> bool {
         let Some(last_event) = self.last_event.replace(now) else { return true };
         let downtime = now.wall.saturating_sub(last_event.wall);
         if now.wall < last_event.wall {
-            // The clock went back: the downtime is unknown, and votes may have expired long ago.
+            // The wall clock was set back, so the downtime is unknown, and votes may have expired long ago.
             self.votes.clear();
         }
         let soak_span = match self.trial.as_ref().map(|trial| &trial.run.plan) {
@@ -46,7 +48,8 @@
         true
     }
 
-    /// Counts a span against limits and votes, and `soak_span` of it as soak where the wave may soak.
+    /// Counts `span` against all limits and the lifetime of votes, and at most `soak_span` of it as soak
+    /// time. Returns whether anything changed but elapsed times.
     fn count_span(&mut self, now: Now, span: Micros, soak_span: Micros) -> bool {
         self.unrecorded_span += span;
         let votes_before = self.votes.len();
@@ -65,7 +68,7 @@
         changed || votes_before != self.votes.len()
     }
 
-    /// Whether votes hold a wave that would move on with time alone.
+    /// Returns whether votes hold a wave that a timer would end.
     fn is_held_by_votes(&self) -> bool {
         let Some(trial) = &self.trial else { return false };
         let wave = trial.current_wave();
@@ -74,7 +77,7 @@
             && self.count_votes(Verdict::Hold) >= trial.run.plan.deciding_votes(wave)
     }
 
-    /// Counts votes on the newest build in its stage.
+    /// Counts the votes in force on the newest build in its current stage.
     pub(super) fn count_votes(&self, verdict: Verdict) -> usize {
         self.votes.count(verdict, self.announcement.build, self.announcement.stage)
     }
--- a/crates/release/src/reply.rs
+++ b/crates/release/src/reply.rs
@@ -1,26 +1,26 @@
-//! The outcome of events: replies, and why an event is declined.
+//! The outcome of an event: the reply to its sender, and the reason if the event is declined.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of an event.
+/// The outcome of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventOutcome {
-    /// The reply to whoever sent it.
+    /// The reply to the sender of the event.
     pub reply: Reply,
-    /// The state changed in a way that must be recorded.
+    /// Whether the event changed the state and must be recorded.
     pub changed: bool,
 }
 
 /// The reply to an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It is in force.
+    /// The event was applied.
     #[serde(rename = "ok")]
     Accepted,
-    /// It is about something that is past, and changes nothing.
+    /// The event comes too late or repeats an earlier one, and changes nothing. The text says why.
     #[serde(rename = "moot")]
     Obsolete(String),
-    /// It is not permitted, or makes no sense, and changes nothing.
+    /// The event is not permitted or not valid, and changes nothing. The text says why.
     #[serde(rename = "refused")]
     Rejected(String),
 }
@@ -29,13 +29,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It is on trial.
+    /// The build is on trial: it runs in the places of its current wave.
     Trial,
-    /// It is being rolled back.
+    /// The build is being rolled back.
     RollingBack,
-    /// It is released.
+    /// The build is released to all places.
     Released,
-    /// It was rolled back.
+    /// The build was rolled back, and the rollback is complete.
     Withdrawn,
 }
 
@@ -44,21 +44,21 @@
 pub struct Announcement {
     /// The newest build.
     pub build: u16,
-    /// Its stage, from 0: the wave that it is in.
+    /// The build's stage: the index of its current wave, from 0.
     pub stage: u8,
-    /// Its phase.
+    /// The build's phase.
     pub phase: Phase,
-    /// The highest share of the traffic that it may get.
+    /// The largest share of the traffic that the build may get, from 0 to 1.
     pub cap: f64,
 }
 
-/// Why an event is declined and changes nothing.
+/// The reason why an event is declined and changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Declined {
-    /// It is about something that is past.
+    /// The event comes too late or repeats an earlier one.
     #[error(transparent)]
     Obsolete(#[from] Obsolete),
-    /// It is not permitted, or makes no sense.
+    /// The event is not permitted or not valid.
     #[error(transparent)]
     Rejected(#[from] Rejection),
 }
@@ -72,7 +72,7 @@
     }
 }
 
-/// What an event is too late for.
+/// The reason why an event comes too late or repeats an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Obsolete {
     #[error("build {0} is the newest already")]
@@ -90,36 +90,36 @@
     #[error("it was called back")]
     WasRolledBack,
     #[error("the clock moves this wave on")]
-    TimerGate,
+    PromoteVoteAtTimerGate,
     #[error("votes move this wave on")]
-    VoteGate,
+    HoldVoteAtVoteGate,
     #[error("build {0} was called back")]
     BuildWasRolledBack(u16),
     #[error("no build is on trial or waits")]
-    NothingUnderWay,
+    NoCurrentPlan,
     #[error("wave {0:?} has begun")]
-    WaveHasBegun(String),
+    WaveAlreadyBegun(String),
     #[error("wave {0:?} has begun: hold or call back instead")]
-    ApprovalWasUsed(String),
+    ApprovalAlreadyUsed(String),
     #[error("approved before")]
     AlreadyApproved,
     #[error("no approval to take back")]
-    NoApproval,
+    NothingToRevoke,
     #[error("nothing is held that this one may let go")]
     NothingToResume,
     #[error("its first wave has not begun")]
     NotOnTrial,
     #[error("it has soaked")]
-    HasSoaked,
+    SoakComplete,
 }
 
-/// Why an event is not permitted, or makes no sense.
+/// The reason why an event is not permitted or not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Rejection {
     #[error("build {0} was called back: a mended one has another number")]
     WasRolledBack(u16),
     #[error("build {0} runs everywhere")]
-    IsInUse(u16),
+    RunsEverywhere(u16),
     #[error("the fleet has another number of places than before")]
     FleetChanged,
     #[error("build {0} waits already")]
