--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -1,14 +1,16 @@
-//! All states of a small world, to a stated depth: two controllers with a shared store, three proxies, a network
-//! that loses and delays, a plan of two waves, over the real decisions.
+//! A bounded model check of a small system around the real `Release` state machine: two controllers with a
+//! shared state directory, three proxies, a network that loses, delays and reorders messages, and a plan of
+//! two waves.
 //!
-//! The search is `pathfinding`'s breadth-first search: it gives the shortest trace to a state that breaks a
-//! property. `loom` and `shuttle` were looked at: they search the schedules of threads and their memory orders
-//! inside one process, of which the decisions have none; the world here is messages, crashes and pauses.
+//! `pathfinding`'s breadth-first search yields the shortest trace to a state that violates a property. `loom`
+//! and `shuttle` do not fit: they search thread schedules and memory orders inside one process. The state
+//! machine has no threads; what varies here are messages, crashes and pauses.
 //!
-//! What is modelled of the controller's shell is what `violetseam-controller` does: a term is begun exclusively
-//! and then the store is read; a batch becomes durable, **then** the holder sees whether a later term has begun,
-//! **then** it speaks. Each of these is a step of its own, and a controller can stop between any two of them.
-//! Time is coarse: a tick lasts longer than a soak and half as long as a vote stands.
+//! The model has the steps of `violetseam-controller`: a controller begins a term exclusively and then reads
+//! the state; a leader makes a batch durable, **then** checks for a later term, **then** announces the
+//! result. Each of these is a step of its own, and a controller can stop between any two of them. Time is
+//! coarse: a tick is longer than a wave's soak time and shorter than the lifetime of a vote, two ticks are
+//! longer than that lifetime.
 
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeSet, VecDeque};
@@ -17,67 +19,77 @@
 use violetseam_plan::{Plan, read_text};
 use violetseam_release::{Announcement, Event, Now, Order, Phase, PlaceState, Release, Verdict, Vote};
 
-const S: u64 = 1_000_000;
-const TICK: u64 = 20 * S;
-const WALL: u64 = 1_800_000_000 * S;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+/// The length of a tick, in microseconds.
+const TICK_MICROS: u64 = 20 * MICROS_PER_SECOND;
+/// The wall clock in the initial state, in microseconds.
+const WALL_START_MICROS: u64 = 1_800_000_000 * MICROS_PER_SECOND;
 
-/// Bugs that are planted to see that the search finds them.
+/// Bugs that a test plants to show that the search finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// Speaks before the batch is durable.
-    SpeaksFirst,
-    /// Does not look for a later term after its write.
-    DoesNotLook,
-    /// Proxies obey whatever number news have.
-    NoFence,
+    /// The controller announces a decision before it is durable.
+    AnnouncesBeforeDurable,
+    /// The controller does not check for a later term after its write.
+    SkipsTermCheck,
+    /// Proxies obey an announcement whatever its term.
+    IgnoresFence,
 }
 
-/// One controller.
+/// The state of one controller.
 #[derive(Clone, Debug, PartialEq)]
 struct Controller {
-    /// Its term, if it believes to hold one.
+    /// The term that the controller believes to lead, if any.
     term: Option<usize>,
     release: Rc<Release>,
-    /// Decided and not durable yet.
+    /// The decided state that is not durable yet.
     pending: Option<Rc<Release>>,
-    /// Durable, and it has not looked for a later term yet.
-    written: bool,
-    /// What it may say.
-    speaks: Option<Announcement>,
+    /// Whether the last decision is durable and the check for a later term has yet to follow.
+    check_pending: bool,
+    /// What the controller may announce to proxies.
+    announceable: Option<Announcement>,
 }
 
-/// What became durable in a term: the state, all news that it went through, and those that its holder had read
-/// of the term before when it began.
+/// What is durable in the journal of a term.
 #[derive(Clone, Debug, PartialEq)]
 struct Term {
+    /// The state after the last durable batch.
     state: Rc<Release>,
+    /// All announcements of the durable states.
     history: BTreeSet<(u16, u8, u8)>,
-    read: BTreeSet<(u16, u8, u8)>,
+    /// The history of the term before, as the leader read it when this term began.
+    predecessor_history: BTreeSet<(u16, u8, u8)>,
 }
 
 impl Term {
-    fn new(state: &Rc<Release>, read: BTreeSet<(u16, u8, u8)>) -> Term {
-        Term { state: state.clone(), history: [code(state.announcement())].into(), read }
+    fn new(state: &Rc<Release>, predecessor_history: BTreeSet<(u16, u8, u8)>) -> Term {
+        Term {
+            state: state.clone(),
+            history: [announcement_key(state.announcement())].into(),
+            predecessor_history,
+        }
     }
 }
 
+/// The state of the whole system.
 #[derive(Clone, Debug)]
-struct World {
-    /// Ticks passed.
+struct SystemState {
+    /// The number of ticks that have passed.
     time: u64,
     controllers: [Controller; 2],
-    /// Term numbers are indices; the first is begun at the start.
+    /// All terms, by number. Term 0 has begun in the initial state.
     terms: Vec<Term>,
-    /// Term of the state that the latest successor read.
+    /// For each proxy, the highest term that it has seen and the last announcement that it obeyed.
     proxies: [(usize, Option<Announcement>); 3],
-    /// Messages under way: to a proxy, number, news. Any of them may come, get lost or be late.
-    wire: BTreeSet<(usize, usize, (u16, u8, u8))>,
-    /// Votes that each proxy cast for stage 0, as time; for the property on quorums.
-    cast: [Option<u64>; 3],
-    /// What happened, for the trace.
-    said: VecDeque<String>,
-    broken: Option<String>,
+    /// Messages in transit, as proxy, term and announcement. Each may be delivered, delayed or lost.
+    in_transit: BTreeSet<(usize, usize, (u16, u8, u8))>,
+    /// The tick at which each proxy last voted in stage 0, for the check of the number of votes.
+    vote_ticks: [Option<u64>; 3],
+    /// The steps that led to this state.
+    trace: VecDeque<String>,
+    /// The property that a step violated, if any.
+    violation: Option<String>,
 }
 
 fn plan() -> Plan {
@@ -87,317 +99,357 @@
         wave(name = \"b\", share = 1.0, cap = 1.0, soak = \"10s\", gate = \"share\", votes = 0.6)\n\
         hold(before = \"b\", leave = [\"lead\"])\n\
         allow(who = \"lead\", may = [\"back\", \"hold\", \"resume\"])\n";
-    read_text("p", text, &[], WALL).unwrap()
+    read_text("p", text, &[], WALL_START_MICROS).unwrap()
 }
 
-fn code(news: Announcement) -> (u16, u8, u8) {
-    (news.build, news.stage, news.phase as u8)
+fn announcement_key(announcement: Announcement) -> (u16, u8, u8) {
+    (announcement.build, announcement.stage, announcement.phase as u8)
 }
 
-impl World {
-    fn start() -> World {
+impl SystemState {
+    fn initial() -> SystemState {
         let mut release = Release::new(1);
-        let now = Now { wall: WALL, steady: 0 };
+        let now = Now { wall: WALL_START_MICROS, steady: 0 };
         release.on_event(now, &Event::Started);
         release.on_event(now, &Event::Offer(Box::new(plan())));
         release.on_event(now, &Event::Tick);
         release.on_event(now, &Event::Place { place: 0, build: 2, state: PlaceState::Running });
         assert_eq!(release.announcement().phase, Phase::Trial);
         let release = Rc::new(release);
-        let holder = Controller {
+        let leader = Controller {
             term: Some(0),
             release: release.clone(),
             pending: None,
-            written: false,
-            speaks: Some(release.announcement()),
+            check_pending: false,
+            announceable: Some(release.announcement()),
         };
-        let standby = Controller { term: None, speaks: None, ..holder.clone() };
-        World {
+        let standby = Controller { term: None, announceable: None, ..leader.clone() };
+        SystemState {
             time: 0,
-            controllers: [holder, standby],
+            controllers: [leader, standby],
             terms: vec![Term::new(&release, BTreeSet::new())],
             proxies: [(0, None); 3],
-            wire: BTreeSet::new(),
-            cast: [None; 3],
-            said: VecDeque::new(),
-            broken: None,
+            in_transit: BTreeSet::new(),
+            vote_ticks: [None; 3],
+            trace: VecDeque::new(),
+            violation: None,
         }
     }
 
     fn now(&self) -> Now {
-        Now { wall: WALL + self.time * TICK, steady: self.time * TICK }
+        Now { wall: WALL_START_MICROS + self.time * TICK_MICROS, steady: self.time * TICK_MICROS }
     }
 
-    fn say(&mut self, text: String) {
-        self.said.push_back(text);
+    fn record_step(&mut self, text: String) {
+        self.trace.push_back(text);
     }
 
-    /// A controller's next step in its own order, or one of the events that may come to it.
-    fn decide(&self, c: usize, event: &Event, what: &str, bug: Bug) -> Option<World> {
-        let controller = &self.controllers[c];
-        if controller.term.is_none() || controller.pending.is_some() || controller.written {
+    /// A controller that is not waiting for its journal applies an event. Returns `None` if it cannot or if
+    /// the event is not recorded.
+    fn decide(&self, index: usize, event: &Event, description: &str, bug: Bug) -> Option<SystemState> {
+        let controller = &self.controllers[index];
+        if controller.term.is_none() || controller.pending.is_some() || controller.check_pending {
             return None;
         }
         let mut next = Release::clone(&controller.release);
-        let mut kept = next.on_event(self.now(), event).changed;
-        kept |= next.on_event(self.now(), &Event::Tick).changed;
-        if !kept {
+        let mut is_recorded = next.on_event(self.now(), event).changed;
+        is_recorded |= next.on_event(self.now(), &Event::Tick).changed;
+        if !is_recorded {
             return None;
         }
-        let mut world = self.clone();
+        let mut system = self.clone();
         if let Event::Vote(vote) = event {
-            world.cast[vote.proxy as usize] = Some(self.time);
+            system.vote_ticks[vote.proxy as usize] = Some(self.time);
         }
-        world.check_step(controller.release.announcement(), next.announcement());
-        world.say(format!("controller {c} decides on {what}: {}", next.describe()));
-        if bug == Bug::SpeaksFirst {
-            world.controllers[c].speaks = Some(next.announcement());
+        system.check_promotion(controller.release.announcement(), next.announcement());
+        system.record_step(format!("controller {index} applies {description}: {}", next.describe()));
+        if bug == Bug::AnnouncesBeforeDurable {
+            system.controllers[index].announceable = Some(next.announcement());
         }
-        world.controllers[c].pending = Some(Rc::new(next));
-        Some(world)
+        system.controllers[index].pending = Some(Rc::new(next));
+        Some(system)
     }
 
-    fn successors(&self, bug: Bug) -> Vec<World> {
+    fn successors(&self, bug: Bug) -> Vec<SystemState> {
         let mut out = Vec::new();
-        if self.broken.is_some() {
+        if self.violation.is_some() {
             return out;
         }
-        for c in 0..2 {
-            self.steps_of(c, bug, &mut out);
+        for index in 0..2 {
+            self.controller_steps(index, bug, &mut out);
         }
-        // A message comes; it may come again, or never.
-        for &(proxy, term, (build, stage, phase)) in &self.wire {
-            let (seen, _) = self.proxies[proxy];
-            let obeyed = term >= seen || bug == Bug::NoFence;
+        // A message is delivered. It may also be sent again, or never be delivered.
+        for &(proxy, term, (build, stage, phase)) in &self.in_transit {
+            let (highest_term, _) = self.proxies[proxy];
+            let is_obeyed = term >= highest_term || bug == Bug::IgnoresFence;
             let phases = [Phase::Trial, Phase::RollingBack, Phase::Released, Phase::Withdrawn];
             let phase = phases[usize::from(phase)];
-            let mut world = self.clone();
-            world.wire.remove(&(proxy, term, (build, stage, phase as u8)));
-            if obeyed {
-                world.say(format!("proxy {proxy} hears of term {term}: stage {stage}, {phase:?}"));
-                if term < seen {
-                    world.broken = Some(format!("proxy {proxy} obeys term {term} after {seen}"));
+            let mut system = self.clone();
+            system.in_transit.remove(&(proxy, term, (build, stage, phase as u8)));
+            if is_obeyed {
+                system.record_step(format!("proxy {proxy} receives term {term}: stage {stage}, {phase:?}"));
+                if term < highest_term {
+                    system.violation = Some(format!("proxy {proxy} obeys term {term} after {highest_term}"));
                 }
-                let news = Announcement { build, stage, phase, cap: 0.0 };
-                world.proxies[proxy] = (term.max(seen), Some(news));
+                let announcement = Announcement { build, stage, phase, cap: 0.0 };
+                system.proxies[proxy] = (term.max(highest_term), Some(announcement));
             }
-            out.push(world);
+            out.push(system);
         }
         if self.time < 3 {
-            let mut world = self.clone();
-            world.time += 1;
-            world.say("time passes".into());
-            out.push(world);
+            let mut system = self.clone();
+            system.time += 1;
+            system.record_step("time passes".into());
+            out.push(system);
         }
         out
     }
 
-    fn steps_of(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
-        self.event_steps(c, bug, out);
-        self.journal_steps(c, bug, out);
-        self.announcement_steps(c, out);
-        self.takeover_steps(c, out);
+    fn controller_steps(&self, index: usize, bug: Bug, out: &mut Vec<SystemState>) {
+        self.event_steps(index, bug, out);
+        self.journal_steps(index, bug, out);
+        self.announcement_steps(index, out);
+        self.takeover_steps(index, out);
     }
 
-    /// Events that a controller decides.
-    fn event_steps(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
-        // Votes go to whichever controller a proxy last heard, or to any: here to both.
+    /// A controller applies an event.
+    fn event_steps(&self, index: usize, bug: Bug, out: &mut Vec<SystemState>) {
+        // A proxy may send its vote to either controller.
         for proxy in 0..3u32 {
             if self.proxies[proxy as usize].1.is_none_or(|n| n.stage == 0 && n.phase == Phase::Trial) {
                 let vote = Vote { proxy, build: 2, stage: 0, verdict: Verdict::On };
-                out.extend(self.decide(c, &Event::Vote(vote), &format!("'on' of proxy {proxy}"), bug));
+                out.extend(self.decide(
+                    index,
+                    &Event::Vote(vote),
+                    &format!("the 'on' vote of proxy {proxy}"),
+                    bug,
+                ));
             }
         }
         for order in [Order::Resume, Order::Back] {
             let event = Event::Order { who: "lead".into(), order };
-            out.extend(self.decide(c, &event, &format!("{order:?} of the lead"), bug));
+            out.extend(self.decide(index, &event, &format!("the order {order:?} of the lead"), bug));
         }
-        out.extend(self.decide(c, &Event::Tick, "time", bug));
+        out.extend(self.decide(index, &Event::Tick, "a tick", bug));
     }
 
-    /// A batch becomes durable, and the controller looks for a later term after it.
-    fn journal_steps(&self, c: usize, bug: Bug, out: &mut Vec<World>) {
-        let controller = &self.controllers[c];
+    /// A batch becomes durable, or the controller checks for a later term after that.
+    fn journal_steps(&self, index: usize, bug: Bug, out: &mut Vec<SystemState>) {
+        let controller = &self.controllers[index];
         if let Some(pending) = &controller.pending {
-            // It becomes durable in its own term, whatever terms others have begun.
-            let mut world = self.clone();
-            world.say(format!("controller {c}: durable"));
+            // The batch becomes durable in the controller's own term, even if another controller has begun a
+            // later one.
+            let mut system = self.clone();
+            system.record_step(format!("controller {index} makes its decision durable"));
             let term = controller.term.unwrap_or(0);
-            world.terms[term].state = pending.clone();
-            world.terms[term].history.insert(code(pending.announcement()));
-            let me = &mut world.controllers[c];
-            me.release = pending.clone();
-            me.pending = None;
-            me.written = true;
-            out.push(world);
-            // Or it is killed just before that, and a restarted one begins a term.
+            system.terms[term].state = pending.clone();
+            system.terms[term].history.insert(announcement_key(pending.announcement()));
+            let updated = &mut system.controllers[index];
+            updated.release = pending.clone();
+            updated.pending = None;
+            updated.check_pending = true;
+            out.push(system);
+            // A crash of the controller before this step is covered by `takeover_steps`.
         }
-        if controller.written {
-            let mut world = self.clone();
-            let later = controller.term.is_some_and(|term| term + 1 < self.terms.len());
-            let me = &mut world.controllers[c];
-            me.written = false;
-            if later && bug != Bug::DoesNotLook {
-                me.term = None;
-                me.speaks = None;
-                world.say(format!("controller {c} sees a later term and is silent"));
+        if controller.check_pending {
+            let mut system = self.clone();
+            let superseded = controller.term.is_some_and(|term| term + 1 < self.terms.len());
+            let updated = &mut system.controllers[index];
+            updated.check_pending = false;
+            if superseded && bug != Bug::SkipsTermCheck {
+                updated.term = None;
+                updated.announceable = None;
+                system.record_step(format!("controller {index} sees a later term and announces nothing"));
             } else {
-                me.speaks = Some(me.release.announcement());
-                world.say(format!("controller {c} may speak: {}", world.controllers[c].release.describe()));
+                updated.announceable = Some(updated.release.announcement());
+                system.record_step(format!(
+                    "controller {index} may announce: {}",
+                    system.controllers[index].release.describe()
+                ));
             }
-            out.push(world);
+            out.push(system);
         }
     }
 
-    /// The controller announces to each proxy what it may.
-    fn announcement_steps(&self, c: usize, out: &mut Vec<World>) {
-        let controller = &self.controllers[c];
-        let (Some(term), Some(announcement)) = (controller.term, controller.speaks) else { return };
+    /// A controller sends its announcement to a proxy.
+    fn announcement_steps(&self, index: usize, out: &mut Vec<SystemState>) {
+        let controller = &self.controllers[index];
+        let (Some(term), Some(announcement)) = (controller.term, controller.announceable) else { return };
         for proxy in 0..3 {
-            let mut world = self.clone();
-            if world.wire.insert((proxy, term, code(announcement))) {
-                world.say(format!(
-                    "controller {c} tells proxy {proxy}: stage {}, {:?}",
+            let mut system = self.clone();
+            if system.in_transit.insert((proxy, term, announcement_key(announcement))) {
+                system.record_step(format!(
+                    "controller {index} announces to proxy {proxy}: stage {}, {:?}",
                     announcement.stage, announcement.phase
                 ));
-                world.check_said(term, announcement);
-                out.push(world);
+                system.check_announcement(term, announcement);
+                out.push(system);
             }
         }
     }
 
-    /// Any controller may begin a term at any moment: a lease is a hint, and no property may rest on it. One that
-    /// does so was killed, or was a standby; what it had not made durable is lost.
-    fn takeover_steps(&self, c: usize, out: &mut Vec<World>) {
+    /// Any controller may begin a term at any time, because no property may rest on the lease. It is a
+    /// standby, or was killed and restarted; what it had not made durable is lost.
+    fn takeover_steps(&self, index: usize, out: &mut Vec<SystemState>) {
         if self.terms.len() >= 3 {
             return;
         }
-        let mut world = self.clone();
-        let last = self.terms.len() - 1;
-        let mut state = Release::clone(&self.terms[last].state);
+        let mut system = self.clone();
+        let latest_term = self.terms.len() - 1;
+        let mut state = Release::clone(&self.terms[latest_term].state);
         let before = state.announcement();
         state.on_event(self.now(), &Event::Started);
-        world.say(format!("controller {c} begins term {}: {}", self.terms.len(), state.describe()));
-        world.check_step(before, state.announcement());
+        system.record_step(format!(
+            "controller {index} begins term {}: {}",
+            self.terms.len(),
+            state.describe()
+        ));
+        system.check_promotion(before, state.announcement());
         let state = Rc::new(state);
-        let read = self.terms[last].history.clone();
-        world.terms.push(Term::new(&state, read));
+        let predecessor_history = self.terms[latest_term].history.clone();
+        system.terms.push(Term::new(&state, predecessor_history));
         let announcement = state.announcement();
-        world.controllers[c] = Controller {
+        system.controllers[index] = Controller {
             term: Some(self.terms.len()),
             release: state,
             pending: None,
-            written: false,
-            speaks: Some(announcement),
+            check_pending: false,
+            announceable: Some(announcement),
         };
-        out.push(world);
+        out.push(system);
     }
 
-    fn check_step(&mut self, before: Announcement, after: Announcement) {
+    fn check_promotion(&mut self, before: Announcement, after: Announcement) {
         if after.stage > before.stage {
-            self.check_quorum();
+            self.check_vote_count();
         }
     }
 
-    fn check_quorum(&mut self) {
-        let standing = self.cast.iter().flatten().filter(|at| (self.time - **at) * TICK < 30 * S).count();
-        if standing < 2 {
-            self.broken = Some(format!("a wave begins on {standing} votes that stand, two are needed"));
+    fn check_vote_count(&mut self) {
+        let active_votes = self
+            .vote_ticks
+            .iter()
+            .flatten()
+            .filter(|at| (self.time - **at) * TICK_MICROS < 30 * MICROS_PER_SECOND)
+            .count();
+        if active_votes < 2 {
+            self.violation =
+                Some(format!("a wave begins with {active_votes} votes in force, two are needed"));
         }
     }
 
-    /// Something is said to a proxy under a term's number.
-    fn check_said(&mut self, term: usize, news: Announcement) {
-        let said = code(news);
-        if !self.terms[term].history.contains(&said) {
-            self.broken = Some(format!("term {term} says what is not durable: stage {}", news.stage));
+    /// Checks an announcement that is sent to a proxy in a term.
+    fn check_announcement(&mut self, term: usize, announcement: Announcement) {
+        let key = announcement_key(announcement);
+        if !self.terms[term].history.contains(&key) {
+            self.violation =
+                Some(format!("term {term} announces what is not durable: stage {}", announcement.stage));
         }
-        // Whatever a replaced holder says, its successor has read.
+        // The successor of a replaced leader must have read whatever that leader announces.
         let successor = self.terms.get(term + 1);
-        if successor.is_some_and(|s| !s.read.contains(&said)) {
-            self.broken =
-                Some(format!("term {term} says what its successor never read: stage {}", news.stage));
+        if successor.is_some_and(|successor| !successor.predecessor_history.contains(&key)) {
+            self.violation = Some(format!(
+                "term {term} announces what its successor never read: stage {}",
+                announcement.stage
+            ));
         }
     }
 
-    /// Properties of the state itself.
+    /// Returns the violated property, if any.
     fn check_state(&self) -> Option<String> {
-        if let Some(broken) = &self.broken {
-            return Some(broken.clone());
+        if let Some(violation) = &self.violation {
+            return Some(violation.clone());
         }
         for (n, term) in self.terms.iter().enumerate().skip(1) {
             let (before, now) = (self.terms[n - 1].state.announcement(), term.state.announcement());
-            // Only while the earlier holder has not written past its replacement.
+            // This is a violation only if the earlier leader wrote nothing after its successor had read its
+            // state.
             if before.phase == Phase::RollingBack && now.phase == Phase::Released {
-                return Some(format!("called back in term {}, released in term {n}", n - 1));
+                return Some(format!("rolled back in term {}, released in term {n}", n - 1));
             }
         }
-        self.check_hold()
+        self.check_hold_can_end()
     }
 
-    /// The hold before the second wave can be left, from wherever the first is.
-    fn check_hold(&self) -> Option<String> {
+    /// Checks that from any state in the first wave, the hold before the second wave can still be ended.
+    fn check_hold_can_end(&self) -> Option<String> {
         let mut state = Release::clone(&self.terms.last()?.state);
         if (state.announcement().phase, state.announcement().stage) != (Phase::Trial, 0) {
             return None;
         }
-        let at =
-            |ticks: u64| Now { wall: WALL + (self.time + ticks) * TICK, steady: (self.time + ticks) * TICK };
-        state.on_event(at(0), &Event::Order { who: "lead".into(), order: Order::Resume });
-        state.on_event(at(1), &Event::Tick);
+        let now_in = |ticks: u64| Now {
+            wall: WALL_START_MICROS + (self.time + ticks) * TICK_MICROS,
+            steady: (self.time + ticks) * TICK_MICROS,
+        };
+        state.on_event(now_in(0), &Event::Order { who: "lead".into(), order: Order::Resume });
+        state.on_event(now_in(1), &Event::Tick);
         for proxy in 0..3 {
             let vote = Vote { proxy, build: 2, stage: 0, verdict: Verdict::On };
-            state.on_event(at(2), &Event::Vote(vote));
+            state.on_event(now_in(2), &Event::Vote(vote));
         }
-        state.on_event(at(2), &Event::Tick);
-        let left = state.announcement().stage == 1;
-        (!left).then(|| format!("the hold cannot be left: {}", state.describe()))
+        state.on_event(now_in(2), &Event::Tick);
+        let is_promoted = state.announcement().stage == 1;
+        (!is_promoted).then(|| format!("the hold cannot be ended: {}", state.describe()))
     }
 }
 
-/// A world as the search knows it: equal if it would go on equally. The words said are for the trace alone.
+/// A node of the search. Two nodes are equal if the same steps can follow, so the trace is not compared.
 #[derive(Clone, Debug)]
-struct Node(World);
+struct SearchNode(SystemState);
 
-impl PartialEq for Node {
-    fn eq(&self, other: &Node) -> bool {
+impl PartialEq for SearchNode {
+    fn eq(&self, other: &SearchNode) -> bool {
         let (a, b) = (&self.0, &other.0);
-        (a.time, &a.wire, a.cast, a.proxies) == (b.time, &b.wire, b.cast, b.proxies)
-            && a.broken == b.broken
+        (a.time, &a.in_transit, a.vote_ticks, a.proxies) == (b.time, &b.in_transit, b.vote_ticks, b.proxies)
+            && a.violation == b.violation
             && a.controllers == b.controllers
             && a.terms == b.terms
     }
 }
-impl Eq for Node {}
-impl Hash for Node {
-    /// Of what is cheap to look at; equality looks at the rest.
+impl Eq for SearchNode {}
+impl Hash for SearchNode {
+    /// Hashes what is cheap to read; equality compares the rest.
     fn hash<H: Hasher>(&self, state: &mut H) {
-        let w = &self.0;
-        (w.time, &w.wire, w.cast, w.proxies.map(|p| (p.0, p.1.map(code)))).hash(state);
-        let of = |r: &Release| (code(r.announcement()), r.votes());
-        for c in &w.controllers {
-            (c.term, c.written, c.speaks.map(code), of(&c.release), c.pending.as_deref().map(of)).hash(state);
+        let system = &self.0;
+        (
+            system.time,
+            &system.in_transit,
+            system.vote_ticks,
+            system.proxies.map(|p| (p.0, p.1.map(announcement_key))),
+        )
+            .hash(state);
+        let release_key = |release: &Release| (announcement_key(release.announcement()), release.votes());
+        for controller in &system.controllers {
+            (
+                controller.term,
+                controller.check_pending,
+                controller.announceable.map(announcement_key),
+                release_key(&controller.release),
+                controller.pending.as_deref().map(release_key),
+            )
+                .hash(state);
         }
-        for t in &w.terms {
-            (of(&t.state), &t.history, &t.read).hash(state);
+        for term in &system.terms {
+            (release_key(&term.state), &term.history, &term.predecessor_history).hash(state);
         }
     }
 }
 
-/// Searches breadth first: states seen, and the first trace that breaks a property.
-fn search(bug: Bug, states_most: usize) -> (usize, usize, Option<Vec<String>>) {
-    let start = World::start();
+/// Searches breadth first, up to a number of states. Returns the number of states seen, the greatest depth,
+/// and the trace to the first violation if there is one.
+fn search(bug: Bug, max_states: usize) -> (usize, usize, Option<Vec<String>>) {
+    let start = SystemState::initial();
     let (mut states, mut depth) = (0, 0);
-    let next = |n: &Node| n.0.successors(bug).into_iter().map(Node).collect::<Vec<_>>();
-    for found in bfs_reach(Node(start), next) {
+    let next = |n: &SearchNode| n.0.successors(bug).into_iter().map(SearchNode).collect::<Vec<_>>();
+    for reached in bfs_reach(SearchNode(start), next) {
         states += 1;
-        depth = depth.max(found.0.said.len());
-        if let Some(why) = found.0.check_state() {
-            let mut trace: Vec<String> = found.0.said.into_iter().collect();
-            trace.push(format!("BROKEN: {why}"));
+        depth = depth.max(reached.0.trace.len());
+        if let Some(violation) = reached.0.check_state() {
+            let mut trace: Vec<String> = reached.0.trace.into_iter().collect();
+            trace.push(format!("VIOLATION: {violation}"));
             return (states, depth, Some(trace));
         }
-        if states >= states_most {
+        if states >= max_states {
             break;
         }
     }
@@ -405,7 +457,7 @@
 }
 
 #[test]
-fn no_state_within_reach_breaks_a_property() {
+fn no_state_within_the_searched_depth_violates_a_property() {
     let (states, depth, trace) = search(Bug::None, 4_000);
     assert!(trace.is_none(), "{trace:#?}");
     assert!(states >= 4_000 && depth >= 4, "{states} states, {depth} steps deep");
@@ -413,24 +465,24 @@
 
 #[test]
 fn planted_bugs_are_found_with_a_short_trace() {
-    let words = [
-        (Bug::SpeaksFirst, "not durable"),
-        (Bug::NoFence, "obeys term"),
-        (Bug::DoesNotLook, "its successor never read"),
+    let expectations = [
+        (Bug::AnnouncesBeforeDurable, "not durable"),
+        (Bug::IgnoresFence, "obeys term"),
+        (Bug::SkipsTermCheck, "its successor never read"),
     ];
-    for (bug, word) in words {
+    for (bug, expected_text) in expectations {
         let (states, _, trace) = search(bug, 400_000);
-        let trace = trace.unwrap_or_else(|| panic!("{bug:?} is not found in {states} states"));
+        let trace = trace.unwrap_or_else(|| panic!("{bug:?} was not found in {states} states"));
         println!("{bug:?}, {states} states:");
         trace.iter().for_each(|line| println!("  {line}"));
-        assert!(trace.last().is_some_and(|last| last.contains(word)), "{bug:?}: {trace:#?}");
+        assert!(trace.last().is_some_and(|step| step.contains(expected_text)), "{bug:?}: {trace:#?}");
         assert!(trace.len() <= 16, "{bug:?}: {trace:#?}");
     }
 }
 
 #[test]
-#[ignore = "minutes; measured in docs/measurements/plans.md"]
-fn a_long_search() {
+#[ignore = "takes minutes; results in docs/measurements/plans.md"]
+fn a_long_search_finds_no_violation() {
     let (states, depth, trace) = search(Bug::None, 500_000);
     println!("{states} states, {depth} steps deep, {trace:?}");
     assert!(trace.is_none(), "{trace:#?}");
