--- a/crates/controller/src/control/server.rs
+++ b/crates/controller/src/control/server.rs
@@ -1,5 +1,5 @@
-//! The server side of the control socket. Its thread reads and checks requests, among them plans, whose scripts
-//! may take a while to evaluate; the event loop only gets events.
+//! The server side of the control socket. Its thread reads and checks requests, among them plans, whose
+//! scripts may take a while to evaluate; the event loop only gets events.
 
 use super::{MAX_LINE_LEN, Request, Response};
 use calloop::channel::Sender as LoopSender;
--- a/crates/controller/src/journal/record.rs
+++ b/crates/controller/src/journal/record.rs
@@ -1,39 +1,39 @@
-//! One line of a journal: a checksum and JSON.
+//! The records of a journal. Each is one line of a checksum and JSON.
 
 use serde::{Deserialize, Serialize};
 use violetseam_release::{Announcement, Event, Now, Release};
 
-/// Hexadecimal digits of the checksum, and the space after them.
+/// The length of the checksum's hexadecimal digits and the space after them, in bytes.
 const CHECKSUM_PREFIX_LEN: usize = 9;
 
-/// One line of a journal.
+/// A record of a journal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// The first record.
+    /// The first record of each journal.
     Header {
-        /// The journal's format.
+        /// The version of the journal's format.
         version: u32,
-        /// The leader's name.
+        /// The name of the leader that writes the journal.
         #[serde(rename = "holder")]
         leader: String,
     },
-    /// The second record: the whole state.
+    /// The second record of each journal: a snapshot of the whole state.
     #[serde(rename = "state")]
     Snapshot(Box<Release>),
-    /// An event, and the announcement after it if the event changed it.
+    /// An event that changed the state.
     Event {
-        /// When it happened.
+        /// The time of the event.
         now: Now,
-        /// What happened.
+        /// The event.
         event: Event,
-        /// The changed announcement.
+        /// The announcement after the event; `None` if the event did not change the announcement.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after: Option<Announcement>,
     },
 }
 
-/// Encodes a record as a line.
+/// Encodes a record as a line, including its line feed.
 pub fn encode(record: &Record) -> Vec<u8> {
     let json = serde_json::to_vec(record).unwrap_or_default();
     let mut line = format!("{:08x} ", crc32fast::hash(&json)).into_bytes();
--- a/crates/controller/src/journal/replay.rs
+++ b/crates/controller/src/journal/replay.rs
@@ -1,37 +1,37 @@
-//! Rebuilds the state from a journal.
+//! Rebuilds the state of the release from a journal.
 
 use super::record::{Record, decode};
 use super::{FORMAT_VERSION, JournalError};
 use std::path::Path;
 use violetseam_release::Release;
 
-/// Records before the first event: the header and the snapshot.
+/// The number of records before the first event: the header and the snapshot.
 const LEADING_RECORDS: usize = 2;
 
-/// What a journal holds.
+/// The result of replaying a journal.
 #[derive(Debug)]
 pub struct Replay {
     /// The state after all complete records.
     pub release: Release,
-    /// Events after the snapshot.
+    /// The number of events after the snapshot.
     pub event_count: usize,
-    /// The last record was torn.
+    /// Whether the last record was torn.
     pub torn: bool,
 }
 
-/// Replays a journal's bytes: the state after all complete records.
+/// Replays the bytes of a journal up to the last complete record.
 pub(super) fn replay(path: &Path, bytes: &[u8]) -> Result<Replay, JournalError> {
     let damaged = |line: usize| JournalError::Damaged { path: path.to_owned(), line };
     let mut release: Option<Release> = None;
     let mut event_count = 0;
     let mut torn = false;
-    let mut end = 0;
+    let mut line_end = 0;
     for (index, line) in bytes.split_inclusive(|byte| *byte == b'\n').enumerate() {
-        end += line.len();
+        line_end += line.len();
         let line_number = index + 1;
         let Some(record) = line.strip_suffix(b"\n").and_then(decode) else {
-            // Only the last record can be torn: each is durable before the next is begun.
-            if end == bytes.len() && index >= LEADING_RECORDS {
+            // Only the end of a journal can be torn: the writer appends only after durable records.
+            if line_end == bytes.len() && index >= LEADING_RECORDS {
                 torn = true;
                 break;
             }
--- a/crates/controller/src/journal/state_dir.rs
+++ b/crates/controller/src/journal/state_dir.rs
@@ -1,4 +1,4 @@
-//! The directory that the leader and its standbys share: terms, journals and the lease.
+//! The state directory, which the leader and its standbys share: terms, journals and the lease.
 
 use super::replay::{Replay, replay};
 use super::writer::Writer;
@@ -9,39 +9,40 @@
 use std::path::{Path, PathBuf};
 use violetseam_release::{Event, Now, Release};
 
-/// Earlier terms whose journals are retained for inspection.
+/// The number of earlier terms whose journals are retained for inspection.
 const RETAINED_TERMS: u64 = 8;
-/// Bytes of a journal that are read to find its format.
+/// The number of bytes at the start of a journal that are read to find its format.
 const HEADER_READ_LIMIT: u64 = 4_096;
 
-/// A directory of terms and journals.
+/// A state directory.
 #[derive(Clone, Debug)]
 pub struct StateDir(PathBuf);
 
-/// A term that has begun.
+/// A term that this controller has begun as its leader.
 #[derive(Debug)]
 pub struct NewTerm {
-    /// Its number, which fences the leader's announcements.
+    /// The number of the term, which is the fence of the leader's announcements.
     pub number: u64,
-    /// The state that it starts from.
+    /// The state that the term starts from.
     pub release: Release,
-    /// Its journal.
+    /// The writer of the term's journals.
     pub writer: Writer,
-    /// Events that were replayed after the last snapshot.
+    /// The number of events that were replayed after the last snapshot.
     pub replayed_events: usize,
-    /// The last record of the journal before was torn.
+    /// Whether the last record of the earlier journal was torn.
     pub torn: bool,
 }
 
-/// A journal by its file name.
+/// A journal file, as its name describes it.
 struct JournalFile {
     term: u64,
-    number: u64,
+    /// The sequence number of the journal within its term.
+    sequence: u64,
     path: PathBuf,
 }
 
 impl StateDir {
-    /// Opens the directory; creates it if it is missing.
+    /// Opens the directory, and creates it if it is missing.
     ///
     /// # Errors
     /// The directory cannot be created.
@@ -55,7 +56,7 @@
         Ok(entries.flatten().filter_map(|entry| entry.file_name().into_string().ok()).collect())
     }
 
-    /// The latest term that has begun; 0 if none has.
+    /// Returns the number of the latest term that has begun; 0 if none has.
     ///
     /// # Errors
     /// The directory cannot be listed.
@@ -65,33 +66,33 @@
         Ok(terms.max().unwrap_or(0))
     }
 
-    pub(super) fn journal_path(&self, term: u64, number: u64) -> PathBuf {
-        self.0.join(format!("journal-{term}-{number}"))
+    pub(super) fn journal_path(&self, term: u64, sequence: u64) -> PathBuf {
+        self.0.join(format!("journal-{term}-{sequence}"))
     }
 
-    /// All journals, the latest first.
+    /// Returns all journals, the latest first.
     fn journals(&self) -> Result<Vec<JournalFile>, JournalError> {
         let mut journals: Vec<JournalFile> =
             self.file_names()?.iter().filter_map(|name| self.parse_journal_name(name)).collect();
-        journals.sort_by_key(|journal| Reverse((journal.term, journal.number)));
+        journals.sort_by_key(|journal| Reverse((journal.term, journal.sequence)));
         Ok(journals)
     }
 
     fn parse_journal_name(&self, name: &str) -> Option<JournalFile> {
-        let (term, number) = name.strip_prefix("journal-")?.split_once('-')?;
+        let (term, sequence) = name.strip_prefix("journal-")?.split_once('-')?;
         let term = term.parse().ok()?;
-        let number = number.parse().ok()?;
-        Some(JournalFile { term, number, path: self.0.join(name) })
+        let sequence = sequence.parse().ok()?;
+        Some(JournalFile { term, sequence, path: self.0.join(name) })
     }
 
     fn latest_journal(&self) -> Result<Option<PathBuf>, JournalError> {
         Ok(self.journals()?.into_iter().next().map(|journal| journal.path))
     }
 
-    /// Checks that this version can read the latest journal, before anything is touched.
+    /// Checks that this version can read the format of the latest journal. Changes nothing in the directory.
     ///
     /// # Errors
-    /// The journal's format is of a later version, or it cannot be read.
+    /// The journal has a later format, or the file cannot be read.
     pub fn check(&self) -> Result<(), JournalError> {
         let Some(path) = self.latest_journal()? else { return Ok(()) };
         let mut start = Vec::new();
@@ -103,21 +104,23 @@
         }
     }
 
-    /// Reads the latest journal; `None` if there is none.
+    /// Replays the latest journal; `None` if there is none.
     ///
     /// # Errors
-    /// The journal cannot be read, is damaged, or replays to another state than was recorded.
+    /// The journal cannot be read or is damaged, or its replay leads to another announcement than the
+    /// recorded one.
     pub fn read(&self) -> Result<Option<Replay>, JournalError> {
         let Some(path) = self.latest_journal()? else { return Ok(None) };
         let bytes = std::fs::read(&path).map_err(read_error(&path))?;
         replay(&path, &bytes).map(Some)
     }
 
-    /// Begins a term: claims it exclusively, then reads all that earlier leaders made durable.
+    /// Begins a term. It claims the term exclusively and then reads what earlier leaders made durable, in
+    /// this order.
     ///
     /// # Errors
-    /// [`JournalError::TermTaken`] if another controller claimed the term first; otherwise the latest journal
-    /// cannot be used, or the directory cannot be written.
+    /// [`JournalError::TermTaken`] if another controller claimed this term or a later one. Other errors mean
+    /// that the latest journal cannot be used or that the directory cannot be written.
     pub fn begin_term(&self, leader: &str, build: u16, now: Now) -> Result<NewTerm, JournalError> {
         self.check()?;
         let number = self.latest_term()? + 1;
@@ -136,6 +139,7 @@
         Ok(NewTerm { number, release, writer, replayed_events, torn })
     }
 
+    /// Creates the file of a term, which fails if another controller has created it.
     fn claim_term(&self, number: u64, leader: &str) -> Result<(), JournalError> {
         let path = self.0.join(format!("term-{number}"));
         let created = OpenOptions::new().write(true).create_new(true).open(&path);
@@ -151,14 +155,16 @@
         self.sync()
     }
 
-    /// Removes journals of old terms. The term files stay, so that no term is ever begun again.
+    /// Removes the journals of terms that are no longer retained. The term files stay, so that no term is
+    /// begun twice.
     fn remove_old_journals(&self, current_term: u64) -> Result<(), JournalError> {
         for journal in self.journals()? {
             if journal.term + RETAINED_TERMS >= current_term {
                 continue;
             }
             match std::fs::remove_file(&journal.path) {
-                // Another controller that begins at this moment removes them, too.
+                // Another controller that begins a term at the same time may have removed the journal
+                // already.
                 Err(error) if error.kind() != ErrorKind::NotFound => {
                     return Err(io_error(&journal.path)(error));
                 }
@@ -168,7 +174,7 @@
         Ok(())
     }
 
-    /// Makes changes of the directory's entries durable.
+    /// Makes created, renamed and removed files in the directory durable.
     pub(super) fn sync(&self) -> Result<(), JournalError> {
         File::open(&self.0).and_then(|directory| directory.sync_all()).map_err(io_error(&self.0))
     }
@@ -177,12 +183,12 @@
         self.0.join("lease")
     }
 
-    /// The leader's latest heartbeat; `None` if there is none.
+    /// Returns the leader's latest heartbeat; `None` if the lease was released or cannot be read.
     pub fn read_lease(&self) -> Option<String> {
         std::fs::read_to_string(self.lease_path()).ok().filter(|text| !text.is_empty())
     }
 
-    /// Renews the lease; `heartbeat` differs from the one before.
+    /// Renews the lease. Each renewal must have another `heartbeat` number, so that standbys see a change.
     ///
     /// # Errors
     /// The lease cannot be written.
@@ -194,7 +200,8 @@
             .map_err(io_error(&path))
     }
 
-    /// Gives the lease up, so that a standby takes over without waiting for it to expire.
+    /// Releases the lease unless a later term has begun. A standby then takes over without waiting for the
+    /// lease to expire.
     pub fn release_lease(&self, term: u64) {
         if self.latest_term().is_ok_and(|latest| latest == term) {
             let _ = std::fs::remove_file(self.lease_path());
@@ -202,14 +209,16 @@
     }
 }
 
-/// A journal that is gone since it was listed was removed by a controller in a later term.
+/// Returns a function that adds the path to an error of reading a journal. A journal that has disappeared
+/// since it was listed was removed by a controller in a later term.
 fn read_error(path: &Path) -> impl Fn(std::io::Error) -> JournalError + '_ {
     move |error| {
         if error.kind() == ErrorKind::NotFound { JournalError::TermTaken } else { io_error(path)(error) }
     }
 }
 
-/// The version in a journal's header. Only its place is assumed, since a later format may change the rest.
+/// Returns the format version in a journal's header. It relies on nothing but the `"version":` field in the
+/// first line, because a later format may change the rest.
 fn header_version(start: &[u8]) -> Option<u32> {
     let first_line = start.split(|byte| *byte == b'\n').next().unwrap_or_default();
     let header = String::from_utf8_lossy(first_line);
--- a/crates/controller/src/journal/writer.rs
+++ b/crates/controller/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! Appends to the journal of the current term.
+//! The writer of the journals of one term.
 
 use super::record::{Record, encode};
 use super::state_dir::StateDir;
@@ -7,16 +7,16 @@
 use std::io::{Seek, SeekFrom, Write};
 use violetseam_release::Release;
 
-/// Why records were not appended.
+/// The reason why records were not appended.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// A later term has begun: this leader must announce nothing more.
+    /// A later term has begun. This leader must announce nothing more.
     #[error("another controller has begun a later term")]
     Superseded,
-    /// The journal cannot be written; nothing of the batch is in force.
+    /// The journal cannot be written. Nothing of the batch takes effect.
     #[error("{0}")]
     Write(#[from] std::io::Error),
-    /// Whether a later term has begun is unknown; nothing of the batch is in force.
+    /// The check for a later term failed. Nothing of the batch takes effect.
     #[error("{0}")]
     TermCheck(#[from] JournalError),
 }
@@ -27,24 +27,25 @@
     state_dir: StateDir,
     term: u64,
     leader: String,
-    number: u64,
+    /// The sequence number of the current journal within the term.
+    sequence: u64,
     file: File,
-    /// Bytes that are complete and durable; what follows them is truncated before anything is appended.
+    /// The length of the durable records, in bytes. Anything after them is truncated before the next append.
     durable_len: u64,
     events_since_snapshot: usize,
 }
 
 impl Writer {
-    /// Creates a journal with its header and a snapshot.
+    /// Creates a journal that holds a header and a snapshot.
     pub(super) fn create(
         state_dir: &StateDir,
         term: u64,
-        number: u64,
+        sequence: u64,
         leader: &str,
         state: &Release,
     ) -> Result<Writer, JournalError> {
-        let path = state_dir.journal_path(term, number);
-        let temporary = path.with_file_name(format!("journal-{term}-{number}.new"));
+        let path = state_dir.journal_path(term, sequence);
+        let temporary = path.with_file_name(format!("journal-{term}-{sequence}.new"));
         let mut bytes = encode(&Record::Header { version: FORMAT_VERSION, leader: leader.to_owned() });
         bytes.extend(encode(&Record::Snapshot(Box::new(state.clone()))));
         let mut file = File::create(&temporary).map_err(io_error(&temporary))?;
@@ -56,20 +57,20 @@
             state_dir: state_dir.clone(),
             term,
             leader: leader.to_owned(),
-            number,
+            sequence,
             file,
             durable_len: bytes.len() as u64,
             events_since_snapshot: 0,
         })
     }
 
-    /// Appends records, as [`encode`] makes them; `state` is the state after them, for the next snapshot. Returns
-    /// only once they would survive a crash and no later term has begun.
+    /// Appends records that [`encode`] made. `state` is the state after these records; it is written if a
+    /// snapshot is due. On success the records are durable, and no later term had begun by then.
     ///
     /// # Errors
-    /// The records are not durable, or a later term has begun.
+    /// The records may not be durable, or a later term has begun, or the check for one failed.
     pub fn append(&mut self, records: &[u8], event_count: usize, state: &Release) -> Result<(), AppendError> {
-        // A failed write may have left bytes behind; they must not stand before what is appended now.
+        // A failed write may have left bytes behind, which must not remain before the new records.
         self.file.set_len(self.durable_len)?;
         self.file.seek(SeekFrom::Start(self.durable_len))?;
         self.file.write_all(records)?;
@@ -85,17 +86,17 @@
         Ok(())
     }
 
-    /// Begins the next journal with a snapshot. The events are durable without it, so that a failure is only
-    /// retried later.
+    /// Begins the next journal with a snapshot. If that fails, the current journal stays in use and a new
+    /// attempt follows later, since the events are durable in either case.
     fn rotate(&mut self, state: &Release) {
-        match Writer::create(&self.state_dir, self.term, self.number + 1, &self.leader, state) {
+        match Writer::create(&self.state_dir, self.term, self.sequence + 1, &self.leader, state) {
             Ok(next) => {
-                let superseded = self.state_dir.journal_path(self.term, self.number.wrapping_sub(1));
-                let _ = std::fs::remove_file(superseded);
+                let outdated_journal = self.state_dir.journal_path(self.term, self.sequence.wrapping_sub(1));
+                let _ = std::fs::remove_file(outdated_journal);
                 *self = next;
             }
             Err(error) => {
-                tracing::warn!("no new journal: {error}");
+                tracing::warn!("cannot begin a new journal, so the current one stays in use: {error}");
                 self.events_since_snapshot = SNAPSHOT_INTERVAL / 2;
             }
         }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,13 +1,13 @@
-//! The release controller as a daemon around the decisions of `violetseam-release`.
+//! The release controller's daemon. The decisions themselves are made in `violetseam-release`.
 //!
 //! - `settings.rs`: the controller's settings script
-//! - `journal.rs`: terms and the durable journal of events
-//! - `writer_thread.rs`: appends to the journal on its own thread, many events per fsync
+//! - `journal.rs`: leadership terms and the durable journal of events
+//! - `writer_thread.rs`: the thread that appends to the journal, many events per fsync
 //! - `control.rs`: operator requests on the control socket
 //! - `serve.rs`: the event loop: leadership, event batches, HTTP requests and watches
 //!
-//! Nothing is announced or acknowledged before it is durable, and nothing durable is announced by a controller
-//! that another one has replaced. `docs/controller.md` has the argument.
+//! The controller announces and acknowledges nothing before it is durable. A controller that another one has
+//! replaced announces nothing that its successor does not know. `docs/controller.md` explains why this holds.
 
 pub mod control;
 pub mod journal;
@@ -17,7 +17,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Microseconds since 1970.
+/// Returns the wall clock, in microseconds since 1970-01-01 UTC.
 fn wall_clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -1,6 +1,6 @@
-//! The controller's event loop. Proxies watch the release and vote, the platform watches which builds are desired
-//! and reports, operators send requests; all of it becomes events, taken in batches that are durable before they
-//! are in force.
+//! The controller's event loop. Proxies watch the release and vote, the platform watches which builds are
+//! desired and reports, operators send requests; all of it becomes events, taken in batches that are durable
+//! before they are in force.
 //!
 //! - `leadership.rs`: the lease, beginning a term, stepping down
 //! - `batches.rs`: events in batches: decided on a copy, made durable, then in force
@@ -11,8 +11,9 @@
 //! - `operators.rs`: calls from the control socket
 //! - `crash_point.rs`: crashes on purpose, for tests
 //!
-//! A standby answers 503 and observes the leader's lease; it begins a term when the lease has not been renewed for
-//! its length. A leader that another one has replaced closes all connections and becomes a standby.
+//! A standby answers 503 and observes the leader's lease; it begins a term when the lease has not been
+//! renewed for its length. A leader that another one has replaced closes all connections and becomes a
+//! standby.
 
 mod batches;
 mod connections;
@@ -107,8 +108,8 @@
     pub term: u64,
 }
 
-/// Runs a controller until SIGTERM or SIGINT, or for `stop_after`. `on_listening` is called with the address that
-/// it listens on.
+/// Runs a controller until SIGTERM or SIGINT, or for `stop_after`. `on_listening` is called with the address
+/// that it listens on.
 ///
 /// # Errors
 /// The state directory, the listening address or the control socket cannot be used, or the event loop fails.
@@ -127,7 +128,7 @@
     state_dir.check()?;
     let address = listen(&handle, settings.listen)?;
     let completions = register_completions(&handle)?;
-    listen_for_operators(&handle, &settings.control)?;
+    listen_for_operators(&handle, &settings.control_socket)?;
     let now = Instant::now();
     let mut controller = Controller {
         settings,
@@ -149,7 +150,7 @@
     if let Some(term) = &controller.term {
         controller.state_dir.release_lease(term.number);
     }
-    let _ = std::fs::remove_file(&controller.settings.control);
+    let _ = std::fs::remove_file(&controller.settings.control_socket);
     Ok(summary)
 }
 
--- a/crates/controller/src/serve/batches.rs
+++ b/crates/controller/src/serve/batches.rs
@@ -88,7 +88,8 @@
 }
 
 impl Controller {
-    /// Decides the queued events as one batch and hands it to the journal, if one is due and none is in flight.
+    /// Decides the queued events as one batch and hands it to the journal, if one is due and none is in
+    /// flight.
     pub(super) fn submit_batch(&mut self, now: Instant) {
         let event_time = self.event_time();
         let Some(term) = &mut self.term else { return };
--- a/crates/controller/src/serve/leadership.rs
+++ b/crates/controller/src/serve/leadership.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Becomes a standby: another controller leads. All connections close, and operators learn that the outcome of
-    /// their requests is unknown.
+    /// Becomes a standby: another controller leads. All connections close, and operators learn that the
+    /// outcome of their requests is unknown.
     pub(super) fn step_down(&mut self, reason: &str) {
         let Some(term) = self.term.take() else { return };
         tracing::warn!(term = term.number, "standing by: {reason}");
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -11,7 +11,8 @@
 use violetseam_site_protocol::placement::DesiredBuilds;
 use violetseam_site_protocol::release_service::{self, PhaseName};
 
-/// A connection without a watch or a request for so many heartbeats is closed, so that idle ones keep nobody out.
+/// A connection without a watch or a request for so many heartbeats is closed, so that idle ones keep nobody
+/// out.
 const MAX_IDLE_HEARTBEATS: u32 = 30;
 /// The desired builds are sent again this often, changed or not.
 const DESIRED_RESEND_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,4 +1,4 @@
-//! A controller's settings: one section of a Starlark script.
+//! The controller's settings, which are one section of a Starlark script.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
     Call, Located, ScriptDuration, ScriptError, evaluate_file, required_section,
 };
 
-/// The longest name, in bytes.
+/// The greatest length of a controller's name, in bytes.
 const MAX_NAME_LEN: usize = 64;
-/// The bounds of a lease.
+/// The permitted duration of the lease, in microseconds.
 const LEASE_MICROS: RangeInclusive<u64> = 100_000..=600_000_000;
-/// The shortest interval of heartbeats.
+/// The shortest permitted interval between heartbeats, in microseconds.
 const MIN_HEARTBEAT_MICROS: u64 = 10_000;
 
 violetseam_starlark_config::functions! { functions: controller }
@@ -24,11 +24,12 @@
     name: String,
     listen: SocketAddr,
     build: u16,
-    control: String,
+    #[serde(rename = "control")]
+    control_socket: String,
     #[serde(default = "default_lease")]
     lease: ScriptDuration,
-    #[serde(default = "default_heartbeat")]
-    beat: ScriptDuration,
+    #[serde(default = "default_heartbeat", rename = "beat")]
+    heartbeat: ScriptDuration,
 }
 
 fn default_lease() -> ScriptDuration {
@@ -39,27 +40,27 @@
     ScriptDuration::from_millis(1_000)
 }
 
-/// A controller's settings.
+/// The settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name, in logs and in the lease.
+    /// The controller's name, as it appears in logs and in the lease.
     pub name: String,
-    /// The address for proxies and the platform.
+    /// The address on which the controller listens for proxies and the platform.
     pub listen: SocketAddr,
-    /// The build that runs everywhere when the state is created; later the state knows it.
+    /// The build that runs in all places when the state is created. It is not used once there is a journal.
     pub build: u16,
     /// The path of the control socket.
-    pub control: PathBuf,
-    /// A leader that has not renewed its lease for so long is replaced by a standby.
+    pub control_socket: PathBuf,
+    /// A standby replaces a leader that has not renewed its lease for this long.
     pub lease: Duration,
-    /// A watch without changes gets a blank line this often.
+    /// The interval at which a blank line is sent on a watch that has no changes.
     pub heartbeat: Duration,
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// The script fails, has no `controller(...)` call or more than one, or a value is out of bounds.
+/// The script fails, it does not have exactly one `controller(...)` call, or a value is out of bounds.
 pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Settings, ScriptError> {
     let calls = evaluate_file(path, options, functions)?;
     let sections: Result<Vec<Located<Section>>, ScriptError> = calls.into_iter().map(Call::read).collect();
@@ -67,25 +68,27 @@
     let located = required_section(&path.display().to_string(), "controller", &sections)?;
     let section = &located.value;
     if !is_valid_name(&section.name) {
-        return located.reject("controller: a name has 1 to 64 characters without spaces");
+        return located.reject(
+            "controller: the name must have 1 to 64 bytes, without whitespace or control characters",
+        );
     }
     if !LEASE_MICROS.contains(&section.lease.as_micros()) {
-        return located.reject("controller: a lease is 100ms to 10m");
+        return located.reject("controller: lease must be from 100ms to 10m");
     }
-    if section.beat.as_micros() < MIN_HEARTBEAT_MICROS {
-        return located.reject("controller: a beat is at least 10ms");
+    if section.heartbeat.as_micros() < MIN_HEARTBEAT_MICROS {
+        return located.reject("controller: beat must be at least 10ms");
     }
     Ok(Settings {
         name: section.name.clone(),
         listen: section.listen,
         build: section.build,
-        control: PathBuf::from(&section.control),
+        control_socket: PathBuf::from(&section.control_socket),
         lease: Duration::from_micros(section.lease.as_micros()),
-        heartbeat: Duration::from_micros(section.beat.as_micros()),
+        heartbeat: Duration::from_micros(section.heartbeat.as_micros()),
     })
 }
 
 fn is_valid_name(name: &str) -> bool {
-    let is_separator = |character: char| character.is_whitespace() || character.is_control();
-    (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(is_separator)
+    let is_forbidden = |character: char| character.is_whitespace() || character.is_control();
+    (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(is_forbidden)
 }
--- a/crates/controller/src/writer_thread.rs
+++ b/crates/controller/src/writer_thread.rs
@@ -1,11 +1,12 @@
-//! Appends to the journal on its own thread: while one batch becomes durable, the next one gathers.
+//! The thread that appends to the journal. While it makes one batch durable, the event loop gathers the next
+//! one.
 
 use crate::journal::{AppendError, Writer};
 use calloop::channel::Sender;
 use std::sync::Arc;
 use violetseam_release::Release;
 
-/// Records that are appended together, and the state after them.
+/// A batch of records to append, and the state after them.
 pub struct WriteRequest {
     pub records: Vec<u8>,
     pub event_count: usize,
@@ -15,22 +16,22 @@
 /// The result of a [`WriteRequest`].
 pub struct WriteCompletion(pub Result<(), AppendError>);
 
-/// Starts the thread; it ends when the returned sender is dropped.
+/// Starts the thread. It ends when the returned sender is dropped.
 ///
 /// # Errors
-/// The system refuses another thread.
+/// The system cannot start another thread.
 pub fn spawn(
     mut writer: Writer,
     completions: Sender<WriteCompletion>,
 ) -> std::io::Result<std::sync::mpsc::Sender<WriteRequest>> {
-    let (requests, received) = std::sync::mpsc::channel::<WriteRequest>();
+    let (request_sender, request_receiver) = std::sync::mpsc::channel::<WriteRequest>();
     std::thread::Builder::new().name("journal".into()).spawn(move || {
-        while let Ok(request) = received.recv() {
+        while let Ok(request) = request_receiver.recv() {
             let result = writer.append(&request.records, request.event_count, &request.state);
             if completions.send(WriteCompletion(result)).is_err() {
                 return;
             }
         }
     })?;
-    Ok(requests)
+    Ok(request_sender)
 }
