--- a/crates/controller/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -1,7 +1,8 @@
-//! Operator requests on the control socket (Unix-domain, mode 0600): one JSON line each way.
+//! Operator requests on the control socket, a Unix domain socket with mode 0600. Request and response are one
+//! line of JSON each.
 //!
-//! Whoever may open the socket may state any name: names serve the plan's rules and the journal and prove
-//! nothing.
+//! Names are not authenticated: whoever may open the socket may state any operator's name. Names only serve
+//! the rules of the plan and the records in the journal.
 
 mod client;
 mod server;
@@ -12,28 +13,28 @@
 use serde::{Deserialize, Serialize};
 use violetseam_release::{Announcement, Order, Reply};
 
-/// The longest line, in bytes; a plan is sent as one.
+/// The greatest length of a line, in bytes. A plan is sent as one line.
 const MAX_LINE_LEN: u64 = 1 << 20;
 
-/// A request by an operator.
+/// A request from an operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
-    /// Asks for the release's status.
+    /// Asks for the status of the controller and the release.
     #[serde(rename = "state")]
     Status,
-    /// Submits a plan as its script.
+    /// Submits a plan in the form of its script.
     #[serde(rename = "offer")]
     SubmitPlan {
-        /// The script's name in messages.
+        /// The name of the script, for error messages.
         name: String,
-        /// The script.
+        /// The text of the script.
         text: String,
     },
     /// Approves a wave.
     #[serde(rename = "sign")]
     Approve {
-        /// Who approves.
+        /// The operator who approves.
         #[serde(rename = "who")]
         operator: String,
         /// The wave.
@@ -42,15 +43,15 @@
     /// Revokes an approval.
     #[serde(rename = "unsign")]
     RevokeApproval {
-        /// Whose approval it was.
+        /// The operator who had approved the wave.
         #[serde(rename = "who")]
         operator: String,
         /// The wave.
         wave: String,
     },
-    /// Gives an order outside the plan.
+    /// Gives an order that intervenes in a running plan.
     Order {
-        /// Who gives it.
+        /// The operator who gives the order.
         #[serde(rename = "who")]
         operator: String,
         /// The order.
@@ -63,30 +64,30 @@
 pub struct Status {
     /// The controller's name.
     pub name: String,
-    /// Its term, which fences what it announces; 0 on a standby.
+    /// The term that the controller leads, which is the fence of its announcements; 0 on a standby.
     pub term: u64,
-    /// What is announced to proxies.
+    /// What the controller announces to proxies; `None` on a standby.
     #[serde(rename = "news")]
     pub announcement: Option<Announcement>,
-    /// A description, with what the release waits for.
+    /// A description of the state of the release and of what it waits for.
     #[serde(rename = "text")]
     pub description: String,
-    /// Votes in force.
+    /// The number of votes in force.
     pub votes: usize,
-    /// Open watches.
+    /// The number of open watches.
     pub watches: WatchCounts,
-    /// Why the last batch was not durable, if it was not.
+    /// Why the last batch could not be made durable, if it could not.
     #[serde(rename = "trouble")]
     pub write_error: Option<String>,
 }
 
-/// Open watches; in JSON an array of two numbers.
+/// The numbers of open watches. In JSON this is an array of two numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, usize)", into = "(usize, usize)")]
 pub struct WatchCounts {
-    /// Watches by proxies.
+    /// The number of watches by proxies.
     pub proxies: usize,
-    /// Watches by platforms.
+    /// The number of watches by platforms.
     pub platforms: usize,
 }
 
@@ -109,12 +110,12 @@
     /// The status.
     #[serde(rename = "state")]
     Status(Box<Status>),
-    /// The outcome of an event.
+    /// The outcome of the operator's event.
     Reply(Reply),
     /// The errors in a plan.
     #[serde(rename = "faults")]
     InvalidPlan(Vec<String>),
-    /// The request was malformed, did not become durable, or reached a standby.
+    /// The request was malformed, did not become durable, got no response in time, or reached a standby.
     #[serde(rename = "not")]
     Failed(String),
 }
--- a/crates/controller/src/control/client.rs
+++ b/crates/controller/src/control/client.rs
@@ -6,26 +6,26 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a controller's response could not be had.
+/// The reason why there is no response from the controller.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The socket cannot be used, or nothing came in time.
-    #[error("{}: {source}", .path.display())]
+    /// The socket cannot be used, or no response arrived in time.
+    #[error("control socket {}: {source}", .path.display())]
     Io {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
-    /// The request cannot be written as JSON.
-    #[error("{0}")]
+    /// The request cannot be encoded as JSON.
+    #[error("cannot encode the request as JSON: {0}")]
     Encode(#[source] serde_json::Error),
     /// The response cannot be parsed.
-    #[error("{}: no answer that can be read: {source}", .path.display())]
+    #[error("control socket {}: cannot parse the response: {source}", .path.display())]
     Decode {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// Where the parser stopped.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
@@ -33,7 +33,7 @@
 /// Sends a request to a controller and waits for its response.
 ///
 /// # Errors
-/// The socket cannot be used, nothing came within `timeout`, or the response cannot be parsed.
+/// The socket cannot be used, no response arrived within `timeout`, or the response cannot be parsed.
 pub fn send_request(path: &Path, request: &Request, timeout: Duration) -> Result<Response, ControlError> {
     let io_error = |source| ControlError::Io { path: path.to_owned(), source };
     let stream = UnixStream::connect(path).map_err(io_error)?;
--- a/crates/controller/src/control/server.rs
+++ b/crates/controller/src/control/server.rs
@@ -1,5 +1,6 @@
-//! The server side of the control socket. Its thread reads and checks requests, among them plans, whose
-//! scripts may take a while to evaluate; the event loop only gets events.
+//! The server side of the control socket. It has its own thread, which reads and checks requests, since the
+//! script of a plan may take a while to evaluate. The event loop receives only valid events and status
+//! requests.
 
 use super::{MAX_LINE_LEN, Request, Response};
 use calloop::channel::Sender as LoopSender;
@@ -11,34 +12,34 @@
 use std::time::Duration;
 use violetseam_release::Event;
 
-/// How long either side waits for the other.
+/// The time limit for reading a request, for the event loop's response, and for writing the response.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest name of an operator or a wave, in bytes.
+/// The greatest length of the name of an operator or a wave, in bytes.
 const MAX_NAME_LEN: usize = 128;
-/// Only the owner may open the socket.
+/// The file mode of the socket: only its owner may open it.
 const SOCKET_MODE: u32 = 0o600;
 
-/// A request that the event loop answers.
+/// A call to the event loop.
 pub enum ControlCall {
     /// Asks for the status.
     Status {
-        /// Takes the response.
+        /// Receives the response.
         response: Sender<Response>,
     },
-    /// Takes an event into the next batch.
+    /// Takes an operator's event into the next batch.
     Event {
-        /// The event.
+        /// The event from the operator.
         event: Event,
-        /// Takes the response.
+        /// Receives the response.
         response: Sender<Response>,
     },
 }
 
-/// Opens the socket and serves it on a thread.
+/// Opens the control socket and serves it on its own thread.
 ///
 /// # Errors
-/// The socket cannot be created, or the system refuses another thread.
-pub fn listen(path: &Path, to_loop: LoopSender<ControlCall>) -> std::io::Result<()> {
+/// The socket cannot be created, or the system cannot start another thread.
+pub fn listen(path: &Path, call_sender: LoopSender<ControlCall>) -> std::io::Result<()> {
     let mut temporary = path.to_owned().into_os_string();
     temporary.push(".new");
     let _ = std::fs::remove_file(&temporary);
@@ -47,29 +48,31 @@
     std::fs::rename(&temporary, path)?;
     std::thread::Builder::new().name("control".into()).spawn(move || {
         for stream in listener.incoming().flatten() {
-            serve_connection(&stream, &to_loop);
+            serve_connection(&stream, &call_sender);
         }
     })?;
     Ok(())
 }
 
-fn serve_connection(stream: &UnixStream, to_loop: &LoopSender<ControlCall>) {
+/// Serves one request: reads it, waits for the response and writes that.
+fn serve_connection(stream: &UnixStream, call_sender: &LoopSender<ControlCall>) {
     let (sender, receiver) = channel();
-    if dispatch(stream, to_loop, sender).is_err() {
+    if receive_request(stream, call_sender, sender).is_err() {
         return;
     }
     let response = receiver
         .recv_timeout(PEER_TIMEOUT)
         .unwrap_or_else(|_| Response::Failed("no answer in time; it may count".into()));
-    let mut line = serde_json::to_vec(&response).unwrap_or_default();
-    line.push(b'\n');
-    let _ = (&*stream).write_all(&line);
+    let mut response_line = serde_json::to_vec(&response).unwrap_or_default();
+    response_line.push(b'\n');
+    let _ = (&*stream).write_all(&response_line);
 }
 
-/// Reads one request and passes it to the event loop, or answers a malformed one at once.
-fn dispatch(
+/// Reads one request and passes it to the event loop. The response to an invalid request is sent to
+/// `response` at once.
+fn receive_request(
     stream: &UnixStream,
-    to_loop: &LoopSender<ControlCall>,
+    call_sender: &LoopSender<ControlCall>,
     response: Sender<Response>,
 ) -> std::io::Result<()> {
     stream.set_read_timeout(Some(PEER_TIMEOUT))?;
@@ -79,12 +82,12 @@
     let call = match parse_request(&line) {
         Ok(ParsedRequest::Status) => ControlCall::Status { response },
         Ok(ParsedRequest::Event(event)) => ControlCall::Event { event, response },
-        Err(error) => {
-            let _ = response.send(error);
+        Err(failure) => {
+            let _ = response.send(failure);
             return Ok(());
         }
     };
-    to_loop.send(call).map_err(|_| std::io::ErrorKind::BrokenPipe.into())
+    call_sender.send(call).map_err(|_| std::io::ErrorKind::BrokenPipe.into())
 }
 
 /// A request that passed all checks.
@@ -93,15 +96,15 @@
     Event(Event),
 }
 
-/// Parses and checks a request; the error is the response to it.
+/// Parses and checks a request. The error is the response to an invalid request.
 fn parse_request(line: &[u8]) -> Result<ParsedRequest, Response> {
     let request: Request =
         serde_json::from_slice(line).map_err(|error| Response::Failed(format!("not understood: {error}")))?;
     let event = match request {
         Request::Status => return Ok(ParsedRequest::Status),
         Request::SubmitPlan { name, text } => {
-            let plan = violetseam_plan::read_text(&name, &text, &[], crate::wall_clock());
-            let plan = plan
+            let result = violetseam_plan::read_text(&name, &text, &[], crate::wall_clock());
+            let plan = result
                 .map_err(|faults| Response::InvalidPlan(faults.iter().map(ToString::to_string).collect()))?;
             Event::Offer(Box::new(plan))
         }
