--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -1,19 +1,21 @@
-//! The controller's event loop. Proxies watch the release and vote, the platform watches which builds are
-//! desired and reports, operators send requests; all of it becomes events, taken in batches that are durable
-//! before they are in force.
+//! The controller's event loop.
 //!
-//! - `leadership.rs`: the lease, beginning a term, stepping down
-//! - `batches.rs`: events in batches: decided on a copy, made durable, then in force
-//! - `responses.rs`: the outcome of each event, to whoever waits for it
-//! - `connections.rs`: HTTP connections
+//! Proxies watch the release and vote, the platform watches the desired builds and reports the builds in its
+//! places, and operators send requests. The controller turns all of this into events and applies them in
+//! batches. A batch takes effect only once it is durable.
+//!
+//! - `leadership.rs`: the lease, the start of a term, and stepping down
+//! - `batches.rs`: batches of events, from the decision on a copy of the state until they take effect
+//! - `responses.rs`: the response to the sender of each event
+//! - `connections.rs`: the HTTP connections
 //! - `requests.rs`: the HTTP requests of proxies and the platform
-//! - `watches.rs`: streams of changes to proxies and the platform
-//! - `operators.rs`: calls from the control socket
-//! - `crash_point.rs`: crashes on purpose, for tests
+//! - `watches.rs`: the streams of changes to proxies and the platform
+//! - `operators.rs`: the calls from the control socket
+//! - `crash_point.rs`: deliberate crashes, for tests
 //!
-//! A standby answers 503 and observes the leader's lease; it begins a term when the lease has not been
-//! renewed for its length. A leader that another one has replaced closes all connections and becomes a
-//! standby.
+//! A standby answers every HTTP request with 503 and observes the leader's lease. It begins a term if the
+//! lease was released or has expired. A leader that another controller has replaced closes all its
+//! connections and becomes a standby.
 
 mod batches;
 mod connections;
@@ -44,33 +46,33 @@
 use std::time::{Duration, Instant};
 use violetseam_release::Now;
 
-/// Why a controller cannot run.
+/// The reason why a controller cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The event loop failed.
     #[error("the event loop failed: {0}")]
     EventLoop(#[from] calloop::Error),
-    /// The address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The controller cannot listen on its address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
     /// The control socket cannot be served.
-    #[error("control: {}: {source}", .path.display())]
+    #[error("cannot serve the control socket {}: {source}", .path.display())]
     ControlSocket {
-        /// The socket from the settings.
+        /// The path of the control socket, from the settings.
         path: PathBuf,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
     /// The state directory cannot be used.
     #[error(transparent)]
     Journal(#[from] JournalError),
     /// The thread that writes the journal cannot be started.
-    #[error("cannot start the thread that writes the journal: {0}")]
+    #[error("cannot start the journal writer thread: {0}")]
     WriterThread(#[source] std::io::Error),
 }
 
@@ -80,31 +82,32 @@
     }
 }
 
-/// The controller on its event loop.
+/// The state of the controller's event loop.
 struct Controller {
     settings: Settings,
     state_dir: StateDir,
     handle: LoopHandle<'static, Controller>,
     connections: Slab<Connection>,
-    /// Counts connections, so that a slot that is used again is told from its earlier connection.
+    /// The generation of the latest connection. It distinguishes a connection from earlier ones in the same
+    /// slot.
     last_generation: u64,
     started_at: Instant,
-    /// `None` on a standby.
+    /// The state of this controller as the leader; `None` on a standby.
     term: Option<Term>,
     completions: calloop::channel::Sender<WriteCompletion>,
-    /// The leader's lease, as a standby sees it.
+    /// The leader's lease, as this controller observes it while it is a standby.
     observed_lease: ObservedLease,
     next_lease_check: Instant,
     stopping: bool,
-    /// Batches so far that were handed to the journal.
+    /// The number of batches that were decided so far and changed the state.
     #[cfg(feature = "sabotage")]
     batch_count: u64,
 }
 
-/// What a controller did.
+/// A summary of a controller's run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Its last term; 0 if it was only a standby.
+    /// The last term that the controller led; 0 if it was only a standby.
     pub term: u64,
 }
 
@@ -121,7 +124,8 @@
 ) -> Result<Summary, ServeError> {
     let mut event_loop: EventLoop<'static, Controller> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    // Before any thread is started, which would take the signals otherwise.
+    // The signals are blocked before any thread is started, because another thread might receive them
+    // otherwise.
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
     handle.insert_source(signals, |_, (), controller: &mut Controller| controller.stopping = true)?;
     let state_dir = StateDir::open(state)?;
@@ -139,7 +143,7 @@
         started_at: now,
         term: None,
         completions,
-        observed_lease: ObservedLease { text: None, since: now },
+        observed_lease: ObservedLease { heartbeat: None, unchanged_since: now },
         next_lease_check: now,
         stopping: false,
         #[cfg(feature = "sabotage")]
@@ -154,7 +158,8 @@
     Ok(summary)
 }
 
-/// Listens for proxies and the platform; returns the address in use.
+/// Listens for proxies and the platform. Returns the address in use, with the port that the system chose if
+/// the settings leave it open.
 fn listen(handle: &LoopHandle<'static, Controller>, address: SocketAddr) -> Result<SocketAddr, ServeError> {
     let listen_error = |source| ServeError::Listen { address, source };
     let listener = TcpListener::bind(address).map_err(listen_error)?;
@@ -168,7 +173,7 @@
     Ok(local_address)
 }
 
-/// Takes results from the thread that writes the journal.
+/// Registers a channel for results from the journal writer thread. Returns its sending end.
 fn register_completions(
     handle: &LoopHandle<'static, Controller>,
 ) -> Result<calloop::channel::Sender<WriteCompletion>, ServeError> {
@@ -181,6 +186,7 @@
     Ok(sender)
 }
 
+/// Opens the control socket and registers a channel for its calls.
 fn listen_for_operators(handle: &LoopHandle<'static, Controller>, path: &Path) -> Result<(), ServeError> {
     let (sender, receiver) = channel::<ControlCall>();
     handle.insert_source(receiver, |event, (), controller: &mut Controller| {
@@ -193,7 +199,7 @@
 }
 
 impl Controller {
-    /// Runs until a signal or `stop_at`.
+    /// Runs the event loop until a signal arrives or `stop_at` has passed.
     fn run(
         &mut self,
         event_loop: &mut EventLoop<'static, Controller>,
@@ -215,17 +221,17 @@
         Ok(summary)
     }
 
-    /// The time of an event, on both clocks.
+    /// Returns the current time on both clocks, as the time of an event.
     fn event_time(&self) -> Now {
         Now { wall: crate::wall_clock(), steady: self.steady_micros() }
     }
 
-    /// Microseconds since this controller started.
+    /// Returns the monotonic clock, in microseconds since this controller started.
     fn steady_micros(&self) -> u64 {
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// How long until something is due by time alone.
+    /// Returns the time until the next periodic work is due.
     fn poll_timeout(&self) -> Duration {
         let now = Instant::now();
         let next = match &self.term {
@@ -235,7 +241,7 @@
         next.saturating_duration_since(now).min(self.settings.heartbeat / 2)
     }
 
-    /// Does what is due once the sockets have been read.
+    /// Does the periodic work that is due, submits the queued events and updates the connections.
     fn run_due_work(&mut self) -> Result<(), ServeError> {
         let now = Instant::now();
         if self.term.is_none() && now >= self.next_lease_check {
--- a/crates/controller/src/serve/batches.rs
+++ b/crates/controller/src/serve/batches.rs
@@ -1,8 +1,8 @@
-//! Events in batches: decided on a copy of the state, made durable, then in force.
+//! Batches of events. A batch is decided on a copy of the state, made durable, and then takes effect.
 
 use super::Controller;
 #[cfg(feature = "sabotage")]
-use super::crash_point::{CrashPoint, reach};
+use super::crash_point::{CrashPoint, abort_if_chosen};
 use super::leadership::Term;
 use super::responses::{Origin, PendingReply};
 use crate::journal::{AppendError, Record, encode};
@@ -11,30 +11,30 @@
 use std::time::{Duration, Instant};
 use violetseam_release::{Event, EventOutcome, Now, Release};
 
-/// Events in one batch.
+/// The largest number of queued events in one batch.
 const MAX_BATCH_LEN: usize = 4_096;
-/// The pause after a batch that was not durable.
+/// The pause after a batch that could not be made durable.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The tick interval while nothing is due by time alone.
+/// The tick interval while the release does not wait for time to pass.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(5);
-/// Ticks are at least this far apart, in microseconds.
+/// The shortest interval until the next tick, in microseconds.
 const MIN_TICK_MICROS: u64 = 1_000;
 
-/// An event that waits for its batch.
+/// An event that waits to be taken into a batch.
 pub(super) struct QueuedEvent {
     pub event: Event,
     pub origin: Origin,
 }
 
-/// A batch that is not durable yet.
+/// A batch that the journal is making durable.
 pub(super) struct Batch {
-    /// The state after it.
+    /// The state after the batch.
     pub release: Arc<Release>,
     pub replies: Vec<PendingReply>,
 }
 
-/// A batch as it was decided.
-struct Decisions {
+/// The result of deciding a batch.
+struct DecidedBatch {
     release: Release,
     replies: Vec<PendingReply>,
     /// The records of the events that changed the state.
@@ -43,8 +43,9 @@
 }
 
 impl Term {
-    /// Decides the queued events and a tick on a copy of the state.
-    fn decide_batch(&mut self, now: Now) -> Decisions {
+    /// Decides the queued events, up to the largest number of a batch, and then a tick on a copy of the
+    /// state.
+    fn decide_batch(&mut self, now: Now) -> DecidedBatch {
         let mut release = Release::clone(&self.release);
         let mut replies = Vec::new();
         let mut records = Vec::new();
@@ -62,10 +63,10 @@
             }
             replies.push(PendingReply { origin, reply });
         }
-        Decisions { release, replies, records, event_count }
+        DecidedBatch { release, replies, records, event_count }
     }
 
-    /// Puts a durable state in force.
+    /// Adopts a state that has become durable.
     fn apply(&mut self, release: Arc<Release>, now: Instant) {
         let before = self.release.announcement();
         self.release = release;
@@ -88,8 +89,8 @@
 }
 
 impl Controller {
-    /// Decides the queued events as one batch and hands it to the journal, if one is due and none is in
-    /// flight.
+    /// Decides the queued events as one batch and hands it to the journal writer, if a batch is due and none
+    /// is in flight.
     pub(super) fn submit_batch(&mut self, now: Instant) {
         let event_time = self.event_time();
         let Some(term) = &mut self.term else { return };
@@ -97,7 +98,7 @@
         if term.in_flight.is_some() || !is_due || now < term.retry_at {
             return;
         }
-        let Decisions { release, replies, records, event_count } = term.decide_batch(event_time);
+        let DecidedBatch { release, replies, records, event_count } = term.decide_batch(event_time);
         let release = Arc::new(release);
         if event_count == 0 {
             term.release = release;
@@ -107,16 +108,16 @@
         #[cfg(feature = "sabotage")]
         {
             self.batch_count += 1;
-            reach(CrashPoint::Decided(self.batch_count));
+            abort_if_chosen(CrashPoint::Decided(self.batch_count));
         }
         let request = WriteRequest { records, event_count, state: Arc::clone(&release) };
         if term.writer.send(request).is_err() {
-            return self.step_down("the journal's thread is gone");
+            return self.step_down("the journal writer thread has ended");
         }
         term.in_flight = Some(Batch { release, replies });
     }
 
-    /// The batch in flight is durable, or failed.
+    /// Handles the result of the batch in flight: the batch is durable, or it failed.
     pub(super) fn on_write_completed(&mut self, result: Result<(), AppendError>) {
         let now = Instant::now();
         let Some(term) = &mut self.term else { return };
@@ -124,19 +125,21 @@
         match result {
             Ok(()) => {
                 #[cfg(feature = "sabotage")]
-                reach(CrashPoint::Durable(self.batch_count));
+                abort_if_chosen(CrashPoint::Durable(self.batch_count));
                 term.apply(release, now);
                 self.send_replies(replies);
                 #[cfg(feature = "sabotage")]
                 {
                     self.update_connections(now);
-                    reach(CrashPoint::Announced(self.batch_count));
+                    abort_if_chosen(CrashPoint::Announced(self.batch_count));
                 }
             }
             Err(AppendError::Superseded) => self.step_down("another controller has begun a later term"),
             Err(error) => {
                 let reason = error.to_string();
-                tracing::error!("not kept, nothing of it counts: {reason}");
+                tracing::error!(
+                    "could not make a batch of events durable, so none of it takes effect: {reason}"
+                );
                 term.retry_at = now + RETRY_DELAY;
                 term.write_error = Some(reason.clone());
                 for pending in replies {
@@ -147,7 +150,7 @@
     }
 }
 
-/// When the next tick is due after a batch.
+/// Returns when the next tick is due after a batch.
 fn next_tick(release: &Release, now: Instant) -> Instant {
     let interval = match release.next_due() {
         Some(micros) => Duration::from_micros(micros.max(MIN_TICK_MICROS)),
--- a/crates/controller/src/serve/connections.rs
+++ b/crates/controller/src/serve/connections.rs
@@ -11,21 +11,23 @@
 use violetseam_http1::{Framing, Limits, RequestHead};
 use violetseam_site_protocol::{placement, release_service};
 
-/// Connections at once; further ones are closed.
+/// The largest number of simultaneous connections. Further ones are closed at once.
 const MAX_CONNECTIONS: usize = 4_096;
-/// Bytes that wait for a peer that does not read; past it, the connection closes.
+/// The largest number of unsent bytes on a connection. Beyond it, the connection is closed, since its peer
+/// does not read.
 const MAX_UNSENT_BYTES: usize = 8 << 20;
-/// Bytes that are read at once.
+/// The largest number of bytes that one read takes.
 const READ_BUFFER_LEN: usize = 16 * 1024;
 
-/// A connection's place in the table. The generation tells it from others that use the same slot later.
+/// Identifies a connection: its slot in the table, and a generation that differs for each connection in that
+/// slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionId {
     pub key: usize,
     pub generation: u64,
 }
 
-/// A connection of a proxy or the platform.
+/// A connection from a proxy or the platform.
 pub(super) struct Connection {
     pub generation: u64,
     pub socket: Socket,
@@ -34,11 +36,12 @@
     pub head: Option<Box<RequestHead>>,
     pub body: Vec<u8>,
     pub watch: Watch,
-    /// The last request, or the last write of a watch.
+    /// When the connection was accepted, last completed a request, or was last written to by its watch.
     pub last_active: Instant,
 }
 
 impl Controller {
+    /// Accepts all connections that wait.
     pub(super) fn accept(&mut self, listener: &TcpListener) {
         while let Ok((stream, _)) = listener.accept() {
             if self.connections.len() < MAX_CONNECTIONS {
@@ -70,7 +73,7 @@
         });
     }
 
-    /// Whether a connection is still the one that it was.
+    /// Returns whether this connection is still open, and its slot not used by a later one.
     pub(super) fn is_open(&self, id: ConnectionId) -> bool {
         self.connections.get(id.key).is_some_and(|connection| connection.generation == id.generation)
     }
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Parses what was read, up to complete requests.
+    /// Parses the bytes that were read, and handles each complete request.
     fn process_input(&mut self, key: usize) {
         while let Some(connection) = self.connections.get_mut(key) {
             match connection.http.next_event() {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Answers a request.
+    /// Sends a complete response to the current request.
     pub(super) fn respond(&mut self, key: usize, status: StatusCode, body: &[u8]) {
         let Some(Connection { socket, http, .. }) = self.connections.get_mut(key) else { return };
         let framing = Framing::Length(body.len() as u64);
@@ -137,9 +140,10 @@
         }
     }
 
+    /// Writes what is waiting to be sent.
     pub(super) fn flush(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        // A watcher that does not read is disconnected; it connects again.
+        // A watching proxy or platform that does not read is disconnected. It will connect again.
         if connection.socket.flush().is_err() || connection.socket.unwritten_bytes() > MAX_UNSENT_BYTES {
             return self.close(key);
         }
@@ -148,7 +152,7 @@
 }
 
 impl Connection {
-    /// The longest body of the request that is being read: only the platform's reports are long.
+    /// Returns the largest body of the request that is being read. Only place reports may be long.
     fn max_body_len(&self) -> usize {
         let is_place_report = self.head.as_ref().is_some_and(|head| head.target.starts_with("/v1/places"));
         if is_place_report { placement::MAX_LINE_BYTES } else { release_service::MAX_LINE_BYTES }
--- a/crates/controller/src/serve/crash_point.rs
+++ b/crates/controller/src/serve/crash_point.rs
@@ -1,4 +1,4 @@
-//! Crashes on purpose, for tests of what a restart makes of them.
+//! Deliberate crashes at defined steps, for tests of recovery.
 
 use super::{ServeError, Summary, serve};
 use crate::settings::Settings;
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A step of the `n`th batch, from 1, at which a controller aborts: what a kill at that very moment would do,
-/// without the luck that it takes.
+/// A step in the handling of the `n`th batch, counted from 1, at which a controller aborts. The effect is
+/// that of a kill at this step, which a test cannot time reliably from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Decided, and not handed to the journal.
+    /// The batch is decided and not yet handed to the journal writer.
     Decided(u64),
-    /// Durable, and not announced.
+    /// The batch is durable and not yet announced.
     Durable(u64),
-    /// Announced and answered.
+    /// The batch is announced and its replies are sent.
     Announced(u64),
 }
 
@@ -22,10 +22,10 @@
     static CRASH_POINT: Cell<Option<CrashPoint>> = const { Cell::new(None) };
 }
 
-/// Runs a controller as [`serve`] does, until it aborts at a step.
+/// Runs a controller as [`serve`] does, until it aborts at `crash_point`.
 ///
 /// # Errors
-/// As for [`serve`].
+/// The same as of [`serve`].
 pub fn serve_until(
     settings: Settings,
     state: &Path,
@@ -36,8 +36,8 @@
     serve(settings, state, None, on_listening)
 }
 
-/// Aborts if this step was chosen.
-pub(super) fn reach(step: CrashPoint) {
+/// Aborts the process if this step is the chosen crash point.
+pub(super) fn abort_if_chosen(step: CrashPoint) {
     if CRASH_POINT.get() == Some(step) {
         std::process::abort();
     }
--- a/crates/controller/src/serve/leadership.rs
+++ b/crates/controller/src/serve/leadership.rs
@@ -1,4 +1,4 @@
-//! The lease, beginning a term and stepping down.
+//! The lease, the start of a term, and stepping down.
 
 use super::batches::{Batch, QueuedEvent};
 use super::responses::Origin;
@@ -12,46 +12,47 @@
 use std::time::Instant;
 use violetseam_release::{Release, VoteRateLimit};
 
-/// Heartbeats within one lease.
+/// The number of heartbeats that a leader sends within the duration of a lease.
 const HEARTBEATS_PER_LEASE: u32 = 4;
-/// Checks by a standby within one lease.
+/// The number of times that a standby checks the lease within its duration.
 const CHECKS_PER_LEASE: u32 = 8;
-/// The highest rate of the vote limit, for releases without a plan.
+/// The upper bound of the rate limit for votes, in votes per second. It applies while there is no plan.
 const MAX_VOTE_RATE: f64 = 1e9;
 
-/// The leader's lease, as a standby sees it.
+/// The leader's lease, as a standby observes it.
 pub(super) struct ObservedLease {
     /// The latest heartbeat; `None` if the lease was released.
-    pub text: Option<String>,
-    /// Since when it has not changed.
-    pub since: Instant,
+    pub heartbeat: Option<String>,
+    /// When this controller first read this heartbeat.
+    pub unchanged_since: Instant,
 }
 
 /// The state of a leader.
 pub(super) struct Term {
     pub number: u64,
-    /// The state in force: all of it is durable.
+    /// The state that is in effect. All of it is durable.
     pub release: Arc<Release>,
-    /// Which build each place is to run.
+    /// The builds that each place should run, as pairs of place and build.
     pub desired_builds: BTreeSet<(u32, u16)>,
-    /// Grows with each change of the desired builds, and when they are sent again.
+    /// Increases with each change of the desired builds, and each time they are sent again.
     pub desired_version: u64,
     pub desired_sent_at: Instant,
     pub vote_limit: VoteRateLimit,
     pub queue: Vec<QueuedEvent>,
     pub writer: Sender<WriteRequest>,
-    /// The batch that becomes durable now.
+    /// The batch that the journal writer is making durable.
     pub in_flight: Option<Batch>,
     pub next_tick: Instant,
-    /// No batch is submitted before this, after one that failed.
+    /// After a failed batch, no batch is submitted before this time.
     pub retry_at: Instant,
+    /// Why the last batch could not be made durable, if it could not.
     pub write_error: Option<String>,
     pub heartbeat_count: u64,
     pub next_heartbeat: Instant,
 }
 
 impl Term {
-    /// When something is due by time alone.
+    /// Returns when the leader's next periodic work is due.
     pub fn next_wakeup(&self) -> Instant {
         if self.in_flight.is_some() {
             self.next_heartbeat
@@ -64,27 +65,28 @@
 }
 
 impl Controller {
-    /// On a standby: begins a term if the leader's lease has expired or was released.
+    /// Checks the lease on a standby, and begins a term if the lease has expired or was released.
     pub(super) fn check_lease(&mut self) -> Result<(), ServeError> {
         let now = Instant::now();
         self.next_lease_check = now + self.settings.lease / CHECKS_PER_LEASE;
-        let text = self.state_dir.read_lease();
-        if text != self.observed_lease.text {
-            self.observed_lease = ObservedLease { text, since: now };
+        let heartbeat = self.state_dir.read_lease();
+        if heartbeat != self.observed_lease.heartbeat {
+            self.observed_lease = ObservedLease { heartbeat, unchanged_since: now };
         }
-        let released = self.observed_lease.text.is_none();
-        if !released && now < self.observed_lease.since + self.settings.lease {
+        let is_released = self.observed_lease.heartbeat.is_none();
+        if !is_released && now < self.observed_lease.unchanged_since + self.settings.lease {
             return Ok(());
         }
         match self.state_dir.begin_term(&self.settings.name, self.settings.build, self.event_time()) {
-            Ok(new_term) => self.lead(new_term),
+            Ok(new_term) => self.become_leader(new_term),
             Err(JournalError::TermTaken) => {
-                self.observed_lease.since = now;
+                self.observed_lease.unchanged_since = now;
                 Ok(())
             }
-            // A full disk is waited for; a journal that cannot be replayed needs a person.
+            // An I/O error, such as a full disk, may pass. A journal that cannot be replayed needs an
+            // operator.
             Err(error @ JournalError::Io { .. }) => {
-                tracing::error!("cannot begin a term: {error}");
+                tracing::error!("cannot begin a term, will try again: {error}");
                 self.next_lease_check = now + self.settings.lease;
                 Ok(())
             }
@@ -92,7 +94,8 @@
         }
     }
 
-    fn lead(&mut self, new_term: NewTerm) -> Result<(), ServeError> {
+    /// Starts the journal writer thread of a new term and sends the first heartbeat.
+    fn become_leader(&mut self, new_term: NewTerm) -> Result<(), ServeError> {
         let NewTerm { number, release, writer, replayed_events, torn } = new_term;
         tracing::info!(
             term = number,
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Becomes a standby: another controller leads. All connections close, and operators learn that the
+    /// Becomes a standby. All connections are closed, and operators who wait for a response are told that the
     /// outcome of their requests is unknown.
     pub(super) fn step_down(&mut self, reason: &str) {
         let Some(term) = self.term.take() else { return };
@@ -149,8 +152,8 @@
         let queued = term.queue.into_iter().map(|queued| queued.origin);
         for origin in in_flight.chain(queued) {
             if let Origin::Operator(response) = origin {
-                let unknown = "another controller has taken over; it may count";
-                let _ = response.send(Response::Failed(unknown.into()));
+                let outcome_unknown = "another controller has taken over; it may count";
+                let _ = response.send(Response::Failed(outcome_unknown.into()));
             }
         }
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
@@ -158,7 +161,7 @@
             self.close(key);
         }
         let now = Instant::now();
-        self.observed_lease = ObservedLease { text: self.state_dir.read_lease(), since: now };
+        self.observed_lease = ObservedLease { heartbeat: self.state_dir.read_lease(), unchanged_since: now };
         self.next_lease_check = now + self.settings.lease / CHECKS_PER_LEASE;
     }
 }
--- a/crates/controller/src/serve/operators.rs
+++ b/crates/controller/src/serve/operators.rs
@@ -1,4 +1,4 @@
-//! Calls from the control socket.
+//! The calls from the control socket.
 
 use super::Controller;
 use super::batches::QueuedEvent;
@@ -7,6 +7,7 @@
 use crate::control::{ControlCall, Response, Status, WatchCounts};
 
 impl Controller {
+    /// Answers a status request, or queues an operator's event.
     pub(super) fn on_control_call(&mut self, call: ControlCall) {
         match call {
             ControlCall::Status { response } => {
@@ -16,8 +17,8 @@
                 if let Some(term) = &mut self.term {
                     term.queue.push(QueuedEvent { event, origin: Origin::Operator(response) });
                 } else {
-                    let standby = "this controller stands by: say it to the one that speaks";
-                    let _ = response.send(Response::Failed(standby.into()));
+                    let not_leader = "this controller stands by: say it to the one that speaks";
+                    let _ = response.send(Response::Failed(not_leader.into()));
                 }
             }
         }
--- a/crates/controller/src/serve/requests.rs
+++ b/crates/controller/src/serve/requests.rs
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Queues a vote as an event, unless the rate limit is exceeded or the vote is malformed.
     fn on_vote(&mut self, id: ConnectionId, body: &[u8]) {
         let steady = self.steady_micros();
         let Some(term) = &mut self.term else { return };
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Queues reports as events. What a complete report leaves out is gone.
+    /// Queues reports as events. Known builds that a complete report does not contain are reported as gone.
     fn on_place_reports(&mut self, id: ConnectionId, reports: &[PlaceReport], is_complete: bool) {
         let Some(term) = &mut self.term else { return };
         if is_complete {
@@ -71,7 +72,7 @@
             let event = Event::Place { place: report.place, build: report.build, state };
             term.queue.push(QueuedEvent { event, origin: Origin::Internal });
         }
-        // The response follows the last of them.
+        // The response is sent with the outcome of the last report.
         match term.queue.last_mut() {
             Some(last) if !reports.is_empty() || is_complete => last.origin = Origin::PlaceReport(id),
             _ => self.respond(id.key, StatusCode::OK, b"{}"),
--- a/crates/controller/src/serve/responses.rs
+++ b/crates/controller/src/serve/responses.rs
@@ -1,4 +1,4 @@
-//! The outcome of each event, to whoever waits for it.
+//! The responses to the senders of events.
 
 use super::Controller;
 use super::connections::ConnectionId;
@@ -8,32 +8,33 @@
 use violetseam_release::Reply;
 use violetseam_site_protocol::release_service::{VoteOutcome, VoteReply};
 
-/// Where an event came from: who waits for its outcome.
+/// The origin of an event, which is where its outcome is sent.
 pub(super) enum Origin {
-    /// Nobody waits.
+    /// No sender waits for the outcome.
     Internal,
-    /// A proxy's vote.
+    /// A proxy waits for the outcome of its vote.
     Vote(ConnectionId),
-    /// The last of the platform's reports in one request.
+    /// The platform waits for the outcome of a request with place reports, of which this is the last report.
     PlaceReport(ConnectionId),
-    /// A request on the control socket.
+    /// An operator waits for the outcome of a request on the control socket.
     Operator(Sender<Response>),
 }
 
-/// A reply that is sent once its batch is durable.
+/// A reply that is sent once the batch of its event is durable.
 pub(super) struct PendingReply {
     pub origin: Origin,
     pub reply: Reply,
 }
 
 impl Controller {
+    /// Sends the replies of a batch.
     pub(super) fn send_replies(&mut self, replies: Vec<PendingReply>) {
         for pending in replies {
             self.send_reply(pending.origin, Ok(pending.reply));
         }
     }
 
-    /// Sends the outcome of an event; an error says why its batch is not durable.
+    /// Sends the outcome of an event to its origin. An error says why the batch could not be made durable.
     pub(super) fn send_reply(&mut self, origin: Origin, reply: Result<Reply, &str>) {
         match origin {
             Origin::Internal => {}
@@ -61,6 +62,8 @@
         }
     }
 
+    /// Sends the response to a vote. If the vote was accepted, the response contains the current
+    /// announcement.
     pub(super) fn respond_to_vote(&mut self, id: ConnectionId, outcome: VoteOutcome) {
         if self.is_open(id) {
             let release = self.announcement().filter(|_| outcome == VoteOutcome::Ok);
--- a/crates/controller/src/serve/watches.rs
+++ b/crates/controller/src/serve/watches.rs
@@ -1,4 +1,5 @@
-//! Watches: streams of changes to proxies (the release) and the platform (the desired builds).
+//! Watches, which are streams of changes: of the release to proxies, and of the desired builds to the
+//! platform.
 
 use super::Controller;
 use super::connections::Connection;
@@ -11,27 +12,27 @@
 use violetseam_site_protocol::placement::DesiredBuilds;
 use violetseam_site_protocol::release_service::{self, PhaseName};
 
-/// A connection without a watch or a request for so many heartbeats is closed, so that idle ones keep nobody
-/// out.
+/// A connection without a watch is closed after this many heartbeat intervals without a request, so that idle
+/// connections do not use up the connection limit.
 const MAX_IDLE_HEARTBEATS: u32 = 30;
-/// The desired builds are sent again this often, changed or not.
+/// The interval at which the desired builds are sent again, even if they have not changed.
 const DESIRED_RESEND_INTERVAL: Duration = Duration::from_secs(5);
-/// The line that shows that a watch is alive.
+/// The line that is sent as a heartbeat on a watch.
 const HEARTBEAT_LINE: &[u8] = b"\n";
 
-/// What a connection watches, and what it was sent last.
+/// What a connection watches, with the state that was last sent on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Watch {
-    /// Nothing.
+    /// The connection watches nothing.
     None,
-    /// The release.
+    /// The connection watches the release; the last announcement that was sent.
     Release(Option<release_service::ReleaseUpdate>),
-    /// The version of the desired builds.
+    /// The connection watches the desired builds; the last version that was sent.
     DesiredBuilds(u64),
 }
 
 impl Controller {
-    /// The announcement to proxies; all of it is durable.
+    /// Returns the announcement to proxies, all of which is durable; `None` on a standby.
     pub(super) fn announcement(&self) -> Option<release_service::ReleaseUpdate> {
         let term = self.term.as_ref()?;
         let Announcement { build, stage, phase, cap } = term.release.announcement();
@@ -44,11 +45,13 @@
         Some(release_service::ReleaseUpdate { build, stage, phase, cap, fence: term.number })
     }
 
+    /// Starts a watch of the release.
     pub(super) fn watch_release(&mut self, key: usize) {
         let announcement = self.announcement();
         self.start_watch(key, Watch::Release(announcement), &announcement_line(announcement));
     }
 
+    /// Starts a watch of the desired builds.
     pub(super) fn watch_desired_builds(&mut self, key: usize) {
         let Some(term) = &self.term else { return };
         let watch = Watch::DesiredBuilds(term.desired_version);
@@ -56,6 +59,7 @@
         self.start_watch(key, watch, &line);
     }
 
+    /// Starts a watch with its first line.
     fn start_watch(&mut self, key: usize, watch: Watch, line: &[u8]) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.watch = watch;
@@ -78,7 +82,7 @@
         }
         let version = term.desired_version;
         let mut desired_line = None;
-        let mut written = Vec::new();
+        let mut written_keys = Vec::new();
         for (key, connection) in &mut self.connections {
             let heartbeat_due = now >= connection.last_active + heartbeat;
             let line = match &mut connection.watch {
@@ -96,29 +100,29 @@
             };
             connection.last_active = now;
             connection.http.write_body(connection.socket.write_buffer(), &line);
-            written.push(key);
+            written_keys.push(key);
         }
-        for key in written {
+        for key in written_keys {
             self.flush(key);
         }
     }
 
     fn close_idle_connections(&mut self, now: Instant) {
         let max_idle = self.settings.heartbeat * MAX_IDLE_HEARTBEATS;
-        let mut idle = Vec::new();
+        let mut idle_keys = Vec::new();
         for (key, connection) in &self.connections {
             if connection.watch == Watch::None && now >= connection.last_active + max_idle {
-                idle.push(key);
+                idle_keys.push(key);
             }
         }
-        for key in idle {
+        for key in idle_keys {
             self.close(key);
         }
     }
 }
 
 fn announcement_line(announcement: Option<release_service::ReleaseUpdate>) -> Vec<u8> {
-    announcement.map(|news| news.write()).unwrap_or_default()
+    announcement.map(|update| update.write()).unwrap_or_default()
 }
 
 fn desired_builds_line(term: &Term) -> Vec<u8> {
