--- a/crates/controller/tests/journal.rs
+++ b/crates/controller/tests/journal.rs
@@ -1,4 +1,5 @@
-//! The journal: torn at any byte, damaged, of a later version, of an earlier leader; terms and snapshots.
+//! Tests of the state directory: journals that are torn at any byte, damaged, of a later format, diverging on
+//! replay or written by a superseded leader; the exclusive start of terms; snapshots.
 
 use std::path::{Path, PathBuf};
 use violetseam_controller::journal::{
@@ -7,16 +8,19 @@
 use violetseam_plan::read_text;
 use violetseam_release::{Event, Now, PlaceState, Release, Reply, Verdict, Vote};
 
-const S: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-fn folder(name: &str) -> PathBuf {
+fn temp_state_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("vs-journal-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
 fn now(seconds: u64) -> Now {
-    Now { wall: 1_800_000_000 * S + seconds * S, steady: seconds * S }
+    Now {
+        wall: 1_800_000_000 * MICROS_PER_SECOND + seconds * MICROS_PER_SECOND,
+        steady: seconds * MICROS_PER_SECOND,
+    }
 }
 
 fn offer() -> Event {
@@ -31,21 +35,21 @@
     Event::Vote(Vote { proxy, build: 7, stage: 0, verdict: Verdict::On })
 }
 
-/// Decides an event and gives its line, as the controller does.
-fn decide(release: &mut Release, at: Now, event: Event) -> Vec<u8> {
+/// Applies an event and returns its record, as the controller does; empty if the event changed nothing.
+fn decide(release: &mut Release, time: Now, event: Event) -> Vec<u8> {
     let before = release.announcement();
-    let changed = release.on_event(at, &event).changed;
-    let news = release.announcement();
-    let after = (news != before).then_some(news);
-    if changed { encode(&Record::Event { now: at, event, after }) } else { Vec::new() }
+    let changed = release.on_event(time, &event).changed;
+    let announcement = release.announcement();
+    let after = (announcement != before).then_some(announcement);
+    if changed { encode(&Record::Event { now: time, event, after }) } else { Vec::new() }
 }
 
 fn journal(path: &Path, term: u64) -> PathBuf {
     path.join(format!("journal-{term}-0"))
 }
 
-/// A term with an offer, its first wave and two votes.
-fn begin_and_play(path: &Path) -> (NewTerm, Release) {
+/// Begins a term and records a submitted plan, the start of its first wave and two votes.
+fn begin_term_with_votes(path: &Path) -> (NewTerm, Release) {
     let mut new_term = StateDir::open(path).unwrap().begin_term("one", 1, now(0)).unwrap();
     let mut release = new_term.release.clone();
     let events = [
@@ -64,8 +68,8 @@
 
 #[test]
 fn a_successor_resumes_the_state_of_the_leader_before() {
-    let path = folder("goes-on");
-    let (_, release) = begin_and_play(&path);
+    let path = temp_state_path("goes-on");
+    let (_, release) = begin_term_with_votes(&path);
     let replay = StateDir::open(&path).unwrap().read().unwrap().unwrap();
     assert_eq!((replay.release.clone(), replay.torn), (release.clone(), false));
     let new_term = StateDir::open(&path).unwrap().begin_term("two", 1, now(20)).unwrap();
@@ -73,10 +77,10 @@
         (new_term.number, new_term.release.announcement(), new_term.release.votes()),
         (2, release.announcement(), 2)
     );
-    // Two minutes away: the votes are past their time.
-    let late = StateDir::open(&path).unwrap().begin_term("three", 1, now(140)).unwrap();
+    // After two minutes, the votes have exceeded their lifetime of 30 s.
+    let after_vote_ttl = StateDir::open(&path).unwrap().begin_term("three", 1, now(140)).unwrap();
     assert_eq!(
-        (late.number, late.release.announcement(), late.release.votes()),
+        (after_vote_ttl.number, after_vote_ttl.release.announcement(), after_vote_ttl.release.votes()),
         (3, release.announcement(), 0)
     );
     std::fs::remove_dir_all(path).unwrap();
@@ -84,37 +88,38 @@
 
 #[test]
 fn torn_at_any_byte_the_complete_records_are_replayed_and_nothing_is_written() {
-    let path = folder("torn");
-    begin_and_play(&path);
-    let file = journal(&path, 1);
-    let whole = std::fs::read(&file).unwrap();
-    let lines: Vec<usize> = whole.iter().enumerate().filter(|b| *b.1 == b'\n').map(|b| b.0 + 1).collect();
-    let state_end = lines[1];
-    let mut known = 0;
-    for cut in state_end..=whole.len() {
-        std::fs::write(&file, &whole[..cut]).unwrap();
+    let path = temp_state_path("torn");
+    begin_term_with_votes(&path);
+    let journal_file = journal(&path, 1);
+    let complete_bytes = std::fs::read(&journal_file).unwrap();
+    let line_ends: Vec<usize> =
+        complete_bytes.iter().enumerate().filter(|b| *b.1 == b'\n').map(|b| b.0 + 1).collect();
+    let snapshot_end = line_ends[1];
+    let mut max_event_count = 0;
+    for cut in snapshot_end..=complete_bytes.len() {
+        std::fs::write(&journal_file, &complete_bytes[..cut]).unwrap();
         let replay = StateDir::open(&path).unwrap().read().unwrap().unwrap();
-        let wholes = lines.iter().filter(|end| **end <= cut).count() - 2;
-        assert_eq!(replay.event_count, wholes, "cut at {cut}");
-        assert_eq!(replay.torn, !lines.contains(&cut), "cut at {cut}");
-        assert_eq!(std::fs::read(&file).unwrap(), &whole[..cut]);
-        known = known.max(replay.event_count);
+        let complete_events = line_ends.iter().filter(|end| **end <= cut).count() - 2;
+        assert_eq!(replay.event_count, complete_events, "cut at {cut}");
+        assert_eq!(replay.torn, !line_ends.contains(&cut), "cut at {cut}");
+        assert_eq!(std::fs::read(&journal_file).unwrap(), &complete_bytes[..cut]);
+        max_event_count = max_event_count.max(replay.event_count);
     }
-    assert!(known >= 4);
-    // A bit turned in any line but the last is damage, and nothing is begun past it.
-    for at in (state_end..lines[lines.len() - 2]).step_by(7) {
-        let mut bytes = whole.clone();
-        bytes[at] ^= 0x10;
-        std::fs::write(&file, &bytes).unwrap();
+    assert!(max_event_count >= 4);
+    // A flipped bit in any line but the last means damage, and no term begins from such a journal.
+    for offset in (snapshot_end..line_ends[line_ends.len() - 2]).step_by(7) {
+        let mut bytes = complete_bytes.clone();
+        bytes[offset] ^= 0x10;
+        std::fs::write(&journal_file, &bytes).unwrap();
         let error = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
-        assert!(matches!(error, JournalError::Damaged { .. }), "at {at}: {error}");
+        assert!(matches!(error, JournalError::Damaged { .. }), "at {offset}: {error}");
     }
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
 fn a_journal_of_a_later_format_is_rejected_and_left_untouched() {
-    let path = folder("newer");
+    let path = temp_state_path("newer");
     std::fs::create_dir_all(&path).unwrap();
     let header = encode(&Record::Header { version: 9, leader: "later".into() });
     let mut bytes = header.clone();
@@ -136,13 +141,13 @@
 
 #[test]
 fn a_replay_that_diverges_is_rejected() {
-    let path = folder("otherwise");
-    let (_, release) = begin_and_play(&path);
-    // What another version may have written: news that this one does not come to.
+    let path = temp_state_path("otherwise");
+    let (_, release) = begin_term_with_votes(&path);
+    // Another version may have recorded an announcement that this version does not arrive at.
     let after = Some(violetseam_release::Announcement { stage: 1, ..release.announcement() });
-    let line = encode(&Record::Event { now: now(7), event: Event::Tick, after });
+    let record = encode(&Record::Event { now: now(7), event: Event::Tick, after });
     let mut bytes = std::fs::read(journal(&path, 1)).unwrap();
-    bytes.extend(line);
+    bytes.extend(record);
     bytes.extend(encode(&Record::Event { now: now(8), event: vote(2), after: None }));
     std::fs::write(journal(&path, 1), bytes).unwrap();
     let error = StateDir::open(&path).unwrap().begin_term("two", 1, now(9)).unwrap_err();
@@ -152,25 +157,25 @@
 
 #[test]
 fn a_term_has_one_leader_and_a_superseded_writer_fails_after_its_write() {
-    let path = folder("terms");
-    let (mut old, mut release) = begin_and_play(&path);
-    let one = StateDir::open(&path).unwrap();
-    let new = one.begin_term("two", 1, now(10)).unwrap();
-    assert_eq!((old.number, new.number), (1, 2));
+    let path = temp_state_path("terms");
+    let (mut superseded_term, mut release) = begin_term_with_votes(&path);
+    let state_dir = StateDir::open(&path).unwrap();
+    let new_term = state_dir.begin_term("two", 1, now(10)).unwrap();
+    assert_eq!((superseded_term.number, new_term.number), (1, 2));
     let bytes = decide(&mut release, now(11), vote(2));
-    assert!(matches!(old.writer.append(&bytes, 1, &release), Err(AppendError::Superseded)));
-    // The old one's late write is in its own journal, which no successor reads any more.
-    assert_eq!(one.read().unwrap().unwrap().release.votes(), 2);
+    assert!(matches!(superseded_term.writer.append(&bytes, 1, &release), Err(AppendError::Superseded)));
+    // The late write of the superseded leader is in its own journal, which no successor reads.
+    assert_eq!(state_dir.read().unwrap().unwrap().release.votes(), 2);
     std::fs::write(path.join("term-3"), "three").unwrap();
-    let fourth = one.begin_term("four", 1, now(12)).unwrap();
-    assert_eq!(fourth.number, 4, "a term that was begun and never used is passed over");
+    let fourth_term = state_dir.begin_term("four", 1, now(12)).unwrap();
+    assert_eq!(fourth_term.number, 4, "a term without a journal is skipped");
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
 fn concurrent_leaders_get_different_terms_or_one_fails() {
-    let path = folder("race");
-    begin_and_play(&path);
+    let path = temp_state_path("race");
+    begin_term_with_votes(&path);
     for _ in 0..20 {
         let begin = |name: &'static str| {
             let path = path.clone();
@@ -190,20 +195,20 @@
 
 #[test]
 fn a_new_journal_begins_with_a_snapshot_and_only_that_is_read() {
-    let path = folder("anew");
-    let (mut new_term, mut release) = begin_and_play(&path);
+    let path = temp_state_path("anew");
+    let (mut new_term, mut release) = begin_term_with_votes(&path);
     let mut appended = 0;
     while appended < 2 * SNAPSHOT_INTERVAL + 10 {
         let mut bytes = Vec::new();
         for n in 0..1_000u64 {
-            let at = now(10 + (appended as u64 + n) / 1_000);
-            bytes.extend(decide(&mut release, at, vote((n % 4) as u32)));
+            let time = now(10 + (appended as u64 + n) / 1_000);
+            bytes.extend(decide(&mut release, time, vote((n % 4) as u32)));
         }
         new_term.writer.append(&bytes, 1_000, &release).unwrap();
         appended += 1_000;
     }
-    let folder = StateDir::open(&path).unwrap();
-    let replay = folder.read().unwrap().unwrap();
+    let state_dir = StateDir::open(&path).unwrap();
+    let replay = state_dir.read().unwrap().unwrap();
     assert!(replay.event_count < SNAPSHOT_INTERVAL, "{}", replay.event_count);
     assert_eq!(replay.release, release);
     let reply = release.on_event(now(100), &vote(1)).reply;
@@ -211,64 +216,64 @@
     std::fs::remove_dir_all(path).unwrap();
 }
 
-/// `cargo test --release -p violetseam-controller --test journal -- --ignored --nocapture`
+/// Run with `cargo test --release -p violetseam-controller --test journal -- --ignored --nocapture`.
 #[test]
-#[ignore = "measures; docs/measurements/plans.md"]
+#[ignore = "measurement; results in docs/measurements/plans.md"]
 fn measure_recovery_and_durable_votes() {
     let median = |mut values: Vec<f64>| {
         values.sort_by(f64::total_cmp);
         values[values.len() / 2]
     };
     for events in [1_000usize, 10_000, 100_000, 1_000_000] {
-        let path = folder("measure");
-        let (mut new_term, mut release) = begin_and_play(&path);
-        // One file with all events and no state between them, beside what the writer makes of the same.
-        let one = path.join("one");
-        std::fs::create_dir_all(&one).unwrap();
-        let mut all = std::fs::read(journal(&path, 1)).unwrap();
-        let mut done = 0;
-        while done < events {
+        let path = temp_state_path("measure");
+        let (mut new_term, mut release) = begin_term_with_votes(&path);
+        // For comparison, one journal that holds all events without any later snapshot.
+        let single_journal = path.join("one");
+        std::fs::create_dir_all(&single_journal).unwrap();
+        let mut bytes_without_snapshots = std::fs::read(journal(&path, 1)).unwrap();
+        let mut appended = 0;
+        while appended < events {
             let mut bytes = Vec::new();
-            let many = 1_000.min(events - done);
-            for n in 0..many as u64 {
-                let at = now(10 + (done as u64 + n) / 100_000);
-                bytes.extend(decide(&mut release, at, vote((n % 4) as u32)));
+            let batch_len = 1_000.min(events - appended);
+            for n in 0..batch_len as u64 {
+                let time = now(10 + (appended as u64 + n) / 100_000);
+                bytes.extend(decide(&mut release, time, vote((n % 4) as u32)));
             }
-            new_term.writer.append(&bytes, many, &release).unwrap();
-            all.extend(bytes);
-            done += many;
+            new_term.writer.append(&bytes, batch_len, &release).unwrap();
+            bytes_without_snapshots.extend(bytes);
+            appended += batch_len;
         }
-        std::fs::write(journal(&one, 1), all).unwrap();
-        let time = |path: &Path| {
+        std::fs::write(journal(&single_journal, 1), bytes_without_snapshots).unwrap();
+        let median_read_ms = |path: &Path| {
             let rounds = if events > 100_000 { 3 } else { 7 };
             let times = (0..rounds).map(|_| {
-                let began = std::time::Instant::now();
+                let started_at = std::time::Instant::now();
                 let replay = StateDir::open(path).unwrap().read().unwrap().unwrap();
                 assert_eq!(replay.release, release);
-                began.elapsed().as_secs_f64() * 1e3
+                started_at.elapsed().as_secs_f64() * 1e3
             });
             median(times.collect())
         };
         println!(
-            "{events} events: {:.1} ms as kept, {:.1} ms without states between",
-            time(&path),
-            time(&one)
+            "{events} events: {:.1} ms as written, {:.1} ms without later snapshots",
+            median_read_ms(&path),
+            median_read_ms(&single_journal)
         );
         std::fs::remove_dir_all(path).unwrap();
     }
     for batch in [1usize, 10, 100, 1_000] {
-        let path = folder("votes");
-        let (mut new_term, mut release) = begin_and_play(&path);
-        let (began, mut kept) = (std::time::Instant::now(), 0);
-        while began.elapsed().as_secs_f64() < 2.0 {
+        let path = temp_state_path("votes");
+        let (mut new_term, mut release) = begin_term_with_votes(&path);
+        let (started_at, mut appended) = (std::time::Instant::now(), 0);
+        while started_at.elapsed().as_secs_f64() < 2.0 {
             let bytes: Vec<u8> =
                 (0..batch as u64).flat_map(|n| decide(&mut release, now(10), vote((n % 4) as u32))).collect();
             new_term.writer.append(&bytes, batch, &release).unwrap();
-            kept += batch;
+            appended += batch;
         }
         println!(
-            "batches of {batch}: {:.0} votes a second durable",
-            kept as f64 / began.elapsed().as_secs_f64()
+            "batches of {batch}: {:.0} votes made durable per second",
+            appended as f64 / started_at.elapsed().as_secs_f64()
         );
         std::fs::remove_dir_all(path).unwrap();
     }
