--- a/crates/controller/src/control.rs
+++ b/crates/controller/src/control.rs
@@ -37,7 +37,7 @@
         /// The operator who approves.
         #[serde(rename = "who")]
         operator: String,
-        /// The wave.
+        /// The name of the wave.
         wave: String,
     },
     /// Revokes an approval.
@@ -46,7 +46,7 @@
         /// The operator who had approved the wave.
         #[serde(rename = "who")]
         operator: String,
-        /// The wave.
+        /// The name of the wave.
         wave: String,
     },
     /// Gives an order that intervenes in a running plan.
@@ -54,7 +54,7 @@
         /// The operator who gives the order.
         #[serde(rename = "who")]
         operator: String,
-        /// The order.
+        /// What the operator orders.
         order: Order,
     },
 }
@@ -107,12 +107,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
-    /// The status.
+    /// The status of the controller and the release.
     #[serde(rename = "state")]
     Status(Box<Status>),
     /// The outcome of the operator's event.
     Reply(Reply),
-    /// The errors in a plan.
+    /// The submitted plan is invalid; the errors in it.
     #[serde(rename = "faults")]
     InvalidPlan(Vec<String>),
     /// The request was malformed, did not become durable, got no response in time, or reached a standby.
--- a/crates/controller/src/control/server.rs
+++ b/crates/controller/src/control/server.rs
@@ -21,7 +21,7 @@
 
 /// A call to the event loop.
 pub enum ControlCall {
-    /// Asks for the status.
+    /// Asks for the status of the controller and the release.
     Status {
         /// Receives the response.
         response: Sender<Response>,
--- a/crates/controller/src/journal.rs
+++ b/crates/controller/src/journal.rs
@@ -44,18 +44,18 @@
         .path.display()
     )]
     NewerFormat {
-        /// The journal.
+        /// The path of the journal.
         path: PathBuf,
         /// The version of the journal's format.
         version: u32,
     },
-    /// A record before the last is damaged.
+    /// A record is damaged and is not a torn last record.
     #[error(
         "{}: line {line} is damaged and is not a torn last record: restore the state directory",
         .path.display()
     )]
     Damaged {
-        /// The journal.
+        /// The path of the journal.
         path: PathBuf,
         /// The line of the damaged record, from 1.
         line: usize,
@@ -68,7 +68,7 @@
         .path.display()
     )]
     Diverged {
-        /// The journal.
+        /// The path of the journal.
         path: PathBuf,
         /// The line of the first record with another outcome, from 1.
         line: usize,
@@ -79,7 +79,7 @@
     /// A file or directory cannot be read or written.
     #[error("{}: {source}", .path.display())]
     Io {
-        /// The file or directory.
+        /// The path of the file or directory.
         path: PathBuf,
         /// The error that the system reported.
         source: std::io::Error,
--- a/crates/controller/src/journal/record.rs
+++ b/crates/controller/src/journal/record.rs
@@ -42,7 +42,7 @@
     line
 }
 
-/// Decodes a line without its line feed; `None` if it is torn or damaged.
+/// Decodes a line, which is given without its line feed. Returns `None` if the line is torn or damaged.
 pub(super) fn decode(line: &[u8]) -> Option<Record> {
     let (prefix, json) = line.split_at_checked(CHECKSUM_PREFIX_LEN)?;
     let digits = std::str::from_utf8(prefix).ok()?.strip_suffix(' ')?;
--- a/crates/controller/src/journal/writer.rs
+++ b/crates/controller/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of the journals of one term.
+//! Appends records to the journal of the current term.
 
 use super::record::{Record, encode};
 use super::state_dir::StateDir;
--- a/crates/release/src/event.rs
+++ b/crates/release/src/event.rs
@@ -81,7 +81,7 @@
         /// The name of the wave.
         wave: String,
     },
-    /// An operator gives an order.
+    /// An operator gives an order that intervenes in a running plan.
     Order {
         /// The operator who gives the order.
         who: String,
--- a/crates/release/src/plan_run.rs
+++ b/crates/release/src/plan_run.rs
@@ -52,7 +52,7 @@
 impl fmt::Display for RollbackReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RollbackReason::OperatorOrder(who) => write!(f, "called back by {who}"),
+            RollbackReason::OperatorOrder(operator) => write!(f, "called back by {operator}"),
             RollbackReason::Votes => f.write_str("called back by the proxies"),
             RollbackReason::VotesOnReleasedBuild => {
                 f.write_str("called back by the proxies after its release")
--- a/crates/release/src/release/operators.rs
+++ b/crates/release/src/release/operators.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn approve(&mut self, who: &str, wave: &str) -> Result<bool, Declined> {
+    pub(super) fn approve(&mut self, operator: &str, wave: &str) -> Result<bool, Declined> {
         let no_current_plan = self.no_current_plan();
         let CurrentRun { run, next_wave } = self.current_run().ok_or(no_current_plan)?;
         let index = run.wave_index(wave).ok_or_else(|| Rejection::UnknownWave(wave.to_owned()))?;
@@ -75,40 +75,40 @@
         }
         let mut sign_offs = run.plan.sign_offs.iter().filter(|sign_off| sign_off.wave == wave);
         let sign_off = sign_offs
-            .find(|sign_off| sign_off.by.iter().any(|name| name == who))
-            .ok_or_else(|| Rejection::NotAnApprover { who: who.to_owned(), wave: wave.to_owned() })?;
+            .find(|sign_off| sign_off.by.iter().any(|name| name == operator))
+            .ok_or_else(|| Rejection::NotApprover { operator: operator.to_owned(), wave: wave.to_owned() })?;
         if run.elapsed > sign_off.within {
             return Err(Rejection::ApprovalDeadlinePassed.into());
         }
-        let newly_approved = run.approvals.entry(wave.to_owned()).or_default().insert(who.to_owned());
+        let newly_approved = run.approvals.entry(wave.to_owned()).or_default().insert(operator.to_owned());
         if newly_approved { Ok(true) } else { Err(Obsolete::AlreadyApproved.into()) }
     }
 
-    pub(super) fn revoke_approval(&mut self, who: &str, wave: &str) -> Result<bool, Declined> {
+    pub(super) fn revoke_approval(&mut self, operator: &str, wave: &str) -> Result<bool, Declined> {
         let no_current_plan = self.no_current_plan();
         let CurrentRun { run, next_wave } = self.current_run().ok_or(no_current_plan)?;
         if run.wave_index(wave).is_some_and(|index| index < next_wave) {
             return Err(Obsolete::ApprovalAlreadyUsed(wave.to_owned()).into());
         }
-        let was_approved = run.approvals.get_mut(wave).is_some_and(|approvers| approvers.remove(who));
+        let was_approved = run.approvals.get_mut(wave).is_some_and(|approvers| approvers.remove(operator));
         if was_approved { Ok(true) } else { Err(Obsolete::NothingToRevoke.into()) }
     }
 
-    pub(super) fn order(&mut self, who: &str, order: Order) -> Result<bool, Declined> {
+    pub(super) fn order(&mut self, operator: &str, order: Order) -> Result<bool, Declined> {
         let Some(CurrentRun { run, next_wave }) = self.current_run() else {
-            return self.order_after_release(who, order);
+            return self.order_after_release(operator, order);
         };
-        let may_end_hold = run.may_end_hold(who, next_wave);
-        let (power, name) = power_of(order);
-        let is_allowed = run.plan.permits(who, power) || (may_end_hold && order == Order::Resume);
+        let may_end_hold = run.may_end_hold(operator, next_wave);
+        let (power, order_name) = required_power(order);
+        let is_allowed = run.plan.permits(operator, power) || (may_end_hold && order == Order::Resume);
         if !is_allowed {
-            return Err(Rejection::NotAllowed { who: who.to_owned(), order: name }.into());
+            return Err(Rejection::NotAllowed { operator: operator.to_owned(), order: order_name }.into());
         }
         match order {
             Order::Hold(span) => begin_operator_hold(run, span)?,
             Order::Resume => end_holds(run, may_end_hold)?,
             Order::Back if self.announcement.phase == Phase::Trial => {
-                self.begin_rollback(&RollbackReason::OperatorOrder(who.to_owned()));
+                self.begin_rollback(&RollbackReason::OperatorOrder(operator.to_owned()));
             }
             Order::Back => self.pending = None,
             Order::Skip => self.skip_soak()?,
@@ -118,18 +118,18 @@
 
     /// Applies an order while no plan is current. A released build can still be rolled back if the build
     /// before it is known.
-    fn order_after_release(&mut self, who: &str, order: Order) -> Result<bool, Declined> {
+    fn order_after_release(&mut self, operator: &str, order: Order) -> Result<bool, Declined> {
         if order != Order::Back || self.announcement.phase != Phase::Released {
             return Err(self.no_current_plan().into());
         }
         let Some(trial) = &self.trial else { return Err(self.no_current_plan().into()) };
-        if !trial.run.plan.permits(who, Power::Back) {
-            return Err(Rejection::NotAllowed { who: who.to_owned(), order: "back" }.into());
+        if !trial.run.plan.permits(operator, Power::Back) {
+            return Err(Rejection::NotAllowed { operator: operator.to_owned(), order: "back" }.into());
         }
         if self.previous_build == self.announcement.build {
             return Err(self.no_current_plan().into());
         }
-        self.begin_rollback(&RollbackReason::OperatorOrder(who.to_owned()));
+        self.begin_rollback(&RollbackReason::OperatorOrder(operator.to_owned()));
         Ok(true)
     }
 
@@ -147,7 +147,7 @@
 }
 
 /// Returns the power that the plan must give an operator for an order, and the order's name in messages.
-fn power_of(order: Order) -> (Power, &'static str) {
+fn required_power(order: Order) -> (Power, &'static str) {
     match order {
         Order::Hold(_) => (Power::Hold, "hold"),
         Order::Resume => (Power::Resume, "resume"),
--- a/crates/release/src/reply.rs
+++ b/crates/release/src/reply.rs
@@ -134,12 +134,12 @@
     UnknownPlace(u32),
     #[error("the plan has no wave {0:?}")]
     UnknownWave(String),
-    #[error("{who} is not asked to approve wave {wave:?}")]
-    NotAnApprover { who: String, wave: String },
+    #[error("{operator} is not asked to approve wave {wave:?}")]
+    NotApprover { operator: String, wave: String },
     #[error("the time for it is over")]
     ApprovalDeadlinePassed,
-    #[error("the plan does not allow {who} to {order}")]
-    NotAllowed { who: String, order: &'static str },
+    #[error("the plan does not allow {operator} to {order}")]
+    NotAllowed { operator: String, order: &'static str },
     #[error("a hold is over 0 and at most the plan's longest")]
     InvalidHold,
 }
