--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,11 +1,14 @@
-//! Incremental distribution of configuration: routes and tenants as versioned resources.
+//! Incremental distribution of configuration (routes and tenants) as versioned resources.
 //!
-//! A [`publisher::Publisher`] numbers changes, keeps a bounded log of them over a configuration with a
-//! digest, and responds to subscriptions with the deltas since a known version or with a snapshot. A
-//! [`subscriber::Subscriber`] keeps the last good configuration, applies a delta whole or not at all,
-//! acknowledges or rejects it, and asks for a snapshot when deltas no longer lead to the newest version.
-//! [`admission::Admission`] spreads snapshots over time. Nothing here does I/O or reads a clock: time comes
-//! in as [`Micros`]. `docs/distribution.md` is the design note.
+//! A [`publisher::Publisher`] assigns a version number to each set of changes and keeps the newest deltas in
+//! a bounded log, next to the current configuration and its digest. It responds to a subscription with the
+//! deltas after the version that the subscriber has, or with a snapshot. A [`subscriber::Subscriber`] keeps
+//! the last configuration that passed all checks. It applies a delta completely or not at all, acknowledges
+//! or rejects it, and requests a snapshot when deltas no longer lead to the newest version.
+//! [`admission::Admission`] spreads the sending of snapshots over time.
+//!
+//! This crate does no I/O and reads no clock: the caller passes the current time as [`Micros`]. The design is
+//! described in `docs/distribution.md`.
 
 pub mod admission;
 pub mod backoff;
@@ -33,5 +36,5 @@
 pub use subscription::Subscribe;
 pub use version::{Term, Version};
 
-/// A point in time or a span, in microseconds; the origin is the caller's.
+/// A point in time or a duration, in microseconds. The caller chooses the origin of its clock.
 pub type Micros = u64;
--- a/crates/distribution/src/version.rs
+++ b/crates/distribution/src/version.rs
@@ -1,38 +1,40 @@
-//! Terms and versions of a configuration.
+//! The version of a configuration: a publisher's term and a number within the term.
 
 use serde::{Deserialize, Serialize};
 
-/// The highest term and the highest number: integers above it are not exact in every JSON reader.
+/// The highest valid term and the highest valid number: not every JSON parser represents larger integers
+/// exactly.
 pub const MAX_VERSION_NUMBER: u64 = (1 << 53) - 1;
 
-/// One incarnation of a publisher's log. A publisher whose log was lost starts under a higher term, and a
-/// subscriber with a configuration of a term accepts nothing of a lower one.
+/// One incarnation of a publisher's log. A publisher whose log was lost continues under a higher term. A
+/// subscriber that has a configuration of one term accepts no message of a lower term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Term(pub u64);
 
-/// A configuration's version: ordered by its term, then by its number within the term.
+/// The version of a configuration. Versions are ordered by term, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// The publisher's term.
+    /// The term in which the version was published.
     pub term: Term,
-    /// The number of changes published before and with it; 0 is the empty configuration of a new log.
+    /// The number of updates published up to and including this version. Number 0 is the empty configuration
+    /// with which a new log starts.
     pub number: u64,
 }
 
 impl Version {
-    /// The version `number` of `term`.
+    /// Creates the version `number` of `term`.
     pub fn new(term: Term, number: u64) -> Version {
         Version { term, number }
     }
 
-    /// The next version of the same term.
+    /// Returns the next version of the same term.
     pub fn next(self) -> Version {
         Version { number: self.number + 1, ..self }
     }
 
-    /// Whether term and number are within [`MAX_VERSION_NUMBER`].
+    /// Returns whether the term and the number are at most [`MAX_VERSION_NUMBER`].
     pub fn is_bounded(self) -> bool {
         self.term.0 <= MAX_VERSION_NUMBER && self.number <= MAX_VERSION_NUMBER
     }
