--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages of a publisher to its subscribers: JSON, one message a line, checked and bounded on reading.
+//! The messages that a publisher sends to its subscribers: JSON, one message per line. Size and content are
+//! checked when a line is parsed.
 
 use crate::Micros;
 use crate::digest::Digest;
@@ -8,40 +9,41 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The longest line that is read, in bytes; the HTTP watch's bound.
+/// The maximum length of a line, in bytes. The HTTP watch has the same limit.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
-/// The longest report of a subscriber, in bytes.
+/// The maximum length of a subscriber's report, in bytes.
 pub const MAX_REPORT_BYTES: usize = 2 << 10;
-/// The maximum number of changes of one delta.
+/// The maximum number of changes in one delta.
 pub const MAX_DELTA_CHANGES: usize = 16_384;
-/// The maximum size of the changes of one delta, in bytes.
+/// The maximum total size of the changes in one delta, in bytes.
 pub const MAX_DELTA_BYTES: usize = 2 << 20;
-/// The maximum size of the resources of one snapshot part, in bytes.
+/// The maximum total size of the resources in one snapshot part, in bytes.
 pub const MAX_PART_BYTES: usize = 1 << 20;
-/// The maximum number of parts of one snapshot.
+/// The maximum number of parts in one snapshot.
 pub const MAX_SNAPSHOT_PARTS: usize = 64;
-/// The longest name of a subscriber, in bytes: ASCII letters, digits, `-`, `_` and `.`.
+/// The maximum length of a subscriber's name, in bytes. A name consists of ASCII letters, digits, `-`, `_`
+/// and `.`.
 pub const MAX_SUBSCRIBER_NAME_BYTES: usize = 64;
-/// The longest reason of a rejection, in bytes; longer ones are cut.
+/// The maximum length of a rejection's reason, in bytes. Longer reasons are truncated.
 pub const MAX_REASON_BYTES: usize = 512;
-/// The longest wait that a publisher may state, in microseconds.
+/// The longest wait that a publisher may ask of a subscriber, in microseconds.
 pub const MAX_RETRY_AFTER: Micros = 15 * 60 * 1_000_000;
 
-/// An encoded line with its line feed, shared among all that it is sent to.
+/// An encoded line, including its line feed. All connections to which it is sent share the same bytes.
 pub type Line = Arc<[u8]>;
 
-/// One change.
+/// One change to a configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Change {
-    /// Adds a resource, or replaces that of the same key.
+    /// Adds a resource, or replaces the resource with the same key.
     Put(Resource),
-    /// Removes the resource of this key.
+    /// Removes the resource with this key.
     Remove(ResourceKey),
 }
 
 impl Change {
-    /// The key of the resource that it changes.
+    /// Returns the key of the resource that is changed.
     pub fn key(&self) -> ResourceKey {
         match self {
             Change::Put(resource) => resource.key(),
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Upper bound of its length in JSON, in bytes.
+    /// Returns an upper bound of the length of the change in JSON, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         match self {
             Change::Put(resource) => resource.max_encoded_bytes(),
@@ -57,10 +59,10 @@
         }
     }
 
-    /// Checks lengths, characters and numbers.
+    /// Checks the lengths, characters and numbers of all fields.
     ///
     /// # Errors
-    /// A field is out of bounds.
+    /// Returns an error if a field is not valid.
     pub fn validate(&self) -> Result<(), ResourceError> {
         match self {
             Change::Put(resource) => resource.validate(),
@@ -69,97 +71,99 @@
     }
 }
 
-/// Changes that lead from one version to the next, applied all or none.
+/// Changes that lead from one version to a later one. Either all of them are applied or none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta {
-    /// The version that it is based on.
+    /// The version that the changes are based on.
     pub base: Version,
-    /// The version after it; of the same term.
+    /// The version after the changes, in the same term as `base`.
     pub version: Version,
-    /// The changes, each of another key.
+    /// The changes, each to a different key.
     pub changes: Vec<Change>,
-    /// The digest of the configuration after it.
+    /// The digest of the configuration after the changes.
     pub digest: Digest,
 }
 
-/// A part of a snapshot: all parts together are the configuration of one version.
+/// A part of a snapshot. All parts together make up the configuration of one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotPart {
     /// The snapshot's version.
     pub version: Version,
-    /// Which part this is, from 0.
+    /// The index of this part, starting with 0.
     pub part: u32,
-    /// How many parts the snapshot has; 1 to [`MAX_SNAPSHOT_PARTS`].
+    /// The number of parts in the snapshot, from 1 to [`MAX_SNAPSHOT_PARTS`].
     pub parts: u32,
     /// The digest of the whole snapshot.
     pub digest: Digest,
-    /// This part's resources.
+    /// The resources in this part.
     pub resources: Vec<Resource>,
 }
 
-/// What a publisher sends.
+/// A message from a publisher to a subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Message {
-    /// The changes to the next version.
+    /// The changes that lead to the next version.
     Delta(Delta),
     /// A part of a snapshot.
     SnapshotPart(SnapshotPart),
-    /// The watch is open and this is the newest version; sent when nothing else was sent for a while.
+    /// Shows that the watch is still open and which version is the newest. It is sent when nothing else has
+    /// been sent for a while.
     Heartbeat {
         /// The publisher's newest version.
         version: Version,
-        /// The digest of its configuration.
+        /// The digest of the newest configuration.
         digest: Digest,
     },
-    /// No snapshot now; the watch ends with this message.
+    /// The publisher cannot send a snapshot now. The watch ends with this message.
     RetryAfter {
-        /// When to call again, in microseconds from now; a slot is reserved for the caller then.
+        /// How long the subscriber waits before its next call, in microseconds. Usually admission has
+        /// reserved a slot for it at that time.
         micros: Micros,
     },
 }
 
-/// Why a message was not accepted.
+/// The reason why a message, a report or a subscription is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The line is longer than this many bytes.
+    /// The line is longer than this number of bytes.
     #[error("a line of more than {0} bytes")]
     LineTooLong(usize),
-    /// Not JSON, or not of a known message.
+    /// The line is not JSON, or not a known message.
     #[error("not a known message: {0}")]
     InvalidJson(#[source] JsonError),
-    /// A term or number above [`MAX_VERSION_NUMBER`].
+    /// A version's term or number is greater than [`MAX_VERSION_NUMBER`].
     #[error("a term or number above {MAX_VERSION_NUMBER}")]
     VersionOutOfRange,
-    /// A delta whose version is not above its base in the same term.
-    #[error("a delta whose version is not above its base in the same term")]
+    /// The delta's version is not greater than its base version, or belongs to a different term.
+    #[error("the delta's version is not greater than its base version in the same term")]
     VersionOrder,
-    /// A delta without changes, with too many, or too large.
-    #[error("a delta has 1 to {MAX_DELTA_CHANGES} changes and {MAX_DELTA_BYTES} bytes at most")]
+    /// The delta has no changes, too many changes, or too many bytes.
+    #[error("a delta must have 1 to {MAX_DELTA_CHANGES} changes and at most {MAX_DELTA_BYTES} bytes")]
     InvalidChanges,
-    /// A part's number or count is out of range, or its resources are too large.
-    #[error("a snapshot has {MAX_SNAPSHOT_PARTS} parts of {MAX_PART_BYTES} bytes at most")]
+    /// The part's index or the number of parts is out of range, or the part has too many bytes.
+    #[error("a snapshot must have at most {MAX_SNAPSHOT_PARTS} parts of at most {MAX_PART_BYTES} bytes each")]
     InvalidPart,
-    /// A resource that is not well formed.
+    /// A resource or key is not well formed.
     #[error(transparent)]
     InvalidResource(#[from] ResourceError),
-    /// A subscriber's name that is empty, too long, or holds another character.
+    /// The subscriber's name is empty, is too long, or contains a character that is not allowed.
     #[error("a subscriber's name has 1 to {MAX_SUBSCRIBER_NAME_BYTES} letters, digits, '-', '_' or '.'")]
     InvalidSubscriberName,
-    /// A rejection's reason that is too long or holds a control character.
+    /// The rejection's reason is too long or contains a control character.
     #[error("a reason has {MAX_REASON_BYTES} printable bytes at most")]
     InvalidReason,
-    /// A wait above [`MAX_RETRY_AFTER`].
-    #[error("a wait of more than {MAX_RETRY_AFTER} microseconds")]
+    /// The wait is longer than [`MAX_RETRY_AFTER`].
+    #[error("the publisher asks for a wait of more than {MAX_RETRY_AFTER} microseconds")]
     WaitTooLong,
-    /// A query with a field missing, repeated, unknown or malformed.
+    /// A field of the query is missing, repeated, unknown or malformed.
     #[error("query: subscriber, term and number (both or none), whole")]
     InvalidQuery,
 }
 
-/// An error of the JSON reader; two are equal if their texts are.
+/// An error of the JSON parser. Two errors are equal if their texts are equal.
 #[derive(Clone, Debug, Error)]
 #[error(transparent)]
 pub struct JsonError(Arc<serde_json::Error>);
@@ -173,22 +177,22 @@
 impl Eq for JsonError {}
 
 impl Message {
-    /// Parses one line, with or without its line feed.
+    /// Parses and checks one line, with or without its line feed.
     ///
     /// # Errors
-    /// The line is too long, or holds no valid message.
+    /// Returns an error if the line is too long or does not contain a valid message.
     pub fn parse(line: &[u8]) -> Result<Message, ParseError> {
-        let message: Message = read_json(line, MAX_LINE_BYTES)?;
+        let message: Message = parse_json(line, MAX_LINE_BYTES)?;
         message.validate()?;
         Ok(message)
     }
 
-    /// Encodes one line, with its line feed.
+    /// Encodes the message as one line, including its line feed.
     pub fn write(&self) -> Line {
-        write_line(self)
+        encode_line(self)
     }
 
-    /// The version that it is about; none for a wait.
+    /// Returns the version that the message names, or `None` for [`Message::RetryAfter`].
     pub fn version(&self) -> Option<Version> {
         match self {
             Message::Delta(delta) => Some(delta.version),
@@ -198,10 +202,10 @@
         }
     }
 
-    /// Checks all bounds.
+    /// Checks all values against their bounds.
     ///
     /// # Errors
-    /// A version, size or wait is out of bounds.
+    /// Returns an error if a version, size, resource or wait is not valid.
     pub fn validate(&self) -> Result<(), ParseError> {
         match self {
             Message::Delta(delta) => delta.validate(),
@@ -214,10 +218,10 @@
 }
 
 impl Delta {
-    /// Checks all bounds; not whether it applies to a configuration.
+    /// Checks all values against their bounds, but not whether the delta applies to a configuration.
     ///
     /// # Errors
-    /// A version, a change or their number is out of bounds.
+    /// Returns an error if a version, a change, or the number or size of the changes is not valid.
     pub fn validate(&self) -> Result<(), ParseError> {
         check_version(self.base)?;
         check_version(self.version)?;
@@ -233,10 +237,11 @@
 }
 
 impl SnapshotPart {
-    /// Checks all bounds of this part; the snapshot is checked when it is complete.
+    /// Checks this part's values against their bounds. The snapshot as a whole is checked once it is
+    /// complete.
     ///
     /// # Errors
-    /// The part number, the size or a resource is out of bounds.
+    /// Returns an error if the version, the part's index, its size or a resource is not valid.
     pub fn validate(&self) -> Result<(), ParseError> {
         check_version(self.version)?;
         let bytes: usize = self.resources.iter().map(Resource::max_encoded_bytes).sum();
@@ -252,15 +257,15 @@
     if version.is_bounded() { Ok(()) } else { Err(ParseError::VersionOutOfRange) }
 }
 
-pub(crate) fn read_json<T: DeserializeOwned>(line: &[u8], max_bytes: usize) -> Result<T, ParseError> {
+pub(crate) fn parse_json<T: DeserializeOwned>(line: &[u8], max_bytes: usize) -> Result<T, ParseError> {
     if line.len() > max_bytes {
         return Err(ParseError::LineTooLong(max_bytes));
     }
     serde_json::from_slice(line).map_err(|error| ParseError::InvalidJson(JsonError(Arc::new(error))))
 }
 
-pub(crate) fn write_line<T: Serialize>(message: &T) -> Line {
-    // Plain structures with string keys: serialization does not fail.
+pub(crate) fn encode_line<T: Serialize>(message: &T) -> Line {
+    // Serialization cannot fail: the messages are plain structures with string keys.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line.into()
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -1,13 +1,14 @@
-//! Acknowledgements and rejections that a subscriber reports: JSON, checked and bounded on reading.
+//! The reports in which a subscriber acknowledges or rejects a version, encoded as JSON. Size and content are
+//! checked when a report is parsed.
 
 use crate::message::{
-    Line, MAX_REASON_BYTES, MAX_REPORT_BYTES, ParseError, check_version, read_json, write_line,
+    Line, MAX_REASON_BYTES, MAX_REPORT_BYTES, ParseError, check_version, encode_line, parse_json,
 };
 use crate::subscription::validate_subscriber_name;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
-/// What a subscriber reports on a version.
+/// A subscriber's report on a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Report {
@@ -18,45 +19,46 @@
         /// The version in force.
         version: Version,
     },
-    /// The version was rejected; the one before stays in force.
+    /// The subscriber rejected the version and keeps its previous version in force.
     #[serde(rename = "refuse")]
     Reject {
         /// The subscriber's name.
         subscriber: String,
         /// The rejected version.
         version: Version,
-        /// The reason, for people.
+        /// The reason, as a text for an operator.
         reason: String,
     },
 }
 
 impl Report {
-    /// A rejection; a reason that is too long is cut, control characters become spaces.
+    /// Creates a rejection. A reason that is too long is truncated, and control characters are replaced by
+    /// spaces.
     pub fn reject(subscriber: &str, version: Version, reason: &str) -> Report {
-        let printable = reason.chars().map(|c| if c.is_control() { ' ' } else { c });
-        let mut cut = String::new();
+        let printable = reason.chars().map(|character| if character.is_control() { ' ' } else { character });
+        let mut truncated = String::new();
         for character in printable {
-            if cut.len() + character.len_utf8() > MAX_REASON_BYTES {
+            if truncated.len() + character.len_utf8() > MAX_REASON_BYTES {
                 break;
             }
-            cut.push(character);
+            truncated.push(character);
         }
-        Report::Reject { subscriber: subscriber.to_owned(), version, reason: cut }
+        Report::Reject { subscriber: subscriber.to_owned(), version, reason: truncated }
     }
 
-    /// The name of the reporting subscriber.
+    /// Returns the name of the subscriber that reports.
     pub fn subscriber(&self) -> &str {
         match self {
             Report::Acknowledge { subscriber, .. } | Report::Reject { subscriber, .. } => subscriber,
         }
     }
 
-    /// Parses a report.
+    /// Parses and checks a report.
     ///
     /// # Errors
-    /// The line is too long, or holds no valid report.
+    /// Returns an error if the line is too long or does not contain a valid report.
     pub fn parse(line: &[u8]) -> Result<Report, ParseError> {
-        let report: Report = read_json(line, MAX_REPORT_BYTES)?;
+        let report: Report = parse_json(line, MAX_REPORT_BYTES)?;
         validate_subscriber_name(report.subscriber())?;
         match &report {
             Report::Acknowledge { version, .. } => check_version(*version)?,
@@ -70,8 +72,8 @@
         Ok(report)
     }
 
-    /// Encodes one line, with its line feed.
+    /// Encodes the report as one line, including its line feed.
     pub fn write(&self) -> Line {
-        write_line(self)
+        encode_line(self)
     }
 }
--- a/crates/distribution/src/subscription.rs
+++ b/crates/distribution/src/subscription.rs
@@ -1,23 +1,25 @@
-//! The call with which a subscriber opens a watch, carried as a query.
+//! The request with which a subscriber opens a watch. It is sent as the query of the watch's URL.
 
 use crate::message::{MAX_SUBSCRIBER_NAME_BYTES, ParseError, check_version};
 use crate::version::{Term, Version};
 
-/// A call for everything after the version known. Carried as the query of the watch's path.
+/// A request for all updates after the version that the subscriber has. It is sent as the query of the
+/// watch's URL.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Subscribe {
     /// The subscriber's name.
     pub subscriber: String,
-    /// The current version; none: nothing yet.
+    /// The version in force at the subscriber, or `None` if it has no configuration yet.
     pub known: Option<Version>,
-    /// A snapshot not older than `known` is required even where deltas would lead on from it: the current
-    /// configuration has proved to differ from what was published. `whole` in the query.
+    /// Whether a snapshot at least as new as `known` is required, even if deltas lead on from `known`. Set
+    /// when the subscriber cannot reach the newest version by deltas, for example because its configuration
+    /// differs from the published one. The query field is named `whole`.
     pub snapshot_required: bool,
 }
 
 impl Subscribe {
-    /// Writes the query of the watch's path: `subscriber=proxy-1&term=3&number=1402`, without term and
-    /// number where nothing is known, and with `whole=true` where a snapshot is wanted.
+    /// Encodes the request as a query such as `subscriber=proxy-1&term=3&number=1402`. The fields `term` and
+    /// `number` are left out if `known` is `None`; `whole=true` is added if a snapshot is required.
     pub fn to_query(&self) -> String {
         let mut query = format!("subscriber={}", self.subscriber);
         if let Some(known) = self.known {
@@ -29,10 +31,10 @@
         query
     }
 
-    /// Parses the query of the watch's path.
+    /// Parses the query of the watch's URL.
     ///
     /// # Errors
-    /// A field is missing, repeated, unknown or malformed.
+    /// Returns an error if a field is missing, repeated, unknown or malformed.
     pub fn from_query(query: &str) -> Result<Subscribe, ParseError> {
         let mut subscriber = None;
         let mut term = None;
@@ -40,14 +42,14 @@
         let mut whole = None;
         for field in query.split('&') {
             let (name, value) = field.split_once('=').ok_or(ParseError::InvalidQuery)?;
-            let slot = match name {
+            let target = match name {
                 "subscriber" => &mut subscriber,
                 "term" => &mut term,
                 "number" => &mut number,
                 "whole" => &mut whole,
                 _ => return Err(ParseError::InvalidQuery),
             };
-            if slot.replace(value).is_some() {
+            if target.replace(value).is_some() {
                 return Err(ParseError::InvalidQuery);
             }
         }
@@ -56,7 +58,7 @@
         let known = match (term, number) {
             (None, None) => None,
             (Some(term), Some(number)) => {
-                Some(Version::new(Term(read_integer(term)?), read_integer(number)?))
+                Some(Version::new(Term(parse_integer(term)?), parse_integer(number)?))
             }
             _ => return Err(ParseError::InvalidQuery),
         };
@@ -73,16 +75,16 @@
 /// Checks a subscriber's name.
 ///
 /// # Errors
-/// The name is empty, too long, or holds another character.
+/// Returns an error if the name is empty, is too long, or contains a character that is not allowed.
 pub fn validate_subscriber_name(name: &str) -> Result<(), ParseError> {
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if name.is_empty() || name.len() > MAX_SUBSCRIBER_NAME_BYTES || !name.bytes().all(allowed) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if name.is_empty() || name.len() > MAX_SUBSCRIBER_NAME_BYTES || !name.bytes().all(is_allowed) {
         return Err(ParseError::InvalidSubscriberName);
     }
     Ok(())
 }
 
-fn read_integer(text: &str) -> Result<u64, ParseError> {
+fn parse_integer(text: &str) -> Result<u64, ParseError> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ParseError::InvalidQuery);
     }
