--- a/crates/distribution/src/configuration.rs
+++ b/crates/distribution/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration: the resources of one version, with their digest.
+//! A configuration: the resources of one version and their digest.
 
 use crate::digest::Digest;
 use crate::message::{Change, Delta};
@@ -10,22 +10,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The resources of one version, their digest and their size. A change takes time by its own size and the
-/// logarithm of the number of resources.
+/// The resources of one version, their digest and their size. The time to apply a change grows with the size
+/// of the change and with the logarithm of the number of resources.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     version: Version,
-    /// The digest of the resources, without the version.
+    /// The digest of the resources alone, without the version.
     resource_digest: Digest,
     bytes: usize,
     routes: BTreeMap<RouteKey, RouteValue>,
     tenants: BTreeMap<String, TenantValue>,
 }
 
-/// Why changes do not apply to a configuration, which is left unchanged.
+/// The reason why changes do not apply to a configuration. The configuration is left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ApplyError {
-    /// The delta is based on another version than the current one.
+    /// The delta is not based on the current version.
     #[error("goes onto version {base}, held is {current}")]
     BaseMismatch {
         /// The current version.
@@ -33,38 +33,38 @@
         /// The version that the delta is based on.
         base: Version,
     },
-    /// The delta's version is not above its base, or is of another term.
+    /// The delta's version is not greater than its base version, or belongs to a different term.
     #[error("the version is not above its base in the same term")]
     VersionOrder,
-    /// The digest after the changes differs from the stated one.
+    /// The computed digest differs from the stated digest.
     #[error("digest {computed}, stated {stated}")]
     DigestMismatch {
-        /// The digest of the configuration after the changes.
+        /// The digest computed from the resources.
         computed: Digest,
-        /// The digest that was stated.
+        /// The digest that the message or the stored data states.
         stated: Digest,
     },
     /// Two changes, or two resources, have the same key.
     #[error("{0} twice")]
     DuplicateKey(ResourceKey),
-    /// The removal of a resource that does not exist.
+    /// A change removes a resource that does not exist.
     #[error("{0} is not there to remove")]
     UnknownKey(ResourceKey),
-    /// More routes than [`MAX_ROUTES`].
+    /// There are more than [`MAX_ROUTES`] routes.
     #[error("more than {MAX_ROUTES} routes")]
     TooManyRoutes,
-    /// More tenants than [`MAX_TENANTS`].
+    /// There are more than [`MAX_TENANTS`] tenants.
     #[error("more than {MAX_TENANTS} tenants")]
     TooManyTenants,
-    /// More bytes than [`MAX_CONFIGURATION_BYTES`].
+    /// The resources have more than [`MAX_CONFIGURATION_BYTES`] bytes.
     #[error("more than {MAX_CONFIGURATION_BYTES} bytes")]
     TooLarge,
-    /// A resource or key that is not well formed.
+    /// A resource or key is not well formed.
     #[error(transparent)]
     InvalidResource(#[from] ResourceError),
 }
 
-/// The totals of a configuration after changes that are not applied yet.
+/// The totals that a configuration would have after changes that have not been applied yet.
 struct ChangePreview {
     resource_digest: Digest,
     routes: usize,
@@ -73,15 +73,16 @@
 }
 
 impl Configuration {
-    /// The empty configuration of a version.
+    /// Creates a configuration without resources.
     pub fn empty(version: Version) -> Configuration {
         Configuration { version, ..Configuration::default() }
     }
 
-    /// A configuration of these resources.
+    /// Creates a configuration from its resources.
     ///
     /// # Errors
-    /// A resource is not well formed, two share a key, or there are more than a configuration may have.
+    /// Returns an error if a resource is not well formed, if two resources have the same key, or if the
+    /// limits of a configuration are exceeded.
     pub fn from_resources(
         version: Version,
         resources: impl IntoIterator<Item = Resource>,
@@ -99,11 +100,11 @@
         Ok(configuration)
     }
 
-    /// As [`Configuration::from_resources`], for resources from a disk or the network, whose digest must be
-    /// the stated one.
+    /// Creates a configuration from resources that were read from a disk or the network, and checks its
+    /// digest against the stated one.
     ///
     /// # Errors
-    /// As for [`Configuration::from_resources`], or the digest differs.
+    /// Returns an error in the cases of [`Configuration::from_resources`], and if the digest differs.
     pub fn from_resources_with_digest(
         version: Version,
         resources: impl IntoIterator<Item = Resource>,
@@ -117,59 +118,59 @@
         Ok(configuration)
     }
 
-    /// Its version.
+    /// Returns the version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The digest of its version and its resources.
+    /// Returns the digest of the version and the resources.
     pub fn digest(&self) -> Digest {
         Digest::of_version(self.version).with(self.resource_digest)
     }
 
-    /// The number of resources.
+    /// Returns the number of resources.
     pub fn len(&self) -> usize {
         self.routes.len() + self.tenants.len()
     }
 
-    /// Whether there is no resource.
+    /// Returns whether there are no resources.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The size of all resources, in bytes ([`Resource::max_encoded_bytes`]).
+    /// Returns the total size of all resources, in bytes, as the sum of [`Resource::max_encoded_bytes`].
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A route's value.
+    /// Returns the value of a route, or `None` if there is no such route.
     pub fn route(&self, key: &RouteKey) -> Option<&RouteValue> {
         self.routes.get(key)
     }
 
-    /// A tenant's value.
+    /// Returns the value of a tenant, or `None` if there is no such tenant.
     pub fn tenant(&self, name: &str) -> Option<&TenantValue> {
         self.tenants.get(name)
     }
 
-    /// All routes, in the order of their keys.
+    /// Returns all routes, ordered by key.
     pub fn routes(&self) -> impl Iterator<Item = (&RouteKey, &RouteValue)> {
         self.routes.iter()
     }
 
-    /// All tenants, in the order of their names.
+    /// Returns all tenants, ordered by name.
     pub fn tenants(&self) -> impl Iterator<Item = (&str, &TenantValue)> {
         self.tenants.iter().map(|(name, value)| (name.as_str(), value))
     }
 
-    /// All resources, routes first, in the order of their keys.
+    /// Returns all resources: the routes ordered by key, then the tenants ordered by name.
     pub fn resources(&self) -> impl Iterator<Item = Resource> {
         let routes = self.routes.iter().map(|(key, value)| route_resource(key, value));
         let tenants = self.tenants.iter().map(|(name, value)| tenant_resource(name, value));
         routes.chain(tenants)
     }
 
-    /// Whether there is a resource of this key.
+    /// Returns whether there is a resource with this key.
     pub fn contains(&self, key: &ResourceKey) -> bool {
         match key {
             ResourceKey::Route(key) => self.routes.contains_key(key),
@@ -177,11 +178,11 @@
         }
     }
 
-    /// Checks changes without applying them. Returns the digest that the configuration would have after them
-    /// as `version`.
+    /// Checks changes without applying them. Returns the digest that the configuration would have after the
+    /// changes, as the given version.
     ///
     /// # Errors
-    /// A change is not well formed or does not apply.
+    /// Returns an error if a change is not well formed or does not apply.
     pub fn validate_changes(&self, version: Version, changes: &[Change]) -> Result<Digest, ApplyError> {
         self.preview(changes).map(|preview| Digest::of_version(version).with(preview.resource_digest))
     }
@@ -189,7 +190,7 @@
     /// Checks a delta without applying it.
     ///
     /// # Errors
-    /// [`Configuration::apply`] would fail.
+    /// Returns an error if [`Configuration::apply`] would fail.
     pub fn validate_delta(&self, delta: &Delta) -> Result<(), ApplyError> {
         if delta.base != self.version {
             return Err(ApplyError::BaseMismatch { current: self.version, base: delta.base });
@@ -204,10 +205,11 @@
         Ok(())
     }
 
-    /// Applies all changes of a delta, or none.
+    /// Applies all changes of a delta, or none if there is an error.
     ///
     /// # Errors
-    /// The delta is based on another version, a change does not apply, or the digest differs.
+    /// Returns an error if the delta is not based on the current version, a change does not apply, or the
+    /// digest differs.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), ApplyError> {
         self.validate_delta(delta)?;
         for change in &delta.changes {
@@ -217,7 +219,8 @@
         Ok(())
     }
 
-    /// The changes that lead from this configuration to `target`, in the order of their keys.
+    /// Returns the changes that lead from this configuration to `target`: the removals, then the additions
+    /// and replacements, each ordered by key.
     pub fn diff(&self, target: &Configuration) -> Vec<Change> {
         let removed_routes = self.routes.keys().filter(|key| !target.routes.contains_key(*key));
         let removed_tenants = self.tenants.keys().filter(|name| !target.tenants.contains_key(*name));
@@ -235,13 +238,13 @@
         removed.chain(put).collect()
     }
 
-    /// The same resources under another version.
+    /// Changes the version and keeps the resources.
     pub(crate) fn renumber(&mut self, version: Version) {
         self.version = version;
     }
 
     fn preview(&self, changes: &[Change]) -> Result<ChangePreview, ApplyError> {
-        let mut seen = BTreeSet::new();
+        let mut seen_keys = BTreeSet::new();
         let mut preview = ChangePreview {
             resource_digest: self.resource_digest,
             routes: self.routes.len(),
@@ -251,18 +254,18 @@
         for change in changes {
             change.validate()?;
             let key = change.key();
-            if !seen.insert(key.clone()) {
+            if !seen_keys.insert(key.clone()) {
                 return Err(ApplyError::DuplicateKey(key));
             }
-            let before = self.resource(&key);
-            if before.is_none() && matches!(change, Change::Remove(_)) {
+            let existing = self.resource(&key);
+            if existing.is_none() && matches!(change, Change::Remove(_)) {
                 return Err(ApplyError::UnknownKey(key));
             }
-            if let Some(before) = &before {
-                preview.remove(before);
+            if let Some(existing) = &existing {
+                preview.remove(existing);
             }
-            if let Change::Put(after) = change {
-                preview.add(after);
+            if let Change::Put(resource) = change {
+                preview.add(resource);
             }
         }
         check_bounds(preview.routes, preview.tenants, preview.bytes)?;
@@ -321,16 +324,16 @@
     fn add(&mut self, resource: &Resource) {
         self.resource_digest = self.resource_digest.with(Digest::of_resource(resource));
         self.bytes += resource.max_encoded_bytes();
-        *self.count(resource) += 1;
+        *self.count_mut(resource) += 1;
     }
 
     fn remove(&mut self, resource: &Resource) {
         self.resource_digest = self.resource_digest.without(Digest::of_resource(resource));
         self.bytes = self.bytes.saturating_sub(resource.max_encoded_bytes());
-        *self.count(resource) -= 1;
+        *self.count_mut(resource) -= 1;
     }
 
-    fn count(&mut self, resource: &Resource) -> &mut usize {
+    fn count_mut(&mut self, resource: &Resource) -> &mut usize {
         match resource {
             Resource::Route(_) => &mut self.routes,
             Resource::Tenant(_) => &mut self.tenants,
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -1,38 +1,38 @@
-//! Resources of a configuration: routes and tenants, their keys, values and bounds.
+//! The resources of a configuration, routes and tenants, with their keys, values and bounds.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The maximum number of routes of a configuration.
+/// The maximum number of routes in a configuration.
 pub const MAX_ROUTES: usize = 65_536;
-/// The maximum number of tenants of a configuration.
+/// The maximum number of tenants in a configuration.
 pub const MAX_TENANTS: usize = 262_144;
-/// The maximum size of a configuration, in bytes of [`Resource::max_encoded_bytes`].
+/// The maximum size of a configuration, in bytes, as the sum of [`Resource::max_encoded_bytes`].
 pub const MAX_CONFIGURATION_BYTES: usize = 32 << 20;
-/// The longest path prefix, in bytes.
+/// The maximum length of a path prefix, in bytes.
 pub const MAX_PREFIX_BYTES: usize = 512;
-/// The longest name of a request method, in bytes.
+/// The maximum length of a request method's name, in bytes.
 pub const MAX_METHOD_BYTES: usize = 32;
-/// The longest name of a request class, in bytes.
+/// The maximum length of a request class's name, in bytes.
 pub const MAX_CLASS_BYTES: usize = 64;
-/// The longest name of a tenant, in bytes.
+/// The maximum length of a tenant's name, in bytes.
 pub const MAX_TENANT_NAME_BYTES: usize = 256;
-/// The highest quota, in requests a second.
+/// The highest quota, in requests per second.
 pub const MAX_QUOTA: f64 = 1e9;
-/// Quotas are whole multiples of 1 / `QUOTA_STEPS` requests a second: such a number below [`MAX_QUOTA`]
-/// has at most 15 significant digits and comes through JSON unchanged.
+/// The number of quota steps in one request per second: every quota is a whole multiple of 1 / `QUOTA_STEPS`.
+/// Such a number below [`MAX_QUOTA`] has at most 15 significant digits, so that JSON does not change it.
 pub const QUOTA_STEPS: f64 = 1e6;
-/// Upper bound of the field names and punctuation of a resource in JSON, in bytes.
+/// An upper bound of the length of a resource's field names and punctuation in JSON, in bytes.
 const MAX_FRAMING_BYTES: usize = 80;
 
-/// Which requests a route matches.
+/// The requests that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteKey {
-    /// The request method; none: any.
+    /// The request method. Without one, the route matches every method.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub method: Option<String>,
-    /// The path prefix, from its `/` on.
+    /// The path prefix, which starts with `/`.
     pub prefix: String,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteValue {
-    /// The request class's name, as in the subscriber's settings.
+    /// The name of the request class, as defined in the subscriber's settings.
     pub class: String,
 }
 
@@ -48,12 +48,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantValue {
-    /// Requests a second; 0 to [`MAX_QUOTA`], in steps of a millionth.
+    /// The quota in requests per second, from 0 to [`MAX_QUOTA`], in steps of a millionth.
     pub quota: f64,
 }
 
 impl TenantValue {
-    /// The nearest quota that can be published: rounded to its step.
+    /// Creates a value with the quota rounded to the nearest step, which can be published.
     pub fn rounded(quota: f64) -> TenantValue {
         TenantValue { quota: (quota * QUOTA_STEPS).round() / QUOTA_STEPS }
     }
@@ -63,27 +63,27 @@
     }
 }
 
-/// A route.
+/// A route: which requests it matches, and the request class that it assigns to them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its key.
+    /// The requests that the route matches.
     pub key: RouteKey,
-    /// Its value.
+    /// The value of the route.
     pub value: RouteValue,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as requests carry it.
+    /// The tenant's name, as it appears in requests.
     pub name: String,
-    /// Its value.
+    /// The value of the tenant.
     pub value: TenantValue,
 }
 
-/// One resource: a key and its value.
+/// A resource: a key and its value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Resource {
@@ -97,25 +97,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResourceKey {
-    /// A route's method and prefix.
+    /// The method and prefix of a route.
     Route(RouteKey),
-    /// A tenant's name.
+    /// The name of a tenant.
     Tenant(String),
 }
 
-/// Why a resource or key is not well formed.
+/// The reason why a resource or key is not well formed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResourceError {
-    /// A field is empty, or longer than this many bytes.
+    /// A field is empty, or longer than this number of bytes.
     #[error("{0}: 1 to {1} bytes")]
     InvalidLength(Field, usize),
-    /// A field holds a byte that it may not.
+    /// A field contains a character that is not allowed.
     #[error("{0}: a character that is not allowed")]
     InvalidCharacter(Field),
-    /// A path prefix that does not start with `/`.
+    /// A path prefix does not start with `/`.
     #[error("prefix: starts with /")]
     MissingLeadingSlash,
-    /// A quota that is negative, above [`MAX_QUOTA`], no number, or between two steps.
+    /// A quota is negative, greater than [`MAX_QUOTA`], not a number, or not a whole number of steps.
     #[error("quota: 0 to {MAX_QUOTA} in steps of a millionth")]
     InvalidQuota,
 }
@@ -134,18 +134,18 @@
 }
 
 impl Resource {
-    /// A route of a method (none: any), prefix and class.
+    /// Creates a route from a method (`None` matches every method), a path prefix and a request class.
     pub fn route(method: Option<&str>, prefix: &str, class: &str) -> Resource {
         let key = RouteKey { method: method.map(str::to_owned), prefix: prefix.to_owned() };
         Resource::Route(Route { key, value: RouteValue { class: class.to_owned() } })
     }
 
-    /// A tenant of a name and a quota in requests a second, rounded to its step.
+    /// Creates a tenant from a name and a quota in requests per second, which is rounded to the nearest step.
     pub fn tenant(name: &str, quota: f64) -> Resource {
         Resource::Tenant(Tenant { name: name.to_owned(), value: TenantValue::rounded(quota) })
     }
 
-    /// Its key.
+    /// Returns the resource's key.
     pub fn key(&self) -> ResourceKey {
         match self {
             Resource::Route(route) => ResourceKey::Route(route.key.clone()),
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Upper bound of its length in JSON, in bytes; also what it counts against
-    /// [`MAX_CONFIGURATION_BYTES`].
+    /// Returns an upper bound of the resource's length in JSON, in bytes. The resource counts as this many
+    /// bytes towards [`MAX_CONFIGURATION_BYTES`].
     pub fn max_encoded_bytes(&self) -> usize {
         match self {
             Resource::Route(route) => max_route_bytes(&route.key, &route.value),
@@ -162,10 +162,10 @@
         }
     }
 
-    /// Checks lengths, characters and numbers.
+    /// Checks the lengths, characters and numbers of all fields.
     ///
     /// # Errors
-    /// A field is out of bounds.
+    /// Returns an error if a field is not valid.
     pub fn validate(&self) -> Result<(), ResourceError> {
         match self {
             Resource::Route(route) => {
@@ -181,10 +181,10 @@
 }
 
 impl ResourceKey {
-    /// Checks lengths and characters.
+    /// Checks the lengths and characters of all fields.
     ///
     /// # Errors
-    /// A field is out of bounds.
+    /// Returns an error if a field is not valid.
     pub fn validate(&self) -> Result<(), ResourceError> {
         match self {
             ResourceKey::Route(key) => check_route_key(key),
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Upper bound of its length in JSON, in bytes.
+    /// Returns an upper bound of the key's length in JSON, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         match self {
             ResourceKey::Route(key) => MAX_FRAMING_BYTES + route_key_bytes(key),
@@ -230,17 +230,18 @@
     Ok(())
 }
 
-/// Bytes of an HTTP token (RFC 9110, section 5.6.2).
+/// Returns whether a byte may occur in an HTTP token (RFC 9110, section 5.6.2).
 fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Texts hold nothing that JSON writes as an escape, so that lengths on the wire are known beforehand.
+/// Checks a text field. No character that JSON escapes is allowed, so that the encoded length is known
+/// without encoding the text.
 fn check_text(field: Field, text: &str, max_bytes: usize) -> Result<(), ResourceError> {
     if text.is_empty() || text.len() > max_bytes {
         return Err(ResourceError::InvalidLength(field, max_bytes));
     }
-    if text.chars().any(|c| c.is_control() || c == '"' || c == '\\') {
+    if text.chars().any(|character| character.is_control() || character == '"' || character == '\\') {
         return Err(ResourceError::InvalidCharacter(field));
     }
     Ok(())
