--- a/crates/distribution/src/snapshot_assembly.rs
+++ b/crates/distribution/src/snapshot_assembly.rs
@@ -1,4 +1,4 @@
-//! Assembles the parts of one snapshot as they arrive, within the bounds of a configuration.
+//! Assembles a snapshot from the parts that arrive, within the size limit of a configuration.
 
 use crate::Micros;
 use crate::configuration::{ApplyError, Configuration};
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The parts of one version that have arrived.
+/// The parts of one snapshot that have arrived so far.
 #[derive(Debug)]
 pub(crate) struct SnapshotAssembly {
     header: Header,
     parts: BTreeMap<u32, Vec<Resource>>,
     bytes: usize,
-    progressed_at: Micros,
+    last_progress_at: Micros,
 }
 
-/// What all parts of a snapshot have in common.
+/// The fields that are equal in all parts of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Header {
     version: Version,
@@ -26,34 +26,34 @@
     digest: Digest,
 }
 
-/// Why a part cannot be added.
+/// The reason why a part cannot be added.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AssemblyError {
-    /// A part states another number of parts or another digest than the one before.
+    /// The part states a different number of parts or a different digest than the first part.
     #[error("parts of one snapshot that do not belong together")]
     MismatchedPart,
-    /// The parts together exceed the size of a configuration.
+    /// The parts together are larger than a configuration may be.
     #[error("a snapshot of more than {MAX_CONFIGURATION_BYTES} bytes")]
     TooLarge,
 }
 
 impl SnapshotAssembly {
-    /// An assembly without parts, of the snapshot that `part` belongs to.
+    /// Creates an empty assembly for the snapshot that `part` belongs to. The part itself is not added.
     pub(crate) fn new(now: Micros, part: &SnapshotPart) -> SnapshotAssembly {
-        SnapshotAssembly { header: Header::of(part), parts: BTreeMap::new(), bytes: 0, progressed_at: now }
+        SnapshotAssembly { header: Header::of(part), parts: BTreeMap::new(), bytes: 0, last_progress_at: now }
     }
 
     pub(crate) fn version(&self) -> Version {
         self.header.version
     }
 
-    /// When the latest new part arrived.
-    pub(crate) fn progressed_at(&self) -> Micros {
-        self.progressed_at
+    /// Returns when the latest part that had not arrived before was added.
+    pub(crate) fn last_progress_at(&self) -> Micros {
+        self.last_progress_at
     }
 
-    /// Adds a part of the same version; a repeated one changes nothing. Returns whether the snapshot is
-    /// complete.
+    /// Adds a part of the same version and returns whether the snapshot is complete. A part that has already
+    /// arrived changes nothing.
     pub(crate) fn add(&mut self, now: Micros, part: SnapshotPart) -> Result<bool, AssemblyError> {
         if Header::of(&part) != self.header {
             return Err(AssemblyError::MismatchedPart);
@@ -64,12 +64,12 @@
                 return Err(AssemblyError::TooLarge);
             }
             self.parts.insert(part.part, part.resources);
-            self.progressed_at = now;
+            self.last_progress_at = now;
         }
         Ok(self.parts.len() == self.header.parts as usize)
     }
 
-    /// The configuration of all parts, checked against the digest that they state.
+    /// Returns the configuration made up of all parts, after checking it against the digest that they state.
     pub(crate) fn finish(self) -> Result<Configuration, ApplyError> {
         let resources = self.parts.into_values().flatten();
         Configuration::from_resources_with_digest(self.header.version, resources, self.header.digest)
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -1,11 +1,11 @@
-//! The subscriber: keeps the last good configuration and follows a publisher.
+//! The subscriber: keeps the last configuration that passed all checks, and follows a publisher's updates.
 
 use crate::Micros;
 use crate::backoff::{Backoff, INITIAL_BACKOFF};
 use crate::configuration::{ApplyError, Configuration};
 use crate::digest::Digest;
 use crate::message::{Change, Delta, MAX_DELTA_BYTES, Message, ParseError, SnapshotPart};
-use crate::rejected::{Rejected, encoded_bytes, merge};
+use crate::rejected::{RejectedUpdates, max_encoded_bytes, merge_deltas};
 use crate::report::Report;
 use crate::snapshot_assembly::SnapshotAssembly;
 use crate::subscription::Subscribe;
@@ -14,73 +14,78 @@
 
 pub use crate::subscriber_table::Rejection;
 
-/// The publisher sends something on each watch at least this often, in microseconds.
+/// The longest time for which the publisher sends nothing on a watch, in microseconds.
 pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
-/// A watch that brought nothing for this long, in microseconds, is closed: three heartbeats and a margin.
+/// A watch on which nothing has arrived for this time, in microseconds, is closed. It is three heartbeat
+/// intervals and a margin.
 pub const WATCH_TIMEOUT: Micros = 7_000_000;
-/// The maximum number of rejected deltas that are retained until a later one repairs them.
+/// The maximum number of rejected deltas that are retained until a later one corrects them.
 pub const MAX_REJECTED_DELTAS: usize = 256;
-/// The maximum size of the retained rejected deltas, in bytes.
+/// The maximum total size of the retained rejected deltas, in bytes.
 pub const MAX_REJECTED_BYTES: usize = 2 * MAX_DELTA_BYTES;
-/// Past the bounds of rejected deltas, the call for a snapshot waits half to all of this, in microseconds.
+/// The longest delay, in microseconds, before a subscriber whose rejected deltas exceed the bounds requests a
+/// snapshot. The delay is at least half of this.
 pub const REJECTED_SNAPSHOT_DELAY: Micros = 30_000_000;
 
-/// An update about to be put in force, for a validation of its meaning (an unknown request class, say).
+/// An update that is about to be put in force, passed to a [`Validator`]. The validator checks what this
+/// crate does not know, for example whether a request class exists.
 #[derive(Clone, Copy, Debug)]
 pub enum Proposal<'a> {
-    /// Changes to the current configuration, each of another key.
+    /// Changes to the current configuration, each to a different key.
     Changes(&'a [Change]),
-    /// A complete configuration in place of the current one.
+    /// A complete configuration that replaces the current one.
     Replacement(&'a Configuration),
 }
 
-/// Why a [`Validator`] rejects a proposal. The text of its cause is reported to the publisher as it is.
+/// The reason why a [`Validator`] rejects a proposal. The text of the cause is reported to the publisher
+/// unchanged, up to the length limit of a report.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct InvalidProposal(Box<dyn std::error::Error + Send + Sync>);
 
 impl InvalidProposal {
-    /// A rejection with this cause.
+    /// Creates a rejection with this cause.
     pub fn new(cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         InvalidProposal(cause.into())
     }
 }
 
-/// Validates the meaning of a proposal.
+/// The caller's check of a proposal before it is put in force.
 pub type Validator<'a> = dyn FnMut(Proposal<'_>) -> Result<(), InvalidProposal> + 'a;
 
-/// What the caller has to do, in the order given.
+/// An action that the caller has to perform. Effects are performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Put these changes in force, all at once, and store them with their version.
+    /// Put all of these changes in force at once, and store them with their version.
     Apply {
-        /// The version after them.
+        /// The version after the changes.
         version: Version,
-        /// The changes, each of another key.
+        /// The changes, each to a different key.
         changes: Vec<Change>,
     },
-    /// Put [`Subscriber::configuration`] in force in place of everything, and store it.
+    /// Put [`Subscriber::configuration`] in force in place of the whole previous configuration, and store it.
     Replace {
-        /// Its version.
+        /// The version of the new configuration.
         version: Version,
     },
-    /// Send this to the publisher. Of several that wait to be sent, the latest of each kind suffices.
+    /// Send this report to the publisher. If several reports wait to be sent, only the latest acknowledgement
+    /// and the latest rejection are needed.
     Report(Report),
-    /// Close the watch; [`Subscriber::deadline`] says when to call again.
+    /// Close the watch. [`Subscriber::deadline`] returns when to open the next one.
     CloseWatch,
 }
 
-/// How far a subscriber follows its publisher.
+/// How up to date a subscriber is with its publisher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyncStatus {
-    /// The version in force; none: nothing yet.
+    /// The version in force, or `None` if there is no configuration yet.
     pub version: Option<Version>,
-    /// Microseconds since the publisher last confirmed that this is the newest version; none: not since the
-    /// start.
+    /// The time since the publisher last confirmed that this is the newest version, in microseconds. `None`
+    /// if it has not done so since the subscriber started.
     pub age: Option<Micros>,
     /// Whether a watch is open.
     pub watching: bool,
-    /// The newest version that was rejected, until it or a later one is in force.
+    /// The newest rejected version and the reason, until that version or a later one is in force.
     pub rejected: Option<Rejection>,
 }
 
@@ -90,16 +95,16 @@
     Open { received_at: Micros },
 }
 
-/// The state of a subscriber. It holds one configuration, and beside it the parts of one snapshot, one
-/// rejected snapshot, or a bounded number of rejected deltas.
+/// The state of a subscriber. Besides the configuration in force it holds at most the parts of one snapshot,
+/// one rejected snapshot, or a bounded number of rejected deltas.
 #[derive(Debug)]
 pub struct Subscriber {
     name: String,
     current: Option<Configuration>,
-    rejected: Rejected,
-    rejection: Option<Rejection>,
+    rejected_updates: RejectedUpdates,
+    latest_rejection: Option<Rejection>,
     assembly: Option<SnapshotAssembly>,
-    /// Deltas do not lead from the current configuration to the newest one.
+    /// Whether only a snapshot, and no delta, leads from the current configuration to the newest one.
     snapshot_required: bool,
     watch: Watch,
     confirmed_at: Option<Micros>,
@@ -107,17 +112,17 @@
 }
 
 impl Subscriber {
-    /// A subscriber with the configuration that it had stored, if that is intact. Its first call is drawn
-    /// within [`INITIAL_BACKOFF`], so that a fleet does not call all at once; each subscriber has its own
-    /// seed.
+    /// Creates a subscriber with its stored configuration, if there is one and it is intact. The time of the
+    /// first call is drawn at random within [`INITIAL_BACKOFF`], so that the subscribers of a fleet do not
+    /// all call at the same time. Each subscriber needs its own seed.
     pub fn new(now: Micros, name: &str, seed: u64, stored: Option<Configuration>) -> Subscriber {
         let mut backoff = Backoff::new(seed);
         let next_call = now + backoff.jittered(INITIAL_BACKOFF);
         Subscriber {
             name: name.to_owned(),
             current: stored,
-            rejected: Rejected::None,
-            rejection: None,
+            rejected_updates: RejectedUpdates::None,
+            latest_rejection: None,
             assembly: None,
             snapshot_required: false,
             watch: Watch::Closed { next_call },
@@ -126,44 +131,44 @@
         }
     }
 
-    /// The configuration in force; none: nothing yet.
+    /// Returns the configuration in force, or `None` if there is none yet.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.current.as_ref()
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> Option<Version> {
         self.current.as_ref().map(Configuration::version)
     }
 
-    /// How far it follows its publisher.
+    /// Returns how up to date the subscriber is with its publisher.
     pub fn status(&self, now: Micros) -> SyncStatus {
         SyncStatus {
             version: self.version(),
             age: self.confirmed_at.map(|at| now.saturating_sub(at)),
             watching: matches!(self.watch, Watch::Open { .. }),
-            rejected: self.rejection.clone(),
+            rejected: self.latest_rejection.clone(),
         }
     }
 
-    /// When to call again at the latest if no message arrives: [`Subscriber::call`] while no watch is open,
-    /// [`Subscriber::on_tick`] while one is.
+    /// Returns when the caller must act at the latest if no message arrives: it calls [`Subscriber::call`] if
+    /// no watch is open, and [`Subscriber::on_tick`] if one is.
     pub fn deadline(&self) -> Micros {
         match self.watch {
             Watch::Closed { next_call } => next_call,
-            Watch::Open { received_at } => self.progressed_at(received_at) + WATCH_TIMEOUT,
+            Watch::Open { received_at } => self.last_progress_at(received_at) + WATCH_TIMEOUT,
         }
     }
 
-    /// The call to open a watch with, when it is due and none is open. Rejected updates are dropped: they
-    /// will be sent again, and the outcome of their validation may have changed since.
+    /// Returns the request that opens a watch, if no watch is open and the next call is due. Rejected updates
+    /// are dropped, because the publisher sends them again and their validation may now have another result.
     pub fn call(&mut self, now: Micros) -> Option<Subscribe> {
         match self.watch {
             Watch::Closed { next_call } if next_call <= now => {}
             _ => return None,
         }
         self.watch = Watch::Open { received_at: now };
-        self.rejected = Rejected::None;
+        self.rejected_updates = RejectedUpdates::None;
         self.assembly = None;
         Some(Subscribe {
             subscriber: self.name.clone(),
@@ -172,20 +177,22 @@
         })
     }
 
-    /// The watch could not be opened, or was closed by the other side. Nothing changes where none was open.
+    /// Records that the watch could not be opened or that the publisher closed it. Does nothing if no watch
+    /// was open.
     pub fn on_watch_closed(&mut self, now: Micros) {
         if matches!(self.watch, Watch::Open { .. }) {
             let delay = self.backoff.next_delay();
-            self.close(now + delay);
+            self.close_watch(now + delay);
         }
     }
 
-    /// A line arrived that is not a message.
+    /// Handles a line that is not a valid message.
     pub fn on_malformed(&mut self, now: Micros, _error: &ParseError) -> Vec<Effect> {
         self.close_and_retry(now)
     }
 
-    /// Time has passed: closes a watch that is silent, or whose snapshot makes no progress.
+    /// Closes a watch on which nothing has arrived, or whose snapshot has made no progress, for
+    /// [`WATCH_TIMEOUT`].
     pub fn on_tick(&mut self, now: Micros) -> Vec<Effect> {
         match self.watch {
             Watch::Open { .. } if self.deadline() <= now => self.close_and_retry(now),
@@ -193,7 +200,7 @@
         }
     }
 
-    /// A message arrived on the open watch. `validate` checks the meaning of each update before it is put in
+    /// Handles a message that arrived on the open watch. `validate` checks each update before it is put in
     /// force.
     pub fn on_message(&mut self, now: Micros, message: Message, validate: &mut Validator<'_>) -> Vec<Effect> {
         let Watch::Open { received_at } = &mut self.watch else { return Vec::new() };
@@ -206,16 +213,16 @@
             Message::SnapshotPart(part) => self.on_snapshot_part(now, part, validate),
             Message::Heartbeat { version, digest } => self.on_heartbeat(now, version, digest),
             Message::RetryAfter { micros } => {
-                self.close(now + micros);
+                self.close_watch(now + micros);
                 vec![Effect::CloseWatch]
             }
         }
     }
 
-    /// Whether the message comes from a publisher that a later one has replaced.
+    /// Returns whether the message comes from a publisher that one with a higher term has replaced.
     fn is_from_older_term(&self, message: &Message) -> bool {
-        let versions = self.version().zip(message.version());
-        versions.is_some_and(|(current, offered)| offered.term < current.term)
+        let current_and_offered = self.version().zip(message.version());
+        current_and_offered.is_some_and(|(current, offered)| offered.term < current.term)
     }
 
     fn on_delta(&mut self, now: Micros, delta: Delta, validate: &mut Validator<'_>) -> Vec<Effect> {
@@ -226,17 +233,17 @@
         if delta.base != newest || self.assembly.is_some() {
             return self.close_and_retry(now);
         }
-        match std::mem::take(&mut self.rejected) {
-            Rejected::None => self.apply_with_rejected(now, Vec::new(), delta, validate),
-            Rejected::Deltas(rejected) => self.apply_with_rejected(now, rejected, delta, validate),
-            Rejected::Snapshot(mut candidate) => match candidate.apply(&delta) {
+        match std::mem::take(&mut self.rejected_updates) {
+            RejectedUpdates::None => self.apply_with_rejected(now, Vec::new(), delta, validate),
+            RejectedUpdates::Deltas(rejected) => self.apply_with_rejected(now, rejected, delta, validate),
+            RejectedUpdates::Snapshot(mut candidate) => match candidate.apply(&delta) {
                 Ok(()) => self.propose_replacement(now, candidate, validate),
                 Err(error) => self.reject_and_request_snapshot(now, delta.version, &error.to_string()),
             },
         }
     }
 
-    /// Applies a delta together with the rejected ones that it is based on.
+    /// Applies a delta together with the rejected deltas that it is based on.
     fn apply_with_rejected(
         &mut self,
         now: Micros,
@@ -245,7 +252,7 @@
         validate: &mut Validator<'_>,
     ) -> Vec<Effect> {
         let Some(current) = &mut self.current else { return self.close_and_retry(now) };
-        let merged = merge(&rejected, delta.clone(), current);
+        let merged = merge_deltas(&rejected, delta.clone(), current);
         if let Err(error) = current.validate_delta(&merged) {
             return self.reject_and_request_snapshot(now, delta.version, &error.to_string());
         }
@@ -257,7 +264,7 @@
         if let Err(error) = current.apply(&merged) {
             return self.reject_and_request_snapshot(now, delta.version, &error.to_string());
         }
-        self.on_current(now);
+        self.on_update_in_force(now);
         let version = merged.version;
         vec![Effect::Apply { version, changes: merged.changes }, self.acknowledge(version)]
     }
@@ -276,9 +283,9 @@
             Some(assembly) if assembly.version() == version => assembly,
             _ => SnapshotAssembly::new(now, &part),
         };
-        self.rejected = Rejected::None;
+        self.rejected_updates = RejectedUpdates::None;
         match assembly.add(now, part) {
-            Ok(true) => self.on_snapshot(now, assembly, validate),
+            Ok(true) => self.on_complete_snapshot(now, assembly, validate),
             Ok(false) => {
                 self.assembly = Some(assembly);
                 Vec::new()
@@ -287,7 +294,7 @@
         }
     }
 
-    fn on_snapshot(
+    fn on_complete_snapshot(
         &mut self,
         now: Micros,
         assembly: SnapshotAssembly,
@@ -300,7 +307,8 @@
         }
     }
 
-    /// Puts a complete configuration in force, or retains it until a later delta repairs it.
+    /// Puts a complete configuration in force. If validation rejects it, retains it until a later delta
+    /// corrects it.
     fn propose_replacement(
         &mut self,
         now: Micros,
@@ -309,28 +317,30 @@
     ) -> Vec<Effect> {
         let version = candidate.version();
         if let Err(error) = validate(Proposal::Replacement(&candidate)) {
-            self.rejected = Rejected::Snapshot(candidate);
+            self.rejected_updates = RejectedUpdates::Snapshot(candidate);
             return vec![self.reject(version, &error.to_string())];
         }
         self.current = Some(candidate);
         self.snapshot_required = false;
-        self.on_current(now);
+        self.on_update_in_force(now);
         vec![Effect::Replace { version }, self.acknowledge(version)]
     }
 
-    /// Whether a snapshot of this version is of no use: the current one, or older than what is current,
-    /// rejected or being assembled.
+    /// Returns whether a snapshot of this version is useless: it is the current version (unless a snapshot is
+    /// required), it is older than the current version or the snapshot being assembled, or it is not newer
+    /// than the rejected snapshot.
     fn is_obsolete_snapshot(&self, version: Version) -> bool {
         let is_current = self.version() == Some(version) && !self.snapshot_required;
         let newer_is_assembled = self.assembly.as_ref().is_some_and(|assembly| assembly.version() > version);
-        self.rejected.covers_snapshot(version)
+        self.rejected_updates.covers_snapshot(version)
             || is_current
             || newer_is_assembled
             || self.version() > Some(version)
     }
 
-    /// The current version must have the digest that its publisher states. Another digest shows a publisher
-    /// that lost the end of its log and used the number again.
+    /// Checks that the current configuration has the digest that the publisher states for that version. A
+    /// different digest shows that the publisher lost the newest entries of its log and reused the version
+    /// number.
     fn on_heartbeat(&mut self, now: Micros, version: Version, digest: Digest) -> Vec<Effect> {
         if self.assembly.is_some() {
             return Vec::new();
@@ -350,36 +360,38 @@
         }
     }
 
-    /// The newest version received in order: the last rejected one, or the current one.
+    /// Returns the newest version received without a gap: the newest rejected version, or else the current
+    /// one.
     fn newest_received(&self) -> Option<Version> {
-        self.rejected.version().or(self.version())
+        self.rejected_updates.version().or(self.version())
     }
 
-    /// The newest update is in force.
-    fn on_current(&mut self, now: Micros) {
-        self.rejected = Rejected::None;
-        self.rejection = None;
+    /// Records that the newest update is in force.
+    fn on_update_in_force(&mut self, now: Micros) {
+        self.rejected_updates = RejectedUpdates::None;
+        self.latest_rejection = None;
         self.assembly = None;
         self.confirmed_at = Some(now);
         self.backoff.reset();
     }
 
-    /// Retains rejected deltas: one that repairs them is applied together with them. Past the bounds they are
-    /// dropped for a snapshot.
+    /// Retains rejected deltas, so that they can be applied together with a later delta that corrects them.
+    /// If they exceed the bounds, they are dropped and a snapshot is requested instead.
     fn retain_rejected(&mut self, now: Micros, rejected: Vec<Delta>, report: Effect) -> Vec<Effect> {
         let is_bounded =
-            rejected.len() <= MAX_REJECTED_DELTAS && encoded_bytes(&rejected) <= MAX_REJECTED_BYTES;
+            rejected.len() <= MAX_REJECTED_DELTAS && max_encoded_bytes(&rejected) <= MAX_REJECTED_BYTES;
         if is_bounded {
-            self.rejected = Rejected::Deltas(rejected);
+            self.rejected_updates = RejectedUpdates::Deltas(rejected);
             return vec![report];
         }
         self.snapshot_required = true;
         let delay = self.backoff.jittered(REJECTED_SNAPSHOT_DELAY);
-        self.close(now + delay);
+        self.close_watch(now + delay);
         vec![report, Effect::CloseWatch]
     }
 
-    /// The update does not lead from the current configuration to what was published: only a snapshot does.
+    /// Rejects an update that does not lead from the current configuration to the published one, which only a
+    /// snapshot can do.
     fn reject_and_request_snapshot(&mut self, now: Micros, version: Version, reason: &str) -> Vec<Effect> {
         self.snapshot_required = true;
         let mut effects = vec![self.reject(version, reason)];
@@ -387,20 +399,20 @@
         effects
     }
 
-    /// Closes the watch and calls again after a back-off.
+    /// Closes the watch and schedules the next call after a backoff.
     fn close_and_retry(&mut self, now: Micros) -> Vec<Effect> {
         let delay = self.backoff.next_delay();
-        self.close(now + delay);
+        self.close_watch(now + delay);
         vec![Effect::CloseWatch]
     }
 
-    fn close(&mut self, next_call: Micros) {
+    fn close_watch(&mut self, next_call: Micros) {
         self.watch = Watch::Closed { next_call };
         self.assembly = None;
     }
 
-    fn progressed_at(&self, received_at: Micros) -> Micros {
-        self.assembly.as_ref().map_or(received_at, SnapshotAssembly::progressed_at)
+    fn last_progress_at(&self, received_at: Micros) -> Micros {
+        self.assembly.as_ref().map_or(received_at, SnapshotAssembly::last_progress_at)
     }
 
     fn acknowledge(&self, version: Version) -> Effect {
@@ -408,7 +420,7 @@
     }
 
     fn reject(&mut self, version: Version, reason: &str) -> Effect {
-        self.rejection = Some(Rejection { version, reason: reason.to_owned() });
+        self.latest_rejection = Some(Rejection { version, reason: reason.to_owned() });
         Effect::Report(Report::reject(&self.name, version, reason))
     }
 }
