--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,37 +1,37 @@
-//! The publisher's log: the newest deltas, bounded in number and bytes.
+//! The publisher's log: the newest deltas, bounded in number and in bytes.
 
 use crate::message::{Delta, Line, Message};
 use crate::version::Version;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A delta of the log with its line, encoded once for all subscribers.
+/// A delta in the log, with its encoded line. The line is encoded once and sent to all subscribers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
     /// The delta.
     pub delta: Delta,
-    /// The delta as a line, with its line feed.
+    /// The delta as an encoded line, including its line feed.
     pub line: Line,
 }
 
-/// The bounds of a log; the oldest deltas are dropped first.
+/// The bounds of a log. When one is exceeded, the oldest deltas are dropped first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLimits {
     /// The maximum number of deltas.
     pub deltas: usize,
-    /// The maximum size of all lines, in bytes.
+    /// The maximum total size of all lines, in bytes.
     pub bytes: usize,
 }
 
 impl Default for LogLimits {
-    /// 16,384 deltas and 8 MiB: more than a day of 14,000 changes.
+    /// 16,384 deltas and 8 MiB, which holds more than one day of changes at 14,000 changes a day.
     fn default() -> LogLimits {
         LogLimits { deltas: 16_384, bytes: 8 << 20 }
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Log {
+pub(crate) struct DeltaLog {
     limits: LogLimits,
     entries: VecDeque<Arc<LogEntry>>,
     bytes: usize,
@@ -44,9 +44,9 @@
     }
 }
 
-impl Log {
-    pub(crate) fn new(limits: LogLimits) -> Log {
-        Log { limits, entries: VecDeque::new(), bytes: 0 }
+impl DeltaLog {
+    pub(crate) fn new(limits: LogLimits) -> DeltaLog {
+        DeltaLog { limits, entries: VecDeque::new(), bytes: 0 }
     }
 
     pub(crate) fn push(&mut self, entry: Arc<LogEntry>) {
@@ -63,13 +63,14 @@
         self.bytes = 0;
     }
 
-    /// The deltas after a version, oldest first; none where the log does not reach back to it.
+    /// Returns the deltas after `version`, oldest first, or `None` if the log does not reach back to that
+    /// version.
     pub(crate) fn since(&self, version: Version) -> Option<Vec<Arc<LogEntry>>> {
-        let from = self.entries.binary_search_by_key(&version, |entry| entry.delta.base).ok()?;
-        Some(self.entries.range(from..).cloned().collect())
+        let first_index = self.entries.binary_search_by_key(&version, |entry| entry.delta.base).ok()?;
+        Some(self.entries.range(first_index..).cloned().collect())
     }
 
-    /// The version that the oldest delta is based on.
+    /// Returns the version that the oldest delta is based on, or `None` if the log is empty.
     pub(crate) fn oldest_base(&self) -> Option<Version> {
         self.entries.front().map(|entry| entry.delta.base)
     }
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher: numbers changes, keeps their log, responds to subscriptions.
+//! The publisher: assigns versions to changes, keeps the log of deltas, and responds to subscriptions.
 
 pub use crate::log::{LogEntry, LogLimits};
 pub use crate::snapshot::EncodedSnapshot;
@@ -6,7 +6,7 @@
 
 use crate::Micros;
 use crate::configuration::{ApplyError, Configuration};
-use crate::log::Log;
+use crate::log::DeltaLog;
 use crate::message::{Change, Delta, MAX_DELTA_BYTES, MAX_DELTA_CHANGES, Message};
 use crate::report::Report;
 use crate::resource::Resource;
@@ -16,152 +16,157 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// An encoded snapshot is reused while at most this many deltas follow it.
+/// The encoded snapshot is reused as long as at most this number of deltas follow it.
 pub const MAX_DELTAS_AFTER_SNAPSHOT: usize = 64;
-/// As [`MAX_DELTAS_AFTER_SNAPSHOT`], in bytes of the deltas' lines.
+/// The encoded snapshot is reused as long as the lines of the deltas that follow it have at most this number
+/// of bytes.
 pub const MAX_DELTA_BYTES_AFTER_SNAPSHOT: usize = 1 << 20;
 
-/// The state of a publisher. All of it is bounded: the configuration, the log, one encoded snapshot
-/// and the table of subscribers.
+/// The state of a publisher: the configuration, the log, one encoded snapshot and the table of subscribers.
+/// The size of each of them is bounded.
 #[derive(Debug)]
 pub struct Publisher {
     configuration: Configuration,
-    log: Log,
+    log: DeltaLog,
     subscribers: SubscriberTable,
-    snapshot: Option<Arc<EncodedSnapshot>>,
+    encoded_snapshot: Option<Arc<EncodedSnapshot>>,
 }
 
-/// The response to a subscription. The watch stays open for what is published later, except after
+/// The response to a subscription. The watch stays open for later updates, except after
 /// [`SubscribeResponse::Ahead`] and [`SubscribeResponse::Superseded`].
 #[derive(Debug)]
 pub enum SubscribeResponse {
-    /// Nothing is missing; a heartbeat states it.
+    /// The subscriber has the newest version, which a heartbeat tells it.
     UpToDate,
-    /// The deltas that are missing, oldest first.
+    /// The deltas that the subscriber lacks, oldest first.
     Deltas(Vec<Arc<LogEntry>>),
-    /// A snapshot, if admission allows, then the deltas published since it.
+    /// A snapshot, to be sent if admission allows it, and the deltas that were published after it.
     Snapshot {
         /// The snapshot.
         snapshot: Arc<EncodedSnapshot>,
-        /// The deltas that follow it, oldest first.
+        /// The deltas after the snapshot, oldest first.
         deltas: Vec<Arc<LogEntry>>,
     },
-    /// The subscriber knows a version of this term that was never published here: the end of this log was
-    /// lost. Nothing can be sent that it would accept until [`Publisher::begin_term`].
+    /// The subscriber has a version of the current term that this publisher does not know, because the
+    /// newest entries of its log were lost. The subscriber accepts no update until a new term begins with
+    /// [`Publisher::begin_term`].
     Ahead {
         /// The version that the subscriber has.
         known: Version,
     },
-    /// The subscriber follows a later publisher: this one must not publish any more.
+    /// The subscriber follows a publisher with a higher term. This publisher must not publish any more.
     Superseded {
-        /// The later publisher's term.
+        /// The term of that publisher.
         term: Term,
     },
 }
 
-/// Why changes were not published; nothing has changed.
+/// The reason why changes were not published. The publisher is left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// There are no changes.
     #[error("no change")]
     NoChanges,
-    /// More changes than [`MAX_DELTA_CHANGES`] or more bytes than [`MAX_DELTA_BYTES`] for one delta.
+    /// There are more than [`MAX_DELTA_CHANGES`] changes, or more than [`MAX_DELTA_BYTES`] bytes, for one
+    /// delta.
     #[error("more than {MAX_DELTA_CHANGES} changes or {MAX_DELTA_BYTES} bytes for one delta")]
     TooLarge,
     /// The changes do not apply to the configuration.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// The term has no higher version number.
+    /// The term has no higher version number left.
     #[error("the term's numbers are used up")]
     NumbersExhausted,
 }
 
-/// Why a stored publisher could not be restored.
+/// The reason why a publisher could not be restored from stored data.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// A delta of the log is not based on the one before.
-    #[error("the log has a gap before version {version}")]
+    /// A delta in the log is not based on the version before it, or skips a version number.
+    #[error("the stored log has a gap before version {version}")]
     LogGap {
-        /// The delta's version.
+        /// The version of that delta.
         version: Version,
     },
-    /// The log ends before the configuration's version, so that it cannot lead to it.
-    #[error("the log ends before the configuration's version")]
+    /// The last delta in the log is older than the stored configuration.
+    #[error("the stored log ends before the version of the stored configuration")]
     LogTooShort,
-    /// A delta after the configuration's version does not apply.
-    #[error("a delta of the log does not apply: {0}")]
+    /// A delta newer than the stored configuration does not apply to it.
+    #[error("a delta in the stored log does not apply to the stored configuration: {0}")]
     Apply(#[from] ApplyError),
 }
 
-/// A term that is not above the present one, or out of bounds.
+/// A new term is not greater than the current term, or is greater than [`MAX_VERSION_NUMBER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a new term is above the present one, {present}, and at most {MAX_VERSION_NUMBER}")]
+#[error("a new term must be greater than the current term {current} and at most {MAX_VERSION_NUMBER}")]
 pub struct TermNotHigher {
-    /// The present term.
-    pub present: Term,
+    /// The current term.
+    pub current: Term,
 }
 
-/// A report on a version that this publisher never published.
+/// A report names a version that this publisher never published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("version {0} was not published here")]
 pub struct UnknownVersion(pub Version);
 
 impl Publisher {
-    /// A publisher with an empty configuration and log, at number 0 of a term that no publisher used
-    /// before.
+    /// Creates a publisher with an empty configuration and an empty log, at number 0 of `term`. No publisher
+    /// may have used that term before.
     pub fn new(term: Term, limits: LogLimits) -> Publisher {
-        Publisher::with_log(Configuration::empty(Version::new(term, 0)), Log::new(limits))
+        Publisher::with_log(Configuration::empty(Version::new(term, 0)), DeltaLog::new(limits))
     }
 
-    /// A publisher as it was stored: a configuration, and the log of deltas. Deltas up to the
-    /// configuration's version serve subscribers that are behind, later ones are applied.
+    /// Restores a publisher from its stored configuration and log. Deltas up to the configuration's version
+    /// are kept for subscribers that are behind; newer deltas are also applied to the configuration.
     ///
     /// # Errors
-    /// The log has a gap, ends before the configuration's version, or holds a delta that does not apply.
+    /// Returns an error if the log has a gap, ends before the configuration's version, or contains a newer
+    /// delta that does not apply.
     pub fn restore(
         mut configuration: Configuration,
         deltas: impl IntoIterator<Item = Delta>,
         limits: LogLimits,
     ) -> Result<Publisher, RestoreError> {
-        let mut log = Log::new(limits);
-        let mut last: Option<Version> = None;
+        let mut log = DeltaLog::new(limits);
+        let mut last_version: Option<Version> = None;
         for delta in deltas {
-            if last.is_some_and(|last| last != delta.base) || delta.version != delta.base.next() {
+            if last_version.is_some_and(|last| last != delta.base) || delta.version != delta.base.next() {
                 return Err(RestoreError::LogGap { version: delta.version });
             }
             if delta.version > configuration.version() {
                 configuration.apply(&delta)?;
             }
-            last = Some(delta.version);
+            last_version = Some(delta.version);
             log.push(LogEntry::encode(delta));
         }
-        if last.is_some_and(|last| last != configuration.version()) {
+        if last_version.is_some_and(|last| last != configuration.version()) {
             return Err(RestoreError::LogTooShort);
         }
         Ok(Publisher::with_log(configuration, log))
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn version(&self) -> Version {
         self.configuration.version()
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// The oldest version from which the log leads to the newest one, which it is itself where the log is
-    /// empty.
+    /// Returns the oldest version from which the log leads to the newest version. If the log is empty, that
+    /// is the newest version itself.
     pub fn oldest_known(&self) -> Version {
         self.log.oldest_base().unwrap_or(self.version())
     }
 
-    /// Checks changes and makes the delta that would publish them; nothing changes. To be stored durably
-    /// before [`Publisher::commit`].
+    /// Checks changes and returns the delta that would publish them. The publisher is not modified. The
+    /// caller must store the delta durably before it calls [`Publisher::commit`].
     ///
     /// # Errors
-    /// There are no changes, too many, or they do not apply, or the term's numbers are used up.
+    /// Returns an error if there are no changes or too many, if they do not apply, or if the term has no
+    /// version number left.
     pub fn propose(&self, changes: Vec<Change>) -> Result<Delta, PublishError> {
         if changes.is_empty() {
             return Err(PublishError::NoChanges);
@@ -175,11 +180,11 @@
         Ok(Delta { base: self.version(), version, changes, digest })
     }
 
-    /// Applies a proposed delta to the configuration and appends it to the log; to be sent to all open
-    /// watches.
+    /// Applies a proposed delta to the configuration and appends it to the log. The caller sends the returned
+    /// entry on all open watches.
     ///
     /// # Errors
-    /// The delta does not apply; nothing has changed.
+    /// Returns an error if the delta does not apply. The publisher is then left unchanged.
     pub fn commit(&mut self, delta: Delta) -> Result<Arc<LogEntry>, ApplyError> {
         self.configuration.apply(&delta)?;
         let entry = LogEntry::encode(delta);
@@ -187,21 +192,22 @@
         Ok(entry)
     }
 
-    /// [`Publisher::propose`] and [`Publisher::commit`] in one, where nothing is stored between.
+    /// Proposes and commits changes in one call, for publishers without durable storage.
     ///
     /// # Errors
-    /// As for [`Publisher::propose`]; nothing has changed.
+    /// Returns an error in the cases of [`Publisher::propose`]. The publisher is then left unchanged.
     pub fn publish(&mut self, changes: Vec<Change>) -> Result<Arc<LogEntry>, PublishError> {
         let delta = self.propose(changes)?;
         Ok(self.commit(delta)?)
     }
 
-    /// Checks a complete configuration that is to replace the present one as the next version; nothing
-    /// changes. For what is too large for one delta, such as the first load. To be stored durably before
-    /// [`Publisher::replace`].
+    /// Checks a complete configuration that is to replace the current one as the next version. The publisher
+    /// is not modified. This is meant for updates that are too large for one delta, such as the first load.
+    /// The caller must store the configuration durably before it calls [`Publisher::replace`].
     ///
     /// # Errors
-    /// The resources make no valid configuration, or the term's numbers are used up.
+    /// Returns an error if the resources do not make up a valid configuration, or if the term has no version
+    /// number left.
     pub fn propose_replacement(
         &self,
         resources: impl IntoIterator<Item = Resource>,
@@ -210,11 +216,12 @@
         Ok(Configuration::from_resources(version, resources)?)
     }
 
-    /// Replaces the configuration. The log is cleared, so that every subscriber needs a snapshot: open
-    /// watches are to be closed, and their callers pass admission as they come back.
+    /// Replaces the configuration and clears the log, so that every subscriber needs a snapshot. The caller
+    /// closes all open watches; their subscribers pass admission when they call again.
     ///
     /// # Errors
-    /// The configuration's version is not above the present one; nothing has changed.
+    /// Returns an error if the configuration's version is not greater than the current one. The publisher is
+    /// then left unchanged.
     pub fn replace(&mut self, configuration: Configuration) -> Result<(), ApplyError> {
         let current = self.version();
         let next = configuration.version();
@@ -223,29 +230,31 @@
         }
         self.configuration = configuration;
         self.log.clear();
-        self.snapshot = None;
+        self.encoded_snapshot = None;
         Ok(())
     }
 
-    /// Continues with the same resources and number under a higher term, after the end of the log was lost.
-    /// The log is cleared. To be stored durably before anything is sent.
+    /// Continues with the same resources and the same number under a higher term, after the newest entries of
+    /// the log were lost. Clears the log. The caller must store the new term durably before it sends
+    /// anything.
     ///
     /// # Errors
-    /// The term is not above the present one, or out of bounds; nothing has changed.
+    /// Returns an error if the term is not greater than the current one, or is out of bounds. The publisher
+    /// is then left unchanged.
     pub fn begin_term(&mut self, term: Term) -> Result<(), TermNotHigher> {
-        let present = self.version().term;
-        if term <= present || term.0 > MAX_VERSION_NUMBER {
-            return Err(TermNotHigher { present });
+        let current = self.version().term;
+        if term <= current || term.0 > MAX_VERSION_NUMBER {
+            return Err(TermNotHigher { current });
         }
         let number = self.version().number;
         self.configuration.renumber(Version::new(term, number));
         self.log.clear();
-        self.snapshot = None;
+        self.encoded_snapshot = None;
         Ok(())
     }
 
-    /// Responds to a subscription and records which version its subscriber has. A snapshot is sent only as
-    /// [`crate::admission::Admission`] allows.
+    /// Responds to a subscription and records which version the subscriber has. The caller sends a snapshot
+    /// only when [`crate::admission::Admission`] allows it.
     pub fn subscribe(&mut self, now: Micros, subscribe: &Subscribe) -> SubscribeResponse {
         self.subscribers.on_subscribe(now, &subscribe.subscriber, subscribe.known);
         let newest = self.version();
@@ -268,7 +277,7 @@
         }
     }
 
-    /// The heartbeat to send on watches on which nothing else was sent for a while.
+    /// Returns the heartbeat to send on watches on which nothing else has been sent for a while.
     pub fn heartbeat(&self) -> Message {
         Message::Heartbeat { version: self.version(), digest: self.configuration.digest() }
     }
@@ -276,7 +285,8 @@
     /// Records a subscriber's report.
     ///
     /// # Errors
-    /// The report names a version that was never published here; it is not recorded.
+    /// Returns an error if this publisher never published the version that the report names. The report is
+    /// then not recorded.
     pub fn on_report(&mut self, now: Micros, report: &Report) -> Result<(), UnknownVersion> {
         let (Report::Acknowledge { version, .. } | Report::Reject { version, .. }) = report;
         if *version > self.version() {
@@ -286,13 +296,13 @@
         Ok(())
     }
 
-    /// All known subscribers, by name: which version each has, and how far it is behind.
+    /// Returns the status of all known subscribers, ordered by name.
     pub fn subscribers(&self, now: Micros) -> Vec<SubscriberStatus> {
         self.subscribers.statuses(now, self.version())
     }
 
-    fn with_log(configuration: Configuration, log: Log) -> Publisher {
-        Publisher { configuration, log, subscribers: SubscriberTable::default(), snapshot: None }
+    fn with_log(configuration: Configuration, log: DeltaLog) -> Publisher {
+        Publisher { configuration, log, subscribers: SubscriberTable::default(), encoded_snapshot: None }
     }
 
     fn next_version(&self) -> Result<Version, PublishError> {
@@ -300,19 +310,21 @@
         if next.is_bounded() { Ok(next) } else { Err(PublishError::NumbersExhausted) }
     }
 
-    /// A snapshot that is not older than what the subscriber has.
+    /// Returns a snapshot that is at least as new as `known`, the version that the subscriber has.
     fn snapshot_response(&mut self, known: Option<Version>) -> SubscribeResponse {
-        if let Some(snapshot) = self.snapshot.clone().filter(|snapshot| known <= Some(snapshot.version))
+        if let Some(snapshot) =
+            self.encoded_snapshot.clone().filter(|snapshot| known <= Some(snapshot.version))
             && let Some(deltas) = self.deltas_after(snapshot.version)
         {
             return SubscribeResponse::Snapshot { snapshot, deltas };
         }
         let snapshot = Arc::new(EncodedSnapshot::encode(&self.configuration));
-        self.snapshot = Some(snapshot.clone());
+        self.encoded_snapshot = Some(snapshot.clone());
         SubscribeResponse::Snapshot { snapshot, deltas: Vec::new() }
     }
 
-    /// The deltas after an encoded snapshot; none where they are too many, or no longer in the log.
+    /// Returns the deltas after an encoded snapshot of `version`, or `None` if they are too many or no longer
+    /// in the log.
     fn deltas_after(&self, version: Version) -> Option<Vec<Arc<LogEntry>>> {
         if version == self.version() {
             return Some(Vec::new());
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -155,7 +155,7 @@
         SubscribeResponse::Superseded { term: Term(4) }
     ));
 
-    assert_eq!(publisher.begin_term(Term(3)), Err(TermNotHigher { present: Term(3) }));
+    assert_eq!(publisher.begin_term(Term(3)), Err(TermNotHigher { current: Term(3) }));
     publisher.begin_term(Term(5)).unwrap();
     assert_eq!(publisher.version(), Version::new(Term(5), 1), "the numbering goes on");
     let (configuration, _) = snapshot(publisher.subscribe(0, &call(Some(known))));
