--- a/crates/distribution/src/backoff.rs
+++ b/crates/distribution/src/backoff.rs
@@ -1,43 +1,46 @@
-//! Back-off between failed calls: exponential, with jitter, bounded.
+//! Exponential backoff with jitter and an upper bound, for calls that failed.
 
 use crate::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// The upper bound of the first delay, in microseconds.
+/// The upper bound of the delay after the first failure, in microseconds.
 pub const INITIAL_BACKOFF: Micros = 200_000;
-/// The longest delay, in microseconds.
+/// The upper bound of every delay, in microseconds.
 pub const MAX_BACKOFF: Micros = 5_000_000;
-/// Doublings after which the upper bound no longer grows.
+/// The upper bound of a delay is doubled at most this many times, so that the shift cannot overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// Exponential back-off: the n-th delay in a row is drawn evenly from the upper half of a span that doubles.
+/// Exponential backoff. Each delay is drawn uniformly from the upper half of a span that doubles with every
+/// consecutive failure.
 #[derive(Debug)]
 pub struct Backoff {
-    random: Pcg32,
-    failures: u32,
+    rng: Pcg32,
+    consecutive_failures: u32,
 }
 
 impl Backoff {
-    /// A back-off whose jitter follows from the seed; each subscriber has a seed of its own.
+    /// Creates a backoff whose jitter is determined by `seed`. Each subscriber needs its own seed, so that
+    /// the subscribers of a fleet do not retry at the same time.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { random: Pcg32::seed_from_u64(seed), failures: 0 }
+        Backoff { rng: Pcg32::seed_from_u64(seed), consecutive_failures: 0 }
     }
 
-    /// The delay after another failure, in microseconds: at most [`MAX_BACKOFF`].
+    /// Records a failure and returns the delay until the next call, in microseconds, at most [`MAX_BACKOFF`].
     pub fn next_delay(&mut self) -> Micros {
-        let span = (INITIAL_BACKOFF << self.failures.min(MAX_BACKOFF_DOUBLINGS)).min(MAX_BACKOFF);
-        self.failures = self.failures.saturating_add(1);
+        let span = (INITIAL_BACKOFF << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS)).min(MAX_BACKOFF);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.jittered(span)
     }
 
-    /// A delay drawn evenly from the upper half of `span`, independent of the failures in a row.
+    /// Returns a delay drawn uniformly from the upper half of `span`. The number of consecutive failures does
+    /// not affect it.
     pub fn jittered(&mut self, span: Micros) -> Micros {
-        self.random.random_range(span / 2..=span)
+        self.rng.random_range(span / 2..=span)
     }
 
-    /// A call has succeeded: the next failure counts as the first.
+    /// Records a success: the next failure counts as the first one.
     pub fn reset(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 }
