--- a/crates/distribution/src/subscriber_table.rs
+++ b/crates/distribution/src/subscriber_table.rs
@@ -1,4 +1,4 @@
-//! What a publisher knows of its subscribers: which version each has, and which one it rejected.
+//! The publisher's table of subscribers: which version each one has, and which version it rejected.
 
 use crate::Micros;
 use crate::report::Report;
@@ -6,102 +6,107 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// The maximum number of subscribers known at once; the one heard least recently is evicted.
+/// The maximum number of subscribers in the table. Beyond it, the subscriber with the oldest contact is
+/// evicted.
 pub const MAX_TRACKED_SUBSCRIBERS: usize = 8_192;
 
-/// A rejection that no later acknowledgement has superseded.
+/// A rejection that has not been superseded by an acknowledgement of the same or a later version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The version that was rejected.
+    /// The rejected version.
     pub version: Version,
-    /// The reason as the subscriber reported it.
+    /// The reason that the subscriber reported.
     pub reason: String,
 }
 
-/// One subscriber as its publisher sees it.
+/// The status of one subscriber, as far as the publisher knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubscriberStatus {
-    /// Its name.
+    /// The subscriber's name.
     pub subscriber: String,
-    /// The version it has: acknowledged, or stated in its latest call; none: nothing.
+    /// The version that the subscriber acknowledged, or stated in its latest call. `None` if it has no
+    /// configuration.
     pub version: Option<Version>,
-    /// How many versions it is behind; none where it has nothing or a version of another term.
+    /// By how many versions the subscriber is behind the newest one. `None` if it has no configuration, or a
+    /// version of a different term.
     pub behind: Option<u64>,
-    /// Microseconds since it reported that version.
+    /// The time since the subscriber first reported that version, in microseconds.
     #[serde(rename = "held_for")]
     pub version_age: Micros,
-    /// Microseconds since its latest call or report.
+    /// The time since the subscriber's latest call or report, in microseconds.
     #[serde(rename = "silent_for")]
     pub last_contact_age: Micros,
-    /// The newest version that it rejected, if it has not acknowledged that or a later one since.
+    /// The newest version that the subscriber rejected, unless it has acknowledged that version or a later
+    /// one since.
     #[serde(rename = "refused")]
     pub rejected: Option<Rejection>,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct SubscriberState {
     version: Option<Version>,
     version_since: Micros,
     last_contact_at: Micros,
     rejected: Option<Rejection>,
 }
 
-/// The subscribers by name.
+/// The subscribers, by name.
 #[derive(Debug, Default)]
 pub(crate) struct SubscriberTable {
-    entries: HashMap<String, Entry>,
+    states: HashMap<String, SubscriberState>,
 }
 
 impl SubscriberTable {
-    /// A call states what its subscriber has, also when that is less than before.
+    /// Records the version that a subscriber states in its call, even if it is older than the recorded one or
+    /// `None`.
     pub(crate) fn on_subscribe(&mut self, now: Micros, subscriber: &str, known: Option<Version>) {
-        let entry = self.entry(now, subscriber);
-        if entry.version != known {
-            entry.version = known;
-            entry.version_since = now;
+        let state = self.state_mut(now, subscriber);
+        if state.version != known {
+            state.version = known;
+            state.version_since = now;
         }
     }
 
     pub(crate) fn on_report(&mut self, now: Micros, report: &Report) {
-        let entry = self.entry(now, report.subscriber());
+        let state = self.state_mut(now, report.subscriber());
         match report {
-            Report::Acknowledge { version, .. } => entry.acknowledge(now, *version),
-            Report::Reject { version, reason, .. } => entry.reject(*version, reason),
+            Report::Acknowledge { version, .. } => state.acknowledge(now, *version),
+            Report::Reject { version, reason, .. } => state.reject(*version, reason),
         }
     }
 
-    /// All subscribers by name.
+    /// Returns the status of all subscribers, ordered by name.
     pub(crate) fn statuses(&self, now: Micros, newest: Version) -> Vec<SubscriberStatus> {
-        let status = |(name, entry): (&String, &Entry)| entry.status(name, now, newest);
-        let mut statuses: Vec<SubscriberStatus> = self.entries.iter().map(status).collect();
-        statuses.sort_by(|a, b| a.subscriber.cmp(&b.subscriber));
+        let status = |(name, state): (&String, &SubscriberState)| state.status(name, now, newest);
+        let mut statuses: Vec<SubscriberStatus> = self.states.iter().map(status).collect();
+        statuses.sort_by(|left, right| left.subscriber.cmp(&right.subscriber));
         statuses
     }
 
-    fn entry(&mut self, now: Micros, subscriber: &str) -> &mut Entry {
-        if !self.entries.contains_key(subscriber) && self.entries.len() >= MAX_TRACKED_SUBSCRIBERS {
-            self.evict_least_recent();
+    fn state_mut(&mut self, now: Micros, subscriber: &str) -> &mut SubscriberState {
+        if !self.states.contains_key(subscriber) && self.states.len() >= MAX_TRACKED_SUBSCRIBERS {
+            self.evict_oldest_contact();
         }
-        let entry = self.entries.entry(subscriber.to_owned()).or_insert(Entry {
+        let state = self.states.entry(subscriber.to_owned()).or_insert(SubscriberState {
             version: None,
             version_since: now,
             last_contact_at: now,
             rejected: None,
         });
-        entry.last_contact_at = now;
-        entry
+        state.last_contact_at = now;
+        state
     }
 
-    fn evict_least_recent(&mut self) {
-        let least_recent = self.entries.iter().min_by_key(|(_, entry)| entry.last_contact_at);
-        if let Some(name) = least_recent.map(|(name, _)| name.clone()) {
-            self.entries.remove(&name);
+    fn evict_oldest_contact(&mut self) {
+        let oldest_contact = self.states.iter().min_by_key(|(_, state)| state.last_contact_at);
+        if let Some(name) = oldest_contact.map(|(name, _)| name.clone()) {
+            self.states.remove(&name);
         }
     }
 }
 
-impl Entry {
-    /// A report that a later one has overtaken changes nothing.
+impl SubscriberState {
+    /// Records an acknowledgement, unless the same or a later version is recorded already.
     fn acknowledge(&mut self, now: Micros, version: Version) {
         if self.version.is_some_and(|current| current >= version) {
             return;
@@ -114,19 +119,19 @@
     }
 
     fn reject(&mut self, version: Version, reason: &str) {
-        let is_overtaken = self.version.is_some_and(|current| current > version)
+        let is_outdated = self.version.is_some_and(|current| current > version)
             || self.rejected.as_ref().is_some_and(|rejection| rejection.version > version);
-        if !is_overtaken {
+        if !is_outdated {
             self.rejected = Some(Rejection { version, reason: reason.to_owned() });
         }
     }
 
     fn status(&self, name: &str, now: Micros, newest: Version) -> SubscriberStatus {
-        let same_term = self.version.filter(|version| version.term == newest.term);
+        let version_in_term = self.version.filter(|version| version.term == newest.term);
         SubscriberStatus {
             subscriber: name.to_owned(),
             version: self.version,
-            behind: same_term.map(|version| newest.number.saturating_sub(version.number)),
+            behind: version_in_term.map(|version| newest.number.saturating_sub(version.number)),
             version_age: now.saturating_sub(self.version_since),
             last_contact_age: now.saturating_sub(self.last_contact_at),
             rejected: self.rejected.clone(),
