--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -3,13 +3,13 @@
 //! hold what the publisher holds.
 
 mod common;
-mod world;
+mod simulation;
 
 use common::{SECOND, UNKNOWN_CLASS};
 use proptest::prelude::*;
+use simulation::{Fault, Reach, Restart, World};
 use violetseam_distribution::message::MAX_RETRY_AFTER;
 use violetseam_distribution::{Change, Resource, ResourceKey, RouteKey};
-use world::{Fault, Reach, Restart, World};
 
 const SUBSCRIBERS: usize = 3;
 /// How soon all agree after the last fault: a damaged retry-after may tell the longest wait.
