--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! What the tests of subscribers share.
+//! Helpers shared by the tests that run a subscriber.
 
 use violetseam_distribution::subscriber::{Effect, InvalidProposal, Proposal, Subscriber};
 use violetseam_distribution::{Change, Configuration, Message, Micros, Resource};
 
 pub const SECOND: Micros = 1_000_000;
 
-/// The class that subscribers of these tests do not know.
+/// A request class that the subscribers in these tests do not know, so that they reject routes to it.
 pub const UNKNOWN_CLASS: &str = "unknown";
 
-/// The check of meaning that these tests use: no route to [`UNKNOWN_CLASS`].
+/// The validator of these tests: it rejects every proposal with a route to [`UNKNOWN_CLASS`].
 pub fn validate(proposal: Proposal<'_>) -> Result<(), InvalidProposal> {
     let is_unknown = |class: &str| class == UNKNOWN_CLASS;
-    let refused = match proposal {
+    let is_invalid = match proposal {
         Proposal::Changes(changes) => changes.iter().any(
             |change| matches!(change, Change::Put(Resource::Route(route)) if is_unknown(&route.value.class)),
         ),
@@ -19,35 +19,37 @@
             configuration.routes().any(|(_, value)| is_unknown(&value.class))
         }
     };
-    if refused { Err(InvalidProposal::new(format!("no class {UNKNOWN_CLASS:?}"))) } else { Ok(()) }
+    if is_invalid { Err(InvalidProposal::new(format!("no class {UNKNOWN_CLASS:?}"))) } else { Ok(()) }
 }
 
-/// Hands a message over with the check of these tests.
+/// Passes a message to the subscriber together with the validator of these tests.
 pub fn receive(subscriber: &mut Subscriber, now: Micros, message: Message) -> Vec<Effect> {
     subscriber.on_message(now, message, &mut validate)
 }
 
-/// Puts effects in force as a driver does: on a configuration of its own.
+/// Stands for the driver of a subscriber: it applies the subscriber's effects to its own copy of the
+/// configuration.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct TestDriver {
     pub configuration: Option<Configuration>,
 }
 
-impl InForce {
-    /// Takes the effects of one message, in their order.
-    pub fn take(&mut self, subscriber: &Subscriber, effects: &[Effect]) {
+impl TestDriver {
+    /// Applies the effects of one message in order. Reports and the closing of the watch are left to the
+    /// caller.
+    pub fn apply_effects(&mut self, subscriber: &Subscriber, effects: &[Effect]) {
         for effect in effects {
             match effect {
                 Effect::Apply { version, changes } => {
-                    let held = self.configuration.as_mut().expect("changes go onto something");
-                    let digest = held.validate_changes(*version, changes).expect("changes check");
+                    let current = self.configuration.as_mut().expect("changes need a configuration");
+                    let digest = current.validate_changes(*version, changes).expect("changes are valid");
                     let delta = violetseam_distribution::Delta {
-                        base: held.version(),
+                        base: current.version(),
                         version: *version,
                         changes: changes.clone(),
                         digest,
                     };
-                    held.apply(&delta).expect("changes apply");
+                    current.apply(&delta).expect("changes apply");
                 }
                 Effect::Replace { version } => {
                     self.configuration = subscriber.configuration().cloned();
