--- a/crates/distribution/tests/messages.rs
+++ b/crates/distribution/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages on the wire: what is written is read back, what is out of bounds is refused.
+//! Tests of the wire format: encoded messages parse to the same value, and values out of bounds are rejected.
 
 use proptest::prelude::*;
 use violetseam_distribution::message::{
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn every_message_is_read_as_it_was_written() {
+fn every_message_parses_to_what_was_encoded() {
     let route = Resource::route(Some("GET"), "/api/v1", "read");
     let tenant = Resource::tenant("müller & co", 12.5);
     let removal = Change::Remove(ResourceKey::Route(RouteKey { method: None, prefix: "/".to_owned() }));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_message_is_written_as_documented() {
+fn a_message_is_encoded_as_documented() {
     let change = Change::Put(Resource::route(Some("GET"), "/api", "read"));
     let message = Message::Delta(Delta { digest: Digest(0xabc), ..delta(vec![change]) });
     let written = String::from_utf8(message.write().to_vec()).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn lines_that_are_no_message_are_refused() {
+fn lines_that_are_not_messages_are_rejected() {
     let digest = Digest(1).to_string();
     let lines = [
         String::new(),
@@ -83,17 +83,17 @@
     for line in lines {
         assert!(matches!(Message::parse(line.as_bytes()), Err(ParseError::InvalidJson(_))), "{line}");
     }
-    let long = vec![b' '; MAX_LINE_BYTES + 1];
-    assert_eq!(Message::parse(&long), Err(ParseError::LineTooLong(MAX_LINE_BYTES)));
+    let long_line = vec![b' '; MAX_LINE_BYTES + 1];
+    assert_eq!(Message::parse(&long_line), Err(ParseError::LineTooLong(MAX_LINE_BYTES)));
 }
 
 #[test]
-fn versions_out_of_bounds_or_order_are_refused() {
+fn versions_out_of_range_or_order_are_rejected() {
     let put = vec![Change::Put(Resource::tenant("a", 1.0))];
-    let beyond = Message::Heartbeat { version: version(1, MAX_VERSION_NUMBER + 1), digest: Digest(1) };
-    assert_eq!(parse(&beyond), Err(ParseError::VersionOutOfRange));
-    let unchanged = Delta { version: version(1, 4), ..delta(put.clone()) };
-    assert_eq!(parse(&Message::Delta(unchanged)), Err(ParseError::VersionOrder));
+    let out_of_range = Message::Heartbeat { version: version(1, MAX_VERSION_NUMBER + 1), digest: Digest(1) };
+    assert_eq!(parse(&out_of_range), Err(ParseError::VersionOutOfRange));
+    let not_greater = Delta { version: version(1, 4), ..delta(put.clone()) };
+    assert_eq!(parse(&Message::Delta(not_greater)), Err(ParseError::VersionOrder));
     let across_terms = Delta { version: version(2, 5), ..delta(put) };
     assert_eq!(parse(&Message::Delta(across_terms)), Err(ParseError::VersionOrder));
     let long_wait = Message::RetryAfter { micros: MAX_RETRY_AFTER + 1 };
@@ -101,44 +101,51 @@
 }
 
 #[test]
-fn deltas_and_parts_of_too_much_are_refused() {
+fn deltas_and_parts_that_are_too_large_are_rejected() {
     assert_eq!(parse(&Message::Delta(delta(Vec::new()))), Err(ParseError::InvalidChanges));
     let tenant = |index: usize| Resource::tenant(&format!("t{index}"), 1.0);
     let too_many: Vec<Change> = (0..=MAX_DELTA_CHANGES).map(tenant).map(Change::Put).collect();
     assert_eq!(parse(&Message::Delta(delta(too_many))), Err(ParseError::InvalidChanges));
-    let wide = |index: usize| Resource::tenant(&format!("{index:0250}"), 1.0);
-    let count = MAX_DELTA_BYTES / wide(0).max_encoded_bytes() + 1;
-    let too_heavy: Vec<Change> = (0..count).map(wide).map(Change::Put).collect();
-    assert!(too_heavy.len() <= MAX_DELTA_CHANGES, "the weight is what is refused");
-    assert_eq!(parse(&Message::Delta(delta(too_heavy))), Err(ParseError::InvalidChanges));
+    let with_long_name = |index: usize| Resource::tenant(&format!("{index:0250}"), 1.0);
+    let count = MAX_DELTA_BYTES / with_long_name(0).max_encoded_bytes() + 1;
+    let too_large: Vec<Change> = (0..count).map(with_long_name).map(Change::Put).collect();
+    assert!(
+        too_large.len() <= MAX_DELTA_CHANGES,
+        "the delta is rejected for its size, not its number of changes"
+    );
+    assert_eq!(parse(&Message::Delta(delta(too_large))), Err(ParseError::InvalidChanges));
 
-    let count = MAX_PART_BYTES / wide(0).max_encoded_bytes() + 1;
-    let heavy_part = part((0..count).map(wide).collect());
-    assert_eq!(parse(&Message::SnapshotPart(heavy_part)), Err(ParseError::InvalidPart));
-    let many = MAX_SNAPSHOT_PARTS as u32 + 1;
-    for (number, parts) in [(0, 0), (1, 1), (2, 1), (0, many)] {
-        let odd = SnapshotPart { part: number, parts, ..part(Vec::new()) };
-        assert_eq!(parse(&Message::SnapshotPart(odd)), Err(ParseError::InvalidPart), "{number} of {parts}");
+    let count = MAX_PART_BYTES / with_long_name(0).max_encoded_bytes() + 1;
+    let large_part = part((0..count).map(with_long_name).collect());
+    assert_eq!(parse(&Message::SnapshotPart(large_part)), Err(ParseError::InvalidPart));
+    let too_many_parts = MAX_SNAPSHOT_PARTS as u32 + 1;
+    for (number, parts) in [(0, 0), (1, 1), (2, 1), (0, too_many_parts)] {
+        let invalid = SnapshotPart { part: number, parts, ..part(Vec::new()) };
+        assert_eq!(
+            parse(&Message::SnapshotPart(invalid)),
+            Err(ParseError::InvalidPart),
+            "part {number} of {parts}"
+        );
     }
 }
 
 #[test]
-fn resources_out_of_bounds_are_refused() {
-    let long = |length: usize| "x".repeat(length);
-    let refused = [
+fn resources_out_of_bounds_are_rejected() {
+    let text_of = |length: usize| "x".repeat(length);
+    let invalid = [
         Resource::route(Some(""), "/", "c"),
-        Resource::route(Some(&long(MAX_METHOD_BYTES + 1)), "/", "c"),
+        Resource::route(Some(&text_of(MAX_METHOD_BYTES + 1)), "/", "c"),
         Resource::route(Some("GE T"), "/", "c"),
         Resource::route(None, "", "c"),
         Resource::route(None, "api", "c"),
         Resource::route(None, "/a b", "c"),
         Resource::route(None, "/é", "c"),
-        Resource::route(None, &format!("/{}", long(MAX_PREFIX_BYTES)), "c"),
+        Resource::route(None, &format!("/{}", text_of(MAX_PREFIX_BYTES)), "c"),
         Resource::route(None, "/", ""),
-        Resource::route(None, "/", &long(MAX_CLASS_BYTES + 1)),
+        Resource::route(None, "/", &text_of(MAX_CLASS_BYTES + 1)),
         Resource::route(None, "/", "a\"b"),
         Resource::tenant("", 1.0),
-        Resource::tenant(&long(MAX_TENANT_NAME_BYTES + 1), 1.0),
+        Resource::tenant(&text_of(MAX_TENANT_NAME_BYTES + 1), 1.0),
         Resource::tenant("a\nb", 1.0),
         Resource::tenant("a\\b", 1.0),
         Resource::tenant("a", -1.0),
@@ -147,16 +154,16 @@
         Resource::tenant("a", f64::INFINITY),
         Resource::Tenant(Tenant { name: "a".to_owned(), value: TenantValue { quota: 1.0 / 3.0 } }),
     ];
-    for resource in refused {
+    for resource in invalid {
         assert!(resource.validate().is_err(), "{resource:?}");
     }
-    let taken = [
-        Resource::route(Some(&long(MAX_METHOD_BYTES)), "/", &long(MAX_CLASS_BYTES)),
-        Resource::route(None, &format!("/{}", long(MAX_PREFIX_BYTES - 1)), "c"),
-        Resource::tenant(&long(MAX_TENANT_NAME_BYTES), MAX_QUOTA),
+    let valid = [
+        Resource::route(Some(&text_of(MAX_METHOD_BYTES)), "/", &text_of(MAX_CLASS_BYTES)),
+        Resource::route(None, &format!("/{}", text_of(MAX_PREFIX_BYTES - 1)), "c"),
+        Resource::tenant(&text_of(MAX_TENANT_NAME_BYTES), MAX_QUOTA),
         Resource::tenant("a", 0.0),
     ];
-    for resource in taken {
+    for resource in valid {
         assert_eq!(resource.validate(), Ok(()), "{resource:?}");
     }
     let message = Message::Delta(delta(vec![Change::Put(Resource::tenant("a", -1.0))]));
@@ -166,18 +173,18 @@
 }
 
 #[test]
-fn the_heaviest_delta_and_part_fit_their_line() {
-    // The shortest names and the longest numbers: most punctuation for the weight.
+fn the_largest_delta_and_part_fit_in_a_line() {
+    // Short names and long numbers give the longest JSON for the size that counts towards the limits.
     let tenant = |index: usize| Resource::tenant(&format!("{index:x}"), MAX_QUOTA - 1.0 / QUOTA_STEPS);
-    let within = |most: usize| {
-        let mut weight = 0;
+    let within_limit = |max_bytes: usize| {
+        let mut bytes = 0;
         (0..MAX_DELTA_CHANGES).map(tenant).take_while(move |resource| {
-            weight += resource.max_encoded_bytes();
-            weight <= most
+            bytes += resource.max_encoded_bytes();
+            bytes <= max_bytes
         })
     };
-    let changes: Vec<Change> = within(MAX_DELTA_BYTES).map(Change::Put).collect();
-    let resources: Vec<Resource> = within(MAX_PART_BYTES).collect();
+    let changes: Vec<Change> = within_limit(MAX_DELTA_BYTES).map(Change::Put).collect();
+    let resources: Vec<Resource> = within_limit(MAX_PART_BYTES).collect();
     for message in [Message::Delta(delta(changes)), Message::SnapshotPart(part(resources))] {
         assert!(message.write().len() <= MAX_LINE_BYTES);
         assert_eq!(parse(&message), Ok(message));
@@ -185,40 +192,40 @@
 }
 
 #[test]
-fn reports_are_read_as_written_and_bounded() {
+fn reports_parse_to_what_was_encoded_and_are_bounded() {
     let acknowledge = Report::Acknowledge { subscriber: "proxy-1.a_b".to_owned(), version: version(2, 9) };
-    let refuse = Report::reject("proxy-1", version(2, 9), "no class \"x\"\n");
-    for report in [acknowledge, refuse.clone()] {
+    let reject = Report::reject("proxy-1", version(2, 9), "no class \"x\"\n");
+    for report in [acknowledge, reject.clone()] {
         assert_eq!(Report::parse(&report.write()), Ok(report));
     }
-    let Report::Reject { reason, .. } = refuse else { panic!("a rejection") };
+    let Report::Reject { reason, .. } = reject else { panic!("not a rejection") };
     assert_eq!(reason, "no class \"x\" ", "control characters become spaces");
 
-    let wordy = Report::reject("proxy-1", version(2, 9), &"ü\"".repeat(MAX_REASON_BYTES));
-    assert!(wordy.write().len() <= MAX_REPORT_BYTES, "the longest reason fits");
-    assert!(Report::parse(&wordy.write()).is_ok());
+    let long_reason = Report::reject("proxy-1", version(2, 9), &"ü\"".repeat(MAX_REASON_BYTES));
+    assert!(long_reason.write().len() <= MAX_REPORT_BYTES, "the longest reason fits in a report");
+    assert!(Report::parse(&long_reason.write()).is_ok());
 
-    let nameless = Report::Acknowledge { subscriber: String::new(), version: version(1, 1) };
-    assert_eq!(Report::parse(&nameless.write()), Err(ParseError::InvalidSubscriberName));
-    let beyond =
+    let without_name = Report::Acknowledge { subscriber: String::new(), version: version(1, 1) };
+    assert_eq!(Report::parse(&without_name.write()), Err(ParseError::InvalidSubscriberName));
+    let out_of_range =
         Report::Acknowledge { subscriber: "a".to_owned(), version: version(1, MAX_VERSION_NUMBER + 1) };
-    assert_eq!(Report::parse(&beyond.write()), Err(ParseError::VersionOutOfRange));
+    assert_eq!(Report::parse(&out_of_range.write()), Err(ParseError::VersionOutOfRange));
     let reason = "x".repeat(MAX_REASON_BYTES + 1);
-    let long = Report::Reject { subscriber: "a".to_owned(), version: version(1, 1), reason };
-    assert_eq!(Report::parse(&long.write()), Err(ParseError::InvalidReason));
+    let too_long = Report::Reject { subscriber: "a".to_owned(), version: version(1, 1), reason };
+    assert_eq!(Report::parse(&too_long.write()), Err(ParseError::InvalidReason));
     assert_eq!(Report::parse(&[b' '; MAX_REPORT_BYTES + 1]), Err(ParseError::LineTooLong(MAX_REPORT_BYTES)));
 }
 
 #[test]
-fn subscriptions_are_read_as_written_and_bounded() {
+fn subscriptions_parse_to_what_was_encoded_and_are_bounded() {
     let name = "p".repeat(MAX_SUBSCRIBER_NAME_BYTES);
     for known in [None, Some(version(0, 0)), Some(version(MAX_VERSION_NUMBER, MAX_VERSION_NUMBER))] {
-        for whole in [false, true] {
-            let subscribe = Subscribe { subscriber: name.clone(), known, snapshot_required: whole };
+        for snapshot_required in [false, true] {
+            let subscribe = Subscribe { subscriber: name.clone(), known, snapshot_required };
             assert_eq!(Subscribe::from_query(&subscribe.to_query()), Ok(subscribe));
         }
     }
-    let refused = [
+    let invalid = [
         "",
         "subscriber",
         "term=1&number=1",
@@ -233,17 +240,17 @@
         "subscriber=a%20b",
         "subscriber=",
     ];
-    for query in refused {
+    for query in invalid {
         assert!(Subscribe::from_query(query).is_err(), "{query}");
     }
-    let beyond = format!("subscriber=a&term=1&number={}", MAX_VERSION_NUMBER + 1);
-    assert_eq!(Subscribe::from_query(&beyond), Err(ParseError::VersionOutOfRange));
-    let long = format!("subscriber={name}p");
-    assert_eq!(Subscribe::from_query(&long), Err(ParseError::InvalidSubscriberName));
+    let out_of_range = format!("subscriber=a&term=1&number={}", MAX_VERSION_NUMBER + 1);
+    assert_eq!(Subscribe::from_query(&out_of_range), Err(ParseError::VersionOutOfRange));
+    let long_name = format!("subscriber={name}p");
+    assert_eq!(Subscribe::from_query(&long_name), Err(ParseError::InvalidSubscriberName));
 }
 
 #[test]
-fn a_digest_covers_version_key_and_value_and_no_order() {
+fn a_digest_covers_version_key_and_value_but_not_the_order() {
     let resources = [
         Resource::route(None, "/a", "c"),
         Resource::route(Some("GET"), "/a", "c"),
@@ -253,22 +260,22 @@
         Configuration::from_resources(version, resources.iter().cloned()).unwrap().digest()
     };
     let [a, b, c] = resources.clone();
-    let stated = digest(version(1, 1), &resources);
-    assert_eq!(digest(version(1, 1), &[c.clone(), a.clone(), b.clone()]), stated);
-    assert_ne!(digest(version(1, 2), &resources), stated);
-    assert_ne!(digest(version(2, 1), &resources), stated);
-    assert_ne!(digest(version(1, 1), &[a.clone(), b.clone()]), stated);
-    assert_ne!(digest(version(1, 1), &[a.clone(), b.clone(), Resource::tenant("t", 1.000001)]), stated);
-    assert_ne!(digest(version(1, 1), &[a, b, Resource::tenant("u", 1.0)]), stated);
-    // Bytes that move from one field to the next are another resource.
-    let one = Digest::of_resource(&Resource::route(None, "/ab", "c"));
-    let other = Digest::of_resource(&Resource::route(None, "/a", "bc"));
-    assert_ne!(one, other);
+    let expected = digest(version(1, 1), &resources);
+    assert_eq!(digest(version(1, 1), &[c.clone(), a.clone(), b.clone()]), expected);
+    assert_ne!(digest(version(1, 2), &resources), expected);
+    assert_ne!(digest(version(2, 1), &resources), expected);
+    assert_ne!(digest(version(1, 1), &[a.clone(), b.clone()]), expected);
+    assert_ne!(digest(version(1, 1), &[a.clone(), b.clone(), Resource::tenant("t", 1.000001)]), expected);
+    assert_ne!(digest(version(1, 1), &[a, b, Resource::tenant("u", 1.0)]), expected);
+    // Moving a byte from one field to the next changes the digest.
+    let digest_of_first = Digest::of_resource(&Resource::route(None, "/ab", "c"));
+    let digest_of_second = Digest::of_resource(&Resource::route(None, "/a", "bc"));
+    assert_ne!(digest_of_first, digest_of_second);
 }
 
 proptest! {
     #[test]
-    fn quotas_come_through_the_wire_unchanged(millionths in 0u64..=1_000_000_000_000_000) {
+    fn quotas_are_unchanged_by_encoding_and_parsing(millionths in 0u64..=1_000_000_000_000_000) {
         let quota = millionths as f64 / QUOTA_STEPS;
         let resource = Resource::tenant("t", quota);
         prop_assert_eq!(resource.validate(), Ok(()));
@@ -282,8 +289,8 @@
         let mut line = message.write().to_vec();
         let position = position % line.len();
         line[position] = byte;
-        if let Ok(read) = Message::parse(&line) {
-            prop_assert_eq!(read.validate(), Ok(()));
+        if let Ok(message) = Message::parse(&line) {
+            prop_assert_eq!(message.validate(), Ok(()));
         }
     }
 }
