--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -36,7 +36,7 @@
 /// [`SubscribeResponse::Ahead`] and [`SubscribeResponse::Superseded`].
 #[derive(Debug)]
 pub enum SubscribeResponse {
-    /// The subscriber has the newest version, which a heartbeat tells it.
+    /// The subscriber has the newest version. A heartbeat confirms this to the subscriber.
     UpToDate,
     /// The deltas that the subscriber lacks, oldest first.
     Deltas(Vec<Arc<LogEntry>>),
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -38,7 +38,7 @@
 }
 
 /// The reason why a [`Validator`] rejects a proposal. The text of the cause is reported to the publisher
-/// unchanged, up to the length limit of a report.
+/// unchanged, except that [`Report::reject`] truncates it and replaces control characters.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct InvalidProposal(Box<dyn std::error::Error + Send + Sync>);
--- a/crates/distribution/tests/simulation/mod.rs
+++ b/crates/distribution/tests/simulation/mod.rs
@@ -308,8 +308,8 @@
         let (now, line) = (self.now, report.write());
         let report = Report::parse(&line).expect("reports are well formed");
         if let Some(publisher) = self.publisher_mut(instance) {
-            // The publisher refuses a report on a version that it lost, or that came from a damaged line.
-            let _refusal = publisher.on_report(now, &report);
+            // The publisher does not record a report on a version that it lost, or that a damaged line named.
+            let _result = publisher.on_report(now, &report);
         }
     }
 
