--- a/crates/resp/src/cursor.rs
+++ b/crates/resp/src/cursor.rs
@@ -1,14 +1,14 @@
-//! Parsing of the parts that commands and replies share.
+//! Parses lines, lengths and bulk strings, which commands and replies have in common.
 
 use crate::{Bounds, FramingError};
 
-/// The length of the line end CR LF.
+/// The length of a line end, which is CR LF.
 const LINE_END_BYTES: usize = 2;
 
-/// A cursor over the buffered bytes. A result of `None` means that more of them are needed.
+/// A position in the buffered bytes. Its functions return `None` if more bytes are needed.
 pub(crate) struct Cursor<'a> {
     bytes: &'a [u8],
-    /// The number of parsed bytes.
+    /// How many bytes have been parsed.
     pub offset: usize,
 }
 
@@ -17,12 +17,13 @@
         Cursor { bytes, offset: 0 }
     }
 
-    /// The next byte, which is not consumed.
+    /// Returns the next byte without consuming it.
     pub fn peek(&self) -> Option<u8> {
         self.bytes.get(self.offset).copied()
     }
 
-    /// The rest of the current line, without the byte for its kind and its end.
+    /// Consumes a line and returns it without its first byte, which states the type, and without its line
+    /// end. `max_bytes` includes both.
     pub fn line(&mut self, max_bytes: usize) -> Result<Option<&'a [u8]>, FramingError> {
         let rest = &self.bytes[self.offset..];
         let window = &rest[..rest.len().min(max_bytes)];
@@ -36,10 +37,10 @@
         Ok(Some(&window[1..end - 1]))
     }
 
-    /// The bytes of a bulk string of this length, with its line end checked.
+    /// Consumes a bulk string of this length and its line end, and returns it without the line end.
     pub fn bulk(&mut self, length: usize) -> Result<Option<&'a [u8]>, FramingError> {
         let rest = &self.bytes[self.offset..];
-        // Wrong line ends are rejected as soon as they can be seen.
+        // Each byte of the line end is checked as soon as it is buffered.
         for (position, expected) in [(length, b'\r'), (length + 1, b'\n')] {
             match rest.get(position) {
                 None => return Ok(None),
@@ -51,7 +52,8 @@
         Ok(Some(&rest[..length]))
     }
 
-    /// Checks that the message stays within its bound with a bulk string of this length.
+    /// Checks that a bulk string of this length at the current position does not make the message exceed its
+    /// bound.
     pub fn check_message_bound(&self, length: usize, bounds: &Bounds) -> Result<(), FramingError> {
         if self.offset + length + LINE_END_BYTES > bounds.max_message_bytes {
             return Err(FramingError::TooLong);
@@ -60,7 +62,7 @@
     }
 }
 
-/// Parses a length as RESP writes it: digits, or `-1` for null, which is `None`.
+/// Parses a length as RESP writes it: decimal digits, or `-1` for a null, for which it returns `None`.
 pub(crate) fn parse_length(digits: &[u8], max_length: usize) -> Result<Option<usize>, FramingError> {
     if digits == b"-1" {
         return Ok(None);
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,55 +1,56 @@
-//! The side that faces servers: replies.
+//! Replies, as servers send them.
 
 use crate::{Bounds, Cursor, FramingError, parse_length};
 
-/// A reply, or an element of one.
+/// A reply that is not an array, or one element of an array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
-    /// `+...`
+    /// A simple string: `+...`
     Simple(&'a [u8]),
-    /// `-...`
+    /// An error: `-...`
     Error(&'a [u8]),
-    /// `:...`
+    /// An integer: `:...`
     Integer(i64),
-    /// `$...`
+    /// A bulk string: `$...`
     Bulk(&'a [u8]),
-    /// A null bulk string or array.
+    /// A null bulk string or a null array.
     Null,
 }
 
-/// What was found at the front of the input.
+/// What was found at the start of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedReply<'a> {
     /// More input is needed.
     Incomplete,
-    /// A reply that is no array.
+    /// A complete reply that is not an array.
     Single {
         /// The reply.
         reply: Reply<'a>,
-        /// Its length in bytes.
+        /// How many bytes of the input the reply takes.
         length: usize,
     },
     /// A complete array.
     Array {
-        /// Its elements.
+        /// All elements of the array.
         elements: Vec<Reply<'a>>,
-        /// Its length in bytes.
+        /// How many bytes of the input the array takes.
         length: usize,
     },
-    /// An array that is malformed after some valid elements.
+    /// An array with a malformed element.
     Malformed {
-        /// The valid elements.
+        /// The valid elements before the malformed one.
         elements: Vec<Reply<'a>>,
-        /// What is wrong with what follows them.
+        /// What is wrong with the malformed element.
         error: FramingError,
     },
 }
 
-/// Parses the reply at the front of `input`. An array within an array does not belong to this protocol.
+/// Parses the reply at the start of `input`. An array inside an array is malformed, as servers never send
+/// one.
 ///
 /// # Errors
-/// A [`FramingError`] if the input is no reply, or one over the bounds. An error after the head of an array
-/// is a [`ParsedReply::Malformed`] instead.
+/// Returns a [`FramingError`] if the input does not start with a reply, or if the reply exceeds the bounds.
+/// An error in an element of an array is returned as [`ParsedReply::Malformed`] instead.
 pub fn parse<'a>(input: &'a [u8], bounds: &Bounds) -> Result<ParsedReply<'a>, FramingError> {
     let mut cursor = Cursor::new(input);
     if cursor.peek() == Some(b'*') {
@@ -78,13 +79,13 @@
 }
 
 fn parse_element<'a>(cursor: &mut Cursor<'a>, bounds: &Bounds) -> Result<Option<Reply<'a>>, FramingError> {
-    let kind = match cursor.peek() {
+    let type_byte = match cursor.peek() {
         None => return Ok(None),
-        Some(kind @ (b'+' | b'-' | b':' | b'$')) => kind,
+        Some(type_byte @ (b'+' | b'-' | b':' | b'$')) => type_byte,
         Some(other) => return Err(FramingError::UnexpectedByte(other)),
     };
     let Some(line) = cursor.line(bounds.max_line_bytes)? else { return Ok(None) };
-    match kind {
+    match type_byte {
         b'+' => Ok(Some(Reply::Simple(line))),
         b'-' => Ok(Some(Reply::Error(line))),
         b':' => parse_integer(line).map(Some),
@@ -97,7 +98,7 @@
     number.map(Reply::Integer).ok_or(FramingError::InvalidLength)
 }
 
-/// Parses a bulk string, the line with its length having been consumed.
+/// Parses the rest of a bulk string. `digits` is the length that its first line, already consumed, declares.
 fn parse_bulk<'a>(
     cursor: &mut Cursor<'a>,
     digits: &[u8],
