--- a/crates/resp/tests/framing.rs
+++ b/crates/resp/tests/framing.rs
@@ -1,5 +1,5 @@
-//! Framing of both sides: what is accepted, what is rejected and when, with the input cut at every byte, and
-//! compared with another implementation of the protocol.
+//! Tests the parsing of commands and replies: which input is accepted, which is rejected and how early, input
+//! that ends at any byte of a message, and agreement with the `redis-protocol` crate.
 
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode;
@@ -12,17 +12,18 @@
     Bounds { max_elements: 6, max_bulk_bytes: 100, max_line_bytes: 32, max_message_bytes: 300 };
 
 #[test]
-fn a_command_is_taken_off_the_front() {
+fn a_command_is_parsed_without_the_bytes_that_follow_it() {
     let input = b"*2\r\n$3\r\nfoo\r\n$0\r\n\r\nrest";
     let command = command::parse(input, &BOUNDS).unwrap().unwrap();
     let expected = ParsedCommand { arguments: vec![&b"foo"[..], b""], length: input.len() - 4 };
     assert_eq!(command, expected);
 }
 
-/// A length that is not allowed is rejected as soon as its line is there.
+/// Guards against buffering content that is rejected later: a length that is not allowed must be rejected as
+/// soon as the line that declares it is complete.
 #[test]
 fn commands_over_the_bounds_are_rejected_before_their_content_is_buffered() {
-    let refused: [(&[u8], FramingError); 15] = [
+    let rejected: [(&[u8], FramingError); 15] = [
         (b"GET / HTTP/1.1\r\n", FramingError::UnexpectedByte(b'G')),
         (b"\x00", FramingError::UnexpectedByte(0)),
         (b"*-1\r\n", FramingError::InvalidLength),
@@ -39,21 +40,21 @@
         (b"*1\r\n$3\r\nfoobar", FramingError::InvalidLength),
         (b"*1\n", FramingError::UnterminatedLine),
     ];
-    for (input, fault) in refused {
-        assert_eq!(command::parse(input, &BOUNDS), Err(fault), "{:?}", String::from_utf8_lossy(input));
+    for (input, error) in rejected {
+        assert_eq!(command::parse(input, &BOUNDS), Err(error), "{:?}", String::from_utf8_lossy(input));
     }
     assert_eq!(
         command::parse(&[b'*'; 32], &BOUNDS),
         Err(FramingError::UnterminatedLine),
-        "a line without an end"
+        "a line of the maximum length without a line end"
     );
-    let whole = b"*4\r\n$100\r\n".to_vec();
-    let whole = [&whole[..], &[b'a'; 100], b"\r\n$100\r\n", &[b'a'; 100], b"\r\n$100\r\n"].concat();
-    assert_eq!(command::parse(&whole, &BOUNDS), Err(FramingError::TooLong), "the bound on the whole");
+    let message = b"*4\r\n$100\r\n".to_vec();
+    let message = [&message[..], &[b'a'; 100], b"\r\n$100\r\n", &[b'a'; 100], b"\r\n$100\r\n"].concat();
+    assert_eq!(command::parse(&message, &BOUNDS), Err(FramingError::TooLong), "the bound on the message");
 }
 
 #[test]
-fn replies_of_each_kind_are_parsed() {
+fn replies_of_each_type_are_parsed() {
     let single = |reply, length| Ok(ParsedReply::Single { reply, length });
     let array = |elements, length| Ok(ParsedReply::Array { elements, length });
     let malformed = |elements, error| Ok(ParsedReply::Malformed { elements, error });
@@ -73,28 +74,28 @@
         (b"$-7\r\n", Err(FramingError::InvalidLength)),
         (b"*1000000000\r\n", Err(FramingError::TooLong)),
     ];
-    for (input, want) in cases {
-        assert_eq!(reply::parse(input, &BOUNDS), want, "{:?}", String::from_utf8_lossy(input));
+    for (input, expected) in cases {
+        assert_eq!(reply::parse(input, &BOUNDS), expected, "{:?}", String::from_utf8_lossy(input));
     }
 }
 
 proptest! {
-    /// Whatever the cut, a command is taken at its last byte and not before.
+    /// A command that is cut at any byte needs more input, and is complete with its last byte.
     #[test]
     fn a_command_is_complete_at_its_last_byte(
-        words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6),
+        arguments in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..6),
     ) {
-        let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
+        let arguments: Vec<&[u8]> = arguments.iter().map(Vec::as_slice).collect();
         let mut input = Vec::new();
-        command::write(&mut input, &words);
-        for cut in 0..input.len() {
-            prop_assert_eq!(command::parse(&input[..cut], &BOUNDS), Ok(None));
+        command::write(&mut input, &arguments);
+        for length in 0..input.len() {
+            prop_assert_eq!(command::parse(&input[..length], &BOUNDS), Ok(None));
         }
-        let expected = ParsedCommand { arguments: words, length: input.len() };
+        let expected = ParsedCommand { arguments, length: input.len() };
         prop_assert_eq!(command::parse(&input, &BOUNDS), Ok(Some(expected)));
     }
 
-    /// Nothing panics, and what is taken lies within the input.
+    /// Parsing never panics, and the length of a parsed message is within the input.
     #[test]
     fn any_bytes_are_parsed_without_a_panic(
         input in prop::collection::vec(
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Where another implementation sees a whole flat reply within the bounds, this one sees the same.
+    /// Any complete reply within the bounds, without nested arrays, is parsed as the `redis-protocol` crate
+    /// parses it.
     #[test]
     fn complete_replies_agree_with_another_implementation(input in prop_oneof![
         prop::collection::vec(any::<u8>(), 0..60).prop_map(|value| {
@@ -123,14 +125,14 @@
         }),
         "[ -~]{0,20}".prop_map(|text| format!("-{text}\r\n").into_bytes()),
         any::<i64>().prop_map(|n| format!(":{n}\r\n").into_bytes()),
-        prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..6).prop_map(|parts| {
+        prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..6).prop_map(|elements| {
             let mut out = Vec::new();
-            command::write(&mut out, &parts.iter().map(Vec::as_slice).collect::<Vec<_>>());
+            command::write(&mut out, &elements.iter().map(Vec::as_slice).collect::<Vec<_>>());
             out
         }),
     ]) {
-        let (theirs, their_length) = decode(&input).unwrap().unwrap();
-        let same = |ours: &Reply, theirs: &OwnedFrame| match (ours, theirs) {
+        let (expected, expected_length) = decode(&input).unwrap().unwrap();
+        let is_equal = |reply: &Reply, expected: &OwnedFrame| match (reply, expected) {
             (Reply::Simple(a), OwnedFrame::SimpleString(b)) => *a == &b[..],
             (Reply::Error(a), OwnedFrame::Error(b)) => *a == b.as_bytes(),
             (Reply::Integer(a), OwnedFrame::Integer(b)) => a == b,
@@ -140,12 +142,12 @@
         };
         match reply::parse(&input, &BOUNDS).unwrap() {
             ParsedReply::Single { reply, length } => {
-                prop_assert!(length == their_length && same(&reply, &theirs));
+                prop_assert!(length == expected_length && is_equal(&reply, &expected));
             }
-            ParsedReply::Array { elements: ours, length } => {
-                let OwnedFrame::Array(theirs) = theirs else { panic!("no array: {theirs:?}") };
-                prop_assert!(length == their_length && ours.len() == theirs.len());
-                prop_assert!(ours.iter().zip(&theirs).all(|(a, b)| same(a, b)));
+            ParsedReply::Array { elements, length } => {
+                let OwnedFrame::Array(expected) = expected else { panic!("not an array: {expected:?}") };
+                prop_assert!(length == expected_length && elements.len() == expected.len());
+                prop_assert!(elements.iter().zip(&expected).all(|(a, b)| is_equal(a, b)));
             }
             other => prop_assert!(false, "{other:?}"),
         }
