--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::ConfigurationError;
 use crate::discovery::ListUpdate;
-use crate::pipeline::ReleaseStatusText;
+use crate::release_service::ReleaseStatusText;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 
 /// The release service, as written.
 #[derive(Deserialize)]
-struct PipelineText {
+struct ReleaseServiceText {
     address: SocketAddr,
     #[serde(default, rename = "news")]
     release_status: Option<ReleaseStatusText>,
@@ -54,7 +54,8 @@
     peers: Vec<SocketAddr>,
     #[serde(default)]
     peers_all: Option<SocketAddr>,
-    pipeline: PipelineText,
+    #[serde(rename = "pipeline")]
+    release_service: ReleaseServiceText,
     #[serde(default, rename = "known")]
     cached_list: Option<ListUpdate>,
     #[serde(borrow)]
@@ -81,7 +82,7 @@
     /// Reaches every proxy of the tier.
     pub peers_all: Option<SocketAddr>,
     /// The release service's address.
-    pub pipeline: SocketAddr,
+    pub release_service: SocketAddr,
     /// The release status when this was written.
     pub release_status: Option<ReleaseStatusText>,
     /// The server list as last held; may be out of date.
@@ -120,8 +121,8 @@
             peer_listen: text.peer_listen,
             peers: text.peers,
             peers_all: text.peers_all,
-            pipeline: text.pipeline.address,
-            release_status: text.pipeline.release_status,
+            release_service: text.release_service.address,
+            release_status: text.release_service.release_status,
             cached_list: text.cached_list,
             instance,
         })
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -7,7 +7,7 @@
 use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
 /// The longest answer that is accepted, in bytes.
-pub const MAX_ANSWER_BYTES: usize = 1 << 20;
+pub const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// The most servers that are accepted.
 const MAX_SERVERS: usize = 4096;
 /// Ids of removed servers stay known until there are more than this.
--- a/crates/platform-protocol/src/error.rs
+++ b/crates/platform-protocol/src/error.rs
@@ -43,7 +43,7 @@
 
 /// Why a server's answer is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// A reply of another kind.
     #[error("neither an array nor an error")]
     UnexpectedReply,
@@ -74,7 +74,7 @@
 
 /// Why a message of the release service was not accepted.
 #[derive(Debug, Error)]
-pub enum PipelineError {
+pub enum ReleaseServiceError {
     /// The line is not the expected JSON.
     #[error("pipeline: {0}")]
     Json(#[source] serde_json::Error),
--- a/crates/platform-protocol/src/pipeline.rs
+++ b/crates/platform-protocol/src/release_service.rs
@@ -1,6 +1,6 @@
 //! The release service: JSON-RPC 2.0, one object a line.
 
-use crate::PipelineError;
+use crate::ReleaseServiceError;
 use serde::Deserialize;
 use violetseam::interface::{Build, Micros, Outcome, Phase, ReleaseStatus, Verdict};
 
@@ -31,10 +31,10 @@
     /// The status for the engine.
     ///
     /// # Errors
-    /// [`PipelineError::InvalidCap`] if the cap is not between 0 and 1.
-    pub fn to_status(&self) -> Result<ReleaseStatus, PipelineError> {
+    /// [`ReleaseServiceError::InvalidCap`] if the cap is not between 0 and 1.
+    pub fn to_status(&self) -> Result<ReleaseStatus, ReleaseServiceError> {
         if !(0.0..=1.0).contains(&self.max_share) {
-            return Err(PipelineError::InvalidCap);
+            return Err(ReleaseServiceError::InvalidCap);
         }
         let phase = match self.state {
             ReleaseState::Canary => Phase::Trial,
@@ -121,16 +121,16 @@
     /// Parses a line without its end.
     ///
     /// # Errors
-    /// A [`PipelineError`] if the line is not the expected JSON, or holds values that cannot be used.
-    pub fn parse(line: &[u8]) -> Result<Message, PipelineError> {
-        let text: MessageText = serde_json::from_slice(line).map_err(PipelineError::Json)?;
+    /// A [`ReleaseServiceError`] if the line is not the expected JSON, or holds values that cannot be used.
+    pub fn parse(line: &[u8]) -> Result<Message, ReleaseServiceError> {
+        let text: MessageText = serde_json::from_slice(line).map_err(ReleaseServiceError::Json)?;
         if text.jsonrpc != "2.0" {
-            return Err(PipelineError::NotJsonRpc);
+            return Err(ReleaseServiceError::NotJsonRpc);
         }
         if let Some(method) = text.method {
             return Message::from_notification(&method, text.params.unwrap_or_default());
         }
-        let Some(id) = text.id else { return Err(PipelineError::UnknownMessage) };
+        let Some(id) = text.id else { return Err(ReleaseServiceError::UnknownMessage) };
         if let Some(error) = text.error {
             let outcome = error.outcome();
             return Ok(Message::Declined { id, outcome, message: error.message });
@@ -138,15 +138,15 @@
         match text.result {
             Some(serde_json::Value::Bool(true)) => Ok(Message::Accepted { id, status: None }),
             Some(result) => Ok(Message::Accepted { id, status: Some(parse_status(result)?) }),
-            None => Err(PipelineError::MissingResult),
+            None => Err(ReleaseServiceError::MissingResult),
         }
     }
 
-    fn from_notification(method: &str, params: serde_json::Value) -> Result<Message, PipelineError> {
+    fn from_notification(method: &str, params: serde_json::Value) -> Result<Message, ReleaseServiceError> {
         match method {
             "stage" => Ok(Message::ReleaseStatus(parse_status(params)?)),
             "flag" => {
-                let flag: FlagText = serde_json::from_value(params).map_err(PipelineError::Json)?;
+                let flag: FlagText = serde_json::from_value(params).map_err(ReleaseServiceError::Json)?;
                 let since = flag.age_ms.saturating_mul(1000);
                 Ok(Message::AnswerFlagged { server: flag.instance_id, class: flag.lane, since })
             }
@@ -155,8 +155,8 @@
     }
 }
 
-fn parse_status(value: serde_json::Value) -> Result<ReleaseStatus, PipelineError> {
-    let text: ReleaseStatusText = serde_json::from_value(value).map_err(PipelineError::Json)?;
+fn parse_status(value: serde_json::Value) -> Result<ReleaseStatus, ReleaseServiceError> {
+    let text: ReleaseStatusText = serde_json::from_value(value).map_err(ReleaseServiceError::Json)?;
     text.to_status()
 }
 
--- a/crates/platform-protocol/src/answer.rs
+++ b/crates/platform-protocol/src/response.rs
@@ -1,13 +1,13 @@
 //! Replies: what a server's answer means for its attempt, and the final responses that a proxy sends to clients.
 
-use crate::AnswerError;
+use crate::ResponseError;
 use violetseam::interface::{Micros, Outcome};
 use violetseam_resp::reply::{ParsedReply, Reply, parse};
 use violetseam_resp::{Bounds, write_bulk, write_error};
 
 /// What the bytes from a server mean.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer<'a> {
+pub enum ServerResponse<'a> {
     /// Not complete yet.
     Incomplete,
     /// Served, with this value.
@@ -25,33 +25,33 @@
         reusable: bool,
     },
     /// Not an answer of this protocol: the attempt may have run, and the connection cannot be used again.
-    Malformed(AnswerError),
+    Malformed(ResponseError),
 }
 
 /// Parses what a server has sent for the one request that waits on a connection. An answer is an array: the
 /// value, null, the load report or null. A complete value counts even if its load report is malformed
 /// or if more bytes follow than belong to it, but then the connection is not used again.
-pub fn parse_answer<'a>(input: &'a [u8], bounds: &Bounds) -> Answer<'a> {
+pub fn parse_response<'a>(input: &'a [u8], bounds: &Bounds) -> ServerResponse<'a> {
     match parse(input, bounds) {
-        Ok(ParsedReply::Incomplete) => Answer::Incomplete,
+        Ok(ParsedReply::Incomplete) => ServerResponse::Incomplete,
         Ok(ParsedReply::Single { reply: Reply::Error(text), length }) => {
             let is_busy = text == b"BUSY" || text.starts_with(b"BUSY ");
             let outcome = if is_busy { Outcome::Rejected } else { Outcome::Error };
-            Answer::NotServed { outcome, reusable: length == input.len() }
+            ServerResponse::NotServed { outcome, reusable: length == input.len() }
         }
-        Ok(ParsedReply::Single { .. }) => Answer::Malformed(AnswerError::UnexpectedReply),
+        Ok(ParsedReply::Single { .. }) => ServerResponse::Malformed(ResponseError::UnexpectedReply),
         Ok(ParsedReply::Array { elements, length }) => match elements[..] {
             [Reply::Bulk(value), Reply::Null, Reply::Null | Reply::Bulk(_)] => {
-                Answer::Served { value, reusable: length == input.len() }
+                ServerResponse::Served { value, reusable: length == input.len() }
             }
-            [Reply::Bulk(value), Reply::Null, _] => Answer::Served { value, reusable: false },
-            _ => Answer::Malformed(AnswerError::UnexpectedArray),
+            [Reply::Bulk(value), Reply::Null, _] => ServerResponse::Served { value, reusable: false },
+            _ => ServerResponse::Malformed(ResponseError::UnexpectedArray),
         },
         Ok(ParsedReply::Malformed { elements, error }) => match elements[..] {
-            [Reply::Bulk(value), Reply::Null] => Answer::Served { value, reusable: false },
-            _ => Answer::Malformed(AnswerError::Framing(error)),
+            [Reply::Bulk(value), Reply::Null] => ServerResponse::Served { value, reusable: false },
+            _ => ServerResponse::Malformed(ResponseError::Framing(error)),
         },
-        Err(error) => Answer::Malformed(AnswerError::Framing(error)),
+        Err(error) => ServerResponse::Malformed(ResponseError::Framing(error)),
     }
 }
 
--- a/crates/platform-protocol/tests/protocol.rs
+++ b/crates/platform-protocol/tests/protocol.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, Phase, ReleaseStatus, ServerStatus, Verdict};
 use violetseam_instance_settings::Instance;
-use violetseam_platform_protocol::answer::{Answer, parse_answer};
 use violetseam_platform_protocol::call::{Call, Command, parse};
 use violetseam_platform_protocol::config::Config;
 use violetseam_platform_protocol::discovery::{ListUpdate, ServerList};
-use violetseam_platform_protocol::pipeline::{self, Message};
-use violetseam_platform_protocol::{AnswerError, CallError};
+use violetseam_platform_protocol::release_service::{self, Message};
+use violetseam_platform_protocol::response::{ServerResponse, parse_response};
+use violetseam_platform_protocol::{CallError, ResponseError};
 use violetseam_resp::{Bounds, FramingError};
 
 const SETTINGS: &str = r#"{"Classes": [
@@ -71,9 +71,9 @@
 #[test]
 fn an_answer_says_how_its_attempt_ended() {
     let bounds = Bounds::default();
-    let served = |value, reusable| Answer::Served { value, reusable };
-    let ended = |outcome, reusable| Answer::NotServed { outcome, reusable };
-    let cases: [(&[u8], Answer); 16] = [
+    let served = |value, reusable| ServerResponse::Served { value, reusable };
+    let ended = |outcome, reusable| ServerResponse::NotServed { outcome, reusable };
+    let cases: [(&[u8], ServerResponse); 16] = [
         (b"*3\r\n$2\r\nab\r\n$-1\r\n$-1\r\n", served(b"ab", true)),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", served(b"", true)),
         (b"*3\r\n$2\r\nab\r\n$-1\r\n$3\r\ncpu\r\n", served(b"ab", true)),
@@ -85,18 +85,18 @@
         (b"-BUSY\r\n", ended(Outcome::Rejected, true)),
         (b"-ERR failed\r\n", ended(Outcome::Error, true)),
         (b"-BUSYBODY\r\nx", ended(Outcome::Error, false)),
-        (b"*3\r\n$2\r\nab\r\n$-1\r\n", Answer::Incomplete),
-        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Answer::Malformed(AnswerError::UnexpectedArray)),
-        (b"*1\r\n$2\r\nab\r\n", Answer::Malformed(AnswerError::UnexpectedArray)),
-        (b":5\r\n", Answer::Malformed(AnswerError::UnexpectedReply)),
+        (b"*3\r\n$2\r\nab\r\n$-1\r\n", ServerResponse::Incomplete),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", ServerResponse::Malformed(ResponseError::UnexpectedArray)),
+        (b"*1\r\n$2\r\nab\r\n", ServerResponse::Malformed(ResponseError::UnexpectedArray)),
+        (b":5\r\n", ServerResponse::Malformed(ResponseError::UnexpectedReply)),
         (
             b"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n",
-            Answer::Malformed(AnswerError::Framing(FramingError::InvalidLength)),
+            ServerResponse::Malformed(ResponseError::Framing(FramingError::InvalidLength)),
         ),
-        (b"xxxxxxxx", Answer::Malformed(AnswerError::Framing(FramingError::UnexpectedByte(b'x')))),
+        (b"xxxxxxxx", ServerResponse::Malformed(ResponseError::Framing(FramingError::UnexpectedByte(b'x')))),
     ];
     for (input, want) in cases {
-        assert_eq!(parse_answer(input, &bounds), want, "{:?}", String::from_utf8_lossy(input));
+        assert_eq!(parse_response(input, &bounds), want, "{:?}", String::from_utf8_lossy(input));
     }
 }
 
@@ -202,7 +202,7 @@
     }
     let high = r#"{"jsonrpc":"2.0","method":"stage","params":{"Revision":1,"Wave":0,"State":"canary","MaxShare":7.0}}"#;
     assert!(read(high).is_err());
-    let vote = String::from_utf8(pipeline::vote_call(11, 42, 1, Verdict::Promote)).unwrap();
+    let vote = String::from_utf8(release_service::vote_call(11, 42, 1, Verdict::Promote)).unwrap();
     let want = r#"{"jsonrpc":"2.0","id":11,"method":"Rollout.Judge","params":{"Revision":42,"Wave":1,"Decision":"promote"}}"#;
     assert_eq!(vote, format!("{want}\n"));
 }
@@ -246,7 +246,7 @@
         violetseam_resp::write_bulk(&mut whole, &value);
         whole.extend_from_slice(b"$-1\r\n$-1\r\n");
         let cut = cut.min(whole.len() - 1);
-        prop_assert_eq!(parse_answer(&whole[..cut], &Bounds::default()), Answer::Incomplete);
-        prop_assert_eq!(parse_answer(&whole, &Bounds::default()), Answer::Served { value: &value, reusable: true });
+        prop_assert_eq!(parse_response(&whole[..cut], &Bounds::default()), ServerResponse::Incomplete);
+        prop_assert_eq!(parse_response(&whole, &Bounds::default()), ServerResponse::Served { value: &value, reusable: true });
     }
 }
--- a/crates/platform-proxy/src/clients.rs
+++ b/crates/platform-proxy/src/clients.rs
@@ -9,8 +9,8 @@
 use calloop::Readiness;
 use violetseam::interface::Micros;
 use violetseam_event_io::ReadOutcome;
-use violetseam_platform_protocol::answer;
 use violetseam_platform_protocol::call::{self, Command};
+use violetseam_platform_protocol::response;
 use violetseam_resp::{Bounds, command};
 
 /// The error that a client gets for a burst of more commands than may wait on one connection.
@@ -175,7 +175,7 @@
         tracing::debug!(client = slot, "command rejected, closing the connection: {reason}");
         if let Some(client) = self.clients.get_mut(slot) {
             let mut bytes = Vec::new();
-            answer::write_malformed(&mut bytes, reason);
+            response::write_malformed(&mut bytes, reason);
             client.pending_responses.push_back(PendingResponse::Ready(bytes));
             client.state = ClientState::Closing;
         }
--- a/crates/platform-proxy/src/configuration.rs
+++ b/crates/platform-proxy/src/configuration.rs
@@ -3,7 +3,7 @@
 use crate::error::ConfigError;
 use crate::event_loop::TimerKind;
 use crate::proxy::Proxy;
-use crate::start::retry_transient_errors;
+use crate::transient_errors::retry_transient_errors;
 use std::path::Path;
 use violetseam::interface::Micros;
 use violetseam_platform_protocol::config::Config;
@@ -52,9 +52,9 @@
             }
             Err(error) => tracing::error!("reload: {error}; the old configuration stays"),
             Ok(config) => {
-                tracing::info!(discovery = %config.discovery, pipeline = %config.pipeline, "reload");
+                tracing::info!(discovery = %config.discovery, pipeline = %config.release_service, "reload");
                 self.move_discovery(config.discovery);
-                self.move_release_service(config.pipeline);
+                self.move_release_service(config.release_service);
             }
         }
         self.run_engine_actions();
--- a/crates/platform-proxy/src/discovery/exchange.rs
+++ b/crates/platform-proxy/src/discovery/exchange.rs
@@ -6,7 +6,7 @@
 use violetseam_event_io::Socket;
 use violetseam_http1::client::ClientConnection;
 use violetseam_platform_protocol::ListError;
-use violetseam_platform_protocol::discovery::MAX_ANSWER_BYTES;
+use violetseam_platform_protocol::discovery::MAX_RESPONSE_BYTES;
 
 /// The status of a response that carries a list.
 const STATUS_OK: u16 = 200;
@@ -67,7 +67,7 @@
     #[error("no complete response in time")]
     TimedOut,
     /// The response is longer than the limit.
-    #[error("response is longer than {MAX_ANSWER_BYTES} bytes")]
+    #[error("response is longer than {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
     /// The response is not valid HTTP.
     #[error("response is not valid HTTP: {0}")]
--- a/crates/platform-proxy/src/discovery/mod.rs
+++ b/crates/platform-proxy/src/discovery/mod.rs
@@ -10,11 +10,11 @@
 //! fetched only where a delta would not be sound.
 //!
 //! - `exchange`: one query and its response
-//! - `answers`: handles responses and failed queries
+//! - `responses`: handles responses and failed queries
 //! - `timing`: time-outs and intervals
 
-mod answers;
 mod exchange;
+mod responses;
 mod timing;
 
 pub(super) use timing::PUSHED_POLL_INTERVAL_MAX;
--- a/crates/platform-proxy/src/discovery/answers.rs
+++ b/crates/platform-proxy/src/discovery/responses.rs
@@ -10,7 +10,7 @@
 use violetseam::interface::Micros;
 use violetseam_event_io::ReadOutcome;
 use violetseam_http1::client::ClientEvent;
-use violetseam_platform_protocol::discovery::{ListUpdate, MAX_ANSWER_BYTES};
+use violetseam_platform_protocol::discovery::{ListUpdate, MAX_RESPONSE_BYTES};
 
 impl Proxy {
     /// Handles an event on the connection.
@@ -54,7 +54,7 @@
                 Some(ClientEvent::Head(head)) => exchange.status = Some(head.status.as_u16()),
                 Some(ClientEvent::Body(bytes)) => {
                     exchange.body.extend_from_slice(&bytes);
-                    if exchange.body.len() > MAX_ANSWER_BYTES {
+                    if exchange.body.len() > MAX_RESPONSE_BYTES {
                         return self.fail_query(generation, QueryFailure::TooLong);
                     }
                 }
--- a/crates/platform-proxy/src/error.rs
+++ b/crates/platform-proxy/src/error.rs
@@ -37,7 +37,7 @@
     Signals(#[source] std::io::Error),
     /// The socket for gossip with peers could not be bound.
     #[error("cannot bind the gossip socket: {0}")]
-    BindPeers(#[source] std::io::Error),
+    BindGossipSocket(#[source] std::io::Error),
     /// The listener for clients could not be opened.
     #[error("cannot listen for clients: {0}")]
     Listen(#[source] std::io::Error),
--- a/crates/platform-proxy/src/lib.rs
+++ b/crates/platform-proxy/src/lib.rs
@@ -18,7 +18,7 @@
 //! - `budgets`: divides the resource limits and evicts idle connections when a limit is reached
 //! - `configuration`: reads the configuration file at the start and on a reload
 //! - `shutdown`: implements the phases of a shutdown
-//! - `start`: retries system calls that fail with a transient error at the start
+//! - `transient_errors`: retries system calls that fail with a transient error at the start
 
 mod budgets;
 mod client;
@@ -34,7 +34,7 @@
 mod requests;
 mod servers;
 mod shutdown;
-mod start;
+mod transient_errors;
 mod votes;
 
 pub use configuration::read_config;
@@ -46,8 +46,8 @@
 use configuration::MAX_RELOAD_ATTEMPTS;
 use error::to_io_error;
 use proxy::Proxy;
-use start::retry_transient_errors;
 use std::path::PathBuf;
+use transient_errors::retry_transient_errors;
 use violetseam_platform_protocol::config::Config;
 
 /// Binds all sockets and serves until SIGTERM or SIGINT arrives, and then until every request has its final
@@ -62,7 +62,7 @@
     register_signals(&event_loop).map_err(ServeError::Signals)?;
     let mut proxy = Proxy::new(config, config_file, event_loop.handle());
     retry_transient_errors("binding the gossip socket", || proxy.bind_gossip_socket())
-        .map_err(ServeError::BindPeers)?;
+        .map_err(ServeError::BindGossipSocket)?;
     // The engine gets its initial state before clients can connect: no request is accepted before the server
     // list and the release status are known.
     proxy.start();
--- a/crates/platform-proxy/src/proxy.rs
+++ b/crates/platform-proxy/src/proxy.rs
@@ -122,7 +122,7 @@
             idle_server_connections: IdleConnections::default(),
             server_list: ServerList::new(config.instance.zones.clone()),
             discovery: Discovery::new(config.discovery, lists_are_pushed, poll_interval_max),
-            release_service: ReleaseService::new(config.pipeline),
+            release_service: ReleaseService::new(config.release_service),
             gossip_socket: None,
             timers: Timers::default(),
             budgets,
--- a/crates/platform-proxy/src/release_watch.rs
+++ b/crates/platform-proxy/src/release_watch.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use violetseam::interface::{Micros, ReleaseStatus};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
+use violetseam_platform_protocol::release_service::{self, MAX_LINE_BYTES, Message};
 use violetseam_site_protocol::line_reader::LineReader;
 
 /// The watch is opened again if nothing has arrived on it for this long. The service sends a heartbeat each
@@ -71,7 +71,7 @@
             .and_then(|stream| Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready));
         match opened {
             Ok(mut socket) => {
-                socket.write_buffer().extend(pipeline::watch_call(WATCH_CALL_ID));
+                socket.write_buffer().extend(release_service::watch_call(WATCH_CALL_ID));
                 let line_reader = LineReader::new(MAX_LINE_BYTES);
                 self.release_service.watch =
                     Some(Watch { generation, socket, line_reader, last_received_at: now });
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -4,8 +4,8 @@
 use crate::event_loop::ConnectionId;
 use crate::proxy::Proxy;
 use violetseam::interface::{Micros, Request, RequestId};
-use violetseam_platform_protocol::answer;
 use violetseam_platform_protocol::call::Call;
+use violetseam_platform_protocol::response;
 use violetseam_proxy::engine::LocalResponse;
 
 /// A request that the engine has accepted, with the call to send and the connection to respond on.
@@ -66,8 +66,8 @@
         let mut bytes = Vec::new();
         tracing::debug!(request, last = ?response, "local response");
         match response {
-            LocalResponse::Rejected { retry_after } => answer::write_rejected(&mut bytes, retry_after),
-            LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
+            LocalResponse::Rejected { retry_after } => response::write_rejected(&mut bytes, retry_after),
+            LocalResponse::Failed { .. } => response::write_failed(&mut bytes),
         }
         self.send_response(request, bytes);
     }
--- a/crates/platform-proxy/src/servers.rs
+++ b/crates/platform-proxy/src/servers.rs
@@ -14,7 +14,7 @@
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Micros, Outcome, RequestId, ServerId};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_platform_protocol::answer::{self, Answer, parse_answer};
+use violetseam_platform_protocol::response::{self, ServerResponse, parse_response};
 
 /// An idle connection is closed after this share of the time after which its server would close it.
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
@@ -314,26 +314,26 @@
         let input = std::mem::take(&mut connection.input);
         let server = connection.server;
         let is_fully_written = !connection.socket.has_unwritten_bytes();
-        match parse_answer(&input, &self.bounds) {
-            Answer::Incomplete => connection.input = input,
-            Answer::Served { value, reusable } => {
+        match parse_response(&input, &self.bounds) {
+            ServerResponse::Incomplete => connection.input = input,
+            ServerResponse::Served { value, reusable } => {
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 let now = self.now();
                 if self.engine.on_attempt_ended(now, attempt.request, attempt.number, Outcome::Ok) {
                     tracing::debug!(request = attempt.request, attempt = attempt.number, server, "served");
                     let mut bytes = Vec::with_capacity(value.len() + 16);
-                    answer::write_served(&mut bytes, value);
+                    response::write_served(&mut bytes, value);
                     self.send_response(attempt.request, bytes);
                 }
             }
-            Answer::NotServed { outcome, reusable } => {
+            ServerResponse::NotServed { outcome, reusable } => {
                 self.log_unexpected_error(server, &input);
                 self.set_attempt_connection(attempt, None);
                 self.reuse_or_close(slot, reusable && is_fully_written);
                 self.end_attempt(attempt, outcome);
             }
-            Answer::Malformed(reason) => {
+            ServerResponse::Malformed(reason) => {
                 tracing::debug!(request = attempt.request, server, "malformed response: {reason}");
                 self.set_attempt_connection(attempt, None);
                 self.close_server_connection(slot);
--- a/crates/platform-proxy/src/votes.rs
+++ b/crates/platform-proxy/src/votes.rs
@@ -9,7 +9,7 @@
 use calloop::{Interest, Readiness};
 use violetseam::interface::{Build, Micros, Outcome, ReleaseStatus, Verdict};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
-use violetseam_platform_protocol::pipeline::{self, MAX_LINE_BYTES, Message};
+use violetseam_platform_protocol::release_service::{self, MAX_LINE_BYTES, Message};
 use violetseam_site_protocol::line_reader::LineReader;
 
 /// How many votes may be waiting for a reply at once. The engine casts one at a time, and another one may
@@ -41,7 +41,7 @@
         tracing::info!(target: "verdict", build, stage, %verdict, "vote");
         self.release_service.last_call_id += 1;
         let call_id = self.release_service.last_call_id;
-        if self.send_vote(call_id, pipeline::vote_call(call_id, build, stage, verdict)).is_none() {
+        if self.send_vote(call_id, release_service::vote_call(call_id, build, stage, verdict)).is_none() {
             self.end_vote(VoteReply { outcome: Outcome::Error, status: None });
         }
     }
