--- a/crates/platform-protocol/src/error.rs
+++ b/crates/platform-protocol/src/error.rs
@@ -98,28 +98,28 @@
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// The text is longer than the limit.
-    #[error("configuration is longer than {limit} bytes")]
+    #[error("configuration: longer than {limit} bytes")]
     TooLong {
         /// The limit, in bytes.
         limit: usize,
     },
     /// The text is not the expected JSON.
-    #[error("configuration is not the expected JSON: {0}")]
+    #[error("configuration: not the expected JSON: {0}")]
     Json(#[source] serde_json::Error),
     /// The settings are not valid.
-    #[error("settings are not valid: {reason}")]
+    #[error("configuration: settings are not valid: {reason}")]
     Settings {
         /// What is wrong with the settings.
         reason: String,
     },
     /// The settings have no request class.
-    #[error("settings have no classes")]
+    #[error("configuration: settings have no classes")]
     NoClasses,
     /// The limit on file descriptors is too low for a proxy.
-    #[error("limits.sockets is less than {MIN_SOCKETS}")]
+    #[error("configuration: limits.sockets is less than {MIN_SOCKETS}")]
     TooFewSockets,
     /// The seed has characters that are not hexadecimal digits.
-    #[error("seed has characters that are not hexadecimal digits")]
+    #[error("configuration: seed has characters that are not hexadecimal digits")]
     InvalidSeed,
     /// The cached server list is not valid.
     #[error(transparent)]
