--- a/crates/event-io/src/listener.rs
+++ b/crates/event-io/src/listener.rs
@@ -1,5 +1,5 @@
-//! A TCP listener on the event loop. Accepting can be paused: connections wait in the kernel's queue
-//! meanwhile.
+//! A TCP listener on the event loop. Accepting can be paused. New connections then wait in the kernel's
+//! queue.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -14,11 +14,11 @@
 }
 
 impl Listener {
-    /// Registers a non-blocking listener on the event loop, which calls `on_ready` while connections wait in
-    /// its queue.
+    /// Registers a non-blocking listener on the event loop. The event loop calls `on_ready` as long as
+    /// connections are waiting in the listener's queue.
     ///
     /// # Errors
-    /// The system's error if the listener cannot be added to the event loop.
+    /// Returns the operating system's error if the listener cannot be registered on the event loop.
     pub fn register<D: 'static>(
         handle: &LoopHandle<'static, D>,
         socket: TcpListener,
@@ -35,19 +35,19 @@
         Ok(Listener { socket, token })
     }
 
-    /// Pauses accepting, or goes on after a pause.
+    /// Pauses or resumes accepting.
     pub fn set_accepting<D>(&self, handle: &LoopHandle<'static, D>, is_accepting: bool) {
-        // Fails only for a source that is gone, which accepts nothing either.
+        // This fails only if the listener is no longer registered, and then it accepts nothing in any case.
         let _ = if is_accepting { handle.enable(&self.token) } else { handle.disable(&self.token) };
     }
 
-    /// Removes the listener from the event loop. The socket closes when it is dropped, but within its own
-    /// callback only once that returns.
+    /// Removes the listener from the event loop. The socket is closed when its last owner drops it. If this
+    /// is called from the listener's own callback, the event loop owns the socket until the callback returns.
     pub fn remove<D>(self, handle: &LoopHandle<'static, D>) {
         handle.remove(self.token);
     }
 
-    /// The listening socket.
+    /// Returns the listening socket.
     pub fn socket(&self) -> &Rc<TcpListener> {
         &self.socket
     }
@@ -56,13 +56,14 @@
 /// The outcome of [`accept`].
 #[derive(Debug)]
 pub enum AcceptOutcome {
-    /// A connection, which is in blocking mode.
+    /// A connection was accepted. It is in blocking mode.
     Accepted(TcpStream),
-    /// No connection waits in the listener's queue.
+    /// No connection is waiting in the listener's queue.
     QueueEmpty,
-    /// The client left before it was accepted, or a signal interrupted the call: another call may succeed.
+    /// The client disconnected before it was accepted, or a signal interrupted the call. Another call may
+    /// succeed.
     Retry,
-    /// No descriptor or memory is free: connections wait in the listener's queue, none is lost.
+    /// No descriptor or memory is free. Connections stay in the listener's queue, so none is lost.
     OutOfResources(Error),
 }
 
--- a/crates/event-io/src/socket.rs
+++ b/crates/event-io/src/socket.rs
@@ -1,4 +1,4 @@
-//! A connection on the event loop: its stream, its registration and its write buffer.
+//! A connection on the event loop, with its write buffer.
 
 use calloop::generic::Generic;
 use calloop::{
@@ -11,11 +11,12 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// While a connection's write buffer holds more bytes than this, its owner reads nothing that would add to
-/// them.
+/// While a connection's write buffer holds more bytes than this, the owner must not read input that would add
+/// to the buffer.
 pub const WRITE_BUFFER_HIGH_WATERMARK: usize = 256 * 1024;
 
-/// An event source: `Generic` with an interest that the connection's owner sets.
+/// An event source like `Generic`, except that its interest can be changed from outside while it is
+/// registered.
 struct StreamSource<S: AsFd> {
     inner: Generic<Rc<S>>,
     interest: Rc<Cell<Interest>>,
@@ -60,13 +61,13 @@
 /// The outcome of [`Socket::read`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// This many bytes were read into the start of the buffer; never 0.
+    /// This many bytes, never 0, were read into the start of the buffer.
     Bytes(usize),
-    /// No bytes have arrived since the last read: the event loop reports when there are some.
+    /// No bytes have arrived since the last read. The event loop reports when there are some.
     WouldBlock,
-    /// End of stream: the peer has closed its write side. It may still read what is written to it.
+    /// The peer has closed its write side. It may still read what is written to it.
     Closed,
-    /// The read failed, as after a reset by the peer: the connection cannot be used any more.
+    /// The read failed, for example after a reset by the peer. The connection cannot be used any more.
     Failed,
 }
 
@@ -76,7 +77,7 @@
     token: RegistrationToken,
     interest: Rc<Cell<Interest>>,
     write_buffer: Vec<u8>,
-    /// The length of the part of `write_buffer` that has been written already.
+    /// How many bytes at the start of `write_buffer` have already been written.
     written_len: usize,
 }
 
@@ -85,10 +86,11 @@
     S: AsFd + 'static,
     for<'a> &'a S: Read + Write,
 {
-    /// Registers a non-blocking stream on the event loop, which calls `on_ready` with its readiness.
+    /// Registers a non-blocking stream on the event loop. The event loop calls `on_ready` when the stream is
+    /// ready for what `interest` states.
     ///
     /// # Errors
-    /// The system's error if the stream cannot be added to the event loop.
+    /// Returns the operating system's error if the stream cannot be registered on the event loop.
     pub fn register<D: 'static>(
         handle: &LoopHandle<'static, D>,
         stream: S,
@@ -105,52 +107,53 @@
         Ok(Socket { stream, token, interest: shared_interest, write_buffer: Vec::new(), written_len: 0 })
     }
 
-    /// Removes the connection from the event loop. It closes when it is dropped, but within its own callback
-    /// only once that returns, as the loop holds the stream until then; [`Socket::close_now`] does not wait
-    /// for that.
+    /// Removes the connection from the event loop. The connection is closed when the socket is dropped. If
+    /// this is called from the connection's own callback, the event loop holds the stream until the callback
+    /// returns, so it is closed only then. [`Socket::close_now`] closes it at once.
     pub fn remove<D>(&self, handle: &LoopHandle<'static, D>) {
         handle.remove(self.token);
     }
 
-    /// Sets whether the owner is called when bytes can be read. It is called for writing while bytes are
-    /// unwritten.
+    /// Sets whether the owner is called when bytes can be read. If there are unwritten bytes, the owner is
+    /// also called when bytes can be written.
     pub fn set_read_interest<D>(&self, handle: &LoopHandle<'static, D>, readable: bool) {
         self.set_interest(handle, Interest { readable, writable: self.has_unwritten_bytes() });
     }
 
-    /// Sets that the owner is called when the connection is established.
+    /// Makes the event loop call the owner when the connection is established, which makes it writable.
     pub fn set_connect_interest<D>(&self, handle: &LoopHandle<'static, D>) {
         self.set_interest(handle, Interest::BOTH);
     }
 
     fn set_interest<D>(&self, handle: &LoopHandle<'static, D>, interest: Interest) {
-        let before = self.interest.replace(interest);
-        let has_changed = before.readable != interest.readable || before.writable != interest.writable;
+        let previous = self.interest.replace(interest);
+        let has_changed = previous.readable != interest.readable || previous.writable != interest.writable;
         if has_changed {
-            // Fails only for a source that is gone, which needs no update.
+            // This fails only if the stream is no longer registered, and then no update is needed.
             let _ = handle.update(&self.token);
         }
     }
 
-    /// The buffer of bytes to be written, to append to; [`Socket::flush`] writes them.
+    /// Returns the write buffer. The owner appends bytes to it, and [`Socket::flush`] writes them.
     pub fn write_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.write_buffer
     }
 
-    /// How many bytes of the write buffer have not been written yet.
+    /// Returns how many bytes of the write buffer have not been written yet.
     pub fn unwritten_bytes(&self) -> usize {
         self.write_buffer.len() - self.written_len
     }
 
-    /// Whether any bytes of the write buffer have not been written yet.
+    /// Returns whether any bytes of the write buffer have not been written yet.
     pub fn has_unwritten_bytes(&self) -> bool {
         self.unwritten_bytes() > 0
     }
 
-    /// Writes as much of the write buffer as the connection accepts now and returns how many bytes that were.
+    /// Writes as much of the write buffer as the connection accepts now. Returns how many bytes it has
+    /// written.
     ///
     /// # Errors
-    /// The system's error if the write failed: the connection cannot be used any more.
+    /// Returns the operating system's error if the write failed. The connection cannot be used any more.
     pub fn flush(&mut self) -> std::io::Result<usize> {
         let written_before = self.written_len;
         while self.has_unwritten_bytes() {
@@ -171,8 +174,8 @@
         Ok(flushed)
     }
 
-    /// Drops the written part of the buffer once it is long; moving the rest after each write would cost
-    /// more.
+    /// Removes the written part of the buffer if it is long. Doing this after every write would move the rest
+    /// of the buffer too often.
     fn drop_written_part(&mut self) {
         if self.written_len > WRITE_BUFFER_HIGH_WATERMARK {
             self.write_buffer.drain(..self.written_len);
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Empties the buffer, and frees its memory where that is large.
+    /// Empties the buffer, and frees its memory if the buffer has grown large.
     fn reset_write_buffer(&mut self) {
         self.write_buffer.clear();
         self.written_len = 0;
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Reads once, into the start of `buffer`, which must not be empty.
+    /// Reads once into the start of `buffer`, which must not be empty.
     pub fn read(&self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             return match (&*self.stream).read(buffer) {
@@ -202,34 +205,36 @@
         }
     }
 
-    /// The stream itself.
+    /// Returns the underlying stream.
     pub fn stream(&self) -> &S {
         &self.stream
     }
 }
 
 impl Socket<TcpStream> {
-    /// Closes the write side.
+    /// Closes the write side of the connection.
     pub fn close_write(&self) {
-        // Fails only for a connection that is gone, which the next read reports.
+        // This fails only if the connection is no longer established, which the next read reports.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Removes the connection from the event loop and shuts it down now, also within its own callback:
-    /// whatever is written elsewhere after this is sent after the end of this connection.
+    /// Removes the connection from the event loop and shuts it down at once, even if this is called from its
+    /// own callback. Bytes that are written to other connections after this call are sent after the end of
+    /// this connection.
     pub fn close_now<D>(&self, handle: &LoopHandle<'static, D>) {
-        // Fails only for a connection that is not established or is gone, on which nothing is in flight.
+        // This fails only if the connection is not established yet or no longer, and then nothing is in
+        // flight on it.
         let _ = self.stream.shutdown(Shutdown::Both);
         self.remove(handle);
     }
 
-    /// The error of a connection attempt that failed, if it did.
+    /// Returns the error with which establishing the connection failed, if it failed.
     pub fn connect_error(&self) -> Option<std::io::Error> {
         self.stream.take_error().unwrap_or_else(Some)
     }
 
-    /// Whether the peer has closed the connection or sent unexpected bytes: nothing may be sent on such a
-    /// connection.
+    /// Returns whether an idle connection must not be used again, because the peer has closed it or has sent
+    /// bytes that were not requested.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0];
         !matches!(self.stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
--- a/crates/event-io/src/tcp.rs
+++ b/crates/event-io/src/tcp.rs
@@ -1,31 +1,32 @@
-//! Opening non-blocking TCP listeners and connections.
+//! Opens non-blocking TCP listeners and connections.
 
 use socket2::{Domain, Protocol, Type};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The system's error code for a connection that is being established (`EINPROGRESS` on Linux).
+/// The error code `EINPROGRESS` on Linux: the connection is still being established.
 const EINPROGRESS: i32 = 115;
 
-/// Opens a non-blocking listener whose address can be bound again at once after a restart. `backlog` bounds
-/// the connections that may wait to be accepted.
+/// Opens a non-blocking listener. Its address can be bound again immediately after a restart. `backlog` is
+/// the maximum number of connections that may wait to be accepted.
 ///
 /// # Errors
-/// The system's error if the listener cannot be opened; an error of the address names it.
+/// Returns the operating system's error if the listener cannot be opened. If the address cannot be bound, the
+/// error names the address.
 pub fn listen(address: SocketAddr, backlog: i32) -> Result<TcpListener> {
     let socket = new_socket(address)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&address.into()).map_err(|e| Error::new(e.kind(), format!("{address}: {e}")))?;
+    socket.bind(&address.into()).map_err(|e| Error::new(e.kind(), format!("cannot bind {address}: {e}")))?;
     socket.listen(backlog)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
 
-/// Begins a non-blocking connection without waiting until it is established; the event loop reports it as
-/// writable then.
+/// Starts to establish a non-blocking connection and returns at once. The event loop reports the connection
+/// as writable when it is established.
 ///
 /// # Errors
-/// The system's error if the connection cannot be begun.
+/// Returns the operating system's error if the connection attempt cannot be started.
 pub fn connect(address: SocketAddr) -> Result<TcpStream> {
     let socket = new_socket(address)?;
     socket.set_nonblocking(true)?;
@@ -41,7 +42,7 @@
     socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))
 }
 
-/// Whether a connection attempt has only not completed yet.
+/// Whether the error only means that the connection is not established yet.
 fn is_in_progress(error: &Error) -> bool {
     error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS)
 }
