--- a/crates/event-io/src/idle_connections.rs
+++ b/crates/event-io/src/idle_connections.rs
@@ -1,11 +1,13 @@
-//! The idle connections of a pool, by the server that they lead to.
+//! Tracks the idle connections of a pool by server.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// The places of idle connections in their owner's table, by server. `K` identifies a server.
+/// The idle connections of each server. `K` identifies a server. A connection is identified by its index in
+/// the owner's table of connections.
 #[derive(Debug)]
 pub struct IdleConnections<K> {
-    /// Per server, the one that has been idle longest first; no list is empty.
+    /// The connection that has been idle longest is at the front. A server without idle connections has no
+    /// entry.
     by_server: BTreeMap<K, VecDeque<usize>>,
 }
 
@@ -21,27 +23,27 @@
         self.by_server.entry(server).or_default().push_back(connection);
     }
 
-    /// The number of idle connections to a server.
+    /// Returns the number of idle connections to a server.
     pub fn count(&self, server: &K) -> usize {
         self.by_server.get(server).map_or(0, VecDeque::len)
     }
 
-    /// All idle connections to a server, the one that has been idle longest first.
+    /// Returns all idle connections to a server, the one that has been idle longest first.
     pub fn of_server(&self, server: &K) -> impl Iterator<Item = usize> {
         self.by_server.get(server).into_iter().flatten().copied()
     }
 
-    /// The connection to a server that has been idle longest.
+    /// Returns the connection to a server that has been idle longest.
     pub fn oldest(&self, server: &K) -> Option<usize> {
         self.by_server.get(server)?.front().copied()
     }
 
-    /// The connection of each server that has been idle longest.
+    /// Returns, for each server with idle connections, the one that has been idle longest.
     pub fn oldest_of_each(&self) -> impl Iterator<Item = usize> {
         self.by_server.values().filter_map(|idle| idle.front().copied())
     }
 
-    /// Takes out the connection to a server that became idle last.
+    /// Removes and returns the connection to a server that became idle last.
     pub fn pop_newest(&mut self, server: &K) -> Option<usize> {
         let idle = self.by_server.get_mut(server)?;
         let newest = idle.pop_back();
@@ -51,7 +53,7 @@
         newest
     }
 
-    /// Takes out a connection, if it is among those of this server.
+    /// Removes a connection if it is one of the idle connections to this server.
     pub fn remove(&mut self, server: &K, connection: usize) {
         let Some(idle) = self.by_server.get_mut(server) else { return };
         idle.retain(|other| *other != connection);
--- a/crates/event-io/src/lib.rs
+++ b/crates/event-io/src/lib.rs
@@ -1,12 +1,12 @@
 //! Connections on a `calloop` event loop.
 //!
-//! - `socket`: a non-blocking stream (TCP or Unix-domain) with an interest that can change while it is
-//!   registered, and a buffer of the bytes that are still to be written
-//! - `tcp`: opening listeners and connections
-//! - `listener`: a listener that can pause accepting, and accepting from it
-//! - `idle_connections`: the idle connections of a pool
+//! - `socket`: a non-blocking stream (TCP or Unix-domain) with a write buffer, whose interest can change
+//!   while it is registered
+//! - `tcp`: opens listeners and connections
+//! - `listener`: a listener that can stop accepting for a while, and accepting connections from it
+//! - `idle_connections`: tracks the idle connections of a pool
 //! - `timers`: the timers of a driver
-//! - `log_rate_limit`: a rate limit on log lines
+//! - `log_rate_limit`: limits the rate of log lines
 
 mod idle_connections;
 mod listener;
--- a/crates/event-io/src/log_rate_limit.rs
+++ b/crates/event-io/src/log_rate_limit.rs
@@ -1,23 +1,23 @@
-//! A rate limit on log lines that peers can cause.
+//! Limits the rate of log lines whose number depends on what clients, servers or peers do.
 
-/// Log lines written in one second; further ones are counted and reported together.
+/// How many log lines are written in one second. Further lines are only counted.
 const MAX_LINES_PER_SECOND: u32 = 5;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Limits log lines: the first few of each second are written, the rest are counted.
+/// Allows the first few log lines of each second, and counts the lines that it suppresses.
 #[derive(Debug, Default)]
 pub struct LogRateLimit {
-    /// The second that is counted, on the clock of [`LogRateLimit::allows`].
+    /// The current second, on the clock whose time is passed to [`LogRateLimit::allows`].
     second: u64,
-    /// Lines that were requested in it.
+    /// How many lines were requested in the current second.
     requested: u32,
-    /// Those of them that were suppressed.
+    /// How many of these lines were suppressed.
     suppressed: u64,
 }
 
 impl LogRateLimit {
-    /// Whether a line may be written at `now`, in microseconds. The first call of a later second logs how
-    /// many lines were suppressed before it.
+    /// Returns whether a line may be written at `now`, in microseconds, and counts the line. The first call
+    /// in a new second logs how many lines were suppressed before it, if any.
     pub fn allows(&mut self, now: u64) -> bool {
         let second = now / MICROS_PER_SECOND;
         if second != self.second {
@@ -33,7 +33,7 @@
 
     fn begin_second(&mut self, second: u64) {
         if self.suppressed > 0 {
-            tracing::warn!(lines = self.suppressed, "log lines kept back");
+            tracing::warn!(lines = self.suppressed, "log lines suppressed by the rate limit");
         }
         self.second = second;
         self.requested = 0;
--- a/crates/event-io/src/timers.rs
+++ b/crates/event-io/src/timers.rs
@@ -1,5 +1,5 @@
-//! The timers of a driver: a heap in the order of their times. No timer is cancelled; its owner checks when
-//! it fires whether it has become stale.
+//! The timers of a driver, in a heap ordered by time. Timers cannot be cancelled. Instead, the owner checks
+//! whether a timer is still relevant when it fires.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,17 +8,18 @@
 /// Microseconds on the event loop's clock.
 type Micros = u64;
 
-/// The longest that a poll of the event loop may wait.
+/// The longest time that one poll of the event loop may wait.
 const MAX_POLL_TIMEOUT: Micros = 1_000_000;
 
-/// A timer: when it fires, and what for. Timers of one microsecond fire in the order of `T`.
+/// When a timer fires, and its kind. Timers that fire at the same microsecond are ordered by kind.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer<T> {
     at: Micros,
     kind: T,
 }
 
-/// All timers of a driver; `T` is what a timer is for. Times are microseconds on the event loop's clock.
+/// All timers of a driver. `T` is the kind of a timer, which says what it is for. Times are in microseconds
+/// on the event loop's clock.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
@@ -31,35 +32,37 @@
 }
 
 impl<T: Ord> Timers<T> {
-    /// When the next timer fires.
+    /// Returns when the next timer fires.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// The earlier of the next timer and `other`.
+    /// Returns the earlier of when the next timer fires and `other`.
     fn next_deadline_with(&self, other: Option<Micros>) -> Option<Micros> {
         other.into_iter().chain(self.next_deadline()).min()
     }
 
-    /// How long the event loop may wait at `now` for the next of these timers and `other`: a second at most.
+    /// Returns how long the event loop may wait at `now`: until the earlier of the next timer and `other`,
+    /// but for a second at most.
     pub fn poll_timeout(&self, now: Micros, other: Option<Micros>) -> Duration {
         let deadline = self.next_deadline_with(other).unwrap_or(Micros::MAX);
         Duration::from_micros(deadline.saturating_sub(now).min(MAX_POLL_TIMEOUT))
     }
 
-    /// How late the event loop is at `now`, in microseconds: for how long the first of these timers and
-    /// `other` has been due. What is read at this moment may have waited in the kernel for as long, which
-    /// does not report when bytes arrived. 0 where nothing is due: between two timers the delay is unknown.
+    /// Returns how late the event loop is at `now`, in microseconds: for how long the earlier of the next
+    /// timer and `other` has been due. The kernel does not report when bytes arrived, so bytes that are read
+    /// now may have been waiting for as long as that. Returns 0 if nothing is due, because the delay is
+    /// unknown between two timers.
     pub fn lateness(&self, now: Micros, other: Option<Micros>) -> Micros {
         self.next_deadline_with(other).map_or(0, |deadline| now.saturating_sub(deadline))
     }
 
-    /// Sets a timer.
+    /// Sets a timer that fires at `at`.
     pub fn set(&mut self, at: Micros, kind: T) {
         self.heap.push(Reverse(Timer { at, kind }));
     }
 
-    /// Removes and returns the next timer that is due at `now`.
+    /// Removes the earliest timer that is due at `now`, and returns its kind.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         self.heap.peek().filter(|Reverse(timer)| timer.at <= now)?;
         self.heap.pop().map(|Reverse(timer)| timer.kind)
