--- a/crates/event-io/tests/idle_connections.rs
+++ b/crates/event-io/tests/idle_connections.rs
@@ -1,8 +1,9 @@
-//! The idle connections of a pool: taken newest first or oldest first, and out of the middle.
+//! Tests the idle connections of a pool: taking the newest, finding the oldest, and removing any of them.
 
 use violetseam_event_io::IdleConnections;
 
-fn with_three_of_server_1() -> IdleConnections<u64> {
+/// Three idle connections to server 1 and one to server 2.
+fn three_to_server_1_and_one_to_server_2() -> IdleConnections<u64> {
     let mut idle = IdleConnections::default();
     for connection in [10, 11, 12] {
         idle.insert(1, connection);
@@ -12,8 +13,8 @@
 }
 
 #[test]
-fn connections_are_taken_newest_first_or_seen_oldest_first() {
-    let mut idle = with_three_of_server_1();
+fn connections_are_taken_newest_first_and_listed_oldest_first() {
+    let mut idle = three_to_server_1_and_one_to_server_2();
     assert_eq!(idle.oldest(&1), Some(10));
     assert_eq!(idle.pop_newest(&1), Some(12));
     assert_eq!(idle.of_server(&1).collect::<Vec<_>>(), [10, 11]);
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn a_removed_connection_is_not_taken_and_an_emptied_server_has_none() {
-    let mut idle = with_three_of_server_1();
+fn a_removed_connection_is_no_longer_listed() {
+    let mut idle = three_to_server_1_and_one_to_server_2();
     idle.remove(&1, 10);
     idle.remove(&1, 20);
     assert_eq!((idle.count(&1), idle.oldest(&1)), (2, Some(11)));
--- a/crates/event-io/tests/timers.rs
+++ b/crates/event-io/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timers fire in the order of their times, and those of one microsecond in the order of their kinds.
+//! Tests the order in which timers fire, and the poll timeout and lateness that follow from them.
 
 use std::time::Duration;
 use violetseam_event_io::timers::Timers;
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn the_poll_timeout_and_the_lateness_count_from_the_earlier_deadline() {
+fn poll_timeout_and_lateness_refer_to_the_earlier_deadline() {
     let mut timers = Timers::default();
-    assert_eq!(timers.poll_timeout(0, None), Duration::from_secs(1), "a second at most");
+    assert_eq!(timers.poll_timeout(0, None), Duration::from_secs(1), "at most a second");
     timers.set(500, 'a');
     assert_eq!(timers.poll_timeout(100, None), Duration::from_micros(400));
     assert_eq!(timers.poll_timeout(100, Some(300)), Duration::from_micros(200));
