--- a/crates/fleet-state/src/fleet_quotas.rs
+++ b/crates/fleet-state/src/fleet_quotas.rs
@@ -1,5 +1,5 @@
-//! All fleet-wide limits as one member holds them: a [`QuotaLeases`] for each request class that has a limit, and the
-//! messages between members. Sending and receiving the messages is the caller's part.
+//! One member's part of all fleet-wide rate limits: a [`QuotaLeases`] for each request class that has a
+//! limit, and the messages between members. The caller sends and receives the messages.
 
 use crate::lease_messages::{self, ClassMessage, LeaseMessage};
 use crate::quota_leases::{LeaseSettings, LeaseSettingsError, QuotaLeases};
@@ -8,17 +8,18 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Calls of [`FleetQuotas::poll_requests`] per lease duration: twice as many as requests may be sent.
+/// How often [`FleetQuotas::poll_requests`] is called per lease duration. This is twice the number of
+/// requests that may be sent in that time.
 const POLLS_PER_LEASE: u64 = 16;
 
-/// How a fleet divides its limits. All members must have the same plan, but for their position.
+/// How a fleet divides its rate limits. All members must have the same plan, except for the position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaPlan {
-    /// Number of members, at least 1.
+    /// The number of members, at least 1.
     pub members: usize,
-    /// This member's number, below `members`.
+    /// This member's number in the fleet, below `members`.
     pub position: usize,
-    /// The limit of all members together, by class; 0 for a class without one.
+    /// The limit for all members together, by class. 0 means that a class has no limit.
     pub quota_by_class: Vec<Rate>,
     /// See [`LeaseSettings::guaranteed_percent`].
     pub guaranteed_percent: u64,
@@ -34,48 +35,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the quota plan of class {class} is not valid: {reason}")]
 pub struct QuotaPlanError {
-    /// The first class that is not valid.
+    /// The index of the first class whose plan is not valid.
     pub class: usize,
-    /// What is wrong with it.
+    /// What is wrong with the plan of this class.
     #[source]
     pub reason: ClassQuotaError,
 }
 
-/// Why the limit of one class cannot be used.
+/// Why the limit of one class cannot be used. A proxy sends these messages to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ClassQuotaError {
-    /// The class has a number of [`lease_messages::MAX_CLASSES`] or more.
+    /// The index of the class is [`lease_messages::MAX_CLASSES`] or more, which messages cannot encode.
     #[error("more classes than messages can name")]
     TooManyClasses,
-    /// Its settings are out of bounds.
+    /// A setting of the class is out of bounds.
     #[error(transparent)]
     Settings(#[from] LeaseSettingsError),
 }
 
-/// What a member holds of one class's limit at one moment.
+/// A member's part of the limit of one class at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaStatus {
-    /// The class.
+    /// The index of the class.
     pub class: usize,
     /// The limit of the whole fleet.
     pub quota: Rate,
-    /// The member's own part under all circumstances.
+    /// The part that always belongs to the member.
     pub guaranteed_quota: Rate,
-    /// Its own part beyond that, which it may lend.
+    /// The part that the member owns in addition, and may lend.
     pub lendable_quota: Rate,
-    /// What of that is lent, or may have been by an earlier incarnation.
+    /// How much of the lendable quota is lent, or may have been lent by an earlier incarnation.
     pub granted: Rate,
-    /// What it has borrowed.
+    /// How much the member has borrowed.
     pub borrowed: Rate,
-    /// What it may spend.
+    /// The rate at which the member may spend.
     pub rate: Rate,
-    /// Tokens spent since the start.
+    /// The number of tokens spent since the start.
     pub spent: u64,
-    /// Tokens denied since the start.
+    /// The number of tokens denied since the start.
     pub denied: u64,
 }
 
-/// One class's leases and how they were used.
+/// The leases of one class and how many tokens were spent and denied.
 #[derive(Debug)]
 struct ClassQuota {
     leases: QuotaLeases,
@@ -83,7 +84,7 @@
     denied: u64,
 }
 
-/// All limits of one member.
+/// One member's part of all fleet-wide rate limits.
 #[derive(Debug)]
 pub struct FleetQuotas {
     plan: QuotaPlan,
@@ -92,7 +93,7 @@
 }
 
 impl QuotaPlan {
-    /// The settings of one class's leases; none where it has no limit.
+    /// Returns the lease settings of a class, or `None` if the class has no limit.
     fn lease_settings(&self, class: usize) -> Option<LeaseSettings> {
         let quota = self.quota_by_class.get(class).copied().filter(|quota| *quota > 0)?;
         Some(LeaseSettings {
@@ -110,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// The first class that is not valid, and why.
+    /// Returns the first class that is not valid, and what is wrong with it.
     pub fn validate(&self) -> Result<(), QuotaPlanError> {
         if self.quota_by_class.len() > lease_messages::MAX_CLASSES {
             let class = lease_messages::MAX_CLASSES;
@@ -123,7 +124,8 @@
         Ok(())
     }
 
-    /// Identifies the plan apart from the position: members whose plans differ ignore each other's messages.
+    /// Returns a hash of the plan without the position. Members whose plans differ ignore each other's
+    /// messages.
     fn digest(&self) -> u32 {
         let shared_settings = [
             self.members as u64,
@@ -139,7 +141,7 @@
 }
 
 impl FleetQuotas {
-    /// The limits of an incarnation that starts now; see [`QuotaLeases::new`].
+    /// Creates the state of an incarnation that starts now. [`QuotaLeases::new`] describes `incarnation`.
     pub fn new(now: Micros, plan: QuotaPlan, incarnation: u32) -> FleetQuotas {
         let mut by_class = BTreeMap::new();
         for class in 0..plan.quota_by_class.len() {
@@ -150,24 +152,26 @@
         FleetQuotas { plan_digest: plan.digest(), by_class, plan }
     }
 
-    /// Takes a token of a class; whether there was one. Always true for a class without a limit.
+    /// Takes a token of a class if there is one. Returns whether there was one, or true if the class has no
+    /// limit.
     pub fn try_spend(&mut self, now: Micros, class: usize) -> bool {
         let Some(quota) = self.by_class.get_mut(&class) else { return true };
-        let allowed = quota.leases.try_spend(now);
-        if allowed {
+        let is_allowed = quota.leases.try_spend(now);
+        if is_allowed {
             quota.spent += 1;
         } else {
             quota.denied += 1;
         }
-        allowed
+        is_allowed
     }
 
-    /// The time between two calls of [`FleetQuotas::poll_requests`], at least 1.
+    /// Returns the interval at which to call [`FleetQuotas::poll_requests`], at least 1 microsecond.
     pub fn poll_interval(&self) -> Micros {
         (self.plan.lease_duration / POLLS_PER_LEASE).max(1)
     }
 
-    /// The lease requests to send now, by receiver. At most eight per class and lease duration, whatever the fleet's size.
+    /// Returns the lease requests to send now. At most eight are sent per class and lease duration,
+    /// independent of the fleet's size.
     pub fn poll_requests(&mut self, now: Micros) -> Vec<OutgoingMessage> {
         let mut requests_by_owner: BTreeMap<usize, Vec<ClassMessage>> = BTreeMap::new();
         for (&class, quota) in &mut self.by_class {
@@ -185,8 +189,9 @@
         outgoing
     }
 
-    /// Handles a member's message: the payload to answer with, if any. A message that cannot be decoded, comes from a
-    /// member with another plan or names a class without a limit changes nothing.
+    /// Handles a payload from another member and returns the payload of the reply, if there is one. A payload
+    /// that cannot be decoded or comes from a member with another plan changes nothing, nor does a message
+    /// for a class without a limit.
     pub fn on_message(&mut self, now: Micros, from: usize, payload: &[u8]) -> Option<Vec<u8>> {
         let received = lease_messages::decode(payload)?;
         if received.plan_digest != self.plan_digest {
@@ -207,7 +212,7 @@
         lease_messages::encode(self.plan_digest, &grants)
     }
 
-    /// What this member holds now, by class in ascending order.
+    /// Returns this member's part of the limit of each class that has one, in ascending order of class.
     pub fn status(&self, now: Micros) -> Vec<QuotaStatus> {
         self.by_class.iter().map(|(&class, quota)| self.class_status(now, class, quota)).collect()
     }
--- a/crates/fleet-state/src/lease_messages.rs
+++ b/crates/fleet-state/src/lease_messages.rs
@@ -1,23 +1,24 @@
-//! Lease requests and grants as the payload of one datagram of at most [`MAX_PAYLOAD_BYTES`].
+//! Encodes lease requests and grants as the payload of one datagram, of at most [`MAX_PAYLOAD_BYTES`] bytes.
 //!
 //! ```text
 //! offset  bytes  field
-//! 0       1      version of the layout, 1
-//! 1       4      digest of the quota plan (little-endian, as all that follow): members answer each other only if
-//!                they divide the same limits in the same way
+//! 0       1      version of the layout, which is 1
+//! 1       4      digest of the sender's quota plan; members ignore messages from members with another plan
 //! 5       1      number of messages, 1 to 13
-//! 6       17     each message: class, with the high bit set for a grant (1); incarnation (4); number (4); amount (8)
+//! 6       17     per message: class, with the high bit set for a grant (1 byte); incarnation (4);
+//!                number of the request (4); amount that is requested or granted (8)
 //! ```
 //!
-//! A payload that does not have exactly this form is rejected as a whole.
+//! Integers are little-endian. A payload that does not have exactly this layout is rejected as a whole.
 
 use crate::quota_leases::{LeaseGrant, LeaseRequest};
 
-/// Bytes of a payload, at most: with a proxy's header and checksum, a datagram stays within 256.
+/// The maximum length of a payload. With the header and the checksum that a proxy adds, a datagram has at
+/// most 256 bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 240;
-/// Messages in a payload, at most.
+/// The maximum number of messages in a payload.
 pub const MAX_MESSAGES: usize = (MAX_PAYLOAD_BYTES - HEADER_BYTES) / MESSAGE_BYTES;
-/// Request classes that messages can name: their numbers are below this.
+/// The number of request classes that a message can identify. Class indexes must be below this.
 pub const MAX_CLASSES: usize = 128;
 
 const LAYOUT_VERSION: u8 = 1;
@@ -26,7 +27,7 @@
 /// The bit of the class byte that marks a grant.
 const GRANT_FLAG: u8 = 0x80;
 
-/// A request or a grant.
+/// A lease request or a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseMessage {
     /// A member requests quota from an owner.
@@ -38,25 +39,26 @@
 /// A message about the limit of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassMessage {
-    /// The request class, below [`MAX_CLASSES`].
+    /// The index of the request class, below [`MAX_CLASSES`].
     pub class: usize,
-    /// The message.
+    /// The request or grant.
     pub message: LeaseMessage,
 }
 
-/// What a payload carries.
+/// The content of a payload.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeasePayload {
-    /// Digest of the sender's quota plan.
+    /// The digest of the sender's quota plan.
     pub plan_digest: u32,
     /// The messages, 1 to [`MAX_MESSAGES`].
     pub messages: Vec<ClassMessage>,
 }
 
-/// Encodes messages; none if there are none, more than [`MAX_MESSAGES`], or one with a class of [`MAX_CLASSES`] or more.
+/// Encodes messages as a payload. Returns `None` if there are no messages or more than [`MAX_MESSAGES`], or
+/// if a class index is [`MAX_CLASSES`] or more.
 pub fn encode(plan_digest: u32, messages: &[ClassMessage]) -> Option<Vec<u8>> {
-    let class_out_of_range = messages.iter().any(|message| message.class >= MAX_CLASSES);
-    if messages.is_empty() || messages.len() > MAX_MESSAGES || class_out_of_range {
+    let is_class_out_of_range = messages.iter().any(|message| message.class >= MAX_CLASSES);
+    if messages.is_empty() || messages.len() > MAX_MESSAGES || is_class_out_of_range {
         return None;
     }
     let mut payload = Vec::with_capacity(HEADER_BYTES + MESSAGE_BYTES * messages.len());
@@ -80,12 +82,12 @@
     payload.extend_from_slice(&amount.to_le_bytes());
 }
 
-/// Decodes a payload; none if it does not have the form that the module describes.
+/// Decodes a payload. Returns `None` if it does not have the layout that the module documentation describes.
 pub fn decode(payload: &[u8]) -> Option<LeasePayload> {
     let (header, body) = payload.split_at_checked(HEADER_BYTES)?;
     let count = usize::from(header[5]);
-    let count_fits = (1..=MAX_MESSAGES).contains(&count) && body.len() == count * MESSAGE_BYTES;
-    if header[0] != LAYOUT_VERSION || !count_fits {
+    let is_valid_count = (1..=MAX_MESSAGES).contains(&count) && body.len() == count * MESSAGE_BYTES;
+    if header[0] != LAYOUT_VERSION || !is_valid_count {
         return None;
     }
     let plan_digest = u32::from_le_bytes(header[1..5].try_into().ok()?);
--- a/crates/fleet-state/src/token_bucket.rs
+++ b/crates/fleet-state/src/token_bucket.rs
@@ -2,42 +2,44 @@
 
 use crate::types::{Micros, Rate};
 
-/// One token in the unit of a bucket's level: thousandths of a token per second, times microseconds.
+/// One token in the unit of a bucket's level, which is a thousandth of a token per second times a
+/// microsecond.
 pub(crate) const TOKEN: u64 = 1_000_000_000;
 
-/// A token bucket. The caller passes the rate and the capacity in at each use, as both follow from the leases of the
-/// moment.
+/// A token bucket. The caller passes the current rate and burst to each call, because both depend on the
+/// leases that are valid at that moment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TokenBucket {
-    /// What is saved up, in units of which [`TOKEN`] make one token.
+    /// The saved amount. One token is [`TOKEN`] units.
     level: u64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub(crate) fn new(now: Micros) -> TokenBucket {
         TokenBucket { level: 0, refilled_at: now }
     }
 
-    /// When the bucket was refilled last.
+    /// Returns when the bucket was last refilled.
     pub(crate) fn refilled_at(&self) -> Micros {
         self.refilled_at
     }
 
-    /// Adds what `rate` yields since the last refill, but for no longer than `max_elapsed`.
+    /// Adds the amount that `rate` yields in the time since the last refill, of which at most `max_elapsed`
+    /// counts.
     pub(crate) fn refill(&mut self, now: Micros, rate: Rate, max_elapsed: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at).min(max_elapsed);
         self.refilled_at = self.refilled_at.max(now);
         self.level += rate * elapsed;
     }
 
-    /// Drops what is saved beyond what `rate` yields during `burst`.
+    /// Limits the saved amount to what `rate` yields during `burst`.
     pub(crate) fn limit(&mut self, rate: Rate, burst: Micros) {
         self.level = self.level.min(rate * burst);
     }
 
-    /// Takes one token if there is one; whether there was.
+    /// Takes one token if there is one. Returns whether there was one.
     pub(crate) fn try_take(&mut self) -> bool {
         if self.level < TOKEN {
             return false;
--- a/crates/fleet-state/src/types.rs
+++ b/crates/fleet-state/src/types.rs
@@ -1,16 +1,16 @@
-//! Units and messages that both protocols use.
+//! Units and messages that the lease protocol and the gossip protocol have in common.
 
-/// A time or a duration in microseconds, by a member's own monotonic clock.
+/// A time or a duration in microseconds, on a member's own monotonic clock.
 pub type Micros = u64;
 
 /// A rate in thousandths of a token per second.
 pub type Rate = u64;
 
-/// A datagram that the caller is to send to another member.
+/// A datagram for the caller to send to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// Position of the member that is to receive it.
+    /// The position of the recipient.
     pub to: usize,
-    /// The datagram's payload, at most 240 bytes.
+    /// The payload of the datagram, at most 240 bytes.
     pub payload: Vec<u8>,
 }
