--- a/crates/fleet-state/src/outlier_gossip/ejection.rs
+++ b/crates/fleet-state/src/outlier_gossip/ejection.rs
@@ -1,4 +1,5 @@
-//! Decides which servers are ejected: by this member as a collector, and by the majority of a server's collectors.
+//! Decides which servers this member ejects as a collector, and which servers are ejected by the majority of
+//! their collectors.
 
 use super::message::MAX_ENTRIES;
 use super::observation::{AttemptCounts, Observation};
@@ -8,12 +9,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Members that must have failed to reach a server for the lower of the two thresholds to apply.
+/// The minimum number of members that could not reach a server for the lower of the two thresholds to apply.
 const MIN_UNREACHABLE_REPORTS: usize = 2;
 
-/// A server that a majority wants ejected; ordered by the number of its reports or votes, then by id.
+/// A server that qualifies for ejection. Candidates are ordered by `support`, then by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
+    /// The number of bad reports on the server, or of collectors that vote to eject it.
     support: usize,
     server: ServerId,
 }
@@ -21,14 +23,20 @@
 /// The servers of one zone.
 #[derive(Debug, Default)]
 struct Zone {
+    /// The number of servers in the zone.
     servers: usize,
     candidates: Vec<Candidate>,
 }
 
 impl OutlierGossip {
-    /// The servers that this member ejects as a collector: those with the most bad reports, as many as one message can
-    /// list. The member's own observations count if `own_observations_trusted`.
-    pub(super) fn judge(&mut self, now: Micros, own_observations_trusted: bool) -> BTreeSet<ServerId> {
+    /// Returns the servers that this member ejects as a collector. If more servers qualify than one message
+    /// can list, those with the most bad reports are ejected. The member's own observations count only if
+    /// `own_observations_trusted`.
+    pub(super) fn servers_to_eject(
+        &mut self,
+        now: Micros,
+        own_observations_trusted: bool,
+    ) -> BTreeSet<ServerId> {
         let max_age = self.settings.max_observation_age;
         self.reports.retain(|_, report| now < report.observed_at + max_age);
         let mut candidates: Vec<Candidate> = Vec::new();
@@ -45,7 +53,7 @@
         candidates.into_iter().take(MAX_ENTRIES).map(|candidate| candidate.server).collect()
     }
 
-    /// Each member's observation of a server, the latest first.
+    /// Returns each member's observation of a server, the latest first.
     fn latest_observations(
         &self,
         now: Micros,
@@ -64,7 +72,7 @@
         observations
     }
 
-    /// Whether the latest observations reach one of the two thresholds.
+    /// Whether the observations, which are given the latest first, reach one of the two thresholds.
     fn warrants_ejection(&self, observations: &[Observation]) -> bool {
         let lower = self.settings.unreachable_threshold;
         let higher = self.settings.failure_threshold;
@@ -75,7 +83,7 @@
         (all_bad && unreachable >= MIN_UNREACHABLE_REPORTS) || bad_reports(latest(higher)) + 1 >= higher
     }
 
-    /// The servers that this member does not use now.
+    /// Returns the servers that this member must not use now.
     pub fn ejected(&self, now: Micros) -> BTreeSet<ServerId> {
         let mut zones: BTreeMap<u16, Zone> = BTreeMap::new();
         for (&id, server) in &self.servers {
@@ -97,7 +105,7 @@
         ejected
     }
 
-    /// Whether a collector, which may be this member itself, has a server on its list.
+    /// Whether a collector, which may be this member itself, has a server on its list of ejected servers.
     fn votes_to_eject(&self, now: Micros, collector: usize, server: ServerId) -> bool {
         if collector == self.settings.position {
             return self.broadcast.ejected.contains(&server);
@@ -111,8 +119,8 @@
         counts.is_some_and(AttemptCounts::last_succeeded)
     }
 
-    /// Whether this member is to try a server although it is ejected. Each member draws for itself in each period, with a
-    /// chance of one in the fleet's size, so that clocks need not agree.
+    /// Whether this member should try a server although it is ejected. In each period, each member draws for
+    /// itself with a probability of one in the fleet's size, so clocks need not be synchronized.
     fn probes(&self, now: Micros, server: ServerId) -> bool {
         let period = now / self.settings.probe_interval.max(1);
         let key = [server.to_le_bytes(), period.to_le_bytes()].concat();
--- a/crates/fleet-state/src/outlier_gossip/message.rs
+++ b/crates/fleet-state/src/outlier_gossip/message.rs
@@ -1,23 +1,24 @@
-//! Gossip messages as the payload of one datagram of at most [`MAX_PAYLOAD_BYTES`].
+//! Encodes a gossip message as the payload of one datagram, of at most [`MAX_PAYLOAD_BYTES`] bytes.
 //!
 //! ```text
 //! offset  bytes  field
-//! 0       1      version of the layout, 1, with the high bit set for a list of ejected servers
-//! 1       8      incarnation of the sender (little-endian, as all that follow)
+//! 0       1      version of the layout, which is 1, with the high bit set for a list of ejected servers
+//! 1       8      incarnation of the sender
 //! 9       4      number of the message within the incarnation
 //! 13      1      number of entries, 0 to 18
-//! 14      12     each entry: server (8); successes, failures, unreachable (1 each); age (1), in units of 20 ms
+//! 14      12     per entry: server (8 bytes); successes, failures, unreachable (1 each);
+//!                time since the latest attempt (1), in units of 20 ms
 //! ```
 //!
-//! A payload that does not have exactly this form is rejected as a whole.
+//! Integers are little-endian. A payload that does not have exactly this layout is rejected as a whole.
 
 use super::ServerId;
 use super::observation::AttemptCounts;
 use crate::types::Micros;
 
-/// Bytes of a payload, at most.
+/// The maximum length of a payload.
 pub const MAX_PAYLOAD_BYTES: usize = 240;
-/// Entries of a payload, at most, and so the longest list of ejected servers of one collector.
+/// The maximum number of entries in a payload, and therefore of servers that one collector can eject.
 pub(super) const MAX_ENTRIES: usize = (MAX_PAYLOAD_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
 const LAYOUT_VERSION: u8 = 1;
@@ -25,45 +26,45 @@
 const ENTRY_BYTES: usize = 12;
 /// The bit of the first byte that marks a list of ejected servers.
 const EJECTIONS_FLAG: u8 = 0x80;
-/// The unit of an entry's age.
+/// The unit of an entry's age, in microseconds.
 const AGE_UNIT: Micros = 20_000;
 
 /// What the entries of a message mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// The sender's own observations, for a collector.
+    /// The entries are the sender's own observations. They are sent to collectors.
     Observations,
-    /// All servers that the sender, as a collector, has ejected. Their counts mean nothing.
+    /// The entries are all servers that the sender ejects as a collector. Their counts have no meaning.
     Ejections,
 }
 
-/// One server in a message.
+/// The entry of one server in a message.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Entry {
     pub server: ServerId,
     pub counts: AttemptCounts,
-    /// Time since the sender's latest attempt at the server.
+    /// The time since the sender's latest attempt on the server.
     pub age: Micros,
 }
 
-/// Identifies a message of one sender; a later one is greater.
+/// Identifies a message of one sender. A later message has a greater id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MessageId {
     pub incarnation: u64,
     pub number: u32,
 }
 
-/// What a payload carries.
+/// The content of a payload.
 #[derive(Clone, Debug)]
 pub(super) struct GossipMessage {
     pub kind: MessageKind,
     pub id: MessageId,
-    /// At most [`MAX_ENTRIES`].
+    /// At most [`MAX_ENTRIES`] entries are encoded.
     pub entries: Vec<Entry>,
 }
 
 impl GossipMessage {
-    /// The payload; entries beyond [`MAX_ENTRIES`] are left out.
+    /// Returns the payload. Entries beyond the first [`MAX_ENTRIES`] are left out.
     pub fn encode(&self) -> Vec<u8> {
         let entries = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
         let flag = match self.kind {
@@ -83,7 +84,8 @@
         payload
     }
 
-    /// Decodes a payload; none if it does not have the form that the module describes.
+    /// Decodes a payload. Returns `None` if it does not have the layout that the module documentation
+    /// describes.
     pub fn decode(payload: &[u8]) -> Option<GossipMessage> {
         let (header, body) = payload.split_at_checked(HEADER_BYTES)?;
         let count = usize::from(header[13]);
--- a/crates/fleet-state/src/outlier_gossip/mod.rs
+++ b/crates/fleet-state/src/outlier_gossip/mod.rs
@@ -1,18 +1,21 @@
-//! Outlier detection across a fleet: gossip about servers, so that a server that fails everybody is ejected before each
-//! member has found that out for itself. In a large fleet a member tries one server only every ten seconds to a minute.
+//! Outlier detection across a fleet. Members gossip about servers, so that a server that fails for all
+//! members is ejected before each member has found that out itself. In a large fleet, a member tries the same
+//! server only every ten seconds to a minute.
 //!
-//! - **Observations.** Each member reports how its own latest attempts at a server went, and how long ago that was, to the
-//!   server's *collectors*: three members on which all agree (rendezvous hashing, Thaler and Ravishankar 1998).
-//! - **Ejections.** A collector ejects a server while nearly all of the members that tried it last found it bad; what others
-//!   found before them no longer counts. It broadcasts its whole list of ejected servers again and again; a list that is not
-//!   renewed expires.
-//! - **Majority.** A member ejects a server when most of its collectors do, unless its own latest attempt there succeeded:
-//!   its own observations take precedence. In one zone no more than a configured share is ejected. A member probes an
-//!   ejected server from time to time, by a draw of one in the fleet's size, so that the fleet notices a recovery.
+//! - **Observations.** Each member reports the outcomes of its own latest attempts on a server, and how long
+//!   ago they were, to the server's *collectors*. These are three members, and all members determine the same
+//!   three (rendezvous hashing, Thaler and Ravishankar 1998).
+//! - **Ejections.** A collector ejects a server while nearly all of the members that tried it most recently
+//!   found it bad. Older observations do not count. The collector broadcasts its complete list of ejected
+//!   servers periodically, and a list that is not renewed expires.
+//! - **Majority.** A member ejects a server if most of the server's collectors do, unless its own latest
+//!   attempt on the server succeeded: its own observations take precedence. In one zone, at most a configured
+//!   share of the servers is ejected. Each member probes an ejected server from time to time, with a
+//!   probability of one in the fleet's size per period, so that the fleet notices a recovery.
 //!
-//! A single member cannot have a server ejected by false reports: several reporters and two collectors have to agree. A
-//! member that finds most servers bad suspects its own uplink and reports nothing. Where messages are lost, observations and
-//! ejections expire, and each member is left with its own observations.
+//! A single member cannot get a server ejected by false reports, because several reporters and two collectors
+//! have to agree. A member that finds most servers bad suspects its own uplink and reports nothing. If
+//! messages are lost, observations and ejections expire, and each member is left with its own observations.
 
 mod ejection;
 mod message;
@@ -30,63 +33,67 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A server's identity, the same at all members.
+/// The id of a server, which is the same at all members.
 pub type ServerId = u64;
 
-/// Collectors of a server, if the fleet has as many members.
+/// The number of collectors of a server, if the fleet has at least that many members.
 const COLLECTORS_PER_SERVER: usize = 3;
-/// Recently tried servers from which on a member that finds more than half of them bad suspects its own uplink.
+/// The minimum number of recently tried servers for a member to suspect its own uplink, which it does if more
+/// than half of them are bad.
 const MIN_SERVERS_FOR_SELF_SUSPICION: usize = 3;
 
-/// Settings of the gossip. All members must have the same, but for their position.
+/// Settings of the gossip. All members must have the same settings, except for the position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipSettings {
-    /// Number of members, at least 1.
+    /// The number of members, at least 1.
     pub members: usize,
-    /// This member's number, below `members`.
+    /// This member's number in the fleet, below `members`.
     pub position: usize,
-    /// A member's own observation counts for this long after the latest attempt.
+    /// How long a member's own observation counts after the latest attempt.
     pub observation_window: Micros,
-    /// A reported observation counts for this long at a collector.
+    /// How long a reported observation counts at a collector.
     pub max_observation_age: Micros,
-    /// A collector ejects a server if this many members that tried it last all found it bad, two or more of which could not
-    /// reach it ...
+    /// A collector ejects a server if all of this many members that tried it most recently found it bad, and
+    /// at least two of them could not reach it.
     pub unreachable_threshold: usize,
-    /// ... or if all but one of this many members found it bad.
+    /// A collector also ejects a server if all but one of this many members that tried it most recently found
+    /// it bad.
     pub failure_threshold: usize,
-    /// The part of a zone's servers that may be ejected, in percent.
+    /// The maximum part of a zone's servers that is ejected, in percent.
     pub max_ejected_percent: usize,
-    /// In each period of this length one member, on average, may use an ejected server. In a small fleet no server stays
-    /// ejected for long in any case: observations expire, and a few attempts decide anew.
+    /// The length of a period in which, on average, one member may use a server although it is ejected. In a
+    /// small fleet, no server stays ejected for long in any case, because observations expire and a few new
+    /// attempts decide again.
     pub probe_interval: Micros,
-    /// The time between two calls of [`OutlierGossip::poll_messages`].
+    /// The interval between two calls of [`OutlierGossip::poll_messages`].
     pub poll_interval: Micros,
-    /// Datagrams per call, at most.
+    /// The maximum number of datagrams that one call returns.
     pub max_messages_per_poll: usize,
 }
 
 /// A server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerEndpoint {
-    /// The server.
+    /// The id of the server.
     pub id: ServerId,
-    /// The zone that it is in.
+    /// The zone of the server.
     pub zone: u16,
 }
 
-/// A server on the list, and what this member's own attempts have shown.
+/// A server on the endpoint list, and the outcomes of this member's own attempts on it.
 #[derive(Clone, Debug)]
 struct TrackedServer {
     zone: u16,
-    /// Positions of its collectors.
+    /// The positions of the server's collectors.
     collectors: Vec<usize>,
-    /// Own attempts since the last time that there was none for a whole window.
+    /// This member's attempts. Counting starts again after a whole window without attempts.
     counts: AttemptCounts,
     last_attempt_at: Option<Micros>,
     last_report: Option<LastReport>,
 }
 
-/// What another member has sent as a collector.
+/// What this member knows about another one: its last message, and its list of ejected servers as a
+/// collector.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     last_message: Option<MessageId>,
@@ -94,7 +101,8 @@
     ejected_until: Micros,
 }
 
-/// Identifies the latest observation of one reporter; ordered by server, then reporter.
+/// Identifies the latest observation of a server by one reporter. Keys are ordered by server, then by
+/// reporter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportKey {
     server: ServerId,
@@ -109,13 +117,14 @@
     last_message_number: u32,
     servers: BTreeMap<ServerId, TrackedServer>,
     peers: Vec<Peer>,
-    /// Other members' observations of the servers that this member is a collector of.
+    /// Other members' latest observations of the servers for which this member is a collector.
     reports: BTreeMap<ReportKey, Observation>,
     broadcast: EjectionBroadcast,
 }
 
 impl OutlierGossip {
-    /// The state of an incarnation that starts now. `incarnation` must be greater than those of this member before.
+    /// Creates the state of an incarnation that starts now. `incarnation` must be greater than all earlier
+    /// incarnations of this member.
     pub fn new(now: Micros, settings: GossipSettings, incarnation: u64) -> OutlierGossip {
         let members = settings.members.max(1);
         let position = settings.position.min(members - 1);
@@ -130,8 +139,8 @@
         }
     }
 
-    /// Replaces the list of servers. What is known of servers that are no longer on it is dropped, so that the list bounds
-    /// the memory used.
+    /// Replaces the list of servers. The state of servers that are no longer on the list is dropped, so the
+    /// length of the list bounds the memory used.
     pub fn set_servers(&mut self, endpoints: &[ServerEndpoint]) {
         let mut previous = std::mem::take(&mut self.servers);
         for endpoint in endpoints {
@@ -148,7 +157,8 @@
         }
     }
 
-    /// The collectors of a server: the members with the highest hash of member and server.
+    /// Returns the collectors of a server, which are the members with the highest hashes of member and
+    /// server.
     fn collectors(&self, server: ServerId) -> Vec<usize> {
         let weight = |member: usize| xxh3_64_with_seed(&server.to_le_bytes(), member as u64);
         let mut members: Vec<usize> = (0..self.settings.members).collect();
@@ -157,7 +167,8 @@
         members
     }
 
-    /// Records the end of one of this member's own attempts. Attempts at servers that are not on the list are ignored.
+    /// Records the outcome of one of this member's own attempts. Attempts on servers that are not on the list
+    /// are ignored.
     pub fn record_attempt(&mut self, now: Micros, server: ServerId, outcome: Outcome) {
         let window = self.settings.observation_window;
         let Some(server) = self.servers.get_mut(&server) else { return };
@@ -168,7 +179,8 @@
         server.last_attempt_at = Some(now);
     }
 
-    /// Whether most of the recently tried servers look bad, so that this member's own uplink is the likely cause.
+    /// Returns whether more than half of the recently tried servers are bad, which makes this member's own
+    /// uplink the likely cause.
     pub fn suspects_own_uplink(&self, now: Micros) -> bool {
         let mut tried = 0;
         let mut bad = 0;
@@ -180,8 +192,8 @@
         tried >= MIN_SERVERS_FOR_SELF_SUSPICION && 2 * bad > tried
     }
 
-    /// Handles a member's message. One that cannot be decoded, is not newer than the last one of its sender, or comes from
-    /// no other member changes nothing.
+    /// Handles a message. A message changes nothing if it cannot be decoded, is not newer than the last
+    /// message of its sender, or does not come from another member.
     pub fn on_message(&mut self, now: Micros, from: usize, payload: &[u8]) {
         let Some(message) = GossipMessage::decode(payload) else { return };
         if from >= self.settings.members || from == self.settings.position {
@@ -197,7 +209,7 @@
         }
     }
 
-    /// Keeps the observations of servers that this member is a collector of.
+    /// Stores the observations of servers for which this member is a collector.
     fn store_reports(&mut self, now: Micros, reporter: usize, message: &GossipMessage) {
         for entry in &message.entries {
             if self.is_collector(self.settings.position, entry.server) {
@@ -208,7 +220,7 @@
         }
     }
 
-    /// Replaces a collector's list by the servers of the message that it is a collector of.
+    /// Replaces the sender's list of ejected servers. Only servers for which the sender is a collector count.
     fn store_ejections(&mut self, now: Micros, from: usize, message: &GossipMessage) {
         let listed = message.entries.iter().map(|entry| entry.server);
         let ejected = listed.filter(|server| self.is_collector(from, *server)).collect();
@@ -229,12 +241,12 @@
         TrackedServer { zone, collectors, counts, last_attempt_at: None, last_report: None }
     }
 
-    /// This member's own counts, if the latest attempt was within the window.
+    /// Returns this member's own counts, if the latest attempt was within the window.
     fn recent_counts(&self, now: Micros, window: Micros) -> Option<AttemptCounts> {
         self.recent_observation(now, window).map(|observation| observation.counts)
     }
 
-    /// This member's own observation, if the latest attempt was within the window.
+    /// Returns this member's own observation, if the latest attempt was within the window.
     fn recent_observation(&self, now: Micros, window: Micros) -> Option<Observation> {
         let observed_at = self.last_attempt_at.filter(|last| now < last + window)?;
         Some(Observation { observed_at, counts: self.counts })
--- a/crates/fleet-state/src/outlier_gossip/observation.rs
+++ b/crates/fleet-state/src/outlier_gossip/observation.rs
@@ -1,22 +1,24 @@
-//! What a member has observed of a server in its own attempts.
+//! The outcomes of a member's attempts on a server.
 
 use crate::types::Micros;
 
-/// Consecutive failures that outweigh the successes before them in the same window.
+/// The number of consecutive failures that make a server bad although attempts in the same window succeeded
+/// before them.
 const FAILURE_STREAK: u16 = 3;
 
-/// How an attempt ended, as far as the server is concerned.
+/// What the end of an attempt shows about the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server answered well, or rejected the request in an orderly way.
+    /// The server has served the request, or has rejected it with a valid response.
     Success,
-    /// It failed the request, or did not answer in time.
+    /// The server has failed the request or has not responded in time.
     Failure,
-    /// No connection to it could be established.
+    /// No connection to the server could be established.
     Unreachable,
 }
 
-/// Successes within a window, and the failures since the last of them. Each count stays at its maximum.
+/// The number of successes, and the numbers of failures since the last success. A count that has reached its
+/// maximum stays there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AttemptCounts {
     pub successes: u8,
@@ -24,7 +26,7 @@
     pub unreachable: u8,
 }
 
-/// Counts and the moment at which the latest of the attempts ended.
+/// The counts of attempts on a server, and when the latest attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub observed_at: Micros,
@@ -32,7 +34,7 @@
 }
 
 impl AttemptCounts {
-    /// Counts an attempt. A success ends a series of failures.
+    /// Counts an attempt. A success resets the counts of failures.
     pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Success => {
@@ -50,7 +52,8 @@
         self.failures == 0 && self.unreachable == 0
     }
 
-    /// Whether the server looks like an outlier: failures only, or a long enough series of them.
+    /// Whether the server is bad: attempts have failed since the last success, and either none has succeeded
+    /// or at least [`FAILURE_STREAK`] have failed in a row.
     pub fn is_bad(self) -> bool {
         let failed = u16::from(self.failures) + u16::from(self.unreachable);
         failed > 0 && (self.successes == 0 || failed >= FAILURE_STREAK)
--- a/crates/fleet-state/src/outlier_gossip/reporting.rs
+++ b/crates/fleet-state/src/outlier_gossip/reporting.rs
@@ -1,4 +1,5 @@
-//! What a member sends: its list of ejected servers to all members, and its observations to the servers' collectors.
+//! Creates the messages that a member sends: its list of ejected servers for all members, and its
+//! observations for the servers' collectors.
 
 use super::message::{Entry, GossipMessage, MAX_ENTRIES, MessageId, MessageKind};
 use super::observation::{AttemptCounts, Observation};
@@ -6,36 +7,40 @@
 use crate::types::{Micros, OutgoingMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Polls between two reports on the same server, unless the finding has changed.
+/// The minimum number of polls between two reports on the same server. A report that changes whether the
+/// server is bad is not delayed.
 const POLLS_BETWEEN_REPORTS: u64 = 5;
-/// How often a report or a changed list of ejected servers is sent, as either may be lost.
+/// How many times a report or a changed list of ejected servers is sent, because each message may be lost.
 const TRANSMISSIONS: u8 = 2;
-/// Rounds to all members during which a list of ejected servers is valid: it outlives two that are lost.
+/// The number of broadcast rounds for which a list of ejected servers is valid. The list outlives the loss of
+/// two rounds.
 const ROUNDS_PER_LIFETIME: u64 = 3;
-/// Polls that are added to the length of a round, for delays.
+/// The number of polls that are added to the length of a round to allow for delays.
 const SPARE_POLLS_PER_ROUND: u64 = 5;
 
-/// The broadcast of the servers that this member has ejected as a collector.
+/// The state of the broadcast of the servers that this member ejects as a collector. In one round, the list
+/// is sent to each other member.
 #[derive(Clone, Debug)]
 pub(super) struct EjectionBroadcast {
-    /// The list that was sent last.
+    /// The list that is being sent, or was sent last.
     pub ejected: BTreeSet<ServerId>,
-    /// Messages that are still to be sent in the present round or rounds.
+    /// The number of messages that the current rounds still have to send.
     remaining: usize,
     next_recipient: usize,
     next_round_at: Micros,
 }
 
-/// What was last reported on a server.
+/// The last report on a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastReport {
     sent_at: Micros,
     observed_at: Micros,
     was_bad: bool,
+    /// How many times the same observation has been sent.
     transmissions: u8,
 }
 
-/// An entry of a message that is to be sent.
+/// A server that is to be listed in a message, and the counts to report.
 #[derive(Clone, Copy, Debug)]
 struct DueReport {
     server: ServerId,
@@ -43,14 +48,16 @@
 }
 
 impl EjectionBroadcast {
-    /// No server ejected so far.
+    /// Creates the state of a broadcast without ejected servers.
     pub fn new(now: Micros, next_recipient: usize) -> EjectionBroadcast {
         EjectionBroadcast { ejected: BTreeSet::new(), remaining: 0, next_recipient, next_round_at: now }
     }
 }
 
 impl TrackedServer {
-    /// Whether an observation has not been reported yet, or not often enough.
+    /// Whether an observation must be reported. The first report on a server, and one that changes whether the
+    /// server is bad, is due at once. Otherwise, an observation that is new or has been sent fewer than
+    /// [`TRANSMISSIONS`] times is due once `min_interval` has passed since the last report.
     fn needs_report(&self, now: Micros, observation: Observation, min_interval: Micros) -> bool {
         let Some(last) = self.last_report else { return true };
         let is_repeat_due = last.observed_at < observation.observed_at || last.transmissions < TRANSMISSIONS;
@@ -58,21 +65,23 @@
         has_changed || (is_repeat_due && now >= last.sent_at + min_interval)
     }
 
-    /// Notes that the present observation is being sent.
+    /// Records that the current observation is being sent.
     fn record_report(&mut self, now: Micros, is_bad: bool) {
         let Some(observed_at) = self.last_attempt_at else {
             self.last_report = None;
             return;
         };
-        let same = self.last_report.filter(|last| last.observed_at == observed_at && last.was_bad == is_bad);
-        let transmissions = same.map_or(1, |last| last.transmissions + 1);
+        let repeated =
+            self.last_report.filter(|last| last.observed_at == observed_at && last.was_bad == is_bad);
+        let transmissions = repeated.map_or(1, |last| last.transmissions + 1);
         self.last_report = Some(LastReport { sent_at: now, observed_at, was_bad: is_bad, transmissions });
     }
 }
 
 impl OutlierGossip {
-    /// The messages to send now, at most [`super::GossipSettings::max_messages_per_poll`]. To be called every
-    /// [`super::GossipSettings::poll_interval`]. Lists of ejected servers, which are rare, go before observations.
+    /// Returns the messages to send now, at most [`super::GossipSettings::max_messages_per_poll`]. This must
+    /// be called every [`super::GossipSettings::poll_interval`]. Lists of ejected servers, which are rare,
+    /// are sent before observations.
     pub fn poll_messages(&mut self, now: Micros) -> Vec<OutgoingMessage> {
         let own_observations_trusted = !self.suspects_own_uplink(now);
         self.update_broadcast(now, own_observations_trusted);
@@ -84,12 +93,13 @@
         outgoing
     }
 
-    /// Starts a round if the list of ejected servers has changed, also to an empty one, or is to be renewed.
+    /// Starts a round if the list of ejected servers must be renewed, and several rounds if it has changed. A
+    /// list that has become empty has also changed.
     fn update_broadcast(&mut self, now: Micros, own_observations_trusted: bool) {
-        let ejected = self.judge(now, own_observations_trusted);
+        let ejected = self.servers_to_eject(now, own_observations_trusted);
         let has_changed = ejected != self.broadcast.ejected;
-        let renewal_due = !ejected.is_empty() && now >= self.broadcast.next_round_at;
-        if !has_changed && !renewal_due {
+        let is_renewal_due = !ejected.is_empty() && now >= self.broadcast.next_round_at;
+        if !has_changed && !is_renewal_due {
             return;
         }
         let rounds = if has_changed { usize::from(TRANSMISSIONS) } else { 1 };
@@ -98,14 +108,14 @@
         self.broadcast.next_round_at = now + self.ejections_lifetime() / ROUNDS_PER_LIFETIME;
     }
 
-    /// How long a list of ejected servers is valid at those who received it.
+    /// Returns how long a list of ejected servers is valid at its recipients.
     pub(super) fn ejections_lifetime(&self) -> Micros {
         let polls_per_round =
             self.settings.members.div_ceil(self.settings.max_messages_per_poll.max(1)) as u64;
         ROUNDS_PER_LIFETIME * (polls_per_round + SPARE_POLLS_PER_ROUND) * self.settings.poll_interval
     }
 
-    /// The next part of the present round.
+    /// Returns the next messages of the current rounds.
     fn broadcast_messages(&mut self, now: Micros) -> Vec<OutgoingMessage> {
         let no_counts = AttemptCounts::default();
         let listed: Vec<DueReport> =
@@ -123,8 +133,8 @@
         outgoing
     }
 
-    /// Observations that are new to their collectors, in at most `max_messages` messages, one per collector. What does not
-    /// fit waits for the next poll.
+    /// Returns the messages with the observations that are due, one per collector and at most `max_messages`.
+    /// Observations that do not fit wait for the next poll.
     fn report_messages(&mut self, now: Micros, max_messages: usize) -> Vec<OutgoingMessage> {
         if max_messages == 0 {
             return Vec::new();
@@ -151,7 +161,7 @@
         outgoing
     }
 
-    /// The observations that are to be sent, bad ones first.
+    /// Returns the observations that are due, with those of bad servers first.
     fn due_reports(&self, now: Micros) -> Vec<DueReport> {
         let min_interval = POLLS_BETWEEN_REPORTS * self.settings.poll_interval;
         let mut due: Vec<DueReport> = Vec::new();
@@ -166,7 +176,7 @@
         due
     }
 
-    /// The payload of the next message.
+    /// Encodes the next message and returns its payload.
     fn encode(&mut self, now: Micros, kind: MessageKind, reports: &[DueReport]) -> Vec<u8> {
         self.last_message_number = self.last_message_number.wrapping_add(1);
         let id = MessageId { incarnation: self.incarnation, number: self.last_message_number };
@@ -180,7 +190,8 @@
     }
 }
 
-/// Whether a report to these recipients fits into their messages without more than `max_messages` in all.
+/// Whether a report to these recipients fits into the messages for them, without more than `max_messages`
+/// messages in total.
 fn has_room(
     by_collector: &BTreeMap<usize, Vec<DueReport>>,
     recipients: &[usize],
