--- a/crates/fleet-state/tests/lease_fleets.rs
+++ b/crates/fleet-state/tests/lease_fleets.rs
@@ -1,6 +1,7 @@
-//! Random runs of large fleets: messages lost, late by seconds, repeated, out of order; members paused, killed and started
-//! again, partitioned for a while; clocks that differ and drift. At no moment may the sum of all rates exceed the quota,
-//! and over no second may all members together spend more than the quota and one burst of it.
+//! Simulates fleets that borrow quota, with random faults: messages are lost, delayed by seconds, duplicated
+//! and reordered; members are paused, restarted and partitioned; clocks differ and drift. At no moment may
+//! the sum of all rates exceed the quota, and in no second may all members together spend more than the quota
+//! plus one burst.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -14,7 +15,7 @@
 const DRIFT_PPM: u64 = 1_000;
 const BURST: u64 = SECOND;
 const GUARANTEED_PERCENT: u64 = 20;
-/// Ten tokens a second.
+/// Ten tokens per second.
 const QUOTA_PER_MEMBER: Rate = 10_000;
 
 /// Whether members borrow from each other.
@@ -24,15 +25,16 @@
     Disabled,
 }
 
-/// What goes wrong in a run.
+/// The faults that a run injects.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
-    /// Share of messages that are lost.
+    /// The share of messages that are lost.
     loss: f64,
-    /// Longest delay of a message.
-    delay: u64,
-    /// Whether a third is partitioned for a while, a third is killed, and some are paused past their leases.
-    outages: bool,
+    /// The longest delay of a message, in microseconds.
+    max_delay: u64,
+    /// Whether a third of the members is partitioned for a while, a third is restarted, and some members are
+    /// paused until after their leases have expired.
+    has_outages: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -49,11 +51,11 @@
 
 struct Member {
     leases: QuotaLeases,
-    /// What its clock shows at the start.
+    /// The time on the member's clock at the start of the run.
     clock_offset: u64,
-    /// How fast its clock runs, in parts per million.
+    /// The rate of the member's clock, in parts per million of true time.
     clock_rate: u64,
-    /// Tokens wanted a step, on average.
+    /// The average number of tokens that the member requests per step.
     wanted_per_step: f64,
     paused_until: u64,
     partitioned_until: u64,
@@ -70,9 +72,9 @@
 struct Totals {
     wanted: u64,
     spent: u64,
-    /// What an omniscient central limiter could have served.
+    /// The number of tokens that a central limiter with full knowledge could have granted.
     attainable: f64,
-    /// The most that was spent in a second.
+    /// The maximum number of tokens spent in one second.
     max_in_second: u64,
 }
 
@@ -88,7 +90,8 @@
     }
 }
 
-/// Tokens that a member wants a second: one in ten wants eight times as much as the others.
+/// The number of tokens that a member requests per second. One member in ten requests eight times as many as
+/// the others.
 fn wanted_per_second(position: usize) -> f64 {
     if position % 10 == 3 { 32.0 } else { 4.0 }
 }
@@ -101,11 +104,11 @@
     lending: Lending,
     quota: Rate,
     members: Vec<Member>,
-    /// By arrival and order of sending.
+    /// The messages in flight, by time of arrival and then by number.
     network: BTreeMap<(u64, u64), Packet>,
-    last_packet: u64,
-    /// What was spent in each step of the last second.
-    last_second: VecDeque<u64>,
+    last_packet_number: u64,
+    /// The number of tokens spent in each step of the last second.
+    spent_by_step: VecDeque<u64>,
     totals: Totals,
 }
 
@@ -123,8 +126,8 @@
             quota: size as Rate * QUOTA_PER_MEMBER,
             members,
             network: BTreeMap::new(),
-            last_packet: 0,
-            last_second: VecDeque::new(),
+            last_packet_number: 0,
+            spent_by_step: VecDeque::new(),
             totals: Totals::default(),
         }
     }
@@ -155,10 +158,10 @@
     }
 
     fn inject_outages(&mut self) {
-        if self.faults.outages && self.now == 8 * SECOND {
+        if self.faults.has_outages && self.now == 8 * SECOND {
             self.partition_and_pause();
         }
-        if self.faults.outages && self.now == 12 * SECOND {
+        if self.faults.has_outages && self.now == 12 * SECOND {
             self.restart_members();
         }
     }
@@ -178,13 +181,14 @@
         let size = self.members.len();
         for (position, member) in self.members.iter_mut().enumerate() {
             if position % 10 < 3 {
-                let local = member.local_time(self.now);
-                member.leases = QuotaLeases::new(local, settings(size, position), self.rng.random());
+                let local_now = member.local_time(self.now);
+                member.leases = QuotaLeases::new(local_now, settings(size, position), self.rng.random());
             }
         }
     }
 
-    /// Each member spends what it wants and requests what it lacks; the tokens spent.
+    /// Makes each member spend tokens and send a lease request if it has too few. Returns the number of
+    /// tokens spent.
     fn step_members(&mut self) -> u64 {
         let mut spent = 0;
         let mut attainable: f64 = 0.0;
@@ -194,12 +198,12 @@
             if member.paused_until > self.now {
                 continue;
             }
-            let local = member.local_time(self.now);
-            let whole = member.wanted_per_step as u64;
-            let wanted = whole + u64::from(self.rng.random_bool(member.wanted_per_step.fract()));
+            let local_now = member.local_time(self.now);
+            let whole_tokens = member.wanted_per_step as u64;
+            let wanted = whole_tokens + u64::from(self.rng.random_bool(member.wanted_per_step.fract()));
             self.totals.wanted += wanted;
-            spent += (0..wanted).filter(|_| member.leases.try_spend(local)).count() as u64;
-            let request = member.leases.next_request(local);
+            spent += (0..wanted).filter(|_| member.leases.try_spend(local_now)).count() as u64;
+            let request = member.leases.next_request(local_now);
             let may_send = self.lending == Lending::Enabled && self.now >= member.partitioned_until;
             if let Some(addressed) = request.filter(|_| may_send) {
                 self.send_over_network(position, addressed.owner, Message::Request(addressed.request));
@@ -210,7 +214,7 @@
         spent
     }
 
-    /// Sends a message that may be lost or duplicated.
+    /// Sends a message, which may be lost or duplicated.
     fn send_over_network(&mut self, from: usize, to: usize, message: Message) {
         let copies = if self.rng.random_bool(0.1) { 2 } else { 1 };
         for _ in 0..copies {
@@ -220,21 +224,22 @@
         }
     }
 
-    /// Sends a message that arrives.
+    /// Sends a message that arrives after a random delay.
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let arrival = self.now + self.rng.random_range(1_000..=self.faults.delay);
+        let arrival = self.now + self.rng.random_range(1_000..=self.faults.max_delay);
         self.enqueue(arrival, Packet { from, to, message });
     }
 
     fn enqueue(&mut self, arrival: u64, packet: Packet) {
-        self.last_packet += 1;
-        self.network.insert((arrival, self.last_packet), packet);
+        self.last_packet_number += 1;
+        self.network.insert((arrival, self.last_packet_number), packet);
     }
 
     fn deliver_messages(&mut self) {
         while let Some(entry) = self.network.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let packet = entry.remove();
-            // A paused member reads it when it goes on; a partitioned one never does.
+            // A paused member receives the message when the pause ends. A message from or to a partitioned
+            // member is lost.
             let paused_until = self.members[packet.to].paused_until;
             if paused_until > self.now {
                 self.enqueue(paused_until + 1, packet);
@@ -249,40 +254,40 @@
 
     fn deliver(&mut self, Packet { from, to, message }: Packet) {
         let receiver = &mut self.members[to];
-        let local = receiver.local_time(self.now);
+        let local_now = receiver.local_time(self.now);
         match message {
             Message::Request(request) => {
-                if let Some(grant) = receiver.leases.on_request(local, from, request) {
+                if let Some(grant) = receiver.leases.on_request(local_now, from, request) {
                     self.send(to, from, Message::Grant(grant));
                 }
             }
-            Message::Grant(grant) => receiver.leases.on_grant(local, from, grant),
+            Message::Grant(grant) => receiver.leases.on_grant(local_now, from, grant),
         }
     }
 
     fn check_rates(&self) {
-        let total: Rate = self.members.iter().map(|m| m.leases.rate(m.local_time(self.now))).sum();
+        let total_rate: Rate = self.members.iter().map(|m| m.leases.rate(m.local_time(self.now))).sum();
         let Fleet { seed, now, quota, .. } = self;
-        assert!(total <= *quota, "seed {seed} at {now}: rates of {total} over {quota}");
+        assert!(total_rate <= *quota, "seed {seed} at {now} us: rates sum to {total_rate}, quota is {quota}");
     }
 
     fn check_spending(&mut self, spent: u64) {
-        self.last_second.push_back(spent);
-        if self.last_second.len() as u64 > SECOND / STEP {
-            self.last_second.pop_front();
+        self.spent_by_step.push_back(spent);
+        if self.spent_by_step.len() as u64 > SECOND / STEP {
+            self.spent_by_step.pop_front();
         }
-        let in_second: u64 = self.last_second.iter().sum();
+        let in_second: u64 = self.spent_by_step.iter().sum();
         self.totals.max_in_second = self.totals.max_in_second.max(in_second);
         let Fleet { seed, now, quota, .. } = self;
-        // The quota of a second and one burst, which is a second's here.
-        assert!(in_second <= 2 * *quota / 1_000, "seed {seed} at {now}: {in_second} spent in a second");
+        // The bound is the quota of one second plus one burst, which is also the quota of one second here.
+        assert!(in_second <= 2 * *quota / 1_000, "seed {seed} at {now} us: {in_second} tokens in a second");
     }
 }
 
 #[test]
 fn rates_of_three_hundred_members_never_exceed_the_quota() {
     for (seed, loss) in [(1, 0.0), (2, 0.05), (3, 0.2), (4, 0.5), (5, 1.0)] {
-        let faults = Faults { loss, delay: 3 * SECOND, outages: true };
+        let faults = Faults { loss, max_delay: 3 * SECOND, has_outages: true };
         let totals = Fleet::new(300, seed, faults, Lending::Enabled).run(25 * SECOND);
         println!("loss {loss}: {totals:?}");
         assert!(totals.spent > 0);
@@ -293,17 +298,18 @@
 fn rates_of_small_fleets_never_exceed_the_quota_over_many_seeds() {
     for seed in 0..200 {
         let loss = [0.0, 0.05, 0.2, 0.5][seed as usize % 4];
-        let delay = [10_000, 300_000, 3 * SECOND][seed as usize % 3];
-        let faults = Faults { loss, delay, outages: true };
+        let max_delay = [10_000, 300_000, 3 * SECOND][seed as usize % 3];
+        let faults = Faults { loss, max_delay, has_outages: true };
         Fleet::new(3 + seed as usize % 8, seed, faults, Lending::Enabled).run(25 * SECOND);
     }
 }
 
-/// The purpose of lending: members that want more than their part get what others leave.
+/// Guards the purpose of lending: members that request more than their part of the quota get what others do
+/// not use.
 #[test]
 fn lending_serves_what_static_quotas_leave_unspent() {
     for loss in [0.0, 0.05, 0.2, 0.5] {
-        let faults = Faults { loss, delay: 50_000, outages: false };
+        let faults = Faults { loss, max_delay: 50_000, has_outages: false };
         let with_lending = Fleet::new(50, 11, faults, Lending::Enabled).run(30 * SECOND);
         let with_static_quotas = Fleet::new(50, 11, faults, Lending::Disabled).run(30 * SECOND);
         println!("loss {loss}: lending {with_lending:?}, static {with_static_quotas:?}");
--- a/crates/fleet-state/tests/lease_model.rs
+++ b/crates/fleet-state/tests/lease_model.rs
@@ -1,8 +1,10 @@
-//! Model check of the lease protocol, breadth first: three members that lend and borrow, clocks that drift apart, a network
-//! that loses, repeats, delays and reorders at will, and one restart. In every state the sum of all rates is within the quota.
+//! Checks a model of the lease protocol by breadth-first search. Three members lend and borrow, their clocks
+//! drift apart, the network loses, duplicates, delays and reorders messages, and one member may restart. In
+//! every state, the sum of all rates must be within the quota.
 //!
-//! A message stays on the network for ever: it may arrive now, later, twice or never. A pause of a member needs no step of
-//! its own, as every order of the others' steps is searched while its clock goes on.
+//! A message stays on the network for ever, so it can arrive now, later, more than once or never. A pause of
+//! a member needs no step of its own: the search includes every order of the other members' steps in which
+//! the paused member does nothing while its clock goes on.
 
 use pathfinding::directed::bfs::bfs_reach;
 use violetseam_fleet_state::Rate;
@@ -12,18 +14,19 @@
 const LEASE: u64 = 3 * TICK;
 const QUOTA: Rate = 9_000;
 const TICKS: u64 = 8;
-/// What each clock shows of a true tick, in percent: within the 10% that the settings allow for.
+/// The rate of each member's clock, in percent of true time. The deviations are within the 10% that the
+/// settings allow.
 const CLOCK_PERCENT: [u64; 3] = [90, 100, 110];
 
-/// Faults injected into the model, to show that the search finds them.
+/// A bug that is injected into the model, to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// The settings say that clocks do not drift.
+    /// The settings state that clocks do not drift.
     NoDrift,
-    /// A restarted member spends its lendable quota at once.
+    /// A restarted member spends its lendable quota at once, although its earlier grants may still be valid.
     ForgetsAtRestart,
-    /// One member counts shorter leases than the others.
+    /// One member uses a shorter lease duration than the others.
     ShortLease,
 }
 
@@ -44,7 +47,8 @@
 struct State {
     tick: u64,
     members: [QuotaLeases; 3],
-    /// Sorted and without duplicates, so that equal states compare equal.
+    /// All messages sent so far. They are sorted and without duplicates, so that equal states compare as
+    /// equal.
     network: Vec<Packet>,
     requests_left: usize,
     restarts_left: usize,
@@ -65,19 +69,19 @@
 }
 
 impl State {
-    fn start(bug: Bug, restarts_left: usize) -> State {
-        // Long ago: no lease of an earlier incarnation can be valid.
+    fn initial(bug: Bug, restarts_left: usize) -> State {
+        // The members started so long ago that no lease of an earlier incarnation can be valid.
         let member = |n| QuotaLeases::new(0, settings(n, bug), 1);
         let tick = 10;
         State { tick, members: [0, 1, 2].map(member), network: Vec::new(), requests_left: 2, restarts_left }
     }
 
-    fn local_time(&self, n: usize) -> u64 {
-        self.tick * TICK * CLOCK_PERCENT[n] / 100
+    fn local_time(&self, position: usize) -> u64 {
+        self.tick * TICK * CLOCK_PERCENT[position] / 100
     }
 
-    fn total(&self) -> Rate {
-        (0..3).map(|n| self.members[n].rate(self.local_time(n))).sum()
+    fn total_rate(&self) -> Rate {
+        (0..3).map(|position| self.members[position].rate(self.local_time(position))).sum()
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -88,7 +92,9 @@
         }
     }
 
-    fn next(&self, bug: Bug) -> Vec<State> {
+    /// Returns the states that one step can lead to: a tick, a request, the arrival of a message, or a
+    /// restart.
+    fn successors(&self, bug: Bug) -> Vec<State> {
         let mut successors = Vec::new();
         let mut add_successor = |change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
@@ -119,24 +125,25 @@
                 Message::Grant(grant) => state.members[to].on_grant(self.local_time(to), from, grant),
             });
         }
-        for n in (0..3).filter(|_| self.restarts_left > 0) {
+        for position in (0..3).filter(|_| self.restarts_left > 0) {
             add_successor(&|state| {
                 state.restarts_left -= 1;
-                let now = self.local_time(n);
-                let began = if bug == Bug::ForgetsAtRestart { now - 2 * LEASE } else { now };
-                state.members[n] = QuotaLeases::new(began, settings(n, bug), 2);
+                let now = self.local_time(position);
+                let started_at = if bug == Bug::ForgetsAtRestart { now - 2 * LEASE } else { now };
+                state.members[position] = QuotaLeases::new(started_at, settings(position, bug), 2);
             });
         }
         successors
     }
 }
 
-/// Searches at most `max_states` states; how many were searched, and the first one that exceeds the quota.
+/// Searches at most `max_states` states. Returns how many were searched, and the first one that exceeds the
+/// quota.
 fn search(bug: Bug, restarts: usize, max_states: usize) -> (usize, Option<State>) {
     let mut states = 0;
-    for state in bfs_reach(State::start(bug, restarts), |state| state.next(bug)).take(max_states) {
+    for state in bfs_reach(State::initial(bug, restarts), |state| state.successors(bug)).take(max_states) {
         states += 1;
-        if state.total() > QUOTA {
+        if state.total_rate() > QUOTA {
             return (states, Some(state));
         }
     }
@@ -146,18 +153,18 @@
 #[test]
 fn no_order_of_messages_ticks_and_restarts_exceeds_the_quota() {
     for restarts in [0, 1] {
-        let (states, over) = search(Bug::None, restarts, 400_000);
+        let (states, violation) = search(Bug::None, restarts, 400_000);
         println!("{states} states with {restarts} restarts");
-        assert!(over.is_none(), "{over:#?}");
+        assert!(violation.is_none(), "{violation:#?}");
         assert!(states > 10_000, "{states}");
     }
 }
 
 #[test]
-fn the_search_finds_injected_faults() {
+fn the_search_finds_injected_bugs() {
     for (bug, restarts) in [(Bug::NoDrift, 0), (Bug::ForgetsAtRestart, 1), (Bug::ShortLease, 0)] {
-        let (states, over) = search(bug, restarts, 400_000);
-        println!("{bug:?}: {states} states, {:?}", over.as_ref().map(State::total));
-        assert!(over.is_some(), "{bug:?} is not found in {states} states");
+        let (states, violation) = search(bug, restarts, 400_000);
+        println!("{bug:?}: {states} states, {:?}", violation.as_ref().map(State::total_rate));
+        assert!(violation.is_some(), "{bug:?} is not found in {states} states");
     }
 }
