--- a/crates/fleet-state/tests/lease_model.rs
+++ b/crates/fleet-state/tests/lease_model.rs
@@ -4,7 +4,7 @@
 //!
 //! A message stays on the network for ever, so it can arrive now, later, more than once or never. A pause of
 //! a member needs no step of its own: the search includes every order of the other members' steps in which
-//! the paused member does nothing while its clock goes on.
+//! the paused member does nothing while its clock continues to run.
 
 use pathfinding::directed::bfs::bfs_reach;
 use violetseam_fleet_state::Rate;
--- a/crates/fleet-state/tests/outlier_gossip.rs
+++ b/crates/fleet-state/tests/outlier_gossip.rs
@@ -74,7 +74,7 @@
     /// Whether a member, which is the first argument, cannot reach a server.
     is_cut: fn(usize, u64) -> bool,
     /// The member that sends false reports, if there is one.
-    liar: Option<usize>,
+    false_reporter: Option<usize>,
     /// The number of attempts on servers that could not be reached.
     wasted_attempts: u64,
 }
@@ -100,7 +100,7 @@
             attempts: BTreeMap::new(),
             last_sequence_number: 0,
             is_cut: |_, _| false,
-            liar: None,
+            false_reporter: None,
             wasted_attempts: 0,
         }
     }
@@ -134,13 +134,13 @@
         if (self.now + position as u64 * STEP) % settings(1, 0).poll_interval >= STEP {
             return;
         }
-        let is_liar = self.liar == Some(position);
-        let messages = if is_liar {
+        let sends_false_reports = self.false_reporter == Some(position);
+        let messages = if sends_false_reports {
             self.false_messages(position)
         } else {
             self.members[position].poll_messages(self.now)
         };
-        assert!(is_liar || messages.len() <= settings(1, 0).max_messages_per_poll);
+        assert!(sends_false_reports || messages.len() <= settings(1, 0).max_messages_per_poll);
         for message in messages {
             self.send(position, message);
         }
@@ -303,12 +303,14 @@
     for seed in 0..1_000 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut fleet = Fleet::new(seed, 10, rng.random_range(6..40), rng.random_range(1.0..30.0));
-        fleet.liar = Some(rng.random_range(0..10));
+        fleet.false_reporter = Some(rng.random_range(0..10));
         fleet.loss = rng.random_range(0.0..0.3);
         fleet.max_delay = rng.random_range(5 * MS..3 * SECOND);
         for _ in 0..40 {
             fleet.run(5 * STEP);
-            for (n, member) in fleet.members.iter().enumerate().filter(|(n, _)| Some(*n) != fleet.liar) {
+            for (n, member) in
+                fleet.members.iter().enumerate().filter(|(n, _)| Some(*n) != fleet.false_reporter)
+            {
                 assert!(member.ejected(fleet.now).is_empty(), "seed {seed}, member {n}, {} us", fleet.now);
             }
         }
