--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration that a proxy is started with, and again at each SIGHUP.
+//! Parses the configuration that a proxy reads at the start and again on each SIGHUP.
 
 use crate::ConfigurationError;
 use crate::discovery::ListUpdate;
-use crate::pipeline::ReleaseStatusText;
+use crate::release_service::ReleaseStatusText;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 /// The longest configuration that is parsed, in bytes.
 pub const MAX_CONFIG_BYTES: usize = 8 << 20;
 
-/// The resources that a proxy's process may use.
+/// The resources that the process of a proxy may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in MB.
+    /// The memory, in MB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// The fewest descriptors that a proxy can run with.
-const MIN_SOCKETS: usize = 32;
+/// The smallest number of file descriptors that a proxy can run with.
+pub(crate) const MIN_SOCKETS: usize = 32;
 
-/// The release service, as written.
+/// The release service's part of the configuration, as in the JSON text.
 #[derive(Deserialize)]
-struct PipelineText {
+struct ReleaseServiceText {
     address: SocketAddr,
     #[serde(default, rename = "news")]
     release_status: Option<ReleaseStatusText>,
 }
 
-/// The configuration, as written.
+/// The configuration, as in the JSON text.
 #[derive(Deserialize)]
 struct ConfigText<'a> {
     name: String,
@@ -54,7 +54,8 @@
     peers: Vec<SocketAddr>,
     #[serde(default)]
     peers_all: Option<SocketAddr>,
-    pipeline: PipelineText,
+    #[serde(rename = "pipeline")]
+    release_service: ReleaseServiceText,
     #[serde(default, rename = "known")]
     cached_list: Option<ListUpdate>,
     #[serde(borrow)]
@@ -64,37 +65,38 @@
 /// The configuration of one proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// Discovery's address.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the proxy's random numbers.
     pub seed: u64,
-    /// The resources that it may use.
+    /// The resources that the proxy may use.
     pub limits: Limits,
-    /// Where peers' datagrams arrive.
+    /// The address on which the proxy receives datagrams from its peers.
     pub peer_listen: Option<SocketAddr>,
-    /// The tier's proxies by their numbers, this one included.
+    /// The gossip addresses of the fleet's proxies by position, including this one.
     pub peers: Vec<SocketAddr>,
-    /// Reaches every proxy of the tier.
+    /// An address that delivers a datagram to every proxy of the fleet.
     pub peers_all: Option<SocketAddr>,
-    /// The release service's address.
-    pub pipeline: SocketAddr,
-    /// The release status when this was written.
+    /// The address of the release service.
+    pub release_service: SocketAddr,
+    /// The release status at the time when the configuration was written.
     pub release_status: Option<ReleaseStatusText>,
-    /// The server list as last held; may be out of date.
+    /// The last known server list. It may be out of date.
     pub cached_list: Option<ListUpdate>,
-    /// The settings.
+    /// The settings of the decision module and of the proxy.
     pub instance: Instance,
 }
 
 impl Config {
-    /// Parses the JSON text.
+    /// Parses a configuration from its JSON text.
     ///
     /// # Errors
-    /// A [`ConfigurationError`] if the text is too long, is not the expected JSON, or holds values that cannot be used.
+    /// Returns a [`ConfigurationError`] if the text is too long, is not the expected JSON, or contains values
+    /// that cannot be used.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigurationError> {
         if text.len() > MAX_CONFIG_BYTES {
             return Err(ConfigurationError::TooLong { limit: MAX_CONFIG_BYTES });
@@ -120,15 +122,16 @@
             peer_listen: text.peer_listen,
             peers: text.peers,
             peers_all: text.peers_all,
-            pipeline: text.pipeline.address,
-            release_status: text.pipeline.release_status,
+            release_service: text.release_service.address,
+            release_status: text.release_service.release_status,
             cached_list: text.cached_list,
             instance,
         })
     }
 }
 
-/// Parses the seed: hexadecimal, of any length; digits past the 16th are folded in.
+/// Parses a seed of any number of hexadecimal digits. Each digit rotates the value by four bits, so digits
+/// after the 16th are combined with earlier ones by XOR.
 fn parse_seed(text: &str) -> Result<u64, ConfigurationError> {
     let mut seed = 0u64;
     for character in text.bytes().map(char::from) {
--- a/crates/platform-proxy/src/requests.rs
+++ b/crates/platform-proxy/src/requests.rs
@@ -4,8 +4,8 @@
 use crate::event_loop::ConnectionId;
 use crate::proxy::Proxy;
 use violetseam::interface::{Micros, Request, RequestId};
-use violetseam_platform_protocol::answer;
 use violetseam_platform_protocol::call::Call;
+use violetseam_platform_protocol::response;
 use violetseam_proxy::engine::LocalResponse;
 
 /// A request that the engine has accepted, with the call to send and the connection to respond on.
@@ -41,7 +41,7 @@
             client_id = %String::from_utf8_lossy(&call.id),
             client = slot,
             class = call.class,
-            wait = call.wait,
+            wait = call.timeout,
             unread = unread_time,
             is_retry = call.is_retry,
             "request"
@@ -66,8 +66,8 @@
         let mut bytes = Vec::new();
         tracing::debug!(request, last = ?response, "local response");
         match response {
-            LocalResponse::Rejected { retry_after } => answer::write_rejected(&mut bytes, retry_after),
-            LocalResponse::Failed { .. } => answer::write_failed(&mut bytes),
+            LocalResponse::Rejected { retry_after } => response::write_rejected(&mut bytes, retry_after),
+            LocalResponse::Failed { .. } => response::write_failed(&mut bytes),
         }
         self.send_response(request, bytes);
     }
@@ -101,7 +101,7 @@
 fn to_engine_request(call: &Call, now: Micros, unread_time: Micros) -> Request {
     Request {
         id: 0,
-        deadline: now + call.wait.saturating_sub(unread_time),
+        deadline: now + call.timeout.saturating_sub(unread_time),
         class: call.class,
         cost_hint: None,
         key: Some(call.key),
