--- a/crates/publisher/src/client.rs
+++ b/crates/publisher/src/client.rs
@@ -1,6 +1,9 @@
-//! The client: one request to a publisher within a timeout, for the command line.
+//! The client of a publisher, for the command line: it sends one request and waits for the response until a
+//! timeout.
 
-use crate::protocol::{CHANGES_PATH, Published, Refused, STATUS_PATH, StatusReport, WHOLE_PATH};
+use crate::protocol::{
+    CHANGES_PATH, Published, Refused, STATUS_PATH, StatusReport, WHOLE_CONFIGURATION_PATH,
+};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Version as HttpVersion, header};
 use serde::de::DeserializeOwned;
 use std::io::{ErrorKind, Read, Write};
@@ -10,50 +13,51 @@
 use violetseam_http1::client::{ClientConnection, ClientEvent, write_request_head};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
-/// The longest body of a response, in bytes.
+/// The maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
-const READ_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Why a request had no result.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The publisher refused it, with this reason.
-    #[error("refused: {0}")]
+    /// The publisher refused the request, with this reason.
+    #[error("the publisher refused the request: {0}")]
     Refused(String),
-    /// The publisher was not reached: nothing has changed.
-    #[error("the publisher was not reached: {0}")]
+    /// The client could not connect to the publisher: nothing has changed.
+    #[error("cannot connect to the publisher, so nothing was changed: {0}")]
     Unreachable(#[source] std::io::Error),
-    /// The connection ended without a response: the request may have been carried out.
-    #[error("no answer, what was sent may stand; see --status: {0}")]
+    /// No valid response arrived: the publisher may have carried out the request.
+    #[error("no valid response; the publisher may have carried out the request, check with --status: {0}")]
     NoAnswer(#[source] ExchangeError),
 }
 
-/// Why there was no valid response to a request that was sent.
+/// Why a request that may have been sent got no valid response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
     /// The connection failed or timed out.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The response is not HTTP.
-    #[error("{reason}")]
+    /// The response is not valid HTTP.
+    #[error("the response is not valid HTTP: {reason}")]
     InvalidHttp {
-        /// What is wrong with it.
+        /// What is wrong with the response.
         reason: &'static str,
     },
     /// The body of the response is too long.
-    #[error("the answer is too long")]
+    #[error("the body of the response is longer than {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
     /// The body of the response is not the expected JSON.
-    #[error("not understood: {0}")]
+    #[error("the body of the response is not the expected JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
 }
 
-/// A client of one publisher, with a connection for each request.
+/// A client of one publisher. It opens a new connection for each request.
 #[derive(Clone, Copy, Debug)]
 pub struct Client {
     /// The address of the publisher.
     pub publisher: SocketAddr,
-    /// How long a request may take.
+    /// How long the connection attempt may take, and how long the request may take from its start to its
+    /// complete response.
     pub timeout: Duration,
 }
 
@@ -63,7 +67,7 @@
 }
 
 impl Client {
-    /// Publishes JSON lines of `Change` as the next version.
+    /// Publishes changes, given as JSON lines of `Change`, as the next version.
     ///
     /// # Errors
     /// The publisher was not reached, did not respond, or refused the request.
@@ -71,15 +75,15 @@
         self.call(Method::POST, CHANGES_PATH, lines)
     }
 
-    /// Publishes JSON lines of `Resource` as the whole configuration, in place of the present one.
+    /// Replaces the complete configuration by the resources in `lines`, which are JSON lines of `Resource`.
     ///
     /// # Errors
     /// The publisher was not reached, did not respond, or refused the request.
     pub fn publish_whole(&self, lines: &[u8]) -> Result<Published, ClientError> {
-        self.call(Method::POST, WHOLE_PATH, lines)
+        self.call(Method::POST, WHOLE_CONFIGURATION_PATH, lines)
     }
 
-    /// Which version each subscriber has.
+    /// Requests the status, which says which version each subscriber has.
     ///
     /// # Errors
     /// The publisher was not reached, did not respond, or refused the request.
@@ -95,8 +99,8 @@
         if response.status == StatusCode::OK {
             return parse_body(&response.body);
         }
-        let refused: Refused = parse_body(&response.body)?;
-        Err(ClientError::Refused(refused.reason))
+        let refusal: Refused = parse_body(&response.body)?;
+        Err(ClientError::Refused(refusal.reason))
     }
 
     fn exchange(
@@ -110,11 +114,12 @@
         let mut request = self.request_head(method, path, body.len());
         request.extend_from_slice(body);
         stream.set_write_timeout(Some(self.timeout))?;
-        // The publisher may respond before it has read everything; that response counts.
-        let sent = stream.write_all(&request);
+        // The publisher may refuse a request before it has read all of it, so a response is read even if
+        // the write failed.
+        let write_result = stream.write_all(&request);
         let mut http = ClientConnection::new(Limits::default());
         http.expect_response(false);
-        match (read_response(&mut stream, &mut http, deadline), sent) {
+        match (read_response(&mut stream, &mut http, deadline), write_result) {
             (Ok(response), _) => Ok(response),
             (Err(_), Err(error)) => Err(error.into()),
             (Err(error), Ok(())) => Err(error),
@@ -152,7 +157,7 @@
     deadline: Instant,
 ) -> Result<Response, ExchangeError> {
     let mut response = Response { status: StatusCode::OK, body: Vec::new() };
-    let mut bytes = vec![0; READ_BYTES];
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
         match http.next_event() {
             Some(ClientEvent::Head(head)) => response.status = head.status,
@@ -161,19 +166,19 @@
             }
             Some(ClientEvent::Body(part)) => response.body.extend_from_slice(&part),
             Some(ClientEvent::End { .. }) => return Ok(response),
-            Some(ClientEvent::Error(fault)) => {
-                return Err(ExchangeError::InvalidHttp { reason: fault.reason() });
+            Some(ClientEvent::Error(error)) => {
+                return Err(ExchangeError::InvalidHttp { reason: error.reason() });
             }
             None => {
-                let count = read_before(stream, deadline, &mut bytes)?;
+                let count = read_with_deadline(stream, deadline, &mut bytes)?;
                 http.feed(&bytes[..count]);
             }
         }
     }
 }
 
-/// Reads at least one byte before the deadline.
-fn read_before(stream: &mut TcpStream, deadline: Instant, bytes: &mut [u8]) -> std::io::Result<usize> {
+/// Reads at least one byte, or fails at the deadline or at the end of the stream.
+fn read_with_deadline(stream: &mut TcpStream, deadline: Instant, bytes: &mut [u8]) -> std::io::Result<usize> {
     let remaining = deadline.saturating_duration_since(Instant::now());
     if remaining.is_zero() {
         return Err(ErrorKind::TimedOut.into());
--- a/crates/publisher/src/connection.rs
+++ b/crates/publisher/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, the request being read, the response being written.
+//! One client connection: its socket, the request that is being read and the response that is being written.
 
 use crate::http_messages::{Request, Response};
 use crate::protocol::ACKNOWLEDGE_PATH;
@@ -11,35 +11,37 @@
 use violetseam_http1::server::{ResponseStart, ServerConnection, ServerEvent};
 use violetseam_http1::{Framing, Limits, RequestHead};
 
-/// Bytes that are read at once.
-const READ_BYTES: usize = 16 * 1024;
-/// A connection without a watch is closed when its latest request came this long ago, in microseconds: a
-/// request must be complete in this time, too.
+/// The maximum number of bytes of one read.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// A connection without a watch is closed if no request has become complete on it for this long, in
+/// microseconds. So a request that takes longer to arrive is cut off.
 const IDLE_TIMEOUT: Micros = 30_000_000;
-/// Incomplete request bodies together may be this many times the longest one.
+/// The incomplete request bodies of all connections together may have this many times the maximum length of
+/// one body.
 const MAX_CONCURRENT_BODIES: usize = 2;
 
-/// A connection, and its watch if it carries one.
+/// A client connection, with its watch if the client has opened one.
 pub(crate) struct Connection {
     pub(crate) socket: Socket,
     pub(crate) watch: Option<Watch>,
-    /// Differs from that of an earlier connection under the same key.
+    /// Distinguishes this connection from an earlier one that had the same key.
     generation: u64,
     http: ServerConnection,
-    head: Option<Box<RequestHead>>,
-    body: Vec<u8>,
-    used_at: Micros,
-    /// No further request is answered: it is closed when all is written.
+    request_head: Option<Box<RequestHead>>,
+    request_body: Vec<u8>,
+    /// When the latest request became complete, or when the connection was accepted.
+    last_request_at: Micros,
+    /// No further request is handled, and the connection is closed once all responses are written.
     closing: bool,
 }
 
-/// What was read from a connection.
-pub(crate) enum ConnectionInput {
-    /// There may be events to process.
-    Input,
-    /// Nothing for now.
-    Nothing,
-    /// The connection is to be closed.
+/// The result of one read from a connection.
+pub(crate) enum ReadResult {
+    /// Bytes were read, so there may be events to process.
+    Received,
+    /// No bytes are available at present.
+    WouldBlock,
+    /// The connection must be closed.
     Closed,
 }
 
@@ -51,9 +53,9 @@
             watch: None,
             generation,
             http: ServerConnection::new(limits),
-            head: None,
-            body: Vec::new(),
-            used_at: now,
+            request_head: None,
+            request_body: Vec::new(),
+            last_request_at: now,
             closing: false,
         }
     }
@@ -62,27 +64,27 @@
         self.generation
     }
 
-    /// Whether its latest request came too long ago.
+    /// Whether the latest request became complete [`IDLE_TIMEOUT`] ago or earlier.
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
-        now >= self.used_at + IDLE_TIMEOUT
+        now >= self.last_request_at + IDLE_TIMEOUT
     }
 
-    /// Whether its client sends requests without reading the responses.
+    /// Whether the client sends requests but does not read the responses.
     pub(crate) fn is_congested(&self) -> bool {
         self.socket.unwritten_bytes() > WRITE_BUFFER_HIGH_WATERMARK
     }
 
-    pub(crate) fn read(&mut self) -> ConnectionInput {
-        let mut bytes = [0; READ_BYTES];
+    pub(crate) fn read(&mut self) -> ReadResult {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match self.socket.read(&mut bytes) {
-            // A subscriber sends nothing on its watch.
-            ReadOutcome::Bytes(_) if self.watch.is_some() => ConnectionInput::Closed,
+            // A subscriber must not send anything after it has opened a watch.
+            ReadOutcome::Bytes(_) if self.watch.is_some() => ReadResult::Closed,
             ReadOutcome::Bytes(count) => {
                 self.http.feed(&bytes[..count]);
-                ConnectionInput::Input
+                ReadResult::Received
             }
-            ReadOutcome::WouldBlock => ConnectionInput::Nothing,
-            ReadOutcome::Closed | ReadOutcome::Failed => ConnectionInput::Closed,
+            ReadOutcome::WouldBlock => ReadResult::WouldBlock,
+            ReadOutcome::Closed | ReadOutcome::Failed => ReadResult::Closed,
         }
     }
 
@@ -90,41 +92,42 @@
         self.http.next_event()
     }
 
-    /// Begins a request.
+    /// Starts a request, whose body follows.
     pub(crate) fn begin_request(&mut self, head: Box<RequestHead>) {
         if head.expects_continue {
             self.http.write_continue(self.socket.write_buffer());
         }
-        self.head = Some(head);
+        self.request_head = Some(head);
     }
 
-    /// Adds bytes to the body of the request. Returns false where it is over its bound, or all bodies together
-    /// are.
+    /// Appends bytes to the body of the request. Returns false if this body would exceed its maximum length,
+    /// or all incomplete bodies together would exceed the budget.
     pub(crate) fn append_body(&mut self, bytes: &[u8], budget: &mut BodyBudget) -> bool {
-        let is_report = self.head.as_ref().is_some_and(|head| head.target == ACKNOWLEDGE_PATH);
+        let is_report = self.request_head.as_ref().is_some_and(|head| head.target == ACKNOWLEDGE_PATH);
         let max_bytes = if is_report { MAX_REPORT_BYTES } else { budget.max_body_bytes };
-        if self.body.len() + bytes.len() > max_bytes || !budget.reserve(bytes.len()) {
+        if self.request_body.len() + bytes.len() > max_bytes || !budget.reserve(bytes.len()) {
             return false;
         }
-        self.body.extend_from_slice(bytes);
+        self.request_body.extend_from_slice(bytes);
         true
     }
 
-    /// Takes the request, whose body is complete.
+    /// Returns the request, whose body is complete now.
     pub(crate) fn finish_request(&mut self, now: Micros, budget: &mut BodyBudget) -> Option<Request> {
-        self.used_at = now;
-        let body = std::mem::take(&mut self.body);
+        self.last_request_at = now;
+        let body = std::mem::take(&mut self.request_body);
         budget.release(body.len());
-        let head = self.head.take()?;
+        let head = self.request_head.take()?;
         Some(Request { head, body })
     }
 
-    /// Drops what was read of the body of a request.
+    /// Drops the part of the request body that was read, and returns its bytes to the budget.
     pub(crate) fn discard_body(&mut self, budget: &mut BodyBudget) {
-        budget.release(std::mem::take(&mut self.body).len());
+        budget.release(std::mem::take(&mut self.request_body).len());
     }
 
-    /// Writes a response into the socket's buffer; with `close` it is the last one.
+    /// Writes a response to the socket's write buffer. If `close` is set, it is the last one of the
+    /// connection.
     pub(crate) fn respond(&mut self, response: &Response, close: bool) {
         let headers: Vec<(HeaderName, &[u8])> =
             response.headers.iter().map(|(name, value)| (name.clone(), value.as_bytes())).collect();
@@ -137,14 +140,14 @@
         self.closing |= !self.http.finish_response(out);
     }
 
-    /// Begins the endless response of a watch with these lines.
+    /// Starts the endless response of a watch, with these lines first.
     pub(crate) fn begin_watch(&mut self, now: Micros, subscriber: String, lines: Vec<Line>) {
         let out = self.socket.write_buffer();
         self.http.start_response(out, ResponseStart::new(StatusCode::OK, Framing::Chunked));
         self.watch = Some(Watch::new(now, subscriber, lines));
     }
 
-    /// Writes as much as the socket accepts.
+    /// Writes as many bytes as the socket accepts.
     pub(crate) fn write(&mut self, now: Micros) -> std::io::Result<()> {
         match &mut self.watch {
             Some(watch) => watch.write(now, &mut self.http, &mut self.socket)?,
@@ -159,7 +162,7 @@
     }
 }
 
-/// Bounds the bytes of all request bodies that are not complete yet.
+/// Limits the memory of the request bodies that are still incomplete, over all connections.
 pub(crate) struct BodyBudget {
     max_body_bytes: usize,
     buffered_bytes: usize,
--- a/crates/publisher/src/halt.rs
+++ b/crates/publisher/src/halt.rs
@@ -1,11 +1,12 @@
-//! Why a publisher stops publishing until an operator intervenes.
+//! The reasons for which a publisher stops publishing until an operator intervenes.
 
 use thiserror::Error;
 use violetseam_distribution::{Term, Version};
 
-/// Why nothing is published any more: new versions could not be told from those that subscribers have.
+/// Why a publisher has stopped publishing: the versions that it would publish next could not be told apart
+/// from versions that subscribers already have.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub(crate) enum Halt {
+pub(crate) enum HaltReason {
     /// A subscriber follows a publisher of a higher term.
     #[error(
         "subscriber {subscriber} follows a publisher of term {term}: stop this one, or start it with a \
@@ -17,7 +18,8 @@
         /// The other publisher's term.
         term: Term,
     },
-    /// A subscriber has a version of this term that is not in the store: its newest part was lost.
+    /// A subscriber has a version of this term that is not in the store: the store has lost its newest
+    /// versions.
     #[error(
         "subscriber {subscriber} holds version {known}, which this store does not have: put its newest \
          part back, or start with a higher --term to go on without it"
@@ -25,7 +27,7 @@
     Ahead {
         /// The subscriber's name.
         subscriber: String,
-        /// The version that it has.
+        /// The version that the subscriber has.
         known: Version,
     },
 }
--- a/crates/publisher/src/http_messages.rs
+++ b/crates/publisher/src/http_messages.rs
@@ -1,4 +1,4 @@
-//! Complete HTTP requests and responses, as they pass between connections and the service.
+//! Complete HTTP requests and responses, as the connections and the service exchange them.
 
 use crate::protocol::{RETRY_AFTER_HEADER, Refused};
 use http::StatusCode;
@@ -9,13 +9,13 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// A complete request.
+/// A request that has arrived completely.
 pub(crate) struct Request {
     pub(crate) head: Box<RequestHead>,
     pub(crate) body: Vec<u8>,
 }
 
-/// A complete response.
+/// A response with its complete body.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: StatusCode,
@@ -24,19 +24,19 @@
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Builds a response with a JSON body.
     pub(crate) fn json(status: StatusCode, body: &impl Serialize) -> Response {
-        // Plain structures with string keys: serialization does not fail.
+        // Serialization cannot fail, because all bodies are plain structures with string keys.
         let body = serde_json::to_vec(body).unwrap_or_default();
         Response { status, headers: Vec::new(), body }
     }
 
-    /// The request was refused, with the reason for people.
+    /// Builds the response to a request that is refused, with the reason as text for the operator.
     pub(crate) fn refused(status: StatusCode, reason: impl std::fmt::Display) -> Response {
         Response::json(status, &Refused { reason: reason.to_string() })
     }
 
-    /// The request may be repeated after `micros`.
+    /// Builds the response that tells the subscriber to retry after this many microseconds.
     pub(crate) fn retry_after(micros: Micros) -> Response {
         let milliseconds = micros.div_ceil(MICROS_PER_MILLISECOND).to_string();
         Response {
--- a/crates/publisher/src/lib.rs
+++ b/crates/publisher/src/lib.rs
@@ -1,20 +1,22 @@
-//! The publisher of incremental configuration distribution as a daemon, and the client that speaks to it.
+//! The daemon that publishes incremental configuration updates, and its client.
 //!
-//! Each module uses only those above it, apart from `client`, which uses `protocol` alone:
-//! - `settings`: the address, the state folder, the bounds
+//! Each module uses only modules above it in this list; `client` uses only `protocol`:
+//! - `settings`: the address, the state folder and the limits
 //! - `protocol`: paths, requests and responses of the HTTP interface
-//! - `store`: the durable configuration and log (`redb`)
+//! - `store`: the durable configuration and the log of deltas, in a `redb` file
 //! - `http_messages`: complete requests and responses
-//! - `halt`: why nothing is published any more
-//! - `service`: what each request does, without connections
-//! - `watch`: one endless response to a subscriber: backlog, heartbeats, slow readers
-//! - `connection`: one connection
+//! - `halt`: the reasons for which a publisher stops publishing
+//! - `service`: what each request does to the publisher and its store; it does not handle connections
+//! - `watch`: the endless response to one subscriber, with its backlog, its heartbeats and the check for slow
+//!   readers
+//! - `connection`: one client connection
 //! - `server`: all connections on the event loop
-//! - `serve`: start, signals, end
-//! - `client`: one request with a timeout, for the command line
+//! - `serve`: the start and the end of the daemon, and its signals
+//! - `client`: sends one request with a timeout, for the command line
 //!
-//! Decisions are in `violetseam-distribution`, which does no I/O. A change is durable before a subscriber or
-//! the operator who published it hears of it. `docs/distribution.md` has the design.
+//! All decisions are made in `violetseam-distribution`, which does no I/O. A change is made durable before it
+//! is sent to any subscriber and before the operator gets the response. `docs/distribution.md` has the
+//! design.
 
 pub mod client;
 mod connection;
--- a/crates/publisher/src/protocol.rs
+++ b/crates/publisher/src/protocol.rs
@@ -1,10 +1,10 @@
-//! The publisher's HTTP interface: paths, and the bodies of requests and responses beside the messages of
-//! `violetseam-distribution`.
+//! The publisher's HTTP interface: its paths, and those bodies of requests and responses that are not
+//! messages of `violetseam-distribution`.
 //!
 //! | request | body | response |
 //! | --- | --- | --- |
-//! | `GET /v1/configuration/watch?QUERY` ([`Subscribe::to_query`]) | none | 200 and message lines without an end; 503 with a `RetryAfter` line and the header `retry-after-ms`; 409 with a [`Refused`] |
-//! | `POST /v1/configuration/acknowledge` | one `Report` | 200; 409 for a version that was not published here |
+//! | `GET /v1/configuration/watch?QUERY` ([`Subscribe::to_query`]) | none | 200 and an endless stream of message lines; 503 with a `RetryAfter` line and the header `retry-after-ms`; 409 with a [`Refused`] |
+//! | `POST /v1/configuration/acknowledge` | one `Report` | 200; 409 for a version that this publisher has not published |
 //! | `POST /v1/configuration/changes` | JSON lines of `Change` | 200 with a [`Published`], otherwise a [`Refused`] |
 //! | `POST /v1/configuration/whole` | JSON lines of `Resource` | as for changes |
 //! | `GET /v1/configuration/status` | none | 200 with a [`StatusReport`] |
@@ -18,42 +18,43 @@
 use violetseam_distribution::resource::ResourceError;
 use violetseam_distribution::{Digest, Version};
 
-/// Opens a watch.
+/// The path that opens a watch.
 pub const WATCH_PATH: &str = "/v1/configuration/watch";
-/// Takes a subscriber's acknowledgement or rejection.
+/// The path to which subscribers send an acknowledgement or a rejection of a version.
 pub const ACKNOWLEDGE_PATH: &str = "/v1/configuration/acknowledge";
-/// Publishes changes.
+/// The path that publishes changes.
 pub const CHANGES_PATH: &str = "/v1/configuration/changes";
-/// Publishes a whole configuration in place of the present one.
-pub const WHOLE_PATH: &str = "/v1/configuration/whole";
-/// Shows which version each subscriber has.
+/// The path that replaces the complete configuration.
+pub const WHOLE_CONFIGURATION_PATH: &str = "/v1/configuration/whole";
+/// The path that returns a [`StatusReport`].
 pub const STATUS_PATH: &str = "/v1/configuration/status";
-/// On a 503: when to call again, in milliseconds.
+/// The header of a 503 response that says after how many milliseconds the subscriber may retry.
 pub const RETRY_AFTER_HEADER: &str = "retry-after-ms";
 
-/// What was published.
+/// The response to a request that published a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// Its version.
+    /// The version that was published.
     pub version: Version,
-    /// The digest of all resources.
+    /// The digest of all resources of that version.
     pub digest: Digest,
 }
 
-/// Why a request was refused; nothing has changed unless the reason says that this is not known.
+/// The response to a request that was refused. Nothing has changed, unless the reason says that it is not
+/// known whether the update is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// The reason, for people.
+    /// The reason, as text for the operator.
     pub reason: String,
 }
 
 /// One subscriber, and whether its watch is open.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubscriberRow {
-    /// Its version, the age of that and what it rejected.
+    /// The subscriber's version, the age of that version and what the subscriber rejected.
     #[serde(flatten)]
     pub status: SubscriberStatus,
-    /// Whether its watch is open.
+    /// Whether the subscriber has an open watch.
     pub watching: bool,
 }
 
@@ -62,51 +63,52 @@
 pub struct StatusReport {
     /// The newest version.
     pub version: Version,
-    /// The digest of its resources.
+    /// The digest of the resources of the newest version.
     pub digest: Digest,
     /// The number of resources.
     pub resources: usize,
-    /// The oldest version from which the log leads to the newest one.
+    /// The oldest version that the deltas in the log can bring to the newest version. A subscriber with an
+    /// older version needs a snapshot.
     pub oldest_known: Version,
-    /// Watches that are open.
+    /// The number of open watches.
     pub watches: usize,
-    /// Subscribers with a reserved slot for a snapshot.
+    /// The number of subscribers that wait for a reserved slot to get a snapshot.
     pub snapshots_waiting: usize,
-    /// Why nothing is published any more, if that is so.
+    /// Why the publisher has halted, or none if it can publish.
     pub halted: Option<String>,
-    /// All known subscribers, by name.
+    /// All known subscribers, ordered by name.
     pub subscribers: Vec<SubscriberRow>,
 }
 
-/// A line that could not be read.
+/// A line of a request body that is not valid.
 #[derive(Debug, Error)]
 #[error("line {line}: {reason}")]
 pub struct LineError {
-    /// Its number, from 1; one past the last that is allowed where there are too many.
+    /// The line's number in the body, from 1. If there are too many lines, the first one over the maximum.
     pub line: usize,
-    /// What is wrong with it.
+    /// What is wrong with the line.
     #[source]
-    pub reason: LineFault,
+    pub reason: LineErrorKind,
 }
 
-/// What is wrong with a line.
+/// What is wrong with a line of a request body.
 #[derive(Debug, Error)]
-pub enum LineFault {
-    /// There are more lines than are allowed at once.
+pub enum LineErrorKind {
+    /// The body has more than this number of lines, which is the maximum for one request.
     #[error("more than {0} at once")]
     TooMany(usize),
-    /// Not the expected JSON.
+    /// The line is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A resource that is not well formed.
+    /// The line has a resource with an invalid value.
     #[error(transparent)]
     Resource(#[from] ResourceError),
 }
 
-/// Reads JSON lines, each checked by `validate`; empty lines are skipped.
+/// Parses a body of JSON lines and checks each value with `validate`. Empty lines are skipped.
 ///
 /// # Errors
-/// A line is not valid, or there are more than `max_lines`.
+/// A line is not valid, or there are more than `max_lines` of them.
 pub fn read_lines<T: DeserializeOwned>(
     body: &[u8],
     max_lines: usize,
@@ -117,12 +119,12 @@
         if text.trim_ascii().is_empty() {
             continue;
         }
-        let error = |reason: LineFault| LineError { line: index + 1, reason };
+        let error = |reason: LineErrorKind| LineError { line: index + 1, reason };
         if values.len() == max_lines {
-            return Err(error(LineFault::TooMany(max_lines)));
+            return Err(error(LineErrorKind::TooMany(max_lines)));
         }
-        let value: T = serde_json::from_slice(text).map_err(|json| error(json.into()))?;
-        validate(&value).map_err(|resource| error(resource.into()))?;
+        let value: T = serde_json::from_slice(text).map_err(|json_error| error(json_error.into()))?;
+        validate(&value).map_err(|resource_error| error(resource_error.into()))?;
         values.push(value);
     }
     Ok(values)
--- a/crates/publisher/src/serve.rs
+++ b/crates/publisher/src/serve.rs
@@ -1,9 +1,9 @@
-//! Runs a publisher: restores its state, listens, dispatches events until a signal ends it.
+//! Runs a publisher: restores its state, listens, and dispatches events until a signal ends it.
 
 use crate::server::Server;
 use crate::service::{DurabilityError, Service};
 use crate::settings::Settings;
-use crate::store::{Store, StoreError, term_of_wall_clock};
+use crate::store::{Store, StoreError, term_from_wall_clock};
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use rustix::process::{Resource as Limit, Rlimit, getrlimit, setrlimit};
@@ -12,44 +12,46 @@
 use violetseam_distribution::publisher::{LogLimits, Publisher, TermNotHigher};
 use violetseam_distribution::{Term, Version};
 
-/// Connections that wait in the kernel to be accepted.
+/// The maximum number of connections that the kernel queues until they are accepted.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// File descriptors beside those of connections: the loop's, the store's, the listener's.
+/// The number of file descriptors that are kept for other uses than connections: the event loop, the store
+/// and the listener.
 const RESERVED_DESCRIPTORS: u64 = 64;
 
-/// Why a publisher could not start, or ended other than by a signal.
+/// Why a publisher could not start, or why it ended without a signal.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The event loop or one of its sources failed.
     #[error("the event loop failed: {0}")]
     EventLoop(#[from] calloop::Error),
-    /// The limit of open files could not be raised.
-    #[error("the limit of open files could not be raised: {0}")]
+    /// The limit of open files cannot be raised.
+    #[error("cannot raise the limit of open files: {0}")]
     DescriptorLimit(#[source] rustix::io::Errno),
     /// The store cannot be used.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The term that was asked for is not above the stored one.
+    /// The term in the settings is lower than the stored one, or out of range.
     #[error("--term {term}: {source}")]
     Term {
-        /// The term that was asked for.
+        /// The term in the settings.
         term: Term,
         /// The stored term.
         source: TermNotHigher,
     },
-    /// The address cannot be listened on.
-    #[error("cannot listen: {0}")]
+    /// The publisher cannot listen on its address.
+    #[error("cannot listen on the publisher's address: {0}")]
     Listen(#[source] std::io::Error),
     /// An update is not known to be durable.
     #[error(transparent)]
     NotDurable(#[from] DurabilityError),
 }
 
-/// Runs a publisher until SIGTERM or SIGINT. `ready` gets the address on which it listens and the version from
-/// which it continues.
+/// Runs a publisher until SIGTERM or SIGINT. As soon as it listens, `ready` is called with its address and
+/// the version from which it continues.
 ///
 /// # Errors
-/// The publisher cannot start (store, term, address, event loop), or an update is not known to be durable.
+/// The publisher cannot start because of its store, term, address or event loop; or it is not known whether
+/// an update is durable.
 pub fn serve(settings: Settings, ready: impl FnOnce(SocketAddr, Version)) -> Result<(), ServeError> {
     let mut event_loop: EventLoop<'static, Server> = EventLoop::try_new()?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
@@ -67,16 +69,17 @@
     server.listen_on(listener)?;
     ready(address, version);
     while server.is_running() {
-        event_loop.dispatch(server.wait(), &mut server)?;
+        event_loop.dispatch(server.poll_timeout(), &mut server)?;
         server.check_due_connections();
     }
     Ok(server.into_service().finish()?)
 }
 
-/// The publisher as stored, under the term that is asked for; or a new one, stored before it sends anything.
+/// Restores the stored publisher under the term of the settings, or creates a new one. A new publisher or a
+/// new term is stored before anything is sent.
 fn restore(store: &Store, term: Option<Term>, limits: LogLimits) -> Result<Publisher, ServeError> {
     let Some(mut publisher) = store.load(limits)? else {
-        let publisher = Publisher::new(term.unwrap_or_else(term_of_wall_clock), limits);
+        let publisher = Publisher::new(term.unwrap_or_else(term_from_wall_clock), limits);
         store.replace(publisher.configuration())?;
         return Ok(publisher);
     };
@@ -87,20 +90,20 @@
     Ok(publisher)
 }
 
-/// Raises the soft limit of open files as far as the connections need it; the hard limit may be lower.
+/// Raises the soft limit of open files to what the connections need, or to the hard limit if that is lower.
 fn raise_descriptor_limit(connections: usize) -> Result<(), rustix::io::Errno> {
     let needed = connections as u64 + RESERVED_DESCRIPTORS;
-    let present = getrlimit(Limit::Nofile);
-    if present.current.is_none_or(|current| current >= needed) {
+    let current_limit = getrlimit(Limit::Nofile);
+    if current_limit.current.is_none_or(|current| current >= needed) {
         return Ok(());
     }
-    let raised = present.maximum.map_or(needed, |maximum| maximum.min(needed));
+    let raised = current_limit.maximum.map_or(needed, |maximum| maximum.min(needed));
     if raised < needed {
         tracing::warn!(
             limit = raised,
             needed,
-            "the limit of open files allows fewer connections than the bound"
+            "the hard limit of open files allows fewer connections than the settings"
         );
     }
-    setrlimit(Limit::Nofile, Rlimit { current: Some(raised), maximum: present.maximum })
+    setrlimit(Limit::Nofile, Rlimit { current: Some(raised), maximum: current_limit.maximum })
 }
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -1,6 +1,7 @@
-//! The server: accepts connections, passes requests to the service, feeds the watches.
+//! The server: accepts connections, passes requests to the service, and writes published updates to the
+//! watches.
 
-use crate::connection::{BodyBudget, Connection, ConnectionInput};
+use crate::connection::{BodyBudget, Connection, ReadResult};
 use crate::http_messages::{Request, Response};
 use crate::service::{Outcome, RequestContext, Service};
 use crate::settings::Bounds;
@@ -22,33 +23,34 @@
 use violetseam_event_io::timers::Timers;
 use violetseam_http1::server::ServerEvent;
 
-/// After connections could not be accepted, the next ones are after this long.
+/// After a connection could not be accepted, none is accepted for this long.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Each connection is checked at least this often, in microseconds.
 const CHECK_INTERVAL: Micros = HEARTBEAT_INTERVAL;
 
-/// A timer of a connection; that of a closed one finds another generation under the key.
+/// A timer for the periodic check of a connection. If the connection has been closed since, its key is unused
+/// or belongs to a connection of another generation, and the timer has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionCheck {
     key: usize,
     generation: u64,
 }
 
-/// The connections of a publisher on its event loop.
+/// A publisher's service and its connections, on the event loop.
 pub(crate) struct Server {
     bounds: Bounds,
     handle: LoopHandle<'static, Server>,
     service: Service,
     connections: Slab<Connection>,
     next_generation: u64,
-    /// The key of each subscriber's watch.
+    /// The connection key of each subscriber's watch.
     watches: HashMap<String, usize>,
     body_budget: BodyBudget,
     timers: Timers<ConnectionCheck>,
-    log_rate: LogRateLimit,
-    started: Instant,
+    log_rate_limit: LogRateLimit,
+    started_at: Instant,
     stopping: bool,
-    listener: Option<RegistrationToken>,
+    listener_token: Option<RegistrationToken>,
 }
 
 impl Server {
@@ -62,25 +64,25 @@
             watches: HashMap::new(),
             body_budget: BodyBudget::new(bounds.body_bytes),
             timers: Timers::default(),
-            log_rate: LogRateLimit::default(),
-            started: Instant::now(),
+            log_rate_limit: LogRateLimit::default(),
+            started_at: Instant::now(),
             stopping: false,
-            listener: None,
+            listener_token: None,
         }
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections on this listener.
     pub(crate) fn listen_on(&mut self, listener: TcpListener) -> Result<(), calloop::Error> {
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, |_, listener, server: &mut Server| {
             server.accept(listener);
             Ok(PostAction::Continue)
         });
-        self.listener = Some(token.map_err(|error| error.error)?);
+        self.listener_token = Some(token.map_err(|error| error.error)?);
         Ok(())
     }
 
-    /// Ends the loop after the present events.
+    /// Ends the event loop once the current events are processed.
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
     }
@@ -89,38 +91,39 @@
         !self.stopping && !self.service.has_failed()
     }
 
-    /// The service, without its connections.
+    /// Closes the connections and returns the service.
     pub(crate) fn into_service(self) -> Service {
         self.service
     }
 
-    /// How long the loop may wait for events.
-    pub(crate) fn wait(&self) -> Duration {
+    /// How long the event loop may wait for events before a timer is due.
+    pub(crate) fn poll_timeout(&self) -> Duration {
         self.timers.poll_timeout(self.now(), None)
     }
 
-    /// Checks connections that are due: heartbeats, slow readers, idle ones.
+    /// Runs the checks of connections that are due: sends heartbeats, and closes the connections of slow
+    /// readers and idle ones.
     pub(crate) fn check_due_connections(&mut self) {
         let now = self.now();
         while let Some(check) = self.timers.pop(now) {
             let key = check.key;
             let is_live = |connection: &&mut Connection| connection.generation() == check.generation;
             let Some(connection) = self.connections.get_mut(key).filter(is_live) else { continue };
-            let next = match &connection.watch {
+            let next_check_at = match &connection.watch {
                 Some(_) => self.check_watch(key, now),
                 None if connection.is_idle(now) => None,
                 None => Some(now + CHECK_INTERVAL),
             };
-            match next {
+            match next_check_at {
                 Some(at) => self.timers.set(at, check),
                 None => self.close(key),
             }
         }
     }
 
-    /// The loop's clock, in microseconds since the start.
+    /// The time on the event loop's clock, in microseconds since the server was created.
     fn now(&self) -> Micros {
-        self.started.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     fn accept(&mut self, listener: &TcpListener) {
@@ -130,16 +133,19 @@
                     self.add_connection(stream);
                 }
                 Ok(_) => {
-                    if self.log_rate.allows(self.now()) {
-                        tracing::warn!(connections = self.connections.len(), "a connection over the bound");
+                    if self.log_rate_limit.allows(self.now()) {
+                        tracing::warn!(
+                            connections = self.connections.len(),
+                            "connection closed: the maximum number of connections is open"
+                        );
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    if self.log_rate.allows(self.now()) {
-                        tracing::warn!("connections cannot be accepted: {error}");
+                    if self.log_rate_limit.allows(self.now()) {
+                        tracing::warn!("cannot accept connections: {error}");
                     }
                     return self.pause_accepting();
                 }
@@ -147,14 +153,15 @@
         }
     }
 
-    /// Accepts nothing for a while: the system has no room for another connection.
+    /// Stops accepting connections for [`ACCEPT_PAUSE`], because the system lacks the resources for another
+    /// one.
     fn pause_accepting(&mut self) {
-        let Some(token) = self.listener else { return };
+        let Some(token) = self.listener_token else { return };
         let resume = move |_, _: &mut (), server: &mut Server| {
             let _ = server.handle.enable(&token);
             TimeoutAction::Drop
         };
-        // Only with a timer that ends it.
+        // Without a timer that ends the pause, the listener stays enabled.
         if self.handle.insert_source(Timer::from_duration(ACCEPT_PAUSE), resume).is_ok() {
             let _ = self.handle.disable(&token);
         }
@@ -201,9 +208,9 @@
     fn read(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         match connection.read() {
-            ConnectionInput::Input => self.process_input(key),
-            ConnectionInput::Nothing => {}
-            ConnectionInput::Closed => self.close(key),
+            ReadResult::Received => self.process_input(key),
+            ReadResult::WouldBlock => {}
+            ReadResult::Closed => self.close(key),
         }
     }
 
@@ -225,8 +232,8 @@
                     }
                 }
                 Some(ServerEvent::End) => self.finish_request(key),
-                Some(ServerEvent::Error(fault)) => {
-                    return self.refuse_and_close(key, fault.status(), fault.reason());
+                Some(ServerEvent::Error(error)) => {
+                    return self.refuse_and_close(key, error.status(), error.reason());
                 }
             }
         }
@@ -244,7 +251,8 @@
 
     fn handle_request(&mut self, key: usize, request: &Request) {
         let now = self.now();
-        let mut context = RequestContext { now, watches: &self.watches, log_rate: &mut self.log_rate };
+        let mut context =
+            RequestContext { now, watches: &self.watches, log_rate_limit: &mut self.log_rate_limit };
         match self.service.handle(request, &mut context) {
             Outcome::Respond(response) => self.respond(key, &response, false),
             Outcome::BeginWatch { subscriber, lines } => self.begin_watch(key, subscriber, lines),
@@ -259,14 +267,14 @@
         }
     }
 
-    /// Sends a response; with `close` the connection is closed after it.
+    /// Sends a response. If `close` is set, the connection is closed after it.
     fn respond(&mut self, key: usize, response: &Response, close: bool) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.respond(response, close);
         self.write(key);
     }
 
-    /// Responds to a request that cannot be understood or accepted; the connection is closed.
+    /// Responds to a request that is malformed or too long, and closes the connection.
     fn refuse_and_close(&mut self, key: usize, status: StatusCode, reason: &str) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.discard_body(&mut self.body_budget);
@@ -274,7 +282,7 @@
         self.respond(key, &Response::refused(status, reason), true);
     }
 
-    /// Writes as much as the connection accepts.
+    /// Writes as many bytes as the connection accepts, and closes it if that fails.
     fn write(&mut self, key: usize) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else { return };
@@ -284,10 +292,11 @@
         connection.socket.set_read_interest(&self.handle, true);
     }
 
-    /// Begins the endless response to a subscriber's call; an earlier watch of the same name is closed.
+    /// Starts the endless response to a subscriber's watch request. An earlier watch of the same subscriber
+    /// is closed.
     fn begin_watch(&mut self, key: usize, subscriber: String, lines: Vec<Line>) {
-        if let Some(earlier) = self.watches.insert(subscriber.clone(), key) {
-            self.close(earlier);
+        if let Some(earlier_key) = self.watches.insert(subscriber.clone(), key) {
+            self.close(earlier_key);
         }
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else { return };
@@ -295,8 +304,8 @@
         self.write(key);
     }
 
-    /// Sends a line to all watches. One whose subscriber reads too slowly is closed; it comes back with the
-    /// version that it has.
+    /// Sends a line to all watches. The watch of a subscriber that reads too slowly is closed; the subscriber
+    /// then reconnects and says which version it has.
     fn broadcast(&mut self, line: &Line) {
         let max_unread = self.bounds.unread_bytes;
         let keys: Vec<usize> = self.watches.values().copied().collect();
@@ -304,16 +313,16 @@
             let watch = self.connections.get_mut(key).and_then(|connection| connection.watch.as_mut());
             let Some(watch) = watch else { continue };
             watch.push(line.clone());
-            let is_over = watch.unread_bytes() > max_unread;
+            let exceeds_limit = watch.unread_bytes() > max_unread;
             self.write(key);
-            if is_over && self.unread_bytes(key) > max_unread {
-                self.warn_slow(key, "too many bytes wait for it");
+            if exceeds_limit && self.unread_bytes(key) > max_unread {
+                self.warn_slow_subscriber(key, "the subscriber has more unread bytes than allowed");
                 self.close(key);
             }
         }
     }
 
-    /// Closes all watches: their subscribers come back and get a new response.
+    /// Closes all watches. Their subscribers reconnect and get a new response.
     fn close_watches(&mut self) {
         let keys: Vec<usize> = self.watches.values().copied().collect();
         for key in keys {
@@ -321,14 +330,14 @@
         }
     }
 
-    /// Sends a heartbeat where one is due. Returns the time of the next check, or none for a watch that is to
-    /// be closed.
+    /// Sends a heartbeat if one is due. Returns the time of the next check, or none if the watch must be
+    /// closed.
     fn check_watch(&mut self, key: usize, now: Micros) -> Option<Micros> {
         let catch_up = self.bounds.catch_up.as_micros() as Micros;
         let watch = self.connections.get_mut(key)?.watch.as_mut()?;
         match watch.check(now, catch_up) {
             WatchCheck::TooSlow => {
-                self.warn_slow(key, "it has not caught up in time");
+                self.warn_slow_subscriber(key, "the subscriber has not caught up in time");
                 None
             }
             WatchCheck::HeartbeatDue => {
@@ -345,12 +354,12 @@
         watch.map_or(0, Watch::unread_bytes)
     }
 
-    fn warn_slow(&mut self, key: usize, why: &str) {
-        if !self.log_rate.allows(self.now()) {
+    fn warn_slow_subscriber(&mut self, key: usize, reason: &str) {
+        if !self.log_rate_limit.allows(self.now()) {
             return;
         }
         if let Some(watch) = self.connections.get(key).and_then(|connection| connection.watch.as_ref()) {
-            tracing::warn!(subscriber = watch.subscriber(), "watch closed: {why}");
+            tracing::warn!(subscriber = watch.subscriber(), "watch closed: {reason}");
         }
     }
 }
--- a/crates/publisher/src/service.rs
+++ b/crates/publisher/src/service.rs
@@ -1,10 +1,10 @@
-//! The service: what each request does to the publisher and its store, without connections.
+//! The service: what each request does to the publisher and its store. It does not handle connections.
 
-use crate::halt::Halt;
+use crate::halt::HaltReason;
 use crate::http_messages::{Request, Response};
 use crate::protocol::{
     ACKNOWLEDGE_PATH, CHANGES_PATH, Published, STATUS_PATH, StatusReport, SubscriberRow, WATCH_PATH,
-    WHOLE_PATH, read_lines,
+    WHOLE_CONFIGURATION_PATH, read_lines,
 };
 use crate::store::{Store, StoreError};
 use http::{Method, StatusCode};
@@ -17,90 +17,92 @@
 use violetseam_distribution::{ApplyError, Change, Micros, Report, Resource, Subscribe};
 use violetseam_event_io::log_rate_limit::LogRateLimit;
 
-/// Missing deltas of more bytes than this pass admission as a snapshot does.
+/// If the deltas that a subscriber lacks have more bytes than this, they need admission in the same way as a
+/// snapshot.
 const MAX_UNADMITTED_DELTA_BYTES: usize = 256 * 1024;
-/// A subscriber that has a configuration does not get the empty one of a publisher that has published nothing
-/// yet, and retries after this many microseconds.
+/// A publisher that has not published anything yet does not send its empty configuration to a subscriber that
+/// already has a configuration. Instead it tells the subscriber to retry after this many microseconds.
 const UNPUBLISHED_RETRY_AFTER: Micros = 5_000_000;
 
-/// An update that is not known to be durable: what is stored and what is in memory may differ.
+/// It is not known whether an update is durable, so the stored state and the one in memory may differ.
 #[derive(Debug, Error)]
 pub enum DurabilityError {
-    /// The store failed.
+    /// The store could not write the update.
     #[error("not known to be durable, the publisher stops: {0}")]
     Store(#[from] StoreError),
-    /// The stored update does not apply to the publisher.
+    /// The update is stored, but it cannot be applied to the publisher's state in memory.
     #[error("not known to be durable, the publisher stops: {0}")]
     Apply(#[from] ApplyError),
 }
 
-/// What the connections have to do about a request.
+/// What the server must do on its connections after a request.
 pub(crate) enum Outcome {
     /// Send this response.
     Respond(Response),
-    /// Begin a watch with these lines.
+    /// Start a watch on the connection of the request.
     BeginWatch {
         /// The subscriber's name.
         subscriber: String,
-        /// The lines of the response; what is published later follows them.
+        /// The first lines of the response. Updates that are published later follow them.
         lines: Vec<Line>,
     },
-    /// Send the line of a delta to all watches, then the response.
+    /// Send the line of a delta to all watches, then send the response.
     Broadcast {
-        /// The line.
+        /// The line of the delta.
         line: Line,
         /// The response to the operator.
         response: Response,
     },
-    /// Close all watches, whose subscribers need a snapshot, then send the response.
+    /// Close all watches, because their subscribers need a snapshot now, then send the response.
     CloseWatches(Response),
 }
 
-/// What a request needs of the connections.
+/// What the service needs to know from the server to handle a request.
 pub(crate) struct RequestContext<'a> {
     pub(crate) now: Micros,
-    /// The keys of the open watches by subscriber.
+    /// The connection keys of the open watches, by subscriber.
     pub(crate) watches: &'a HashMap<String, usize>,
-    pub(crate) log_rate: &'a mut LogRateLimit,
+    pub(crate) log_rate_limit: &'a mut LogRateLimit,
 }
 
-/// The lines of a response to a subscriber, or the wait until it may retry.
+/// The response to a watch request: the lines to send, or how long the subscriber must wait before it
+/// retries.
 enum WatchResponse {
     Lines(Vec<Line>),
     RetryAfter(Micros),
 }
 
-/// A publisher with its store and its admission of snapshots.
+/// A publisher with its store, and the admission that limits the rate of snapshots.
 pub(crate) struct Service {
     publisher: Publisher,
     store: Store,
     admission: Admission,
-    halt: Option<Halt>,
-    failure: Option<DurabilityError>,
+    halt_reason: Option<HaltReason>,
+    durability_error: Option<DurabilityError>,
 }
 
 impl Service {
     pub(crate) fn new(publisher: Publisher, store: Store, snapshots_per_second: u32) -> Service {
         let admission = Admission::new(AdmissionLimits::per_second(snapshots_per_second));
-        Service { publisher, store, admission, halt: None, failure: None }
+        Service { publisher, store, admission, halt_reason: None, durability_error: None }
     }
 
-    /// Whether an update is not known to be durable, so that the process must end.
+    /// Whether the process must end because it is not known whether an update is durable.
     pub(crate) fn has_failed(&self) -> bool {
-        self.failure.is_some()
+        self.durability_error.is_some()
     }
 
-    /// Ends the service; the error is that of [`Service::has_failed`].
+    /// Ends the service. Returns an error if [`Service::has_failed`].
     pub(crate) fn finish(self) -> Result<(), DurabilityError> {
-        self.failure.map_or(Ok(()), Err)
+        self.durability_error.map_or(Ok(()), Err)
     }
 
-    /// The line of the heartbeat for watches on which nothing else was sent for a while.
+    /// The heartbeat line, for watches on which nothing else was sent for some time.
     pub(crate) fn heartbeat(&self) -> Line {
         self.publisher.heartbeat().write()
     }
 
-    /// Carries out a request.
+    /// Handles a request and returns what the server must do on its connections.
     pub(crate) fn handle(&mut self, request: &Request, context: &mut RequestContext<'_>) -> Outcome {
         let target = &request.head.target;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -108,7 +110,7 @@
             (&Method::GET, WATCH_PATH) => self.on_watch(context.now, query),
             (&Method::POST, ACKNOWLEDGE_PATH) => self.on_report(&request.body, context),
             (&Method::POST, CHANGES_PATH) => self.publish_changes(&request.body),
-            (&Method::POST, WHOLE_PATH) => self.publish_configuration(&request.body),
+            (&Method::POST, WHOLE_CONFIGURATION_PATH) => self.publish_configuration(&request.body),
             (&Method::GET, STATUS_PATH) => {
                 let report = self.status(context.now, context.watches);
                 Ok(Outcome::Respond(Response::json(StatusCode::OK, &report)))
@@ -123,7 +125,8 @@
             .map_err(|error| Response::refused(StatusCode::BAD_REQUEST, error))?;
         match self.watch_response(now, &subscribe)? {
             WatchResponse::Lines(mut lines) => {
-                // The version after all of it, with its digest.
+                // The heartbeat states the version that the subscriber has after all these lines, and its
+                // digest.
                 lines.push(self.heartbeat());
                 Ok(Outcome::BeginWatch { subscriber: subscribe.subscriber, lines })
             }
@@ -147,15 +150,15 @@
                 Ok(WatchResponse::RetryAfter(UNPUBLISHED_RETRY_AFTER))
             }
             SubscribeResponse::Snapshot { snapshot, deltas } => {
-                let later = deltas.iter().map(|entry| entry.line.clone());
-                let lines = snapshot.parts.iter().cloned().chain(later).collect();
+                let delta_lines = deltas.iter().map(|entry| entry.line.clone());
+                let lines = snapshot.parts.iter().cloned().chain(delta_lines).collect();
                 Ok(self.admit(now, subscriber, lines))
             }
             SubscribeResponse::Ahead { known } => {
-                Err(self.halt(Halt::Ahead { subscriber: subscriber.clone(), known }))
+                Err(self.halt(HaltReason::Ahead { subscriber: subscriber.clone(), known }))
             }
             SubscribeResponse::Superseded { term } => {
-                Err(self.halt(Halt::Superseded { subscriber: subscriber.clone(), term }))
+                Err(self.halt(HaltReason::Superseded { subscriber: subscriber.clone(), term }))
             }
         }
     }
@@ -167,17 +170,18 @@
         }
     }
 
-    /// Nothing was published since this state was created: its empty configuration is not a published one.
+    /// Whether nothing was published since this state was created. Its configuration is empty then, but was
+    /// never published.
     fn is_unpublished(&self) -> bool {
         self.publisher.version().number == 0
     }
 
-    /// From now on nothing is published until an operator intervenes.
-    fn halt(&mut self, halt: Halt) -> Response {
-        let response = Response::refused(StatusCode::CONFLICT, &halt);
-        if self.halt.is_none() {
-            tracing::error!("nothing is published any more: {halt}");
-            self.halt = Some(halt);
+    /// Stops publishing until an operator intervenes.
+    fn halt(&mut self, reason: HaltReason) -> Response {
+        let response = Response::refused(StatusCode::CONFLICT, &reason);
+        if self.halt_reason.is_none() {
+            tracing::error!("publishing has halted until an operator intervenes: {reason}");
+            self.halt_reason = Some(reason);
         }
         response
     }
@@ -186,9 +190,9 @@
         let report =
             Report::parse(body).map_err(|error| Response::refused(StatusCode::BAD_REQUEST, error))?;
         if let Report::Reject { subscriber, version, reason } = &report
-            && context.log_rate.allows(context.now)
+            && context.log_rate_limit.allows(context.now)
         {
-            tracing::warn!(subscriber, %version, "refused: {reason}");
+            tracing::warn!(subscriber, %version, "a subscriber rejected this version: {reason}");
         }
         self.publisher
             .on_report(context.now, &report)
@@ -209,7 +213,7 @@
         let stored = self.store.append(&delta, self.publisher.oldest_known());
         stored.map_err(|error| self.fail(error))?;
         let entry = self.publisher.commit(delta).map_err(|error| self.fail(error))?;
-        tracing::info!(version = %published.version, "published");
+        tracing::info!(version = %published.version, "published changes");
         let response = Response::json(StatusCode::OK, &published);
         Ok(Outcome::Broadcast { line: entry.line.clone(), response })
     }
@@ -226,23 +230,23 @@
         let stored = self.store.replace(&configuration);
         stored.map_err(|error| self.fail(error))?;
         self.publisher.replace(configuration).map_err(|error| self.fail(error))?;
-        tracing::info!(version = %published.version, "published whole");
+        tracing::info!(version = %published.version, "published a complete configuration");
         Ok(Outcome::CloseWatches(Response::json(StatusCode::OK, &published)))
     }
 
     fn check_not_halted(&self) -> Result<(), Response> {
-        match &self.halt {
-            Some(halt) => Err(Response::refused(StatusCode::CONFLICT, halt)),
+        match &self.halt_reason {
+            Some(reason) => Err(Response::refused(StatusCode::CONFLICT, reason)),
             None => Ok(()),
         }
     }
 
-    /// What is durable and what is in memory may differ from now on: the process ends, and its next start goes
-    /// by what is durable.
+    /// Records that the stored state and the one in memory may differ from now on. The process then ends, and
+    /// its next start uses the stored state.
     fn fail(&mut self, error: impl Into<DurabilityError>) -> Response {
         let error = error.into();
         let response = Response::refused(StatusCode::INTERNAL_SERVER_ERROR, &error);
-        self.failure = Some(error);
+        self.durability_error = Some(error);
         response
     }
 
@@ -259,7 +263,7 @@
             oldest_known: self.publisher.oldest_known(),
             watches: watches.len(),
             snapshots_waiting: self.admission.reserved_slots(),
-            halted: self.halt.as_ref().map(Halt::to_string),
+            halted: self.halt_reason.as_ref().map(HaltReason::to_string),
             subscribers: self.publisher.subscribers(now).into_iter().map(row).collect(),
         }
     }
--- a/crates/publisher/src/settings.rs
+++ b/crates/publisher/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a publisher: its address, its state folder and its bounds.
+//! The settings of a publisher: its address, its state folder and its limits.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,47 +6,51 @@
 use violetseam_distribution::Term;
 use violetseam_distribution::publisher::LogLimits;
 
-/// A publisher's settings.
+/// The settings of a publisher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder of its durable state; used by one process at a time.
+    /// The folder of the durable state. Only one process can use it at a time.
     pub state: PathBuf,
-    /// The address on which it listens.
+    /// The address on which the publisher listens.
     pub listen: SocketAddr,
-    /// The term to continue under. None: the stored one, or the wall clock's milliseconds where nothing is stored.
+    /// The term under which the publisher continues. If it is none, the publisher continues under the stored
+    /// term; if nothing is stored either, the milliseconds of the wall clock become the term.
     pub term: Option<Term>,
-    /// The bounds.
+    /// The limits.
     pub bounds: Bounds,
 }
 
-/// The bounds of what comes from outside and of what is stored for it.
+/// Limits on what clients and subscribers may send and request, and on what is stored for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The maximum number of connections; further ones are closed.
+    /// The maximum number of connections. A further connection is closed as soon as it is accepted.
     pub connections: usize,
-    /// Bytes of deltas that wait for a subscriber beside the answer to its call; past it the watch is closed.
+    /// The maximum number of bytes of deltas that may be queued for one subscriber, in addition to the
+    /// response to its watch request. A watch with more than that is closed.
     pub unread_bytes: usize,
-    /// A watch whose subscriber has not read all that waits for it for this long is closed.
+    /// A watch is closed after its subscriber has had unread bytes for this long without a break.
     pub catch_up: Duration,
-    /// The longest body of a request, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub body_bytes: usize,
-    /// The log of deltas.
+    /// The limits of the log of deltas.
     pub log: LogLimits,
-    /// Snapshots that are begun a second.
+    /// The maximum number of snapshots that are started per second.
     pub snapshots_per_second: u32,
 }
 
 impl Bounds {
-    /// Default of [`Bounds::connections`]: a watch and an acknowledgement for each of 4,700 subscribers, and
-    /// as many again that have not been noticed as lost.
+    /// The default of [`Bounds::connections`]. Each of 4,700 subscribers needs one connection for its watch
+    /// and one for its acknowledgements; the same number again is for connections that are lost without the
+    /// publisher having noticed it yet.
     pub const CONNECTIONS: usize = 18_000;
-    /// Default of [`Bounds::unread_bytes`]: four of the largest deltas. They are shared among all watches.
+    /// The default of [`Bounds::unread_bytes`]: four deltas of the maximum length. All watches share the
+    /// memory of the queued deltas.
     pub const UNREAD_BYTES: usize = 8 << 20;
-    /// Default of [`Bounds::catch_up`].
+    /// The default of [`Bounds::catch_up`].
     pub const CATCH_UP: Duration = Duration::from_secs(30);
-    /// Default of [`Bounds::body_bytes`]: a whole configuration as JSON lines.
+    /// The default of [`Bounds::body_bytes`]: enough for a complete configuration as JSON lines.
     pub const BODY_BYTES: usize = 40 << 20;
-    /// Default of [`Bounds::snapshots_per_second`].
+    /// The default of [`Bounds::snapshots_per_second`].
     pub const SNAPSHOTS_PER_SECOND: u32 = 20;
 }
 
--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -243,7 +243,7 @@
 /// The term of a publisher whose state is created now: the wall clock's milliseconds, so that it is above every
 /// term that was begun this way before. A clock that was set back can make it lower; the calls of subscribers
 /// then show it, and `--term` sets a higher one.
-pub fn term_of_wall_clock() -> Term {
+pub fn term_from_wall_clock() -> Term {
     let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
     let milliseconds = since_epoch.map_or(1, |span| span.as_millis().max(1));
     Term(u64::try_from(milliseconds).map_or(MAX_VERSION_NUMBER, |term| term.min(MAX_VERSION_NUMBER)))
