--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -1,7 +1,7 @@
 //! The durable state of a publisher: its configuration and its log, in one `redb` file.
 //!
-//! Each row carries a CRC-32 of its bytes; the configuration has its digest, and each delta of the log goes
-//! onto the one before. A store that fails any of these checks is refused.
+//! Each row has a CRC-32 of its bytes, the configuration has a digest, and each delta of the log applies to
+//! the version of the delta before it. A store that fails one of these checks is not used.
 
 use redb::{
     CommitError, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
@@ -18,19 +18,19 @@
     ApplyError, Change, Configuration, Delta, Digest, Resource, ResourceKey, Term, Version,
 };
 
-/// The store's file in the state folder.
-pub const FILE: &str = "publisher.redb";
-/// The layout of the store; another one is refused.
-pub const LAYOUT: u32 = 1;
+/// The name of the store's file in the state folder.
+pub const FILE_NAME: &str = "publisher.redb";
+/// The version of the store's layout. A store with another layout is not used.
+pub const LAYOUT_VERSION: u32 = 1;
 
-/// A value's JSON and its CRC-32.
+/// The CRC-32 of a value's JSON, and the JSON.
 type Row = (u32, &'static [u8]);
-const HEAD: TableDefinition<'_, &str, Row> = TableDefinition::new("head");
-const RESOURCES: TableDefinition<'_, &[u8], Row> = TableDefinition::new("resources");
-const LOG: TableDefinition<'_, u64, Row> = TableDefinition::new("log");
+const HEAD_TABLE: TableDefinition<'_, &str, Row> = TableDefinition::new("head");
+const RESOURCES_TABLE: TableDefinition<'_, &[u8], Row> = TableDefinition::new("resources");
+const LOG_TABLE: TableDefinition<'_, u64, Row> = TableDefinition::new("log");
 const HEAD_KEY: &str = "head";
 
-/// Describes the other rows.
+/// The row that describes the store: its layout, and the version and digest of its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Head {
     layout: u32,
@@ -41,23 +41,23 @@
 /// Why a store cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process has it open.
-    #[error("{}: another publisher uses it", path.display())]
+    /// Another process has the store open.
+    #[error("{}: another publisher has the store open", path.display())]
     InUse {
         /// The file of the store.
         path: PathBuf,
     },
-    /// The stored data cannot be relied on.
+    /// The stored data is damaged.
     #[error(
-        "{}: the store is damaged: {source}. Restore it from a copy and start with a higher --term, or move \
-         it away and publish the whole configuration anew",
+        "{}: the store is damaged: {source}. Restore it from a backup and start with a higher --term, or move \
+         the file away and publish the complete configuration again",
         path.display()
     )]
     Damaged {
         /// The file of the store.
         path: PathBuf,
-        /// What is wrong with it.
-        source: Box<StoreFailure>,
+        /// What is wrong with the data.
+        source: Box<StoreErrorCause>,
     },
     /// The folder or the file cannot be read or written.
     #[error("{}: {source}", path.display())]
@@ -65,17 +65,17 @@
         /// The folder or file.
         path: PathBuf,
         /// Why it cannot be used.
-        source: Box<StoreFailure>,
+        source: Box<StoreErrorCause>,
     },
 }
 
 /// The cause of a [`StoreError`].
 #[derive(Debug, Error)]
-pub enum StoreFailure {
+pub enum StoreErrorCause {
     /// A file operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The database does not open.
+    /// The database cannot be opened.
     #[error(transparent)]
     Open(#[from] DatabaseError),
     /// A transaction cannot begin.
@@ -90,36 +90,36 @@
     /// A transaction cannot be committed.
     #[error(transparent)]
     Commit(#[from] CommitError),
-    /// A row is not the JSON of its table.
+    /// A row does not have the JSON that its table holds.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The rows do not make up a valid configuration.
+    /// The stored resources are not a valid configuration, or do not match its digest.
     #[error(transparent)]
     Configuration(#[from] ApplyError),
-    /// The log does not lead to the configuration.
+    /// The deltas of the log do not end at the version of the configuration.
     #[error(transparent)]
     Log(#[from] RestoreError),
-    /// The database panicked on opening its file.
-    #[error("the database does not open")]
+    /// The database library panicked while it opened the file.
+    #[error("the database library panicked while it opened the file")]
     OpenPanicked,
-    /// The database panicked on reading its file.
-    #[error("the database cannot be read")]
+    /// The database library panicked while it read the file.
+    #[error("the database library panicked while it read the file")]
     ReadPanicked,
-    /// The row that describes the others is missing.
-    #[error("it has no head")]
+    /// The row that describes the store is missing.
+    #[error("the row that describes the store is missing")]
     MissingHead,
-    /// The layout is not [`LAYOUT`].
-    #[error("layout {found} where {LAYOUT} is known")]
+    /// The layout is not [`LAYOUT_VERSION`].
+    #[error("the store has layout {found}, but only layout {LAYOUT_VERSION} is supported")]
     UnknownLayout {
-        /// The layout of the file.
+        /// The layout version of the file.
         found: u32,
     },
     /// A row does not match its CRC-32.
-    #[error("a row's checksum is wrong")]
+    #[error("a row does not match its CRC-32")]
     Checksum,
 }
 
-/// The durable state of one publisher; drop it to release the folder.
+/// The durable state of one publisher. Dropping it allows another process to open the store.
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
@@ -127,24 +127,24 @@
 }
 
 impl Store {
-    /// Opens the store of a folder, which is created if it does not exist.
+    /// Opens the store in a folder. The folder and the file are created if they do not exist.
     ///
     /// # Errors
     /// Another process has the store open, or the folder or file is damaged or cannot be used.
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         if let Err(error) = std::fs::create_dir_all(folder) {
             return Err(StoreError::Unusable { path: folder.to_owned(), source: Box::new(error.into()) });
         }
-        // A damaged file may fail an assertion of the database's own: that is damage, too.
+        // A damaged file can make the database library panic, so a panic is reported as damage, too.
         match catch_unwind(AssertUnwindSafe(|| Database::create(&path))) {
             Ok(Ok(database)) => Ok(Store { path, database }),
             Ok(Err(error)) => Err(open_error(path, error)),
-            Err(_) => Err(StoreError::Damaged { path, source: Box::new(StoreFailure::OpenPanicked) }),
+            Err(_) => Err(StoreError::Damaged { path, source: Box::new(StoreErrorCause::OpenPanicked) }),
         }
     }
 
-    /// The publisher as it was stored; none where nothing ever was.
+    /// Reads the stored publisher. Returns none if nothing has ever been stored.
     ///
     /// # Errors
     /// The stored data is damaged.
@@ -152,97 +152,105 @@
         match catch_unwind(AssertUnwindSafe(|| self.read(limits))) {
             Ok(Ok(publisher)) => Ok(publisher),
             Ok(Err(failure)) => Err(self.damaged(failure)),
-            Err(_) => Err(self.damaged(StoreFailure::ReadPanicked)),
+            Err(_) => Err(self.damaged(StoreErrorCause::ReadPanicked)),
         }
     }
 
-    /// Makes a delta durable, and deletes log entries up to the version `oldest_base`, which have left the
-    /// publisher's log.
+    /// Makes a delta durable. Also deletes the log entries up to the version `oldest_base`, which the
+    /// publisher has already removed from its own log.
     ///
     /// # Errors
-    /// The file cannot be written; whether the delta is durable is not known.
+    /// The file cannot be written. It is not known then whether the delta is durable.
     pub fn append(&self, delta: &Delta, oldest_base: Version) -> Result<(), StoreError> {
         self.write_delta(delta, oldest_base).map_err(|failure| self.unusable(failure))
     }
 
-    /// Makes a complete configuration durable in place of everything; the log is empty after it.
+    /// Makes a complete configuration durable, in place of all stored resources. The log is empty after that.
     ///
     /// # Errors
-    /// The file cannot be written; whether the configuration is durable is not known.
+    /// The file cannot be written. It is not known then whether the configuration is durable.
     pub fn replace(&self, configuration: &Configuration) -> Result<(), StoreError> {
         self.write_configuration(configuration).map_err(|failure| self.unusable(failure))
     }
 
-    fn damaged(&self, failure: StoreFailure) -> StoreError {
+    fn damaged(&self, failure: StoreErrorCause) -> StoreError {
         StoreError::Damaged { path: self.path.clone(), source: Box::new(failure) }
     }
 
-    fn unusable(&self, failure: StoreFailure) -> StoreError {
+    fn unusable(&self, failure: StoreErrorCause) -> StoreError {
         StoreError::Unusable { path: self.path.clone(), source: Box::new(failure) }
     }
 
-    fn read(&self, limits: LogLimits) -> Result<Option<Publisher>, StoreFailure> {
+    fn read(&self, limits: LogLimits) -> Result<Option<Publisher>, StoreErrorCause> {
         let transaction = self.database.begin_read()?;
-        let head = match transaction.open_table(HEAD) {
+        let head_table = match transaction.open_table(HEAD_TABLE) {
             Ok(table) => table,
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(error) => return Err(error.into()),
         };
-        let row = head.get(HEAD_KEY)?.ok_or(StoreFailure::MissingHead)?;
+        let row = head_table.get(HEAD_KEY)?.ok_or(StoreErrorCause::MissingHead)?;
         let head: Head = read_row(row.value())?;
-        if head.layout != LAYOUT {
-            return Err(StoreFailure::UnknownLayout { found: head.layout });
+        if head.layout != LAYOUT_VERSION {
+            return Err(StoreErrorCause::UnknownLayout { found: head.layout });
         }
-        let resources = read_resources(&transaction.open_table(RESOURCES)?)?;
+        let resources = read_resources(&transaction.open_table(RESOURCES_TABLE)?)?;
         let configuration = Configuration::from_resources_with_digest(head.version, resources, head.digest)?;
-        let deltas = read_log(&transaction.open_table(LOG)?)?;
+        let deltas = read_log(&transaction.open_table(LOG_TABLE)?)?;
         Ok(Some(Publisher::restore(configuration, deltas, limits)?))
     }
 
-    fn write_delta(&self, delta: &Delta, oldest_base: Version) -> Result<(), StoreFailure> {
+    fn write_delta(&self, delta: &Delta, oldest_base: Version) -> Result<(), StoreErrorCause> {
         let transaction = self.database.begin_write()?;
         {
-            let mut resources = transaction.open_table(RESOURCES)?;
+            let mut resources = transaction.open_table(RESOURCES_TABLE)?;
             for change in &delta.changes {
                 match change {
                     Change::Put(resource) => put_resource(&mut resources, resource)?,
                     Change::Remove(key) => {
-                        resources.remove(key_bytes(key)?.as_slice())?;
+                        resources.remove(serialize_key(key)?.as_slice())?;
                     }
                 }
             }
-            let mut log = transaction.open_table(LOG)?;
-            log.insert(delta.version.number, row(&serde_json::to_vec(delta)?))?;
+            let mut log = transaction.open_table(LOG_TABLE)?;
+            log.insert(delta.version.number, checksummed_row(&serde_json::to_vec(delta)?))?;
             log.retain_in(..=oldest_base.number, |_, _| false)?;
-            let head = Head { layout: LAYOUT, version: delta.version, digest: delta.digest };
-            transaction.open_table(HEAD)?.insert(HEAD_KEY, row(&serde_json::to_vec(&head)?))?;
+            let head = Head { layout: LAYOUT_VERSION, version: delta.version, digest: delta.digest };
+            transaction
+                .open_table(HEAD_TABLE)?
+                .insert(HEAD_KEY, checksummed_row(&serde_json::to_vec(&head)?))?;
         }
         transaction.commit()?;
         Ok(())
     }
 
-    fn write_configuration(&self, configuration: &Configuration) -> Result<(), StoreFailure> {
+    fn write_configuration(&self, configuration: &Configuration) -> Result<(), StoreErrorCause> {
         let transaction = self.database.begin_write()?;
-        transaction.delete_table(RESOURCES)?;
-        transaction.delete_table(LOG)?;
+        transaction.delete_table(RESOURCES_TABLE)?;
+        transaction.delete_table(LOG_TABLE)?;
         {
-            let mut resources = transaction.open_table(RESOURCES)?;
+            let mut resources = transaction.open_table(RESOURCES_TABLE)?;
             for resource in configuration.resources() {
                 put_resource(&mut resources, &resource)?;
             }
-            transaction.open_table(LOG)?;
-            let head =
-                Head { layout: LAYOUT, version: configuration.version(), digest: configuration.digest() };
-            transaction.open_table(HEAD)?.insert(HEAD_KEY, row(&serde_json::to_vec(&head)?))?;
+            transaction.open_table(LOG_TABLE)?;
+            let head = Head {
+                layout: LAYOUT_VERSION,
+                version: configuration.version(),
+                digest: configuration.digest(),
+            };
+            transaction
+                .open_table(HEAD_TABLE)?
+                .insert(HEAD_KEY, checksummed_row(&serde_json::to_vec(&head)?))?;
         }
         transaction.commit()?;
         Ok(())
     }
 }
 
-/// The term of a publisher whose state is created now: the wall clock's milliseconds, so that it is above every
-/// term that was begun this way before. A clock that was set back can make it lower; the calls of subscribers
-/// then show it, and `--term` sets a higher one.
+/// Returns the term for a publisher whose state is created now: the milliseconds of the wall clock, so that
+/// it is higher than every term that was created in this way before. If the clock was set back, the term can
+/// be lower. The publisher then learns of the higher term from its subscribers and halts, and `--term` sets a
+/// higher one.
 pub fn term_from_wall_clock() -> Term {
     let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
     let milliseconds = since_epoch.map_or(1, |span| span.as_millis().max(1));
@@ -252,7 +260,7 @@
 fn open_error(path: PathBuf, error: DatabaseError) -> StoreError {
     match error {
         DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path },
-        // A file that cannot be opened or made is not a damaged one.
+        // An I/O error on opening or creating the file does not mean that the file is damaged.
         DatabaseError::Storage(StorageError::Io(error))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
@@ -262,32 +270,32 @@
     }
 }
 
-fn row(json: &[u8]) -> (u32, &[u8]) {
+fn checksummed_row(json: &[u8]) -> (u32, &[u8]) {
     (crc32fast::hash(json), json)
 }
 
-fn read_row<T: DeserializeOwned>((checksum, json): (u32, &[u8])) -> Result<T, StoreFailure> {
+fn read_row<T: DeserializeOwned>((checksum, json): (u32, &[u8])) -> Result<T, StoreErrorCause> {
     if crc32fast::hash(json) != checksum {
-        return Err(StoreFailure::Checksum);
+        return Err(StoreErrorCause::Checksum);
     }
     Ok(serde_json::from_slice(json)?)
 }
 
-fn key_bytes(key: &ResourceKey) -> Result<Vec<u8>, StoreFailure> {
+fn serialize_key(key: &ResourceKey) -> Result<Vec<u8>, StoreErrorCause> {
     Ok(serde_json::to_vec(key)?)
 }
 
-fn put_resource(table: &mut redb::Table<'_, &[u8], Row>, resource: &Resource) -> Result<(), StoreFailure> {
-    let key = key_bytes(&resource.key())?;
+fn put_resource(table: &mut redb::Table<'_, &[u8], Row>, resource: &Resource) -> Result<(), StoreErrorCause> {
+    let key = serialize_key(&resource.key())?;
     let json = serde_json::to_vec(resource)?;
-    table.insert(key.as_slice(), row(&json))?;
+    table.insert(key.as_slice(), checksummed_row(&json))?;
     Ok(())
 }
 
-fn read_resources(table: &impl ReadableTable<&'static [u8], Row>) -> Result<Vec<Resource>, StoreFailure> {
+fn read_resources(table: &impl ReadableTable<&'static [u8], Row>) -> Result<Vec<Resource>, StoreErrorCause> {
     table.iter()?.map(|entry| read_row(entry?.1.value())).collect()
 }
 
-fn read_log(table: &impl ReadableTable<u64, Row>) -> Result<Vec<Delta>, StoreFailure> {
+fn read_log(table: &impl ReadableTable<u64, Row>) -> Result<Vec<Delta>, StoreErrorCause> {
     table.iter()?.map(|entry| read_row(entry?.1.value())).collect()
 }
--- a/crates/publisher/src/watch.rs
+++ b/crates/publisher/src/watch.rs
@@ -1,4 +1,5 @@
-//! A watch: the endless response to a subscriber, its backlog, heartbeats, slow readers.
+//! A watch: the endless response to one subscriber, with its backlog, its heartbeats and the check for slow
+//! readers.
 
 use std::collections::VecDeque;
 use violetseam_distribution::Micros;
@@ -7,50 +8,52 @@
 use violetseam_event_io::Socket;
 use violetseam_http1::server::ServerConnection;
 
-/// Bytes that are copied for the socket ahead of what it accepts, up to twice as many; the backlog beyond them
-/// is shared among all watches.
+/// Lines are copied to the socket's write buffer while it has fewer bytes than this, in pieces of at most
+/// this many; so it never has more than twice as many. The lines in the backlog are not copied but shared by
+/// all watches.
 const WRITE_AHEAD_BYTES: usize = 32 * 1024;
-/// Bytes that one watch writes before others have their turn.
-const MAX_TURN_BYTES: usize = 1 << 20;
+/// A watch that has written this many bytes in one turn lets other connections write first.
+const MAX_BYTES_PER_TURN: usize = 1 << 20;
 
 /// An open watch.
 pub(crate) struct Watch {
     subscriber: String,
-    /// Lines that are not handed to the socket yet, oldest first.
+    /// Lines that are not completely copied to the socket's write buffer yet, oldest first.
     backlog: VecDeque<Line>,
-    /// Bytes of the first of them that are handed over.
-    written_of_first: usize,
-    /// How many lines of the backlog belong to the response to the call.
+    /// The number of bytes of the first line that are already copied.
+    copied_of_first_line: usize,
+    /// How many lines of the backlog belong to the response to the watch request. They are ahead of all
+    /// others.
     response_lines: usize,
-    /// Bytes of the other lines: what was published since.
+    /// The number of bytes of the other lines, which were published after the watch request.
     unread_bytes: usize,
-    /// Since when the socket has had unwritten bytes without a break.
+    /// Since when the socket has always had unwritten bytes; none if it has none now.
     behind_since: Option<Micros>,
-    sent_at: Micros,
+    last_sent_at: Micros,
 }
 
-/// What a periodic check of a watch found.
+/// The result of the periodic check of a watch.
 pub(crate) enum WatchCheck {
-    /// Its subscriber has not caught up in time: the watch is to be closed.
+    /// The subscriber has not caught up in time, so the watch must be closed.
     TooSlow,
-    /// A heartbeat is to be sent.
+    /// A heartbeat must be sent now.
     HeartbeatDue,
-    /// Nothing to do until this time.
+    /// Nothing needs to be done until this time.
     CheckAt(Micros),
 }
 
 impl Watch {
-    /// A watch that begins with the lines of the response to its call.
+    /// Creates a watch that first sends the lines of the response to the watch request.
     pub(crate) fn new(now: Micros, subscriber: String, response: Vec<Line>) -> Watch {
         let response_lines = response.len();
         Watch {
             subscriber,
             backlog: response.into(),
-            written_of_first: 0,
+            copied_of_first_line: 0,
             response_lines,
             unread_bytes: 0,
             behind_since: None,
-            sent_at: now,
+            last_sent_at: now,
         }
     }
 
@@ -58,7 +61,8 @@
         &self.subscriber
     }
 
-    /// Bytes published since the call that are not handed to the socket yet.
+    /// The number of bytes that were published after the watch request and are not copied to the socket's
+    /// write buffer yet. A line counts until it is copied completely.
     pub(crate) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
@@ -73,14 +77,14 @@
         if self.behind_since.is_some_and(|since| now >= since + catch_up) {
             return WatchCheck::TooSlow;
         }
-        let heartbeat_at = self.sent_at + HEARTBEAT_INTERVAL;
+        let heartbeat_at = self.last_sent_at + HEARTBEAT_INTERVAL;
         if now >= heartbeat_at && self.backlog.is_empty() {
             return WatchCheck::HeartbeatDue;
         }
         WatchCheck::CheckAt(heartbeat_at.max(now + 1))
     }
 
-    /// Hands lines to the socket as long as it accepts them, at most for one turn.
+    /// Writes lines to the socket until it accepts no more bytes, the backlog is empty or the turn is over.
     pub(crate) fn write(
         &mut self,
         now: Micros,
@@ -89,8 +93,8 @@
     ) -> std::io::Result<()> {
         let mut written = 0;
         loop {
-            self.write_ahead(http, socket);
-            if written >= MAX_TURN_BYTES {
+            self.fill_write_buffer(http, socket);
+            if written >= MAX_BYTES_PER_TURN {
                 break;
             }
             written += socket.flush()?;
@@ -99,31 +103,32 @@
             }
         }
         if written > 0 {
-            self.sent_at = now;
+            self.last_sent_at = now;
         }
         self.behind_since = socket.has_unwritten_bytes().then(|| self.behind_since.unwrap_or(now));
         Ok(())
     }
 
-    /// Copies pieces of lines, so that a long line takes no more room in each watch than a short one.
-    fn write_ahead(&mut self, http: &mut ServerConnection, socket: &mut Socket) {
+    /// Copies lines to the socket's write buffer, a long line in pieces. So a long line takes no more memory
+    /// per watch than a short one.
+    fn fill_write_buffer(&mut self, http: &mut ServerConnection, socket: &mut Socket) {
         while socket.unwritten_bytes() < WRITE_AHEAD_BYTES {
             let Some(line) = self.backlog.front() else { return };
-            let end = line.len().min(self.written_of_first + WRITE_AHEAD_BYTES);
-            http.write_body(socket.write_buffer(), &line[self.written_of_first..end]);
-            self.written_of_first = end;
+            let end = line.len().min(self.copied_of_first_line + WRITE_AHEAD_BYTES);
+            http.write_body(socket.write_buffer(), &line[self.copied_of_first_line..end]);
+            self.copied_of_first_line = end;
             if end == line.len() {
-                self.pop();
+                self.remove_first_line();
             }
         }
     }
 
-    /// Removes the first line, which is handed over completely.
-    fn pop(&mut self) {
-        self.written_of_first = 0;
+    /// Removes the first line, which is copied completely.
+    fn remove_first_line(&mut self) {
+        self.copied_of_first_line = 0;
         let Some(line) = self.backlog.pop_front() else { return };
         match self.response_lines.checked_sub(1) {
-            Some(left) => self.response_lines = left,
+            Some(remaining) => self.response_lines = remaining,
             None => self.unread_bytes -= line.len(),
         }
     }
