--- a/crates/operator-store/src/database.rs
+++ b/crates/operator-store/src/database.rs
@@ -1,4 +1,4 @@
-//! The tables of a state file: what is stored under which key, and the transactions that read and write it.
+//! The tables of a state file, their keys, and the transactions that read and write them.
 
 use crate::error::DatabaseError;
 use redb::{
@@ -14,31 +14,32 @@
 const PERSISTED_STATE_KEY: &str = "durable";
 
 const AUDIT_TABLE: TableDefinition<'_, u64, &str> = TableDefinition::new("audit");
-/// The number of audit lines that are kept; each further one removes the oldest.
+/// The maximum number of audit lines. Each further line removes the oldest one.
 const MAX_AUDIT_LINES: u64 = 100_000;
 
 /// The contents of the state table.
 #[derive(Debug, Default)]
 pub(crate) struct StoredState {
-    /// The number of the latest start; 0 in a new file.
+    /// The boot number, which is the number of the daemon's latest start; 0 in a new file.
     pub(crate) boot: u64,
-    /// What the command log of that start last stored.
+    /// The state that the command log stored last.
     pub(crate) state: PersistedState,
 }
 
-/// What one transaction writes.
+/// The values that one transaction writes.
 pub(crate) struct Update<'a> {
-    /// The boot number, if it changes.
+    /// The new boot number, if it changes.
     pub(crate) boot: Option<u64>,
-    /// The state of the command log.
+    /// The new state of the command log.
     pub(crate) state: &'a PersistedState,
-    /// A line to append to the audit log.
+    /// A line to append to the audit log, if any.
     pub(crate) audit_line: Option<&'a str>,
 }
 
+/// Reads the boot number and the state; both have their defaults if the file has none.
 pub(crate) fn read_state(database: &Database) -> Result<StoredState, DatabaseError> {
     let transaction = database.begin_read()?;
-    let Some(table) = open_existing(&transaction, STATE_TABLE)? else {
+    let Some(table) = open_table_if_exists(&transaction, STATE_TABLE)? else {
         return Ok(StoredState::default());
     };
     let boot = read_json(&table, BOOT_KEY)?.unwrap_or_default();
@@ -46,7 +47,7 @@
     Ok(StoredState { boot, state })
 }
 
-/// Writes an update in one transaction; it would survive a crash once this returns.
+/// Writes an update in one transaction. The update is durable once this returns.
 pub(crate) fn write_update(database: &Database, update: &Update<'_>) -> Result<(), DatabaseError> {
     let transaction = database.begin_write()?;
     {
@@ -63,10 +64,10 @@
     Ok(())
 }
 
-/// The audit log, oldest line first.
+/// Reads the audit log, oldest line first.
 pub(crate) fn read_audit_lines(database: &Database) -> Result<Vec<String>, DatabaseError> {
     let transaction = database.begin_read()?;
-    let Some(table) = open_existing(&transaction, AUDIT_TABLE)? else {
+    let Some(table) = open_table_if_exists(&transaction, AUDIT_TABLE)? else {
         return Ok(Vec::new());
     };
     let mut lines = Vec::new();
@@ -79,16 +80,16 @@
 
 fn append_audit_line(transaction: &WriteTransaction, line: &str) -> Result<(), DatabaseError> {
     let mut table = transaction.open_table(AUDIT_TABLE)?;
-    let number = table.last()?.map_or(1, |(last, _)| last.value() + 1);
-    table.insert(number, line)?;
-    if number > MAX_AUDIT_LINES {
-        table.remove(number - MAX_AUDIT_LINES)?;
+    let line_number = table.last()?.map_or(1, |(last, _)| last.value() + 1);
+    table.insert(line_number, line)?;
+    if line_number > MAX_AUDIT_LINES {
+        table.remove(line_number - MAX_AUDIT_LINES)?;
     }
     Ok(())
 }
 
-/// Opens a table to read; none if nothing was written to it yet.
-fn open_existing<K: Key + 'static, V: Value + 'static>(
+/// Opens a table for reading. Returns none if nothing was written to it yet.
+fn open_table_if_exists<K: Key + 'static, V: Value + 'static>(
     transaction: &ReadTransaction,
     definition: TableDefinition<'_, K, V>,
 ) -> Result<Option<ReadOnlyTable<K, V>>, DatabaseError> {
--- a/crates/operator-store/src/error.rs
+++ b/crates/operator-store/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a store cannot be opened, read or written.
+//! The errors on opening, reading and writing a store.
 
 use std::path::PathBuf;
 
 /// Why a store was not opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has the file open: two daemons with one identity.
+    /// Another process has the file open, so a second daemon was started with the same identity.
     #[error("{}: another daemon runs under this identity", path.display())]
     InUse {
         /// The state file.
@@ -19,7 +19,8 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The state file cannot be used, and is not known to be damaged.
+    /// The state file cannot be used, for a reason that is not damage or that remains after a damaged file
+    /// was replaced.
     #[error("{}: {source}", path.display())]
     Unusable {
         /// The state file.
@@ -32,19 +33,19 @@
 /// Why an operation on the database failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DatabaseError {
-    /// An earlier failure closed the file, and it was not opened again.
+    /// The file was closed after an earlier write failed, and is not open again yet.
     #[error("the state file is not open")]
     NotOpen,
-    /// The database library panicked on what the file contains.
-    #[error("an assertion of the store failed")]
+    /// The database library panicked while it opened or read the file.
+    #[error("the database library panicked while it opened or read the file")]
     Panicked,
-    /// The database library panicked as it opened the file again after a failure.
+    /// The database library panicked while it opened the file again after a failed write.
     #[error("the state file is damaged")]
     PanickedOnReopen,
     /// The file cannot be opened or created.
     #[error(transparent)]
     Io(std::io::Error),
-    /// The file is not a sound database.
+    /// The file is not a valid database.
     #[error(transparent)]
     Open(#[from] redb::DatabaseError),
     /// A transaction cannot begin.
--- a/crates/operator-store/src/lib.rs
+++ b/crates/operator-store/src/lib.rs
@@ -1,7 +1,8 @@
-//! The durable state of a daemon: boot number, operator state and audit log, one file for each identity.
+//! The durable state of a daemon: its boot number, the state of its operator commands and its audit log. Each
+//! identity has one file.
 //!
-//! The file is a `redb` database: its transactions survive a kill at any byte, and its lock keeps a second
-//! process with the same identity out.
+//! The file is a `redb` database. Its transactions are atomic even if the process is killed at any byte of a
+//! write, and its lock prevents a second process from using the same identity.
 
 mod database;
 mod error;
--- a/crates/operator-store/src/store.rs
+++ b/crates/operator-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store of one identity: opening it, moving a damaged file aside, and writing state.
+//! The store of one identity: it opens the file, moves a damaged file aside, and writes the state.
 
 use crate::database::{StoredState, Update, read_audit_lines, read_state, write_update};
 use crate::error::{DatabaseError, StoreError};
@@ -11,16 +11,17 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A store that was just opened, and what it held.
+/// A store that was just opened, and its contents.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// The store; dropping it releases the identity.
+    /// The store. Dropping it allows another process to use the identity.
     pub store: Store,
-    /// The number of this start.
+    /// The boot number, which is the number of this start.
     pub boot: u64,
     /// The state that the previous process stored.
     pub state: PersistedState,
-    /// Where a damaged file was moved. Its contents are unknown, and `state` is a safe assumption.
+    /// The path to which a damaged file was moved, if the file was damaged. `state` is then a safe
+    /// assumption, because the stored one is unknown.
     pub moved_aside: Option<PathBuf>,
 }
 
@@ -28,12 +29,13 @@
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
-    /// None after a failed write: the next write opens the file again. `redb` accepts no writes after one
-    /// that failed, but a full disk may have room again.
+    /// None after a failed write; the next write then opens the file again. The file must be opened again
+    /// because `redb` accepts no writes after a failed one, but a later write may succeed, for example once a
+    /// full disk has free space.
     database: Option<Database>,
 }
 
-/// Why one attempt to open the file failed, by what can be done about it.
+/// Why one attempt to open the file failed. Only a damaged file is moved aside and replaced.
 enum OpenFailure {
     InUse,
     Unusable(DatabaseError),
@@ -55,7 +57,7 @@
     fn from(error: redb::DatabaseError) -> Self {
         match error {
             redb::DatabaseError::DatabaseAlreadyOpen => OpenFailure::InUse,
-            // A file that cannot be opened or created is not a damaged one.
+            // An I/O error on opening or creating the file does not mean that the file is damaged.
             redb::DatabaseError::Storage(redb::StorageError::Io(error)) if !is_damage(error.kind()) => {
                 OpenFailure::Unusable(DatabaseError::Io(error))
             }
@@ -64,13 +66,14 @@
     }
 }
 
+/// Whether an I/O error of this kind means that the file is damaged.
 fn is_damage(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
 }
 
 impl Store {
-    /// Opens the store of a position in a folder and counts this start. `now_us` is the wall clock. A damaged
-    /// file is moved aside and replaced.
+    /// Opens the store of the daemon with this fleet position, and counts this start. A damaged file is moved
+    /// aside and replaced by a new one. `now_us` is the time on the wall clock, in microseconds.
     ///
     /// # Errors
     /// If another process has the store open, or the folder or the file cannot be used.
@@ -83,38 +86,42 @@
             Err(OpenFailure::Damaged(damage)) => damage,
             Err(failure) => return Err(failure.into_error(path)),
         };
-        let aside = folder.join(format!("daemon-{position}.damaged-{now_us}"));
-        std::fs::rename(&path, &aside).map_err(folder_error)?;
-        tracing::error!(moved_to = %aside.display(), "the state file is damaged: {damage}");
-        Store::replace_damaged(path, aside, now_us)
+        let moved_to = folder.join(format!("daemon-{position}.damaged-{now_us}"));
+        std::fs::rename(&path, &moved_to).map_err(folder_error)?;
+        tracing::error!(
+            moved_to = %moved_to.display(),
+            "the state file is damaged and was moved aside: {damage}"
+        );
+        Store::replace_damaged(path, moved_to, now_us)
     }
 
-    /// Starts a new file in place of a damaged one.
-    fn replace_damaged(path: PathBuf, aside: PathBuf, now_us: u64) -> Result<OpenedStore, StoreError> {
+    /// Creates a new file in place of a damaged one, which was moved to `moved_to`.
+    fn replace_damaged(path: PathBuf, moved_to: PathBuf, now_us: u64) -> Result<OpenedStore, StoreError> {
         let store = match Store::open_file(&path) {
             Ok(opened) => opened.store,
             Err(failure) => return Err(failure.into_error(path)),
         };
-        // The boot number must not repeat one that commands were fenced with, so the clock gives it.
+        // The new boot number must differ from all earlier ones, which commands may still name as their
+        // fence. The earlier ones are unknown, so the wall clock's seconds are used.
         let boot = now_us / MICROS_PER_SECOND;
         let state = PersistedState::paused_after_damage(now_us);
         let update = Update { boot: Some(boot), state: &state, audit_line: None };
         store.write_update(&update).map_err(|source| StoreError::Unusable { path, source })?;
-        Ok(OpenedStore { store, boot, state, moved_aside: Some(aside) })
+        Ok(OpenedStore { store, boot, state, moved_aside: Some(moved_to) })
     }
 
     /// Opens or creates the file and counts this start.
     fn open_file(path: &Path) -> Result<OpenedStore, OpenFailure> {
-        // The library may panic on a damaged file.
-        let read = catch_unwind(AssertUnwindSafe(|| Store::read_file(path)));
-        let mut opened = read.unwrap_or(Err(OpenFailure::Damaged(DatabaseError::Panicked)))?;
+        // The database library may panic on a damaged file.
+        let read_result = catch_unwind(AssertUnwindSafe(|| Store::read_file(path)));
+        let mut opened = read_result.unwrap_or(Err(OpenFailure::Damaged(DatabaseError::Panicked)))?;
         opened.boot += 1;
         let update = Update { boot: Some(opened.boot), state: &opened.state, audit_line: None };
         opened.store.write_update(&update).map_err(OpenFailure::Unusable)?;
         Ok(opened)
     }
 
-    /// Opens or creates the file and reads it; the boot number is the one of the last start.
+    /// Opens or creates the file and reads it. The boot number is that of the previous start.
     fn read_file(path: &Path) -> Result<OpenedStore, OpenFailure> {
         let database = Database::create(path)?;
         let StoredState { boot, state } = read_state(&database).map_err(OpenFailure::Damaged)?;
@@ -132,14 +139,14 @@
 
     /// Opens the file again after a failed write.
     fn reopen(&mut self) -> Result<(), DatabaseError> {
-        // The library may panic on what the failure left behind.
-        let opened = catch_unwind(AssertUnwindSafe(|| Database::create(&self.path)));
-        let database = opened.map_err(|_| DatabaseError::PanickedOnReopen)??;
+        // The database library may panic on the file that the failed write has left.
+        let open_result = catch_unwind(AssertUnwindSafe(|| Database::create(&self.path)));
+        let database = open_result.map_err(|_| DatabaseError::PanickedOnReopen)??;
         self.database = Some(database);
         Ok(())
     }
 
-    /// The audit log, oldest line first.
+    /// Returns the audit log, oldest line first.
     ///
     /// # Errors
     /// If the file is not open or cannot be read.
@@ -154,10 +161,10 @@
             self.reopen()?;
         }
         let update = Update { boot: None, state, audit_line: Some(audit_line) };
-        let written = self.write_update(&update);
-        if written.is_err() {
+        let write_result = self.write_update(&update);
+        if write_result.is_err() {
             self.database = None;
         }
-        written.map_err(StateWriterError::from)
+        write_result.map_err(StateWriterError::from)
     }
 }
