--- a/crates/tls-config/src/error.rs
+++ b/crates/tls-config/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a side's key files cannot be used.
+//! The errors on reading and checking the key files of a daemon or an operator.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-const MINUTE_S: i64 = 60;
-const HOUR_S: i64 = 3_600;
-const DAY_S: i64 = 86_400;
+const SECONDS_PER_MINUTE: i64 = 60;
+const SECONDS_PER_HOUR: i64 = 3_600;
+const SECONDS_PER_DAY: i64 = 86_400;
 
-/// Why a key file cannot be used. Each text starts with the file.
+/// Why a key file cannot be used. Each message starts with the path of the file.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
@@ -18,7 +18,7 @@
         /// The file system's error.
         source: std::io::Error,
     },
-    /// A private key that others than its owner may read or write.
+    /// The permissions of a private key allow access to others than its owner.
     #[error("{}: has mode {mode:04o}; a private key is its owner's alone: chmod 600", path.display())]
     PermissionsTooOpen {
         /// The file.
@@ -26,25 +26,25 @@
         /// Its permission bits.
         mode: u32,
     },
-    /// The file holds nothing of the kind that is expected.
+    /// The file has no item of the expected kind.
     #[error("{}: holds no {kind} in PEM form", path.display())]
     Empty {
         /// The file.
         path: PathBuf,
-        /// What it should hold.
+        /// What the file should contain.
         kind: PemKind,
     },
-    /// An item of the file cannot be decoded as PEM.
+    /// An item of the file is not valid PEM.
     #[error("{}: no {kind}: {source}", path.display())]
     InvalidPem {
         /// The file.
         path: PathBuf,
-        /// What it should hold.
+        /// What the file should contain.
         kind: PemKind,
         /// What is wrong with the item.
         source: rustls::pki_types::pem::Error,
     },
-    /// A certificate cannot be decoded.
+    /// The file has a certificate that cannot be decoded.
     #[error("{}: no certificate: {source}", path.display())]
     InvalidCertificate {
         /// The file.
@@ -52,23 +52,23 @@
         /// What is wrong with the certificate.
         source: x509_parser::nom::Err<x509_parser::error::X509Error>,
     },
-    /// An authority's certificate cannot be used as a trust anchor.
+    /// A certificate of an authority cannot be used as a trust anchor.
     #[error("{}: not usable: {source}", path.display())]
     UnusableAuthority {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// Why the certificate cannot be used.
         source: rustls::Error,
     },
-    /// The authorities and revocation lists cannot be used to verify the other side.
+    /// The certificates of the authorities, or the revocation lists, cannot be used to verify the other side.
     #[error("{}: not usable: {source}", path.display())]
     UnusableVerifier {
         /// The file of the authorities.
         path: PathBuf,
-        /// Why not.
+        /// Why they cannot be used.
         source: rustls::server::VerifierBuilderError,
     },
-    /// The cryptographic provider has no TLS 1.3.
+    /// The cryptographic provider does not support TLS 1.3.
     #[error("{}: {source}", path.display())]
     UnsupportedProtocol {
         /// The file of the certificate that the settings are for.
@@ -81,7 +81,7 @@
     Expired {
         /// The file.
         path: PathBuf,
-        /// How long ago, in seconds.
+        /// How long ago the certificate expired, in seconds.
         seconds_ago: i64,
     },
     /// A certificate is not valid yet.
@@ -93,20 +93,20 @@
     NotYetValid {
         /// The file.
         path: PathBuf,
-        /// When it will be, in seconds from now.
+        /// The time until the certificate becomes valid, in seconds.
         seconds_left: i64,
     },
-    /// The private key is another certificate's, or of a kind that cannot be used.
+    /// The private key belongs to another certificate, or is of an unsupported kind.
     #[error("{}: the key does not fit the certificate: {source}", path.display())]
     KeyMismatch {
         /// The file of the key.
         path: PathBuf,
-        /// What was found.
+        /// What is wrong with the key.
         source: rustls::Error,
     },
 }
 
-/// What a PEM file is expected to hold.
+/// The kind of items that a PEM file is expected to contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PemKind {
     /// One or more certificates.
@@ -121,20 +121,20 @@
 }
 
 impl KeyFileError {
-    /// Builds the error of a file that cannot be read.
+    /// Returns a function that builds the error for a file that cannot be read.
     pub(crate) fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> KeyFileError {
         move |source| KeyFileError::Unreadable { path: path.to_owned(), source }
     }
 }
 
-/// A duration in the largest unit of which it has at least two.
+/// Formats a duration in the largest unit of which it has at least two.
 fn describe_duration(seconds: i64) -> String {
-    if seconds >= 2 * DAY_S {
-        format!("{} days", seconds / DAY_S)
-    } else if seconds >= 2 * HOUR_S {
-        format!("{} hours", seconds / HOUR_S)
-    } else if seconds >= 2 * MINUTE_S {
-        format!("{} minutes", seconds / MINUTE_S)
+    if seconds >= 2 * SECONDS_PER_DAY {
+        format!("{} days", seconds / SECONDS_PER_DAY)
+    } else if seconds >= 2 * SECONDS_PER_HOUR {
+        format!("{} hours", seconds / SECONDS_PER_HOUR)
+    } else if seconds >= 2 * SECONDS_PER_MINUTE {
+        format!("{} minutes", seconds / SECONDS_PER_MINUTE)
     } else {
         format!("{seconds} seconds")
     }
--- a/crates/tls-config/src/files.rs
+++ b/crates/tls-config/src/files.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the key files of one side.
+//! Reads and checks the key files of a daemon or an operator.
 
 use crate::error::{KeyFileError, PemKind};
 use rustls::RootCertStore;
@@ -8,32 +8,33 @@
 use std::path::{Path, PathBuf};
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// The permission bits of a file, without those of its type.
+/// The read, write and execute bits of a file mode.
 const PERMISSION_BITS: u32 = 0o777;
-/// The permission bits of the group and of everybody else.
-const GROUP_AND_OTHERS: u32 = 0o077;
+/// The permission bits of the file's group and of all other users.
+const GROUP_AND_OTHERS_BITS: u32 = 0o077;
 
-/// The files of one side.
+/// The key files of one side, which is a daemon or an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Its certificate, followed by the intermediate ones, if any.
+    /// The side's certificate, followed by the intermediate certificates, if any.
     pub cert: PathBuf,
-    /// The certificate's private key; only its owner may read it.
+    /// The private key of the certificate. Only the file's owner may have access to it.
     pub key: PathBuf,
-    /// The authorities that the other side's certificate may come from.
+    /// The certificates of the authorities that may have issued the other side's certificate.
     pub trusted: PathBuf,
-    /// Lists of revoked certificates.
+    /// The certificate revocation lists, if there are any.
     pub revoked: Option<PathBuf>,
 }
 
-/// What the files of one side hold.
+/// The contents of the key files of one side.
 pub(crate) struct Credentials {
-    /// The certificate and the intermediate ones.
+    /// The side's certificate, followed by the intermediate certificates.
     pub chain: Vec<CertificateDer<'static>>,
+    /// The private key of the certificate.
     pub key: PrivateKeyDer<'static>,
     /// The trusted authorities.
     pub roots: RootCertStore,
-    /// When the first certificate of the chain expires, in seconds since 1970.
+    /// The earliest expiry of all certificates in the chain, in seconds since 1970.
     pub expires_at_s: i64,
 }
 
@@ -50,7 +51,7 @@
         Ok(Credentials { chain, key, roots, expires_at_s })
     }
 
-    /// Reads the lists of revoked certificates; none if no file is given.
+    /// Reads the certificate revocation lists. Returns an empty list if no file is given.
     pub(crate) fn load_revocation_lists(
         &self,
     ) -> Result<Vec<CertificateRevocationListDer<'static>>, KeyFileError> {
@@ -75,7 +76,8 @@
     })
 }
 
-/// Reads the authorities. One of them may be out of date, as a change of authorities has both for a while, but not all.
+/// Reads the certificates of the authorities. Some of them may be expired or not valid yet, but not all:
+/// while one authority replaces another, the file has the certificates of both.
 fn read_authorities(path: &Path, now_s: i64) -> Result<RootCertStore, KeyFileError> {
     let authorities = read_certificates(path)?;
     let mut first_error = None;
@@ -98,7 +100,7 @@
     Ok(roots)
 }
 
-/// All items of one kind in a PEM file, at least one.
+/// Reads all items of one kind from a PEM file, which must have at least one.
 fn read_pem_items<T: PemObject>(path: &Path, kind: PemKind) -> Result<Vec<T>, KeyFileError> {
     let bytes = read_file(path)?;
     let items = T::pem_slice_iter(&bytes)
@@ -114,17 +116,17 @@
     std::fs::read(path).map_err(KeyFileError::unreadable(path))
 }
 
-/// Checks that only its owner may read or write a file.
+/// Checks that only the owner of a file has access to it.
 fn check_permissions(path: &Path) -> Result<(), KeyFileError> {
     let metadata = std::fs::metadata(path).map_err(KeyFileError::unreadable(path))?;
     let mode = metadata.permissions().mode() & PERMISSION_BITS;
-    if mode & GROUP_AND_OTHERS != 0 {
+    if mode & GROUP_AND_OTHERS_BITS != 0 {
         return Err(KeyFileError::PermissionsTooOpen { path: path.to_owned(), mode });
     }
     Ok(())
 }
 
-/// Checks that a certificate is valid now: when it expires, in seconds since 1970.
+/// Checks that a certificate is valid now. Returns when it expires, in seconds since 1970.
 fn check_validity(path: &Path, cert: &CertificateDer<'_>, now_s: i64) -> Result<i64, KeyFileError> {
     let (_, cert) = X509Certificate::from_der(cert)
         .map_err(|source| KeyFileError::InvalidCertificate { path: path.to_owned(), source })?;
--- a/crates/tls-config/src/lib.rs
+++ b/crates/tls-config/src/lib.rs
@@ -1,12 +1,14 @@
-//! TLS settings of daemons and operators from their certificates and private keys. The files are read and checked before
-//! anything is bound, and the settings are TLS 1.3 with mutual authentication only.
+//! Builds the TLS settings of daemons and operators from their certificates and private keys. The files are
+//! read and checked before the daemon listens on any address. The settings allow only TLS 1.3 with mutual
+//! authentication.
 //!
-//! Both sides have three files in PEM form: their certificate (with its chain), its private key, and the certificates of
-//! the authorities that they trust. An error names the file and what is wrong with it, as TLS itself tells an operator no
-//! more than that a handshake failed.
+//! Each side has three files in PEM form: its certificate (with its chain), the private key of the
+//! certificate, and the certificates of the authorities that it trusts. An error names the file and what is
+//! wrong with it, because TLS itself only tells an operator that a handshake failed.
 //!
-//! `rustls` with `ring`: no C library to keep up to date, and a state machine without I/O, which is what the event loop
-//! needs. `x509-parser` reads the dates and names that `rustls` does not expose.
+//! The package uses `rustls` with `ring`, because there is no C library to keep up to date, and because
+//! `rustls` is a state machine without I/O, which the event loop needs. `x509-parser` reads the dates and
+//! names that `rustls` does not expose.
 
 mod error;
 mod files;
@@ -24,57 +26,60 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// Seconds before a certificate expires from which on this is worth a warning: two weeks.
+/// The daemon and the operator's tool warn if a certificate expires within this many seconds: two weeks.
 pub const EXPIRY_WARNING_S: i64 = 14 * 86_400;
-/// Characters of a holder's name that are kept.
+/// The maximum length of a holder's name, in characters. Longer names are cut.
 const MAX_HOLDER_CHARS: usize = 128;
 
-/// TLS settings made from one side's files.
+/// The TLS settings of one side, built from its key files.
 #[derive(Clone, Debug)]
 pub struct TlsSettings<T> {
-    /// The settings.
+    /// The settings for `rustls`.
     pub config: Arc<T>,
-    /// When the first certificate of the side's own chain expires, in seconds since 1970.
+    /// The earliest expiry of all certificates in the side's own chain, in seconds since 1970.
     pub expires_at_s: i64,
 }
 
-/// A daemon's settings: a client without a certificate of a trusted authority is rejected. `now_s` is the time in seconds
-/// since 1970.
+/// Builds the settings of a daemon. They reject a client without a certificate from a trusted authority.
+/// `now_s` is the current time, in seconds since 1970.
 ///
 /// # Errors
 ///
-/// The first file that cannot be read, is out of date, or does not fit the others.
+/// Returns an error for the first file that cannot be read, has expired or is not valid yet, or does not fit
+/// the other files.
 pub fn server_tls(files: &KeyFiles, now_s: i64) -> Result<TlsSettings<ServerConfig>, KeyFileError> {
     let Credentials { chain, key, roots, expires_at_s } = files.load(now_s)?;
-    let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
+    let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), crypto_provider())
         .with_crls(files.load_revocation_lists()?)
         .build()
         .map_err(|source| KeyFileError::UnusableVerifier { path: files.trusted.clone(), source })?;
-    let mut config = ServerConfig::builder_with_provider(provider())
+    let mut config = ServerConfig::builder_with_provider(crypto_provider())
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(|source| KeyFileError::UnsupportedProtocol { path: files.cert.clone(), source })?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, key)
         .map_err(|source| KeyFileError::KeyMismatch { path: files.key.clone(), source })?;
-    // A resumed session would skip the check of the certificate, which may have been revoked meanwhile.
+    // Session resumption is disabled, because a resumed session would skip the check of the client's
+    // certificate, which may have been revoked since.
     config.session_storage = Arc::new(NoServerSessionStorage {});
     config.send_tls13_tickets = 0;
     Ok(TlsSettings { config: Arc::new(config), expires_at_s })
 }
 
-/// An operator's settings: a daemon without a certificate of a trusted authority is rejected. `now_s` is the time in
-/// seconds since 1970.
+/// Builds the settings of an operator. They reject a daemon without a certificate from a trusted authority.
+/// `now_s` is the current time, in seconds since 1970.
 ///
 /// # Errors
 ///
-/// The first file that cannot be read, is out of date, or does not fit the others.
+/// Returns an error for the first file that cannot be read, has expired or is not valid yet, or does not fit
+/// the other files.
 pub fn client_tls(files: &KeyFiles, now_s: i64) -> Result<TlsSettings<ClientConfig>, KeyFileError> {
     let Credentials { chain, key, roots, expires_at_s } = files.load(now_s)?;
-    let verifier = WebPkiServerVerifier::builder_with_provider(Arc::new(roots), provider())
+    let verifier = WebPkiServerVerifier::builder_with_provider(Arc::new(roots), crypto_provider())
         .with_crls(files.load_revocation_lists()?)
         .build()
         .map_err(|source| KeyFileError::UnusableVerifier { path: files.trusted.clone(), source })?;
-    let mut config = ClientConfig::builder_with_provider(provider())
+    let mut config = ClientConfig::builder_with_provider(crypto_provider())
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(|source| KeyFileError::UnsupportedProtocol { path: files.cert.clone(), source })?
         .with_webpki_verifier(verifier)
@@ -84,7 +89,8 @@
     Ok(TlsSettings { config: Arc::new(config), expires_at_s })
 }
 
-/// The holder of a certificate: its common name, else its first alternative name, else its serial number.
+/// Returns the name of a certificate's holder: the common name if there is one, else the first alternative
+/// name, else the serial number.
 pub fn holder(cert: &CertificateDer<'_>) -> String {
     let Ok((_, cert)) = X509Certificate::from_der(cert) else { return "unreadable certificate".into() };
     let common_name = cert.subject().iter_common_name().find_map(|name| name.as_str().ok());
@@ -92,11 +98,12 @@
         Some(name) => name.to_owned(),
         None => format!("serial {}", cert.raw_serial_as_string()),
     };
-    // The name goes into logs and the audit log, and its authority may have made it of any length and characters.
+    // The name is written to logs and to the audit log, but the authority may have given it any length and
+    // any characters.
     name.chars().filter(|c| !c.is_control()).take(MAX_HOLDER_CHARS).collect()
 }
 
-/// The first alternative name that is a host, a mail address or a URI.
+/// Returns the first alternative name that is a host name, a mail address or a URI.
 fn alternative_name<'a>(cert: &X509Certificate<'a>) -> Option<&'a str> {
     let names = cert.subject_alternative_name().ok()??;
     names.value.general_names.iter().find_map(|name| match name {
@@ -105,6 +112,6 @@
     })
 }
 
-fn provider() -> Arc<CryptoProvider> {
+fn crypto_provider() -> Arc<CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
