--- a/crates/site-protocol/src/endpoint_list/local_copy.rs
+++ b/crates/site-protocol/src/endpoint_list/local_copy.rs
@@ -1,4 +1,4 @@
-//! A proxy's copy of the endpoint list.
+//! A proxy's local copy of the endpoint list.
 
 use super::MAX_SERVERS;
 use super::update::{Endpoint, EndpointState, ListUpdate, UpdateKind};
@@ -7,19 +7,19 @@
 use std::net::SocketAddr;
 use violetseam::interface::{ListKind, Micros, ServerEntry, ServerId, ServerStatus};
 
-/// Addresses of removed servers are forgotten at the next full list once there are more than this.
+/// Once the copy has more addresses than this, the next full list drops the addresses of removed servers.
 const MAX_REMEMBERED_ADDRESSES: usize = 2 * MAX_SERVERS;
 
-/// An applied update, in the form in which the decision module gets it.
+/// An update that was applied, in the form for the decision module.
 #[derive(Clone, Debug)]
 pub struct AppliedUpdate {
-    /// Whether the entries are all servers or those that changed.
+    /// Whether the entries are all servers, or only those that changed.
     pub kind: ListKind,
-    /// The servers.
+    /// The servers of the update.
     pub entries: Vec<ServerEntry>,
 }
 
-/// A proxy's copy of the endpoint list: its version, and the servers' addresses.
+/// A proxy's local copy of the endpoint list. It has the list's version and the addresses of the servers.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     version: Option<u64>,
@@ -27,22 +27,23 @@
 }
 
 impl EndpointList {
-    /// The version in force, to request the changes since.
+    /// The current version, from which the proxy requests changes. It is none if the full list is needed.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Where a server listens. Known also after its removal, as attempts may still be in flight.
+    /// Returns the address on which a server listens. The address of a removed server is still known, because
+    /// attempts to it may be in flight.
     pub fn address(&self, id: ServerId) -> Option<SocketAddr> {
         self.addresses.get(&id).copied()
     }
 
-    /// Applies an update that arrived at `now`. An error leaves the list as it was. A version that goes back
-    /// is an error: it comes from a discovery service that lost its state, and following it would bring back
-    /// servers that have drained since.
+    /// Applies an update that arrived at `now`. After an error the list is unchanged. An older version than
+    /// the current one is an error: it comes from a discovery service that has lost its state, and would
+    /// restore servers that have drained since.
     ///
     /// # Errors
-    /// [`MessageError`] if the update does not apply to the version in force.
+    /// [`MessageError`] if the update does not apply to the current version.
     pub fn apply(&mut self, now: Micros, update: &ListUpdate) -> Result<AppliedUpdate, MessageError> {
         self.check_version(update)?;
         let addresses = update.servers.iter().map(|endpoint| (endpoint.id, endpoint.addr));
@@ -69,14 +70,14 @@
         Ok(())
     }
 
-    /// Restores the list that was saved before a restart. The addresses are known again; the version is not,
-    /// so that the full list is requested.
+    /// Restores the list that was saved before a restart. Only the addresses are restored, not the version,
+    /// so that the proxy requests the full list.
     pub fn restore(&mut self, now: Micros, saved: &ListUpdate) -> Vec<ServerEntry> {
         self.addresses = saved.servers.iter().map(|endpoint| (endpoint.id, endpoint.addr)).collect();
         server_entries(now, &saved.servers)
     }
 
-    /// Forgets the version, so that the full list is requested next.
+    /// Clears the version, so that the proxy requests the full list next.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
@@ -99,6 +100,6 @@
         cell: endpoint.cell,
         status,
         size: endpoint.size,
-        started_at: endpoint.age_us.map_or(0, |age| now.saturating_sub(age).max(1)),
+        started_at: endpoint.age_us.map_or(0, |age_us| now.saturating_sub(age_us).max(1)),
     }
 }
--- a/crates/site-protocol/src/endpoint_list/mod.rs
+++ b/crates/site-protocol/src/endpoint_list/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: the messages that update it, and a proxy's copy of it.
+//! The endpoint list, which names the servers of a site: the messages that update it, and a proxy's local
+//! copy.
 
 mod local_copy;
 mod update;
--- a/crates/site-protocol/src/endpoint_list/update.rs
+++ b/crates/site-protocol/src/endpoint_list/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list: one JSON line each, with all servers or those that changed.
+//! Updates of the endpoint list. Each update is one JSON line with all servers, or with those that changed.
 
 use super::MAX_SERVERS;
 use crate::json::{from_json, to_json_line};
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use violetseam::interface::ServerId;
 
-/// Sizes from this on are rejected.
-const MAX_SIZE: f64 = 1e9;
+/// A server's size must be below this value.
+const SIZE_LIMIT: f64 = 1e9;
 
-/// Whether an update has all servers.
+/// Whether an update has all servers, or only those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpdateKind {
-    /// All servers.
+    /// The update has all servers.
     Full,
-    /// The servers that changed since the version `base`.
+    /// The update has the servers that changed since the version `base`.
     Delta,
 }
 
@@ -25,35 +25,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Accepts requests.
+    /// The server accepts requests.
     Ready,
-    /// Finishes its requests and accepts no new ones.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// Removed from the list; in deltas only.
+    /// The server is removed from the list. This state is allowed in deltas only.
     Gone,
 }
 
-/// One server.
+/// A server in an update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id, the same at every proxy and after a restart.
+    /// The server's id, which is the same at every proxy and after a restart.
     pub id: ServerId,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub addr: SocketAddr,
-    /// The build it runs.
+    /// The build that the server runs.
     pub build: u16,
-    /// Its state.
+    /// The server's state.
     pub state: EndpointState,
-    /// Its zone's number.
+    /// The number of the server's zone.
     #[serde(default)]
     pub zone: u16,
-    /// Its cell's number. The servers of a cell share which idempotency keys they have seen.
+    /// The number of the server's cell. The servers of one cell share the idempotency keys that they have
+    /// seen.
     #[serde(default)]
     pub cell: u16,
-    /// Its capacity in relation to the other servers, above 0.
+    /// The server's capacity in relation to the other servers; above 0.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// Microseconds from its latest start to when the update was written; none: it started long ago.
+    /// How long before the update was written the server last started, in microseconds. None means that it
+    /// started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub age_us: Option<u64>,
 }
@@ -65,14 +67,14 @@
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// Whether it has all servers.
+    /// Whether the update has all servers, or only those that changed.
     pub kind: UpdateKind,
-    /// The list's version after the update; never decreases.
+    /// The version of the list after the update. Versions never decrease.
     pub version: u64,
-    /// Of a delta: the version that it applies to.
+    /// The version that a delta applies to. A full list does not use it.
     #[serde(default)]
     pub base: u64,
-    /// The servers.
+    /// The servers of the update.
     pub servers: Vec<Endpoint>,
 }
 
@@ -80,8 +82,8 @@
     /// Parses and validates one line.
     ///
     /// # Errors
-    /// [`MessageError`] if the line is not JSON of this form, lists a server twice, or a value is out of
-    /// bounds.
+    /// [`MessageError`] if the line is not JSON of this form, if it lists a server twice, or if a value is
+    /// out of range.
     pub fn parse(line: &[u8]) -> Result<ListUpdate, MessageError> {
         let update: ListUpdate = from_json(MessageType::EndpointList, line)?;
         update.validate()?;
@@ -94,7 +96,8 @@
         }
         let mut ids = BTreeSet::new();
         for endpoint in &self.servers {
-            let size_is_valid = endpoint.size.is_finite() && endpoint.size > 0.0 && endpoint.size < MAX_SIZE;
+            let size_is_valid =
+                endpoint.size.is_finite() && endpoint.size > 0.0 && endpoint.size < SIZE_LIMIT;
             if !size_is_valid {
                 return Err(MessageError::InvalidSize(endpoint.id));
             }
--- a/crates/site-protocol/src/lib.rs
+++ b/crates/site-protocol/src/lib.rs
@@ -1,8 +1,10 @@
-//! The protocols between a proxy and its site, without I/O: bytes and lines in, typed messages out.
+//! The protocols between a proxy and its site. The package does no I/O: it parses bytes and lines into typed
+//! messages, and serializes messages.
 //!
-//! The endpoint list and the release service use JSON lines over HTTP, which people can read; peers exchange
-//! binary datagrams. `docs/protocols.md` is the published description. A malformed message becomes a
-//! [`MessageError`] or a [`peer_datagram::DatagramError`] here and never reaches the decision module.
+//! The endpoint list and the release service use JSON lines over HTTP, which people can read. Peers exchange
+//! binary datagrams. `docs/protocols.md` is the published description of the protocols. A malformed message
+//! is rejected here with a [`MessageError`] or a [`peer_datagram::DatagramError`] and never reaches the
+//! decision module.
 
 pub mod answer_report;
 pub mod endpoint_list;
@@ -17,7 +19,8 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number by which the decision module knows a key: the same for the same bytes, and never 0.
+/// Returns the number that identifies a key in the decision module. It is the hash of the key's bytes, so it
+/// is the same for the same bytes, and it is never 0.
 pub fn key_number(key: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/crates/site-protocol/src/line_reader.rs
+++ b/crates/site-protocol/src/line_reader.rs
@@ -2,19 +2,19 @@
 
 use crate::MessageError;
 
-/// Buffers bytes and returns complete lines. A line over the bound is an error, after which all further input
-/// is dropped.
+/// Buffers received bytes and returns complete lines. A line over the maximum length is an error; all input
+/// after it is dropped.
 #[derive(Debug)]
 pub struct LineReader {
     buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that have been returned already.
+    /// The number of bytes at the start of the buffer that were already returned as lines.
     consumed: usize,
     max_line_bytes: usize,
     failed: bool,
 }
 
 impl LineReader {
-    /// A reader of lines of at most `max_line_bytes`, the line end not counted.
+    /// Creates a reader for lines of at most `max_line_bytes`, not counting the line feed.
     pub fn new(max_line_bytes: usize) -> Self {
         LineReader { buffer: Vec::new(), consumed: 0, max_line_bytes, failed: false }
     }
@@ -28,10 +28,10 @@
         }
     }
 
-    /// The next complete line without its end.
+    /// Returns the next complete line without its line end, or none if no complete line has arrived.
     ///
     /// # Errors
-    /// [`MessageError::LineTooLong`] if a line is over the bound.
+    /// [`MessageError::LineTooLong`] if a line is longer than the maximum.
     pub fn next_line(&mut self) -> Result<Option<&[u8]>, MessageError> {
         let unread = &self.buffer[self.consumed..];
         let line_end = find_newline(unread);
--- a/crates/site-protocol/src/peer_datagram.rs
+++ b/crates/site-protocol/src/peer_datagram.rs
@@ -1,22 +1,22 @@
-//! Datagrams between peers: a header, at most 256 bytes of payload, a checksum.
+//! Datagrams between peers. A datagram consists of a header, a payload of at most 256 bytes and a checksum:
 //!
 //! ```text
 //! 0  2  "VS"
 //! 2  1  version, 1
 //! 3  1  kind: 0 gossip of the decision module, 1 quota leases (`violetseam-fleet-state`)
-//! 4  4  site: a number that all proxies of one fleet share (little-endian, as all that follow)
-//! 8  2  sender: its number in the fleet
+//! 4  4  site: a number that all proxies of one fleet share (little-endian, like all following numbers)
+//! 8  2  sender: the sender's number in the fleet
 //! 10 2  length of the payload
 //! 12 n  payload
-//! .. 4  CRC-32 (IEEE) of all before
+//! .. 4  CRC-32 (IEEE) of all bytes before it
 //! ```
 //!
-//! A datagram may be lost, repeated or late: the counters in the payload allow for that. A datagram that does
-//! not have exactly this form is dropped.
+//! A datagram may be lost, duplicated or delayed; the counters in the payload make that harmless. A datagram
+//! that does not have exactly this form is dropped.
 
 use thiserror::Error;
 
-/// The version that is written and accepted.
+/// The protocol version that is written, and the only one that is accepted.
 pub const VERSION: u8 = 1;
 /// The maximum length of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 256;
@@ -26,19 +26,19 @@
 const HEADER_BYTES: usize = 12;
 const CHECKSUM_BYTES: usize = 4;
 
-// Offsets in the header.
+// The offsets of the fields in the header, in bytes.
 const VERSION_OFFSET: usize = 2;
 const KIND_OFFSET: usize = 3;
 const SITE_OFFSET: usize = 4;
 const SENDER_OFFSET: usize = 8;
 const LENGTH_OFFSET: usize = 10;
 
-/// The part of the software that a payload is for.
+/// The part of the software to which a payload is passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
-    /// The decision module.
+    /// Gossip of the decision module.
     Gossip = 0,
-    /// The leases of the fleet's quotas: requests and grants.
+    /// Requests and grants of leases on the fleet's quotas.
     QuotaLeases = 1,
 }
 
@@ -59,7 +59,7 @@
 pub struct Datagram<'a> {
     /// The sender's number in its fleet.
     pub sender: u16,
-    /// What the payload is for.
+    /// The part of the software to which the payload is passed.
     pub kind: PayloadKind,
     /// The payload.
     pub payload: &'a [u8],
@@ -68,30 +68,30 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// Shorter than a header and a checksum, or too long.
-    #[error("peer: wrong size")]
+    /// The datagram is shorter than a header and a checksum, or too long.
+    #[error("peer: the datagram is too short, or longer than {MAX_DATAGRAM_BYTES} bytes")]
     InvalidSize,
-    /// Does not start as the datagrams of this protocol do.
-    #[error("peer: not a peer's datagram")]
+    /// The datagram does not start with the magic bytes of this protocol.
+    #[error("peer: the datagram does not start with the magic bytes of this protocol")]
     InvalidMagic,
-    /// Of another version of the protocol.
+    /// The datagram has another version of the protocol, which is given here.
     #[error("peer: version {0}")]
     UnsupportedVersion(u8),
-    /// Of a kind that does not exist.
-    #[error("peer: kind {0}")]
+    /// The datagram has an unknown payload kind, which is given here.
+    #[error("peer: unknown payload kind {0}")]
     UnknownKind(u8),
     /// The checksum does not match.
-    #[error("peer: checksum")]
+    #[error("peer: the checksum does not match")]
     ChecksumMismatch,
-    /// From a proxy of another site.
-    #[error("peer: another site")]
+    /// The datagram comes from a proxy of another site.
+    #[error("peer: the datagram comes from another site")]
     SiteMismatch,
     /// The payload does not have the length that the header states.
-    #[error("peer: length")]
+    #[error("peer: the payload does not have the length that the header states")]
     LengthMismatch,
 }
 
-/// Encodes a datagram from the proxy with the number `sender`; none for a payload over the bound.
+/// Encodes a datagram from the proxy with the fleet number `sender`. Returns none if the payload is too long.
 pub fn encode(site: u32, sender: u16, kind: PayloadKind, payload: &[u8]) -> Option<Vec<u8>> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         return None;
@@ -110,10 +110,10 @@
     Some(datagram)
 }
 
-/// Decodes a datagram that reached a proxy of this site.
+/// Decodes a datagram that arrived at a proxy of this site.
 ///
 /// # Errors
-/// [`DatagramError`] if the datagram is of another version or site, or is damaged.
+/// [`DatagramError`] if the datagram has another version or comes from another site, or if it is damaged.
 pub fn decode(site: u32, bytes: &[u8]) -> Result<Datagram<'_>, DatagramError> {
     if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::InvalidSize);
--- a/crates/site-protocol/src/release_service.rs
+++ b/crates/site-protocol/src/release_service.rs
@@ -1,7 +1,8 @@
-//! The release service: its status as JSON lines, votes as JSON calls.
+//! The messages of the release service. It sends its release status as JSON lines, and receives each vote as
+//! a call with a JSON body.
 //!
-//! [`ReleaseUpdate`] and [`VoteReply`] are the wire forms, for programs that forward them. [`FencedRelease`]
-//! and [`VoteResult`] are what a proxy needs of them, with the values validated.
+//! [`ReleaseUpdate`] and [`VoteReply`] are the messages as they are written on the wire, for programs that
+//! forward them. [`FencedRelease`] and [`VoteResult`] have the validated values that a proxy needs.
 
 use crate::json::{from_json, to_json, to_json_line};
 use crate::{MessageError, MessageType};
@@ -15,13 +16,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PhaseName {
-    /// On trial.
+    /// The build is on trial.
     Trial,
-    /// Being rolled back.
+    /// The build is being rolled back.
     RollingBack,
-    /// Released.
+    /// The build is released.
     Released,
-    /// Withdrawn.
+    /// The build is withdrawn.
     Withdrawn,
 }
 
@@ -41,24 +42,24 @@
 pub struct ReleaseUpdate {
     /// The newest build.
     pub build: Build,
-    /// Its stage, from 0.
+    /// The stage of the release, counted from 0.
     pub stage: u8,
-    /// Its phase.
+    /// The phase of the release.
     pub phase: PhaseName,
-    /// The exposure cap, 0 to 1.
+    /// The exposure cap, from 0 to 1.
     pub cap: f64,
-    /// The fence of the controller that sent the update; 0 from a release service without fences. Updates
-    /// with a lower fence than an earlier one are ignored.
+    /// The fence of the controller that sent the update; 0 if the release service has no fences. An update
+    /// with a lower fence than an earlier update is ignored.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub fence: u64,
 }
 
-fn is_zero(number: &u64) -> bool {
-    *number == 0
+fn is_zero(fence: &u64) -> bool {
+    *fence == 0
 }
 
 impl ReleaseUpdate {
-    /// Deserializes one line. The values are not validated; [`FencedRelease::parse`] does that.
+    /// Deserializes one line without validating its values; [`FencedRelease::parse`] validates them.
     ///
     /// # Errors
     /// [`MessageError`] if the line is not JSON of this form.
@@ -86,7 +87,7 @@
 pub struct FencedRelease {
     /// The status.
     pub status: ReleaseStatus,
-    /// The fence; 0 from a release service without fences.
+    /// The fence; 0 if the release service has no fences.
     pub fence: u64,
 }
 
@@ -94,7 +95,7 @@
     /// Parses and validates one line.
     ///
     /// # Errors
-    /// [`MessageError`] if the line is not JSON of this form, or a value is out of bounds.
+    /// [`MessageError`] if the line is not JSON of this form, or if a value is out of range.
     pub fn parse(line: &[u8]) -> Result<FencedRelease, MessageError> {
         ReleaseUpdate::from_json(line)?.validate()
     }
@@ -104,11 +105,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VerdictName {
-    /// Promote to the next stage.
+    /// Promote the build to the next stage.
     On,
-    /// Hold the stage's clock.
+    /// Hold the build at its stage, by stopping the clock of the stage.
     Hold,
-    /// Roll back.
+    /// Roll the build back.
     Back,
     /// Withdraw the earlier vote.
     Withdraw,
@@ -125,26 +126,26 @@
     }
 }
 
-/// A vote.
+/// A proxy's vote on the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
     /// The voting proxy's number in its fleet.
     pub proxy: usize,
-    /// The build.
+    /// The build that the vote is about.
     pub build: Build,
-    /// The stage that the vote is on.
+    /// The stage that the vote is about.
     pub stage: u8,
     /// The verdict.
     pub verdict: VerdictName,
 }
 
 impl Vote {
-    /// A vote with a verdict of the decision module.
+    /// Creates a vote from a verdict of the decision module.
     pub fn new(proxy: usize, build: Build, stage: u8, verdict: Verdict) -> Self {
         Vote { proxy, build, stage, verdict: verdict.into() }
     }
 
-    /// Parses the body of a call.
+    /// Parses a vote from the body of a call.
     ///
     /// # Errors
     /// [`MessageError`] if the body is not a vote.
@@ -152,25 +153,25 @@
         from_json(MessageType::Vote, body)
     }
 
-    /// Serializes the body of a call.
+    /// Serializes the vote as the body of a call.
     pub fn write(&self) -> Vec<u8> {
         to_json(self)
     }
 }
 
-/// What became of a vote.
+/// How the release service handled a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoteOutcome {
-    /// It counts.
+    /// The vote counts.
     Ok,
-    /// It is not on the current build and stage, or its verdict does not exist there.
+    /// The vote is not about the current build and stage, or its verdict is not possible at that stage.
     #[serde(rename = "moot")]
     Obsolete,
-    /// It is over the rate that all proxies share.
+    /// The vote exceeds the rate limit that all proxies share.
     #[serde(rename = "full")]
     RateLimited,
-    /// The release service failed.
+    /// The release service failed to handle the vote.
     Error,
 }
 
@@ -188,15 +189,16 @@
 /// The response to a vote, as it is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// What became of the vote.
+    /// How the release service handled the vote.
     pub outcome: VoteOutcome,
-    /// The current release status, with a vote that counts.
+    /// The current release status, if the vote counts.
     #[serde(rename = "news", default, skip_serializing_if = "Option::is_none")]
     pub release: Option<ReleaseUpdate>,
 }
 
 impl VoteReply {
-    /// Deserializes the body of a response. The values are not validated; [`VoteResult::parse`] does that.
+    /// Deserializes the body of a response without validating its values; [`VoteResult::parse`] validates
+    /// them.
     ///
     /// # Errors
     /// [`MessageError`] if the body is not JSON of this form.
@@ -204,7 +206,7 @@
         from_json(MessageType::VoteReply, body)
     }
 
-    /// Serializes the body of a response.
+    /// Serializes the reply as the body of a response.
     pub fn write(&self) -> Vec<u8> {
         to_json(self)
     }
@@ -213,9 +215,9 @@
 /// A validated response to a vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VoteResult {
-    /// How the call ended, as the decision module knows it.
+    /// How the call ended, in the terms of the decision module.
     pub outcome: Outcome,
-    /// The current release status; none unless the vote counts.
+    /// The current release status; none if the vote does not count or the reply has no status.
     pub release: Option<FencedRelease>,
 }
 
@@ -223,7 +225,8 @@
     /// Parses and validates the body of a response.
     ///
     /// # Errors
-    /// [`MessageError`] if the body is not a response, or the release status in it is out of bounds.
+    /// [`MessageError`] if the body is not a response to a vote, or if a value of its release status is out
+    /// of range.
     pub fn parse(body: &[u8]) -> Result<VoteResult, MessageError> {
         let reply = VoteReply::from_json(body)?;
         let release = match reply.outcome {
--- a/crates/site-protocol/tests/protocols.rs
+++ b/crates/site-protocol/tests/protocols.rs
@@ -1,4 +1,5 @@
-//! The site's protocols: which messages are accepted and which rejected, and that no input panics.
+//! The protocols between a proxy and its site: which messages are accepted, which are rejected, and that no
+//! input causes a panic.
 
 use proptest::prelude::*;
 use violetseam::interface::{ListKind, Outcome, ServerStatus, Verdict};
@@ -13,74 +14,75 @@
     FencedRelease, PhaseName, ReleaseUpdate, Vote, VoteOutcome, VoteReply, VoteResult,
 };
 
-fn message(kind: &str, version: u64, base: u64, servers: &str) -> String {
+fn list_update(kind: &str, version: u64, base: u64, servers: &str) -> String {
     format!(r#"{{"kind":"{kind}","version":{version},"base":{base},"servers":[{servers}]}}"#)
 }
 
-const ENDPOINT: &str = r#"{"id":7,"addr":"127.0.0.1:9000","build":3,"state":"ready","age_us":500}"#;
+const ENDPOINT_JSON: &str = r#"{"id":7,"addr":"127.0.0.1:9000","build":3,"state":"ready","age_us":500}"#;
 
 #[test]
 fn a_full_list_and_a_delta_on_top_of_it_are_applied() {
     let mut list = EndpointList::default();
-    let full = ListUpdate::parse(message("full", 4, 0, ENDPOINT).as_bytes()).unwrap();
+    let full = ListUpdate::parse(list_update("full", 4, 0, ENDPOINT_JSON).as_bytes()).unwrap();
     let AppliedUpdate { kind, entries } = list.apply(10_000, &full).unwrap();
     assert_eq!((kind, entries[0].id, entries[0].build, entries[0].started_at), (ListKind::Full, 7, 3, 9_500));
-    let gone = ENDPOINT.replace("ready", "gone");
-    let delta = ListUpdate::parse(message("delta", 5, 4, &gone).as_bytes()).unwrap();
+    let removed = ENDPOINT_JSON.replace("ready", "gone");
+    let delta = ListUpdate::parse(list_update("delta", 5, 4, &removed).as_bytes()).unwrap();
     let AppliedUpdate { kind, entries } = list.apply(20_000, &delta).unwrap();
     assert_eq!((kind, entries[0].status, list.version()), (ListKind::Delta, ServerStatus::Removed, Some(5)));
-    assert!(list.address(7).is_some(), "attempts may still be out at a server that left");
+    assert!(list.address(7).is_some(), "attempts to a removed server may still be in flight");
 }
 
 #[test]
 fn regressed_versions_and_deltas_after_a_gap_leave_the_list_unchanged() {
     let mut list = EndpointList::default();
-    let at = |version| ListUpdate::parse(message("full", version, 0, ENDPOINT).as_bytes()).unwrap();
-    list.apply(0, &at(9)).unwrap();
-    assert!(list.apply(0, &at(8)).is_err());
-    let gap = ListUpdate::parse(message("delta", 12, 11, ENDPOINT).as_bytes()).unwrap();
-    assert!(list.apply(0, &gap).is_err());
+    let full_at =
+        |version| ListUpdate::parse(list_update("full", version, 0, ENDPOINT_JSON).as_bytes()).unwrap();
+    list.apply(0, &full_at(9)).unwrap();
+    assert!(list.apply(0, &full_at(8)).is_err());
+    let delta_after_gap = ListUpdate::parse(list_update("delta", 12, 11, ENDPOINT_JSON).as_bytes()).unwrap();
+    assert!(list.apply(0, &delta_after_gap).is_err());
     assert_eq!(list.version(), Some(9));
 }
 
 #[test]
 fn malformed_lists_statuses_votes_and_reports_are_rejected() {
-    let twice = format!("{ENDPOINT},{ENDPOINT}");
-    let lists = [
-        message("full", 1, 0, &ENDPOINT.replace("ready", "gone")),
-        message("full", 1, 0, &twice),
-        message("full", 1, 0, &ENDPOINT.replace(r#""age_us":500"#, r#""size":0"#)),
-        message("full", 1, 0, &ENDPOINT.replace("127.0.0.1:9000", "nowhere")),
-        message("half", 1, 0, ENDPOINT),
+    let same_endpoint_twice = format!("{ENDPOINT_JSON},{ENDPOINT_JSON}");
+    let malformed_lists = [
+        list_update("full", 1, 0, &ENDPOINT_JSON.replace("ready", "gone")),
+        list_update("full", 1, 0, &same_endpoint_twice),
+        list_update("full", 1, 0, &ENDPOINT_JSON.replace(r#""age_us":500"#, r#""size":0"#)),
+        list_update("full", 1, 0, &ENDPOINT_JSON.replace("127.0.0.1:9000", "nowhere")),
+        list_update("half", 1, 0, ENDPOINT_JSON),
         "{".into(),
         String::new(),
     ];
-    for text in lists {
+    for text in malformed_lists {
         assert!(ListUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
     assert!(FencedRelease::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":1.5}"#).is_err());
     assert!(FencedRelease::parse(br#"{"build":70000,"stage":0,"phase":"trial","cap":0.5}"#).is_err());
     assert!(FencedRelease::parse(br#"{"build":1,"stage":0,"phase":"trial","cap":0.5}"#).is_ok());
     assert!(VoteResult::parse(br#"{"outcome":"maybe"}"#).is_err());
-    let full = VoteResult::parse(br#"{"outcome":"full"}"#).unwrap();
-    assert_eq!(full, VoteResult { outcome: Outcome::Rejected, release: None });
+    let rate_limited = VoteResult::parse(br#"{"outcome":"full"}"#).unwrap();
+    assert_eq!(rate_limited, VoteResult { outcome: Outcome::Rejected, release: None });
     assert_eq!(answer_report::parse(br#"{"answer":"00000000000000ff"}"#).unwrap(), 255);
     for text in [&br#"{"answer":"ff"}"#[..], br#"{"answer":"+0000000000000ff"}"#, b"[]", &[b' '; 300]] {
         assert!(answer_report::parse(text).is_err());
     }
 }
 
-/// The names in the code may change; those on the wire may not.
+/// Guards against a renamed type or field that also changes its name on the wire.
 #[test]
 fn messages_have_their_published_json_form() {
     let desired = DesiredBuilds { fence: 3, builds: vec![(7, 2)] };
     assert_eq!(desired.write(), b"{\"fence\":3,\"wanted\":[[7,2]]}\n");
     assert_eq!(DesiredBuilds::parse(&desired.write()).unwrap(), desired);
     let release = ReleaseUpdate { build: 2, stage: 1, phase: PhaseName::RollingBack, cap: 0.5, fence: 0 };
-    let status = r#"{"build":2,"stage":1,"phase":"rolling_back","cap":0.5}"#;
-    assert_eq!(release.write(), format!("{status}\n").into_bytes());
+    let release_json = r#"{"build":2,"stage":1,"phase":"rolling_back","cap":0.5}"#;
+    assert_eq!(release.write(), format!("{release_json}\n").into_bytes());
     let replies = [
-        (VoteOutcome::Ok, Some(release), format!(r#"{{"outcome":"ok","news":{status}}}"#)),
+        (VoteOutcome::Ok, Some(release), format!(r#"{{"outcome":"ok","news":{release_json}}}"#)),
         (VoteOutcome::Obsolete, None, r#"{"outcome":"moot"}"#.to_owned()),
         (VoteOutcome::RateLimited, None, r#"{"outcome":"full"}"#.to_owned()),
         (VoteOutcome::Error, None, r#"{"outcome":"error"}"#.to_owned()),
@@ -112,19 +114,19 @@
 
 #[test]
 fn datagrams_of_another_version_site_or_length_are_dropped() {
-    let sound = peer_datagram::encode(5, 3, PayloadKind::QuotaLeases, b"payload").unwrap();
+    let valid = peer_datagram::encode(5, 3, PayloadKind::QuotaLeases, b"payload").unwrap();
     assert_eq!(
-        peer_datagram::decode(5, &sound),
+        peer_datagram::decode(5, &valid),
         Ok(Datagram { sender: 3, kind: PayloadKind::QuotaLeases, payload: b"payload" })
     );
-    assert!(peer_datagram::decode(6, &sound).is_err());
+    assert!(peer_datagram::decode(6, &valid).is_err());
     assert!(peer_datagram::encode(5, 3, PayloadKind::Gossip, &[0; 257]).is_none());
-    let mut other = sound.clone();
-    other[2] = 2;
-    let error = peer_datagram::decode(5, &other).unwrap_err();
+    let mut other_version = valid.clone();
+    other_version[2] = 2;
+    let error = peer_datagram::decode(5, &other_version).unwrap_err();
     assert_eq!(error, DatagramError::UnsupportedVersion(2));
     assert_eq!(error.to_string(), "peer: version 2");
-    assert!(peer_datagram::decode(5, &sound[..sound.len() - 1]).is_err());
+    assert!(peer_datagram::decode(5, &valid[..valid.len() - 1]).is_err());
 }
 
 proptest! {
