--- a/crates/operator-store/src/store.rs
+++ b/crates/operator-store/src/store.rs
@@ -57,7 +57,7 @@
     fn from(error: redb::DatabaseError) -> Self {
         match error {
             redb::DatabaseError::DatabaseAlreadyOpen => OpenFailure::InUse,
-            // An I/O error on opening or creating the file does not mean that the file is damaged.
+            // An I/O error of another kind does not mean that the file is damaged.
             redb::DatabaseError::Storage(redb::StorageError::Io(error)) if !is_damage(error.kind()) => {
                 OpenFailure::Unusable(DatabaseError::Io(error))
             }
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -39,7 +39,7 @@
 /// A publisher's service and its connections, on the event loop.
 pub(crate) struct Server {
     bounds: Bounds,
-    handle: LoopHandle<'static, Server>,
+    loop_handle: LoopHandle<'static, Server>,
     service: Service,
     connections: Slab<Connection>,
     next_generation: u64,
@@ -54,10 +54,10 @@
 }
 
 impl Server {
-    pub(crate) fn new(bounds: Bounds, handle: LoopHandle<'static, Server>, service: Service) -> Server {
+    pub(crate) fn new(bounds: Bounds, loop_handle: LoopHandle<'static, Server>, service: Service) -> Server {
         Server {
             bounds,
-            handle,
+            loop_handle,
             service,
             connections: Slab::new(),
             next_generation: 1,
@@ -74,7 +74,7 @@
     /// Starts to accept connections on this listener.
     pub(crate) fn listen_on(&mut self, listener: TcpListener) -> Result<(), calloop::Error> {
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let token = self.handle.insert_source(source, |_, listener, server: &mut Server| {
+        let token = self.loop_handle.insert_source(source, |_, listener, server: &mut Server| {
             server.accept(listener);
             Ok(PostAction::Continue)
         });
@@ -158,12 +158,12 @@
     fn pause_accepting(&mut self) {
         let Some(token) = self.listener_token else { return };
         let resume = move |_, _: &mut (), server: &mut Server| {
-            let _ = server.handle.enable(&token);
+            let _ = server.loop_handle.enable(&token);
             TimeoutAction::Drop
         };
         // Without a timer that ends the pause, the listener stays enabled.
-        if self.handle.insert_source(Timer::from_duration(ACCEPT_PAUSE), resume).is_ok() {
-            let _ = self.handle.disable(&token);
+        if self.loop_handle.insert_source(Timer::from_duration(ACCEPT_PAUSE), resume).is_ok() {
+            let _ = self.loop_handle.disable(&token);
         }
     }
 
@@ -177,7 +177,9 @@
         let entry = self.connections.vacant_entry();
         let key = entry.key();
         let on_ready = move |ready: Readiness, server: &mut Server| server.on_ready(key, ready);
-        let Ok(socket) = Socket::register(&self.handle, stream, Interest::READ, on_ready) else { return };
+        let Ok(socket) = Socket::register(&self.loop_handle, stream, Interest::READ, on_ready) else {
+            return;
+        };
         entry.insert(Connection::new(generation, socket, self.bounds.body_bytes, now));
         self.timers.set(now + CHECK_INTERVAL, ConnectionCheck { key, generation });
     }
@@ -187,7 +189,7 @@
             return;
         }
         let mut connection = self.connections.remove(key);
-        connection.socket.remove(&self.handle);
+        connection.socket.remove(&self.loop_handle);
         connection.discard_body(&mut self.body_budget);
         if let Some(watch) = &connection.watch
             && self.watches.get(watch.subscriber()) == Some(&key)
@@ -289,7 +291,7 @@
         if connection.write(now).is_err() {
             return self.close(key);
         }
-        connection.socket.set_read_interest(&self.handle, true);
+        connection.socket.set_read_interest(&self.loop_handle, true);
     }
 
     /// Starts the endless response to a subscriber's watch request. An earlier watch of the same subscriber
--- a/crates/publisher/src/service.rs
+++ b/crates/publisher/src/service.rs
@@ -213,7 +213,7 @@
         let stored = self.store.append(&delta, self.publisher.oldest_known());
         stored.map_err(|error| self.fail(error))?;
         let entry = self.publisher.commit(delta).map_err(|error| self.fail(error))?;
-        tracing::info!(version = %published.version, "published changes");
+        tracing::info!(version = %published.version, "published");
         let response = Response::json(StatusCode::OK, &published);
         Ok(Outcome::Broadcast { line: entry.line.clone(), response })
     }
--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -260,7 +260,7 @@
 fn open_error(path: PathBuf, error: DatabaseError) -> StoreError {
     match error {
         DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path },
-        // An I/O error on opening or creating the file does not mean that the file is damaged.
+        // An I/O error of another kind does not mean that the file is damaged.
         DatabaseError::Storage(StorageError::Io(error))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
