--- a/crates/publisher/src/store.rs
+++ b/crates/publisher/src/store.rs
@@ -49,8 +49,8 @@
     },
     /// The stored data is damaged.
     #[error(
-        "{}: the store is damaged: {source}. Restore it from a backup and start with a higher --term, or move \
-         the file away and publish the complete configuration again",
+        "{}: the store is damaged: {source}. Restore it from a backup and start with a higher --term, or \
+         move the file away and publish the complete configuration again",
         path.display()
     )]
     Damaged {
