--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -199,7 +199,7 @@
         on_progress: &mut dyn FnMut(usize),
     ) -> CommandReport {
         let readings = self.state(on_progress);
-        let release = if action.is_about_a_stage() { most_common_release(&readings) } else { None };
+        let release = if action.concerns_release_stage() { most_common_release(&readings) } else { None };
         let template = CommandTemplate {
             // The standard library draws the keys of each hasher from the system.
             id: format!("{:016x}", RandomState::new().build_hasher().finish()),
--- a/crates/operator-commands/src/command.rs
+++ b/crates/operator-commands/src/command.rs
@@ -1,50 +1,52 @@
-//! A command to a daemon: what it asks for, and under which conditions it may be applied.
+//! A command to a daemon: the requested action, and the conditions under which the daemon may apply it.
 
 use serde::{Deserialize, Serialize};
 
-/// The latest expiry of a command, counted from its arrival, in microseconds. A command that never expires
-/// would be applied by whoever finds it.
+/// The maximum time between a command's arrival and its expiry, in microseconds. The same bound holds for the
+/// length of a pause. A daemon would apply a command that never expires whenever anyone sends a copy of it.
 pub const MAX_EXPIRY_US: u64 = 24 * 3_600 * 1_000_000;
 
-/// How far an issuer's clock may be ahead of a daemon's, in microseconds. A command from further ahead would
-/// take precedence over all that others issue until then.
+/// How far an issuer's clock may be ahead of a daemon's, in microseconds. The command that was issued last
+/// takes precedence, so a time of issue far in the future would override the commands of all other issuers
+/// until then.
 pub const MAX_CLOCK_LEAD_US: u64 = 5_000_000;
 
-/// What a command asks for.
+/// The action that a command requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
-    /// Withdraw this proxy's votes on the fenced stage, or hold its clock, until `resume` or this moment.
+    /// Withdraw the proxy's votes on the fenced stage; where a timer promotes stages, vote to hold instead.
+    /// The pause lasts until `resume` or until `until_us`.
     Pause {
-        /// When the pause ends by itself.
+        /// When the pause ends without a `resume`, in microseconds since 1970.
         until_us: u64,
     },
-    /// Vote again.
+    /// End the pause: vote again.
     Resume,
     /// Vote to roll the fenced build back.
     #[serde(rename = "back")]
     RollBack,
-    /// Answer the requests in flight and accept no new ones; the daemon goes on running.
+    /// Complete the requests in flight and accept no new ones. The daemon keeps running.
     Drain,
     /// Accept requests again.
     Undrain,
-    /// Set another log filter.
+    /// Replace the log filter.
     LogLevel {
-        /// The filter, such as `info` or `verdict=debug`.
+        /// The new filter, such as `info` or `verdict=debug`.
         filter: String,
     },
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
 impl Action {
-    /// Whether the action applies to the build and stage of the command's fence.
-    pub fn is_about_a_stage(&self) -> bool {
+    /// Whether the action concerns a release stage. The fence of such a command must name the build.
+    pub fn concerns_release_stage(&self) -> bool {
         matches!(self, Action::Pause { .. } | Action::Resume | Action::RollBack)
     }
 
-    /// What the action decides about. Commands on one subject can contradict each other; the one issued last
-    /// takes precedence.
+    /// The part of the daemon's state that the action sets, if any. Commands with the same subject can
+    /// contradict each other; the one that was issued last takes precedence.
     pub fn subject(&self) -> Option<&'static str> {
         match self {
             Action::Pause { .. } | Action::Resume | Action::RollBack => Some("votes"),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The action's name on the command line.
+    /// The name of the action on the command line, in log lines and in replies.
     pub fn name(&self) -> &'static str {
         match self {
             Action::Pause { .. } => "pause",
@@ -68,17 +70,18 @@
     }
 }
 
-/// What the issuer saw when it issued the command. Each part that is given must still hold on arrival.
+/// The state that the issuer saw when it issued the command. A daemon rejects the command if a value that is
+/// given differs from the daemon's own when the command arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fence {
-    /// The daemon's boot number.
+    /// The boot number of the daemon.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boot: Option<u64>,
-    /// The newest build.
+    /// The number of the newest build.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub build: Option<u16>,
-    /// The newest build's stage.
+    /// The release stage of the newest build.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stage: Option<u8>,
 }
@@ -87,39 +90,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Applied as it arrives.
+    /// Apply the command when it arrives.
     #[default]
     #[serde(rename = "now")]
     Immediate,
-    /// Only prepared: applied on `commit`, released at its expiry.
+    /// Prepare the command: it is applied on `commit`, and released on `abort` or at its expiry.
     Prepare,
-    /// Apply what was prepared under this id.
+    /// Apply the command that was prepared under this id.
     Commit,
-    /// Release what was prepared under this id.
+    /// Release the command that was prepared under this id.
     Abort,
 }
 
-/// A command.
+/// An operator's command to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// Identifies the command: a repeat carries the same id.
+    /// The id of the command. A command that is sent again carries the same id.
     pub id: String,
-    /// Who issued it.
+    /// The operator who issued the command.
     pub issuer: String,
-    /// When it was issued, by the issuer's clock, the same for all daemons; 0: at its arrival. Of two
-    /// contrary commands the one issued later takes precedence, in whatever order they arrive.
+    /// When the command was issued, by the issuer's clock in microseconds since 1970; the same for all
+    /// daemons. 0 stands for the time of its arrival. Of two contradictory commands, the one that was issued
+    /// later takes precedence, in whatever order they arrive.
     #[serde(default)]
     pub issued_us: u64,
-    /// Not applied after this moment.
+    /// When the command expires, in microseconds since 1970. It is not applied from then on.
     pub expires_us: u64,
-    /// What must still hold.
+    /// The state that the command presumes.
     #[serde(default)]
     pub fence: Fence,
-    /// At once or by two-phase commit.
+    /// Whether the command is applied at once or by a two-phase commit.
     #[serde(default)]
     pub phase: Phase,
-    /// What it asks for.
+    /// The action that the command requests.
     #[serde(rename = "act")]
     pub action: Action,
 }
--- a/crates/operator-commands/src/command_log.rs
+++ b/crates/operator-commands/src/command_log.rs
@@ -1,5 +1,5 @@
-//! The command log: decides whether a command is applied, prepared or rejected. Deterministic, without a
-//! clock or I/O.
+//! The command log: decides whether a command is applied, prepared or rejected. It is deterministic, reads no
+//! clock and does no I/O.
 
 use crate::command::{Action, Command, MAX_CLOCK_LEAD_US, MAX_EXPIRY_US, Phase};
 use crate::persisted_state::{CommandInForce, DecidedCommand, Pause, PersistedState};
@@ -7,41 +7,42 @@
 use crate::wire::Reply;
 use std::collections::BTreeMap;
 
-/// Decided commands that are remembered past their expiry, so that a late repeat gets the first reply.
+/// The maximum number of decided commands in the log. They are kept past their expiry, so that a command that
+/// is sent again late still gets its first reply.
 const MAX_DECIDED_COMMANDS: usize = 4_096;
-/// Commands that may be prepared at the same time.
+/// The maximum number of commands that are prepared at the same time.
 const MAX_PREPARED_COMMANDS: usize = 64;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A change that the daemon has to make.
+/// A change that the daemon has to make because of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Withdraw votes on the present stage, or hold its clock.
+    /// Withdraw the votes on the current stage; where a timer promotes stages, vote to hold instead.
     Pause,
-    /// Vote again.
+    /// Resume voting after a pause.
     Resume,
-    /// Vote to roll the present build back.
+    /// Vote to roll the newest build back.
     RollBack,
     /// Accept no new requests.
     Drain,
     /// Accept requests again.
     Undrain,
-    /// Set another log filter.
+    /// Replace the log filter with this one.
     LogLevel(String),
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// What the command log needs to know of the daemon when a command arrives.
+/// The part of the daemon's state on which the decisions of the command log depend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DaemonContext {
     /// The daemon's boot number.
     pub boot: u64,
-    /// The newest build and its stage; none before the release service has announced one.
+    /// The newest build and its stage; none before the release service has announced a build.
     pub release: Option<ReleaseStage>,
 }
 
-/// What becomes of a command.
+/// The decision about a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The reply to the issuer.
@@ -64,37 +65,38 @@
 #[derive(Clone, Debug, Default)]
 pub struct CommandLog {
     persisted: PersistedState,
-    /// Prepared commands by id. A restart releases them.
+    /// The prepared commands, by id. They are not persisted, so a restart releases them.
     prepared: BTreeMap<String, Command>,
 }
 
 impl CommandLog {
-    /// A log that continues from the state of the process before.
+    /// Creates a log that continues from the state that the previous process stored.
     pub fn new(persisted: PersistedState) -> Self {
         CommandLog { persisted, prepared: BTreeMap::new() }
     }
 
-    /// What must be stored durably before a command is answered.
+    /// Returns the state to persist. After a decision it must be durable before the command is answered.
     pub fn persisted(&self) -> &PersistedState {
         &self.persisted
     }
 
-    /// The pause in force.
+    /// Returns the pause that is in force, if any.
     pub fn pause(&self) -> Option<&Pause> {
         self.persisted.pause.as_ref()
     }
 
-    /// The number of commands that are prepared and neither committed nor released.
+    /// Returns the number of commands that are prepared and neither committed nor released.
     pub fn prepared_count(&self) -> usize {
         self.prepared.len()
     }
 
-    /// Decides a command that has arrived. A repeat changes nothing and gets the first reply again, so that
-    /// an issuer which lost that reply can ask once more.
+    /// Decides about a command that has arrived. A command whose id was decided before changes nothing and
+    /// gets its first reply again, so that an issuer that did not receive that reply can send the command
+    /// again.
     pub fn submit(&mut self, now_us: u64, context: DaemonContext, command: &Command) -> Decision {
         self.expire(now_us, context);
         if let Some(decided) = self.persisted.decided.get(&command.id) {
-            return Decision::unchanged(repeated_reply(&decided.reply));
+            return Decision::unchanged(reply_to_repeat(&decided.reply));
         }
         match command.phase {
             Phase::Immediate => self.apply(now_us, context, command),
@@ -105,7 +107,7 @@
     }
 
     fn prepare(&mut self, now_us: u64, context: DaemonContext, command: &Command) -> Decision {
-        if let Some(reason) = self.rejection(now_us, context, command) {
+        if let Some(reason) = self.rejection_reason(now_us, context, command) {
             return Decision::rejected(reason);
         }
         if !self.prepared.contains_key(&command.id) {
@@ -117,7 +119,7 @@
         Decision::unchanged(Reply::Prepared)
     }
 
-    /// Applies the command as it was prepared, whatever else the commit says.
+    /// Applies the command as it was prepared. Only the id of the commit counts, not its other fields.
     fn commit(&mut self, now_us: u64, context: DaemonContext, command: &Command) -> Decision {
         match self.prepared.remove(&command.id) {
             Some(prepared) => self.apply(now_us, context, &prepared),
@@ -133,22 +135,23 @@
     }
 
     fn apply(&mut self, now_us: u64, context: DaemonContext, command: &Command) -> Decision {
-        if let Some(reason) = self.rejection(now_us, context, command) {
+        if let Some(reason) = self.rejection_reason(now_us, context, command) {
             let reply = Reply::rejected(reason);
-            self.remember(command, &reply);
+            self.record_decision(command, &reply);
             return Decision::unchanged(reply);
         }
-        let change = self.perform(context, command);
+        let change = self.update_pause(context, command);
         if let Some(subject) = command.action.subject() {
             self.persisted.in_force.insert(subject.to_owned(), command_in_force(now_us, command));
         }
         let reply = Reply::Applied { already: false };
-        self.remember(command, &reply);
+        self.record_decision(command, &reply);
         Decision { reply, change: Some(change) }
     }
 
-    /// Updates the pause, where the command is about one, and names the change for the daemon.
-    fn perform(&mut self, context: DaemonContext, command: &Command) -> Change {
+    /// Updates the persisted pause if the command starts or ends one, and returns the change that the daemon
+    /// has to make.
+    fn update_pause(&mut self, context: DaemonContext, command: &Command) -> Change {
         match &command.action {
             Action::Pause { until_us } => {
                 self.persisted.pause = Some(Pause {
@@ -170,18 +173,19 @@
         }
     }
 
-    /// Why a command may not be applied; the first reason found.
-    fn rejection(&self, now_us: u64, context: DaemonContext, command: &Command) -> Option<String> {
+    /// Returns the reason why a command may not be applied: the first condition that it violates, if any.
+    fn rejection_reason(&self, now_us: u64, context: DaemonContext, command: &Command) -> Option<String> {
         expiry_violation(now_us, command)
             .or_else(|| fence_violation(context, command))
             .or_else(|| clock_violation(now_us, command))
-            .or_else(|| self.superseded(now_us, command))
+            .or_else(|| self.precedence_violation(now_us, command))
             .or_else(|| pause_violation(now_us, &command.action))
     }
 
-    /// Whether a contrary command that was issued later is in force. The answer is the same on all daemons,
-    /// whichever of the two arrived first.
-    fn superseded(&self, now_us: u64, command: &Command) -> Option<String> {
+    /// Returns why the command is overridden, if a command on the same subject that was issued later is in
+    /// force. As the time of issue decides, all daemons end with the same command in force, whichever arrived
+    /// first.
+    fn precedence_violation(&self, now_us: u64, command: &Command) -> Option<String> {
         if command.issued_us == 0 {
             return None;
         }
@@ -194,24 +198,26 @@
         Some(format!("overtaken: {action} by {issuer} was issued {later_by:.3} s after it"))
     }
 
-    fn remember(&mut self, command: &Command, reply: &Reply) {
+    fn record_decision(&mut self, command: &Command, reply: &Reply) {
         let decided = DecidedCommand { expires_us: command.expires_us, reply: reply.clone() };
         self.persisted.decided.insert(command.id.clone(), decided);
         while self.persisted.decided.len() > MAX_DECIDED_COMMANDS {
-            self.forget_first_expired();
+            self.evict_earliest_expiry();
         }
     }
 
-    /// Forgets the decided command with the earliest expiry: a repeat of it is rejected as expired anyway.
-    fn forget_first_expired(&mut self) {
-        let by_expiry = self.persisted.decided.iter().min_by_key(|(_, decided)| decided.expires_us);
-        if let Some(id) = by_expiry.map(|(id, _)| id.clone()) {
+    /// Removes the decided command with the earliest expiry. It has the least need of a stored reply: once it
+    /// has expired, it is rejected anyway when it is sent again.
+    fn evict_earliest_expiry(&mut self) {
+        let earliest = self.persisted.decided.iter().min_by_key(|(_, decided)| decided.expires_us);
+        if let Some(id) = earliest.map(|(id, _)| id.clone()) {
             self.persisted.decided.remove(&id);
         }
     }
 
-    /// Releases prepared commands at their expiry, and ends a pause at its end or when another build or
-    /// stage has come. Returns the change that the daemon has to make then.
+    /// Releases the prepared commands that have expired, and ends the pause if its end has passed or the
+    /// release is in another stage or of another build. Returns the change that the daemon has to make, if
+    /// any.
     pub fn expire(&mut self, now_us: u64, context: DaemonContext) -> Option<Change> {
         self.prepared.retain(|_, command| command.expires_us > now_us);
         let pause = self.persisted.pause.as_ref()?;
@@ -222,7 +228,8 @@
         Some(Change::Resume)
     }
 
-    /// When [`CommandLog::expire`] has something to do next, in microseconds since 1970.
+    /// Returns when a prepared command or the pause expires next, in microseconds since 1970;
+    /// [`CommandLog::expire`] is due then.
     pub fn next_expiry(&self) -> Option<u64> {
         let prepared = self.prepared.values().map(|command| command.expires_us);
         let pause = self.pause().map(|pause| pause.until_us);
@@ -230,7 +237,7 @@
     }
 }
 
-fn repeated_reply(first: &Reply) -> Reply {
+fn reply_to_repeat(first: &Reply) -> Reply {
     match first {
         Reply::Applied { .. } => Reply::Applied { already: true },
         other => other.clone(),
@@ -238,15 +245,15 @@
 }
 
 fn has_ended(pause: &Pause, now_us: u64, context: DaemonContext) -> bool {
-    let is_other_release =
+    let release_has_changed =
         pause.release.is_some() && context.release.is_some() && pause.release != context.release;
-    pause.until_us <= now_us || is_other_release
+    pause.until_us <= now_us || release_has_changed
 }
 
 fn expiry_violation(now_us: u64, command: &Command) -> Option<String> {
     if command.expires_us <= now_us {
-        let ago = seconds(now_us - command.expires_us);
-        return Some(format!("expired {ago:.1} s ago by this daemon's clock"));
+        let expired_for = seconds(now_us - command.expires_us);
+        return Some(format!("expired {expired_for:.1} s ago by this daemon's clock"));
     }
     if command.expires_us > now_us + MAX_EXPIRY_US {
         return Some("expires over a day from now by this daemon's clock".into());
@@ -259,7 +266,7 @@
     if fence.boot.is_some_and(|boot| boot != context.boot) {
         return Some(format!("for another life of this daemon: its boot number is {}", context.boot));
     }
-    if !command.action.is_about_a_stage() {
+    if !command.action.concerns_release_stage() {
         return None;
     }
     let Some(ReleaseStage { build, stage }) = context.release else {
@@ -280,8 +287,8 @@
     if command.issued_us <= now_us + MAX_CLOCK_LEAD_US {
         return None;
     }
-    let ahead = seconds(command.issued_us - now_us);
-    Some(format!("issued {ahead:.1} s from now by this daemon's clock: one of the clocks is off"))
+    let ahead_by = seconds(command.issued_us - now_us);
+    Some(format!("issued {ahead_by:.1} s from now by this daemon's clock: one of the clocks is off"))
 }
 
 fn pause_violation(now_us: u64, action: &Action) -> Option<String> {
