--- a/crates/operator-commands/src/persisted_state.rs
+++ b/crates/operator-commands/src/persisted_state.rs
@@ -1,4 +1,4 @@
-//! The part of the command log that outlives the process, as it is stored in JSON.
+//! The part of the command log that survives a restart of the daemon. It is stored as JSON.
 
 use crate::command::MAX_EXPIRY_US;
 use crate::release_stage::ReleaseStage;
@@ -6,22 +6,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What the command log must find again after a restart.
+/// The state that the command log needs after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The pause in force.
+    /// The pause that is in force, if any.
     pub pause: Option<Pause>,
-    /// The commands that were decided, by id.
+    /// The commands that were applied or rejected, by id.
     #[serde(rename = "seen")]
     pub decided: BTreeMap<String, DecidedCommand>,
-    /// The command in force on each subject.
+    /// The command in force on each subject, by [`crate::Action::subject`].
     #[serde(default, rename = "standing")]
     pub in_force: BTreeMap<String, CommandInForce>,
 }
 
 impl PersistedState {
-    /// The state to assume when the stored one cannot be read: any pause it held may still be in force, so
-    /// the daemon is paused for the longest time that a pause can have.
+    /// Returns the state to assume when the stored state cannot be read. The stored state may have contained
+    /// a pause that is still in force, so the daemon is paused for the maximum length of a pause.
     pub fn paused_after_damage(now_us: u64) -> Self {
         let pause = Pause {
             until_us: now_us + MAX_EXPIRY_US,
@@ -32,14 +32,15 @@
     }
 }
 
-/// A pause in force.
+/// A pause that is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pause {
-    /// When it ends, in microseconds since 1970.
+    /// When the pause ends, in microseconds since 1970.
     pub until_us: u64,
-    /// Who asked for it.
+    /// The operator who requested the pause.
     pub issuer: String,
-    /// The release stage it is for; none: any, as after a damaged file.
+    /// The release stage that the pause is for; it ends with that stage. None: the pause is for any stage, as
+    /// it is after a damaged state file.
     #[serde(rename = "about")]
     pub release: Option<ReleaseStage>,
 }
@@ -50,7 +51,7 @@
 pub struct DecidedCommand {
     /// When the command expires, in microseconds since 1970.
     pub expires_us: u64,
-    /// What became of it.
+    /// The reply that the issuer got.
     pub reply: Reply,
 }
 
@@ -66,18 +67,19 @@
     }
 }
 
-/// The command in force on a subject. Contrary commands issued before it are rejected.
+/// The command in force on a subject. Commands on the same subject that were issued before it are rejected.
 ///
-/// The order of the fields is the order of precedence: the time of issue, then the id.
+/// The derived order compares the fields from top to bottom, so precedence goes by the time of issue, then by
+/// the id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CommandInForce {
-    /// When it was issued, in microseconds since 1970.
+    /// When the command was issued, in microseconds since 1970.
     pub issued_us: u64,
-    /// Its id, which orders commands issued at one moment.
+    /// The id of the command. It orders commands that were issued at the same microsecond.
     pub id: String,
-    /// Who issued it.
+    /// The operator who issued the command.
     pub issuer: String,
-    /// The name of its action.
+    /// The name of the command's action, [`crate::Action::name`].
     #[serde(rename = "act")]
     pub action: String,
 }
--- a/crates/operator-commands/src/release_stage.rs
+++ b/crates/operator-commands/src/release_stage.rs
@@ -1,4 +1,4 @@
-//! A stage of a build's release.
+//! The type for one stage of the release of a build.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u16, u8)", into = "(u16, u8)")]
 pub struct ReleaseStage {
-    /// The build's number.
+    /// The number of the build.
     pub build: u16,
-    /// The stage, from 0.
+    /// The number of the stage, from 0.
     pub stage: u8,
 }
 
--- a/crates/operator-commands/src/wire.rs
+++ b/crates/operator-commands/src/wire.rs
@@ -1,54 +1,55 @@
-//! The wire format of the control socket: one JSON object a line, one response for each request.
+//! The wire format of the control socket: one JSON value per line, and one response per request.
 
 use crate::command::Command;
 use crate::daemon_state::DaemonState;
 use serde::{Deserialize, Serialize};
 
-/// The longest line that a daemon accepts, in bytes.
+/// The maximum length of a request line, in bytes.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// The longest id or issuer of a command, in bytes.
+/// The maximum length of a command's id or issuer, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
 /// A request to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
-    /// The daemon's name, boot number and version.
+    /// Asks for the daemon's name, boot number and version.
     Whoami,
-    /// A snapshot of the daemon's state.
+    /// Asks for a snapshot of the daemon's state.
     State,
-    /// Execute a command.
+    /// Submits a command.
     Command(Command),
-    /// Hand over to a new process. What follows on the connection is defined by `takeover` in the proxy.
+    /// Hands over to a new process of the daemon. The proxy's `takeover` module defines what follows on the
+    /// connection.
     Takeover,
 }
 
-/// What became of a command.
+/// The outcome of a command at a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// Applied now, or before under the same id.
+    /// The daemon has applied the command, now or when it first arrived.
     #[serde(rename = "agreed")]
     Applied {
-        /// It had been applied before.
+        /// Whether the command had been applied before this request.
         #[serde(rename = "again")]
         already: bool,
     },
-    /// Prepared until its expiry.
+    /// The command is prepared until its expiry.
     Prepared,
-    /// A prepared command was released.
+    /// The prepared command has been released and is not applied.
     Released,
-    /// Not applied.
+    /// The daemon has not applied the command.
     #[serde(rename = "refused")]
     Rejected {
-        /// Why, for people.
+        /// The reason, as text for the operator.
         reason: String,
     },
 }
 
 impl Reply {
-    /// A rejection with this reason.
+    /// Returns a rejection with this reason.
     pub fn rejected(reason: impl Into<String>) -> Self {
         Reply::Rejected { reason: reason.into() }
     }
@@ -58,27 +59,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
-    /// To `whoami`.
+    /// The response to [`Request::Whoami`].
     Whoami {
         /// The daemon's name in its fleet.
         name: String,
-        /// Its boot number.
+        /// The daemon's boot number, which increases by one at each start.
         boot: u64,
-        /// The program's version.
+        /// The version of the daemon's program.
         version: String,
     },
-    /// To `state`.
+    /// The response to [`Request::State`].
     State(Box<DaemonState>),
-    /// To a command.
+    /// The response to [`Request::Command`].
     Command(Reply),
-    /// The request could not be parsed.
+    /// The response to a line that cannot be parsed as a request.
     Malformed {
-        /// Why, for people.
+        /// The reason, as text for the operator.
         reason: String,
     },
 }
 
-/// Why a line is not a request.
+/// Why a line is not a valid request.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -87,15 +88,16 @@
     /// The line is not the JSON of a request.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A command's id or issuer is empty, too long or has control characters.
+    /// The id or the issuer of a command is empty, is too long or contains control characters.
     #[error("an id and an issuer have 1 to 128 printable characters")]
     InvalidName,
 }
 
-/// Parses a line, without its end, as a request.
+/// Parses a line, without its line feed, as a request.
 ///
 /// # Errors
-/// If the line is too long, is not a request in JSON, or is a command whose id or issuer is not printable.
+/// [`RequestError`] if the line is too long or is not a request in JSON, or if the id or issuer of a command
+/// is empty, too long or not printable.
 pub fn parse_request(line: &[u8]) -> Result<Request, RequestError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(RequestError::LineTooLong);
@@ -113,7 +115,7 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control)
 }
 
-/// Encodes a request or a response as a line.
+/// Encodes a request or a response as a line of JSON.
 pub fn encode_line<T: Serialize>(message: &T) -> Vec<u8> {
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
