--- a/crates/operator-commands/src/daemon_state.rs
+++ b/crates/operator-commands/src/daemon_state.rs
@@ -1,74 +1,74 @@
-//! A snapshot of a daemon's state, taken in one turn of its event loop so that its parts fit together. Every
-//! tool that shows state reads this type.
+//! A snapshot of a daemon's state. The daemon takes it within one iteration of its event loop, so that its
+//! parts are consistent with each other. All tools that display state read this type.
 
 use serde::{Deserialize, Serialize};
 
-/// A daemon's state at one moment.
+/// The state of a daemon at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DaemonState {
-    /// The daemon's name: fleet and position.
+    /// The daemon's name: the name of its fleet and its position, joined by a hyphen.
     pub name: String,
-    /// Its boot number: one more at each start.
+    /// The daemon's boot number, which increases by one at each start.
     pub boot: u64,
-    /// Microseconds since this start.
+    /// Microseconds since the daemon started.
     #[serde(rename = "up_us")]
     pub uptime_us: u64,
-    /// It accepts no new requests.
+    /// Whether the daemon is draining: it accepts no new requests.
     pub draining: bool,
-    /// The release as last announced by the release service; none before the first announcement.
+    /// The release that the release service announced last; none before its first announcement.
     pub release: Option<ReleaseState>,
-    /// Attempts by build in the last window.
+    /// The attempts that were started recently, by build.
     pub attempts: Vec<BuildAttempts>,
-    /// The vote in force, in the release service's words, with build and stage.
+    /// The latest vote with its build and stage, as text.
     pub vote: Option<String>,
-    /// The latest result of the canary analysis, for people.
+    /// The latest result of the canary analysis, as text for the operator.
     pub finding: Option<String>,
-    /// The pause in force.
+    /// The pause that is in force, if any.
     #[serde(rename = "paused")]
     pub pause: Option<PauseState>,
-    /// Requests and attempts since the start.
+    /// The requests and attempts since the daemon started.
     pub counts: RequestCounts,
-    /// Open connections.
+    /// The numbers of open connections.
     pub connections: ConnectionCounts,
-    /// Requests that wait for their final response.
+    /// The number of requests that wait for their final response.
     #[serde(rename = "owed")]
     pub pending_responses: u64,
-    /// Peers heard from in the last 10 s.
+    /// The number of peers from which a datagram arrived in the last 10 s.
     pub peers: u64,
-    /// Microseconds since the endpoint list was last updated or confirmed; none before the first list.
+    /// Microseconds since discovery last updated or confirmed the endpoint list; none before the first list.
     #[serde(rename = "list_age_us")]
     pub endpoint_list_age_us: Option<u64>,
-    /// Servers on the endpoint list.
+    /// The number of servers on the endpoint list.
     pub servers: u64,
-    /// The daemon's part in the fleet's retry budgets, by class; empty where no class has a budget.
+    /// The daemon's quotas of the fleet's retry budgets, by request class; empty where no class has a budget.
     #[serde(default, rename = "rights")]
     pub quotas: Vec<QuotaState>,
-    /// The distributed configuration; none where the settings name no publisher.
+    /// The state of the distributed configuration; none where the settings name no publisher.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "distributed")]
     pub configuration: Option<ConfigurationState>,
 }
 
-/// The newest build's release.
+/// The release of the newest build.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseState {
-    /// The build's number.
+    /// The number of the build.
     pub build: u16,
-    /// Its stage, from 0.
+    /// The number of the release's stage, from 0.
     pub stage: u8,
-    /// `trial`, `rolling_back`, `released` or `withdrawn`.
+    /// The phase: `trial`, `rolling_back`, `released` or `withdrawn`.
     pub phase: String,
-    /// Its exposure cap, 0 to 1.
+    /// The exposure cap, from 0 to 1.
     #[serde(rename = "cap")]
     pub exposure_cap: f64,
 }
 
-/// Attempts on one build's servers. Serialized as the pair `[build, attempts]`.
+/// The number of attempts on the servers of one build. Serialized as the pair `[build, attempts]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u16, u64)", into = "(u16, u64)")]
 pub struct BuildAttempts {
-    /// The build's number.
+    /// The number of the build.
     pub build: u16,
-    /// Attempts started.
+    /// The number of attempts that were started.
     pub attempts: u64,
 }
 
@@ -84,13 +84,13 @@
     }
 }
 
-/// A pause in force. Serialized as the pair `[until_us, issuer]`.
+/// A pause that is in force. Serialized as the pair `[until_us, issuer]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, String)", into = "(u64, String)")]
 pub struct PauseState {
-    /// When it ends, in microseconds since 1970.
+    /// When the pause ends, in microseconds since 1970.
     pub until_us: u64,
-    /// Who asked for it.
+    /// The operator who requested the pause.
     pub issuer: String,
 }
 
@@ -106,13 +106,13 @@
     }
 }
 
-/// Open connections. Serialized as the pair `[clients, servers]`.
+/// The numbers of open connections. Serialized as the pair `[clients, servers]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ConnectionCounts {
-    /// Connections from clients.
+    /// The number of connections from clients.
     pub clients: u64,
-    /// Connections to servers.
+    /// The number of connections to servers.
     pub servers: u64,
 }
 
@@ -128,68 +128,70 @@
     }
 }
 
-/// Requests and attempts since the start.
+/// The numbers of requests and attempts since the daemon started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Requests accepted.
+    /// Requests that the daemon accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Requests answered by a server.
+    /// Requests that got a server's response.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests that the daemon rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
     /// Requests whose client closed the connection before the response.
     #[serde(rename = "gone")]
     pub abandoned: u64,
-    /// Attempts started.
+    /// Attempts that the daemon started.
     pub attempts: u64,
 }
 
-/// A daemon's part in the fleet's retry budget of one class. Rates are in thousandths a second.
+/// A daemon's quota of the fleet's retry budget for one request class. Budgets, quotas and rates are in
+/// thousandths of an attempt per second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaState {
-    /// The class's name.
+    /// The name of the request class.
     pub class: String,
-    /// The fleet's budget, as this daemon's settings have it.
+    /// The budget of the whole fleet, according to this daemon's settings.
     pub budget: u64,
-    /// The daemon's own quota, which is never lent.
+    /// The part of the daemon's own quota that is never lent.
     #[serde(rename = "floor")]
     pub guaranteed: u64,
-    /// Its own quota beyond that, which it may lend.
+    /// The rest of the daemon's own quota, which it may lend.
     #[serde(rename = "lot")]
     pub lendable: u64,
-    /// The part of the lendable quota that is lent, or may have been by an earlier incarnation.
+    /// The part of the lendable quota that is lent, or that an earlier incarnation of the daemon may have
+    /// lent.
     pub lent: u64,
-    /// The quota that it has borrowed.
+    /// The quota that the daemon has borrowed.
     pub borrowed: u64,
-    /// The rate that it may spend.
+    /// The rate that the daemon may spend at present.
     pub rate: u64,
-    /// Attempts spent since the start.
+    /// Attempts that the quota allowed since the daemon started.
     pub spent: u64,
-    /// Attempts denied since the start.
+    /// Attempts that were denied for lack of quota since the daemon started.
     pub denied: u64,
 }
 
-/// A daemon's state with respect to the configuration that a publisher distributes.
+/// Which version of the publisher's configuration a daemon has, and whether it gets updates.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationState {
-    /// The version in force; none: no version has arrived yet, the routes of the settings apply.
+    /// The version that is in force; none: no version has arrived yet, so the routes of the settings apply.
     #[serde(default)]
     pub version: Option<ConfigurationVersion>,
-    /// The number of its routes.
+    /// The number of routes in that version.
     #[serde(default)]
     pub routes: u64,
-    /// Microseconds since the publisher last confirmed that this is its newest version; none: not since the
-    /// start.
+    /// Microseconds since the publisher last confirmed that this is its newest version; none: the publisher
+    /// has not confirmed it since the daemon started.
     #[serde(default)]
     pub age_us: Option<u64>,
-    /// A watch of the publisher is open.
+    /// Whether a watch on the publisher is open.
     #[serde(default)]
     pub watching: bool,
-    /// The newest version that was rejected, until it or a later one is in force.
+    /// The newest version that the daemon rejected; none once that version or a later one is in force.
     #[serde(default, rename = "refused")]
     pub rejected: Option<RejectedVersion>,
 }
@@ -197,7 +199,7 @@
 /// A version of the distributed configuration, ordered by term, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConfigurationVersion {
-    /// The publisher's term.
+    /// The publisher's term: one incarnation of its log. A publisher that lost its log starts a higher term.
     pub term: u64,
     /// The number of changes published in this term, up to and including this version.
     pub number: u64,
@@ -212,8 +214,8 @@
 /// A version of the distributed configuration that was rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedVersion {
-    /// The version.
+    /// The version that was rejected.
     pub version: ConfigurationVersion,
-    /// Why, for people.
+    /// Why the daemon rejected it, as text for the operator.
     pub reason: String,
 }
--- a/crates/operator-commands/src/lib.rs
+++ b/crates/operator-commands/src/lib.rs
@@ -1,14 +1,16 @@
-//! Operators' commands to a daemon, without I/O.
+//! The commands that operators send to a daemon: their types, their wire format, and the decision whether a
+//! command is applied. This crate does no I/O.
 //!
 //! - [`command`]: a command, its fence and its phase.
-//! - [`wire`]: requests and responses on the control socket.
-//! - [`daemon_state`]: the snapshot of a daemon's state that every tool shows.
+//! - [`wire`]: the requests and responses on the control socket.
+//! - [`daemon_state`]: the snapshot of a daemon's state that all tools display.
 //! - [`command_log`]: decides whether a command is applied, prepared or rejected.
-//! - [`persisted_state`]: what the command log must find again after a restart.
+//! - [`persisted_state`]: the part of the command log that survives a restart of the daemon.
 //!
-//! A command has an id, an issuer, an expiry and a fence. It is applied once however often it arrives. A
-//! command for another build, stage or incarnation of the daemon, or past its expiry, is rejected with the
-//! reason. Wall-clock times are microseconds since 1970; the command log has no clock and is given the time.
+//! A command has an id, an issuer, an expiry and a fence. Applying a command is idempotent: a daemon applies
+//! each id once, however often it arrives. A daemon rejects a command, and states the reason, if the command
+//! has expired or if its fence names another build, stage or incarnation of the daemon. Wall-clock times are
+//! microseconds since 1970. The command log reads no clock; its callers pass in the time.
 
 pub mod command;
 pub mod command_log;
