--- a/crates/operator-commands/tests/wire_format.rs
+++ b/crates/operator-commands/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The JSON of the control socket and of the state file, byte for byte. The golden lines under `wire_format/`
-//! were written by the build before the types were renamed, and are not written again to make a test pass.
+//! Compares the JSON of the control socket and of the state file with golden lines, byte for byte, so that a
+//! renamed type or field cannot change the format. The golden lines under `wire_format/` were written by a
+//! build from before the types were renamed. They must not be regenerated to make a test pass.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -15,7 +16,7 @@
 const MESSAGES: &str = include_str!("wire_format/messages.jsonl");
 const PERSISTED_STATES: &str = include_str!("wire_format/persisted_states.jsonl");
 
-/// Compares each value with its golden line, in both directions.
+/// Checks that each value is written as its golden line, and that the line is read as the value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(lines: &[&str], values: &[T]) {
     assert_eq!(lines.len(), values.len());
     for (line, value) in lines.iter().zip(values) {
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn requests_and_responses_keep_their_bytes() {
+fn requests_and_responses_match_the_golden_lines() {
     let lines: Vec<&str> = MESSAGES.lines().collect();
     let requests = requests();
     let (request_lines, response_lines) = lines.split_at(requests.len());
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn persisted_states_keep_their_bytes() {
+fn persisted_states_match_the_golden_lines() {
     let in_force =
         CommandInForce { issued_us: 1, id: "a".into(), issuer: "b".into(), action: "pause".into() };
     let decided = DecidedCommand { expires_us: 2, reply: Reply::Applied { already: false } };
