--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -1,5 +1,5 @@
-//! One request to one daemon: connect, write a line, read a line, all before one deadline; over its local
-//! socket, or over TCP with mutual TLS.
+//! Sends one request to one daemon, over its local control socket or over TCP with mutual TLS. Connecting,
+//! writing the request line and reading the response line share one deadline.
 
 use crate::deadline_stream::{DeadlineStream, SetTimeout};
 use rustls::pki_types::{InvalidDnsNameError, ServerName};
@@ -12,28 +12,28 @@
 use std::time::{Duration, Instant};
 use violetseam_operator_commands::wire::{MAX_LINE_BYTES, Request, Response, encode_line};
 
-/// The longest response line, in bytes: a state is longer than a request.
+/// The maximum length of a response line, in bytes. A daemon's state is longer than a request.
 const MAX_RESPONSE_BYTES: usize = 4 * MAX_LINE_BYTES;
 const READ_BUFFER_BYTES: usize = 4096;
-/// How the fleet file marks a control address that is reached over TCP with TLS.
+/// The prefix of a control address in the fleet file that is reached over TCP with TLS.
 const TLS_PREFIX: &str = "tls://";
 
-/// Why a daemon gave no response.
+/// Why there is no valid response from a daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// No request was sent to this daemon.
-    #[error("not asked")]
+    #[error("no request was sent to it")]
     NotSent,
-    /// The daemon is reached over TLS and the fleet file names no identity.
-    #[error("no identity to show it")]
+    /// The daemon is reached over TLS, but the fleet file names no identity for the operator.
+    #[error("reached over TLS, but the fleet file names no identity")]
     NoIdentity,
     /// The host of the control address is not a valid TLS server name.
-    #[error("not a name that TLS knows")]
+    #[error("the host of its control address is not a valid TLS server name: {0}")]
     InvalidServerName(#[source] InvalidDnsNameError),
-    /// TLS could not be set up.
-    #[error("{0}")]
+    /// The TLS session could not be set up.
+    #[error("setting up TLS failed: {0}")]
     Tls(#[source] rustls::Error),
-    /// The connection failed.
+    /// The connection could not be established.
     #[error("no connection: {0}")]
     Connect(#[source] Error),
     /// The connection was not established before the deadline.
@@ -42,40 +42,40 @@
     /// The response did not begin before the deadline.
     #[error("no answer in time")]
     Timeout,
-    /// The daemon closed the local connection.
+    /// The daemon closed the connection to its local socket.
     #[error("closed the connection without an answer")]
     Closed,
-    /// The daemon closed the TLS connection.
-    #[error("closed the connection without an answer: does it trust this certificate?")]
+    /// The daemon closed the TLS connection. It does so if it does not trust the operator's certificate.
+    #[error("closed the connection without an answer: it may not trust the operator's certificate")]
     ClosedTls,
-    /// TLS rejected the daemon's certificate or what it sent.
+    /// TLS rejected the daemon's certificate or the data that it sent.
     #[error("not trusted: {0}")]
     NotTrusted(#[source] Error),
     /// Reading or writing failed.
-    #[error("{0}")]
+    #[error("reading or writing failed: {0}")]
     Io(#[source] Error),
-    /// The response began and did not end before the deadline or an error.
-    #[error("half an answer, then nothing")]
+    /// The response began, but its end did not arrive before the deadline or before reading failed.
+    #[error("half an answer: the end of its line did not arrive")]
     Truncated,
-    /// The response is longer than a daemon may send.
-    #[error("an answer without an end")]
+    /// The response line is longer than `MAX_RESPONSE_BYTES`.
+    #[error("an answer without an end of line in {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
-    /// The response is not valid JSON of a response.
+    /// The line is not the JSON of a response.
     #[error("an answer that cannot be read: {0}")]
     Malformed(#[source] serde_json::Error),
     /// The response belongs to another kind of request.
-    #[error("answered something else: {0:?}")]
+    #[error("answered another kind of request: {0:?}")]
     Unexpected(Box<Response>),
 }
 
-/// A daemon's response, or why there is none.
+/// A daemon's response, or why there is no valid one.
 pub type CallResult = Result<Response, CallError>;
 
-/// Sends a request to a daemon and reads the response. Takes no longer than `timeout`, whatever the other
-/// side does.
+/// Sends a request to the daemon with the address `control` and reads its response. Takes no longer than
+/// `timeout`, whatever the daemon does. `identity` holds the operator's certificate and key.
 ///
 /// # Errors
-/// If no response that can be parsed arrives within the timeout.
+/// [`CallError`] if no valid response arrives within the timeout.
 pub fn call(
     control: &str,
     request: &Request,
@@ -110,16 +110,16 @@
     exchange(&mut stream, request, || CallError::ClosedTls)
 }
 
-/// The host of an address `host:port`; the brackets of an IPv6 address are not part of the name.
+/// Returns the host of an address `host:port`, without the brackets of an IPv6 address, as a TLS server name.
 fn server_name(address: &str) -> Result<ServerName<'static>, CallError> {
     let host = address.rsplit_once(':').map_or(address, |(host, _)| host);
     let name = host.trim_matches(['[', ']']).to_owned();
     ServerName::try_from(name).map_err(CallError::InvalidServerName)
 }
 
-/// Connects to the first of a name's addresses that accepts the connection.
+/// Connects to the first IP address of the host that accepts the connection.
 fn connect_tcp(address: &str, timeout: Duration) -> std::io::Result<TcpStream> {
-    let mut last_error = Error::other("the name has no address");
+    let mut last_error = Error::other("the host name resolves to no address");
     for socket_address in address.to_socket_addrs()? {
         match TcpStream::connect_timeout(&socket_address, timeout) {
             Ok(stream) => {
@@ -132,8 +132,9 @@
     Err(last_error)
 }
 
-/// Connects on a thread of its own. The queue of a Unix-domain socket can be full for as long as its daemon is
-/// stopped, and a name look-up has no timeout; neither may delay the other calls.
+/// Connects on a separate thread and stops waiting at the deadline. Connecting to a Unix-domain socket blocks
+/// while its queue is full, as it can be for as long as its daemon is stopped, and a name look-up has no
+/// timeout. Neither may delay the other calls.
 fn connect_before<S: SetTimeout + Send + 'static>(
     deadline: Instant,
     connect: impl FnOnce(Duration) -> std::io::Result<S> + Send + 'static,
@@ -141,7 +142,7 @@
     let remaining = deadline.saturating_duration_since(Instant::now());
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
-        // The receiver is gone if the deadline has passed.
+        // The receiver has been dropped if the deadline has passed; the result is of no use then.
         let _ = sender.send(connect(remaining));
     });
     match receiver.recv_timeout(remaining) {
@@ -150,15 +151,16 @@
     }
 }
 
-/// Writes the request and reads the line of the response. `closed` is the error for a closed connection.
+/// Writes the request line and reads the response line. `closed` returns the error for a connection that the
+/// daemon closed.
 fn exchange(
     stream: &mut (impl Read + Write),
     request: &Request,
-    closed: impl Fn() -> CallError,
+    closed_error: impl Fn() -> CallError,
 ) -> CallResult {
     let io_error = |error: Error| match error.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => CallError::Timeout,
-        ErrorKind::BrokenPipe | ErrorKind::ConnectionReset | ErrorKind::UnexpectedEof => closed(),
+        ErrorKind::BrokenPipe | ErrorKind::ConnectionReset | ErrorKind::UnexpectedEof => closed_error(),
         ErrorKind::InvalidData => CallError::NotTrusted(error),
         _ => CallError::Io(error),
     };
@@ -168,7 +170,7 @@
     let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         match stream.read(&mut buffer) {
-            Ok(0) => return Err(closed()),
+            Ok(0) => return Err(closed_error()),
             Ok(length) => received.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) if !received.is_empty() => return Err(CallError::Truncated),
--- a/crates/fleet/src/deadline_stream.rs
+++ b/crates/fleet/src/deadline_stream.rs
@@ -1,19 +1,20 @@
-//! A blocking stream whose reads and writes all end at one deadline.
+//! A blocking stream whose reads and writes share one deadline.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-/// A stream whose reads and writes time out at a deadline.
+/// A blocking stream whose reads and writes time out at a deadline. Socket timeouts alone bound each read or
+/// write, not their sum.
 pub(crate) struct DeadlineStream<S> {
     stream: S,
     deadline: Instant,
 }
 
-/// A socket with timeouts for its reads and writes.
+/// A blocking socket whose reads and writes can be given a timeout.
 pub(crate) trait SetTimeout: Read + Write {
-    /// Sets the timeout of each further read and write.
+    /// Sets the timeout of each later read and write.
     fn set_timeout(&self, timeout: Duration) -> std::io::Result<()>;
 }
 
@@ -36,8 +37,8 @@
         DeadlineStream { stream, deadline }
     }
 
-    /// The stream, with the time that is left as its timeout.
-    fn before_deadline(&mut self) -> std::io::Result<&mut S> {
+    /// Sets the socket's timeout to the time left until the deadline, and returns the socket.
+    fn with_remaining_timeout(&mut self) -> std::io::Result<&mut S> {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() {
             return Err(ErrorKind::TimedOut.into());
@@ -49,16 +50,16 @@
 
 impl<S: SetTimeout> Read for DeadlineStream<S> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        self.before_deadline()?.read(buffer)
+        self.with_remaining_timeout()?.read(buffer)
     }
 }
 
 impl<S: SetTimeout> Write for DeadlineStream<S> {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.before_deadline()?.write(bytes)
+        self.with_remaining_timeout()?.write(bytes)
     }
 
     fn flush(&mut self) -> std::io::Result<()> {
-        self.before_deadline()?.flush()
+        self.with_remaining_timeout()?.flush()
     }
 }
