--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Requests and commands to all daemons of a fleet.
+//! Sends requests and commands to the daemons of a fleet.
 
 use crate::call::{CallError, CallResult, call};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,48 +11,48 @@
 };
 use violetseam_settings::Member;
 
-/// The daemons of a fleet, and how they are called.
+/// The daemons of a fleet, and the settings of calls to them.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// The daemons.
+    /// The daemons, in the order of the fleet file.
     pub members: Vec<Member>,
-    /// How long a daemon may take for each request.
+    /// How long each request to a daemon may take.
     pub timeout: Duration,
-    /// The number of daemons that are called at once.
+    /// The maximum number of concurrent calls.
     pub parallel: usize,
-    /// The operator's certificate and key, for daemons that are reached over TCP.
+    /// The TLS settings with the operator's certificate and key, for daemons that are reached over TCP.
     pub identity: Option<Arc<rustls::ClientConfig>>,
 }
 
-/// What became of a command at one daemon.
+/// The outcome of a command at one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The daemon applied the command.
     Applied {
-        /// It had applied the command before.
+        /// Whether the daemon had applied the command before.
         already: bool,
     },
-    /// The daemon rejected the command, or released it after it was prepared.
+    /// The daemon rejected the command, or prepared and then released it; the reason.
     Rejected(String),
-    /// No response arrived, or none that can be parsed. The daemon may have applied the command.
+    /// No valid response arrived; the reason. The daemon may have applied the command.
     Unanswered(String),
 }
 
-/// What became of a command at one daemon, with the daemon's name.
+/// The outcome of a command at one daemon, with the daemon's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonOutcome {
     /// The daemon's name in the fleet file.
     pub daemon: String,
-    /// What became of the command.
+    /// The outcome of the command.
     pub outcome: Outcome,
 }
 
-/// What became of a command in the fleet.
+/// The outcomes of a command at all daemons of the fleet.
 #[derive(Clone, Debug)]
 pub struct CommandReport {
-    /// The command's id; the same id sent again is the same command.
+    /// The id of the command. A daemon applies an id once, however often it is sent.
     pub id: String,
-    /// The release stage that the command was fenced with.
+    /// The release stage in the command's fence; none if the command concerns no stage or no stage is known.
     pub release: Option<ReleaseStage>,
     /// The outcomes, in the fleet's order.
     pub outcomes: Vec<DaemonOutcome>,
@@ -63,31 +63,31 @@
 pub struct DaemonReading {
     /// The daemon's name in the fleet file.
     pub daemon: String,
-    /// Its state, or why there is none.
+    /// The state, or why the daemon did not report it.
     pub state: Result<DaemonState, CallError>,
 }
 
 /// Whether the daemons apply a command independently of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Each daemon applies or rejects it for itself.
+    /// Each daemon applies or rejects the command, whatever the others do.
     Independent,
-    /// Two-phase commit: all prepare it, and it is committed only if all are prepared.
+    /// A two-phase commit: the command is committed only if all daemons have prepared it.
     AllOrNone,
 }
 
-/// How a command is sent.
+/// The options for sending a command.
 #[derive(Clone, Debug)]
 pub struct CommandOptions {
-    /// Who issues the command.
+    /// The operator who issues the command.
     pub issuer: String,
-    /// How long after it is sent a daemon may still apply it.
+    /// The time from sending the command to its expiry, after which a daemon rejects it.
     pub validity: Duration,
     /// Whether the daemons apply it independently of each other.
     pub delivery: Delivery,
 }
 
-/// Microseconds since 1970.
+/// Returns the wall-clock time in microseconds since 1970.
 pub fn wall_clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
@@ -102,7 +102,7 @@
 }
 
 impl CommandTemplate<'_> {
-    /// The command for a daemon, fenced with its boot number.
+    /// Returns the command for a daemon, fenced with the daemon's boot number.
     fn request(&self, boot: u64, phase: Phase) -> Request {
         let fence = Fence {
             boot: Some(boot),
@@ -121,21 +121,21 @@
     }
 }
 
-/// The request for the member with this index; none: the member is not called.
+/// Returns the request for the member with this index, or none if the member is not to be called.
 type RequestFor<'a> = dyn Fn(usize) -> Option<Request> + Sync + 'a;
 
-/// The command in a phase for the member with this index; none: the member is not sent the command.
+/// Returns the command in this phase for the member with this index, or none if the member is not to get it.
 type CommandFor<'a> = dyn Fn(usize, Phase) -> Option<Request> + Sync + 'a;
 
-/// A result with the index of the member that it is from.
+/// The result of a call, with the index of the member that was called.
 struct MemberResult {
     member: usize,
     result: CallResult,
 }
 
 impl Fleet {
-    /// Sends each member its request. `on_progress` is called with the number of members that are done.
-    /// Returns the results in the fleet's order.
+    /// Sends each member its request and returns the results in the fleet's order. Calls `on_progress` after
+    /// each member with the number of members that are done.
     pub fn query(&self, request_for: &RequestFor<'_>, on_progress: &mut dyn FnMut(usize)) -> Vec<CallResult> {
         let queue = Mutex::new((0..self.members.len()).collect());
         let (sender, receiver) = channel();
@@ -146,7 +146,8 @@
                 let sender = sender.clone();
                 scope.spawn(move || self.call_queued(queue, request_for, &sender));
             }
-            // The loop below ends when the last thread drops its sender.
+            // The loop below ends when all senders are dropped: this one, and those of the threads when they
+            // end.
             drop(sender);
             for (done_before, MemberResult { member, result }) in receiver.iter().enumerate() {
                 results[member] = result;
@@ -156,7 +157,7 @@
         results
     }
 
-    /// Calls the members in the queue one after the other until it is empty.
+    /// Calls the members in the queue, which all threads share, one after the other until the queue is empty.
     fn call_queued(
         &self,
         queue: &Mutex<VecDeque<usize>>,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Reads the state of each daemon.
+    /// Requests the state of each daemon.
     pub fn state(&self, on_progress: &mut dyn FnMut(usize)) -> Vec<DaemonReading> {
         let results = self.query(&|_| Some(Request::State), on_progress);
         let readings = self.members.iter().zip(results).map(|(member, result)| {
@@ -189,9 +190,10 @@
         readings.collect()
     }
 
-    /// Sends a command to all daemons. It is fenced with each daemon's boot number as just read and, where it
-    /// is about a stage, with the release stage that most daemons report, so that a daemon in another one
-    /// rejects it.
+    /// Sends a command to all daemons. First requests the state of each daemon: the command is fenced with
+    /// the boot number that the daemon reports and, if it concerns a release stage, with the stage that most
+    /// daemons report. A daemon that has restarted since, or whose release is in another stage, rejects the
+    /// command.
     pub fn send_command(
         &self,
         action: &Action,
@@ -201,55 +203,56 @@
         let readings = self.state(on_progress);
         let release = if action.concerns_release_stage() { most_common_release(&readings) } else { None };
         let template = CommandTemplate {
-            // The standard library draws the keys of each hasher from the system.
+            // The id is random: the standard library takes the keys of a hasher from the system's generator.
             id: format!("{:016x}", RandomState::new().build_hasher().finish()),
             issued_us: wall_clock(),
             release,
             action,
             options,
         };
-        let command = |member: usize, phase: Phase| {
+        let command_for = |member: usize, phase: Phase| {
             let state = readings[member].state.as_ref().ok()?;
             Some(template.request(state.boot, phase))
         };
         let outcomes = match options.delivery {
-            Delivery::Independent => self.send_phase(&command, Phase::Immediate, on_progress),
-            Delivery::AllOrNone => self.send_in_two_phases(&command, on_progress),
+            Delivery::Independent => self.send_phase(&command_for, Phase::Immediate, on_progress),
+            Delivery::AllOrNone => self.send_in_two_phases(&command_for, on_progress),
         };
-        let named = readings.iter().zip(outcomes).map(|(reading, outcome)| DaemonOutcome {
+        let outcomes = readings.iter().zip(outcomes).map(|(reading, outcome)| DaemonOutcome {
             daemon: reading.daemon.clone(),
             outcome: match &reading.state {
                 Ok(_) => outcome,
-                // The command was not sent; what failed is the request for the state.
+                // The request for the state failed, so the command was not sent.
                 Err(error) => Outcome::Unanswered(error.to_string()),
             },
         });
-        CommandReport { outcomes: named.collect(), id: template.id.clone(), release }
+        CommandReport { outcomes: outcomes.collect(), id: template.id.clone(), release }
     }
 
     fn send_phase(
         &self,
-        command: &CommandFor<'_>,
+        command_for: &CommandFor<'_>,
         phase: Phase,
         on_progress: &mut dyn FnMut(usize),
     ) -> Vec<Outcome> {
-        let results = self.query(&|member| command(member, phase), on_progress);
+        let results = self.query(&|member| command_for(member, phase), on_progress);
         results.into_iter().map(command_outcome).collect()
     }
 
-    /// Prepares the command on all daemons, then commits it if all are prepared and aborts it otherwise.
+    /// Prepares the command on all daemons. Then commits it if all have prepared it, and aborts it otherwise.
     fn send_in_two_phases(
         &self,
-        command: &CommandFor<'_>,
+        command_for: &CommandFor<'_>,
         on_progress: &mut dyn FnMut(usize),
     ) -> Vec<Outcome> {
-        let results = self.query(&|member| command(member, Phase::Prepare), on_progress);
+        let results = self.query(&|member| command_for(member, Phase::Prepare), on_progress);
         let prepared: Vec<bool> = results.iter().map(is_prepared).collect();
         if prepared.iter().all(|is_prepared| *is_prepared) {
-            return self.send_phase(command, Phase::Commit, on_progress);
+            return self.send_phase(command_for, Phase::Commit, on_progress);
         }
-        // Daemons that do not answer release the command at its expiry.
-        let abort = |member: usize| if prepared[member] { command(member, Phase::Abort) } else { None };
+        // A daemon that prepared the command but whose response was lost gets no abort: it releases the
+        // command at its expiry.
+        let abort = |member: usize| if prepared[member] { command_for(member, Phase::Abort) } else { None };
         self.query(&abort, on_progress);
         let outcomes = results.into_iter().map(|result| {
             if is_prepared(&result) {
@@ -276,7 +279,8 @@
     }
 }
 
-/// The release stage that most daemons report; the latest of those that are reported equally often.
+/// Returns the release stage that most daemons report. Of several that are reported equally often, returns
+/// the latest one.
 fn most_common_release(readings: &[DaemonReading]) -> Option<ReleaseStage> {
     let mut counts: BTreeMap<ReleaseStage, usize> = BTreeMap::new();
     let states = readings.iter().filter_map(|reading| reading.state.as_ref().ok());
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! The fleet tool's work: one request or command to many daemons at once, each with a timeout of its own, and
-//! a report that says of each daemon whether it applied the command, rejected it or did not answer.
+//! The fleet tool: sends a request or a command to many daemons concurrently, with a timeout for each daemon,
+//! and reports for each daemon whether it applied the command, rejected it or did not answer.
 //!
-//! - [`call`]: one request to one daemon.
-//! - [`Fleet`]: requests and commands to many daemons.
-//! - [`report`]: the results as tables and as JSON.
+//! - [`call`]: sends one request to one daemon.
+//! - [`Fleet`]: sends requests and commands to many daemons.
+//! - [`report`]: formats the results as tables and as JSON.
 
 pub mod call;
 mod deadline_stream;
--- a/crates/fleet/src/select.rs
+++ b/crates/fleet/src/select.rs
@@ -1,16 +1,17 @@
-//! Selecting members of a fleet by name or group.
+//! Selects members of a fleet by name or group.
 
 use violetseam_settings::Member;
 
-/// A name that selects no member.
+/// A name that is neither the name nor a group of any member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no member or group {0:?}")]
+#[error("the fleet has no member or group {0:?}")]
 pub struct UnknownNameError(pub String);
 
-/// The members whose name or group is among `names`, in the fleet's order; all if `names` is empty.
+/// Returns the members whose name or one of whose groups is in `names`, in the fleet's order. Returns all
+/// members if `names` is empty.
 ///
 /// # Errors
-/// If a name selects no member.
+/// [`UnknownNameError`] with the first of `names` that selects no member.
 pub fn select_members(members: Vec<Member>, names: &[String]) -> Result<Vec<Member>, UnknownNameError> {
     if names.is_empty() {
         return Ok(members);
