--- a/crates/fleet/src/report/command.rs
+++ b/crates/fleet/src/report/command.rs
@@ -1,30 +1,30 @@
-//! The outcomes of a command.
+//! Formats the outcomes of a command.
 
 use super::new_table;
 use crate::fleet::{CommandReport, DaemonOutcome, Outcome};
 use serde_json::{Value, json};
 
-/// The exit status of the tool.
+/// The exit status of the fleet tool after a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
     /// All daemons answered and none rejected the command.
     Success = 0,
-    /// Some daemons rejected the command, all answered.
+    /// All daemons answered, and some rejected the command.
     Rejected = 3,
-    /// Some daemons did not answer, none rejected the command.
+    /// Some daemons did not answer, and none rejected the command.
     Unanswered = 4,
     /// Some daemons rejected the command and some did not answer.
     RejectedAndUnanswered = 5,
 }
 
 impl ExitStatus {
-    /// The number that the process exits with.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         self as u8
     }
 }
 
-/// The exit status for a command.
+/// Returns the exit status for the outcomes of a command.
 pub fn exit_status(report: &CommandReport) -> ExitStatus {
     let counts = OutcomeCounts::of(report);
     match (counts.rejected > 0, counts.unanswered > 0) {
@@ -56,11 +56,11 @@
     }
 }
 
-/// A command's outcomes as a table, those that need attention first.
+/// Formats the outcomes of a command as a table. Daemons that need the operator's attention come first.
 pub fn command_table(report: &CommandReport) -> String {
     let mut table = new_table(&["daemon", "outcome", "why"]);
     let mut outcomes: Vec<&DaemonOutcome> = report.outcomes.iter().collect();
-    outcomes.sort_by_key(|of_daemon| display_rank(&of_daemon.outcome));
+    outcomes.sort_by_key(|daemon_outcome| display_rank(&daemon_outcome.outcome));
     for DaemonOutcome { daemon, outcome } in outcomes {
         let (word, reason) = match outcome {
             Outcome::Applied { already: false } => ("agreed", ""),
@@ -89,7 +89,7 @@
     }
 }
 
-/// A command's outcomes as JSON.
+/// Formats the outcomes of a command as JSON.
 pub fn command_json(report: &CommandReport) -> Value {
     let daemons: Vec<Value> = report.outcomes.iter().map(outcome_json).collect();
     json!({
--- a/crates/fleet/src/report/configuration.rs
+++ b/crates/fleet/src/report/configuration.rs
@@ -1,4 +1,4 @@
-//! The daemons' versions of the distributed configuration.
+//! Formats which version of the distributed configuration each daemon has.
 
 use super::{answered, new_table, seconds, unanswered};
 use crate::fleet::DaemonReading;
@@ -14,8 +14,9 @@
     without_publisher: usize,
 }
 
-/// Which version of the distributed configuration each daemon has, how long ago that was confirmed to be the
-/// newest, and by how many versions it is behind the newest among those that answered.
+/// Formats a table of the daemons' versions of the distributed configuration: which version is in force, by
+/// how many versions it is behind the newest version among the daemons that answered, and how long ago the
+/// publisher confirmed it to be its newest.
 pub fn configuration_table(readings: &[DaemonReading]) -> String {
     let mut table = new_table(&COLUMNS);
     let newest = answered(readings).filter_map(|(_, state)| version_in_force(state)).max();
@@ -82,8 +83,8 @@
     version.map_or("none".to_owned(), |version| version.to_string())
 }
 
-/// How far a daemon is behind the newest version: the number of versions within a term; otherwise whether it
-/// has a version of an older term or none.
+/// Returns how far a daemon is behind the newest version: the number of versions if both are of the same
+/// term, and otherwise a text that says whether the daemon has a version of an older term or no version.
 fn versions_behind(version: Option<ConfigurationVersion>, newest: Option<ConfigurationVersion>) -> String {
     match (version, newest) {
         (version, newest) if version == newest => "-".into(),
--- a/crates/fleet/src/report/mod.rs
+++ b/crates/fleet/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a fleet answered, as tables and as JSON.
+//! Formats the responses of a fleet's daemons as tables and as JSON.
 
 mod command;
 mod configuration;
@@ -26,7 +26,7 @@
     micros as f64 / MICROS_PER_SECOND
 }
 
-/// The daemons that answered, with their states.
+/// Returns the names of the daemons that answered, with their states.
 fn answered(readings: &[DaemonReading]) -> impl Iterator<Item = (&str, &DaemonState)> {
     readings.iter().filter_map(|reading| {
         let state = reading.state.as_ref().ok()?;
@@ -34,8 +34,8 @@
     })
 }
 
-/// The names of the daemons that did not answer.
+/// Returns the names of the daemons that did not answer.
 fn unanswered(readings: &[DaemonReading]) -> Vec<&str> {
-    let silent = readings.iter().filter(|reading| reading.state.is_err());
-    silent.map(|reading| reading.daemon.as_str()).collect()
+    let unanswered = readings.iter().filter(|reading| reading.state.is_err());
+    unanswered.map(|reading| reading.daemon.as_str()).collect()
 }
--- a/crates/fleet/src/report/quota.rs
+++ b/crates/fleet/src/report/quota.rs
@@ -1,18 +1,19 @@
-//! The daemons' parts in the fleet's retry budgets.
+//! Formats the daemons' quotas of the fleet's retry budgets.
 
 use super::{answered, new_table, unanswered};
 use crate::fleet::DaemonReading;
 use std::collections::{BTreeMap, BTreeSet};
 use violetseam_operator_commands::daemon_state::QuotaState;
 
-/// Rates are in thousandths a second.
+/// Daemons report rates in thousandths of an attempt per second.
 const RATE_SCALE: f64 = 1e3;
 
 const COLUMNS: [&str; 10] =
     ["class", "daemon", "budget/s", "floor", "lot", "lent", "borrowed", "may spend", "spent", "denied"];
 
-/// Each daemon's part in the fleet's budgets as a table, class by class, with their total. The readings are of
-/// moments close to each other, not of one: while quota moves, the total may be off by what moves.
+/// Formats each daemon's quota of the fleet's retry budgets as a table, class by class, with the sum over the
+/// daemons. The daemons' states were not read at the same moment: while daemons lend or return quota, the sum
+/// may be off by the quota that changes hands between two reads.
 pub fn quota_table(readings: &[DaemonReading]) -> String {
     let mut table = new_table(&COLUMNS);
     let mut summary = String::new();
@@ -31,10 +32,10 @@
     if summary.is_empty() {
         summary.push_str("no class has a budget of the fleet\n");
     }
-    let silent = unanswered(readings);
-    if !silent.is_empty() {
+    let unanswered = unanswered(readings);
+    if !unanswered.is_empty() {
         summary.push_str("SILENT, may spend their floor, what they own and what they hold: ");
-        summary.push_str(&silent.join(", "));
+        summary.push_str(&unanswered.join(", "));
         summary.push('\n');
     }
     format!("{table}\n{summary}")
@@ -64,14 +65,14 @@
     format!("{:.1}", rate as f64 / RATE_SCALE)
 }
 
-/// What the daemons report of one class.
+/// The sums over the daemons' quotas of one request class.
 #[derive(Default)]
 struct ClassTotals {
     /// The sum of the rates that the daemons may spend.
     rate: u64,
-    /// The budgets reported, with the number of daemons that report each.
+    /// The values of the fleet's budget that daemons report, each with the number of daemons that report it.
     budgets: BTreeMap<u64, usize>,
-    /// Daemons that have no budget for the class.
+    /// The number of daemons that have no budget for the class.
     without_budget: usize,
 }
 
--- a/crates/fleet/src/report/state.rs
+++ b/crates/fleet/src/report/state.rs
@@ -1,4 +1,4 @@
-//! The states of the daemons.
+//! Formats the states of the daemons.
 
 use super::{new_table, seconds, unanswered};
 use crate::fleet::DaemonReading;
@@ -10,7 +10,7 @@
     "owed", "servers", "peers", "list age",
 ];
 
-/// The states as a table.
+/// Formats the states as a table with a row per daemon.
 pub fn state_table(readings: &[DaemonReading]) -> String {
     let mut table = new_table(&COLUMNS);
     for DaemonReading { daemon, state } in readings {
@@ -19,8 +19,8 @@
             Err(error) => table.add_row([daemon.clone(), format!("SILENT: {error}")]),
         };
     }
-    let silent = unanswered(readings).len();
-    format!("{table}\n{} answered, {silent} never did\n", readings.len() - silent)
+    let unanswered_count = unanswered(readings).len();
+    format!("{table}\n{} answered, {unanswered_count} never did\n", readings.len() - unanswered_count)
 }
 
 fn state_row(daemon: &str, state: &DaemonState) -> [String; COLUMNS.len()] {
@@ -51,7 +51,7 @@
     ]
 }
 
-/// The states as JSON.
+/// Formats the states as a JSON array with an object per daemon.
 pub fn state_json(readings: &[DaemonReading]) -> Value {
     let rows = readings.iter().map(|DaemonReading { daemon, state }| match state {
         Ok(state) => json!({"daemon": daemon, "state": state}),
