--- a/crates/fleet/tests/report.rs
+++ b/crates/fleet/tests/report.rs
@@ -1,5 +1,6 @@
-//! The fleet tool's tables, JSON and exit statuses, byte for byte. The golden text under `report/` was written by
-//! the build before the types were renamed, and is not written again to make a test pass.
+//! Compares the fleet tool's tables, JSON and exit statuses with a golden text, byte for byte. The golden
+//! text under `report/` was written by a build from before the types were renamed. It must not be regenerated
+//! to make a test pass.
 
 use std::fmt::Write;
 use violetseam_fleet::{CallError, CommandReport, DaemonOutcome, DaemonReading, Outcome, report};
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn tables_json_and_exit_statuses_keep_their_bytes() {
+fn tables_json_and_exit_statuses_match_the_golden_text() {
     let mut text = String::new();
     for command_report in command_reports() {
         text.push_str(&report::command_table(&command_report));
@@ -108,12 +109,12 @@
         writeln!(text, "{}\nexit {exit_code}", report::command_json(&command_report)).unwrap();
     }
     let readings = readings();
-    let without_settings = [reading("a", Ok(DaemonState::default()))];
+    let without_budgets_and_publisher = [reading("a", Ok(DaemonState::default()))];
     text.push_str(&report::state_table(&readings));
     writeln!(text, "{}", report::state_json(&readings)).unwrap();
     text.push_str(&report::quota_table(&readings));
-    text.push_str(&report::quota_table(&without_settings));
+    text.push_str(&report::quota_table(&without_budgets_and_publisher));
     text.push_str(&report::configuration_table(&readings));
-    text.push_str(&report::configuration_table(&without_settings));
+    text.push_str(&report::configuration_table(&without_budgets_and_publisher));
     assert_eq!(text, GOLDEN);
 }
