--- a/crates/fleet/tests/calls.rs
+++ b/crates/fleet/tests/calls.rs
@@ -148,9 +148,10 @@
     ];
     let fleet = Fleet { members, timeout: Duration::from_secs(1), parallel: 2, identity: None };
     let command_report = fleet.send_command(&Action::Resume, &options(Delivery::AllOrNone), &mut |_| {});
-    assert!(
-        matches!(&command_report.outcomes[0].outcome, Outcome::Rejected(why) if why.contains("not all were ready"))
-    );
+    assert!(matches!(
+        &command_report.outcomes[0].outcome,
+        Outcome::Rejected(reason) if reason.contains("not all were ready")
+    ));
     assert_eq!(command_report.outcomes[1].outcome, Outcome::Rejected("not me".into()));
     assert_eq!(report::exit_status(&command_report), report::ExitStatus::Rejected);
 }
