--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,22 +1,22 @@
-//! Why a message was rejected.
+//! The reasons for rejecting a message.
 
 use http::StatusCode;
 use std::fmt;
 
-/// Why a message was rejected. The display form is the status and the reason.
+/// Why a message was rejected. Displayed as the status and the reason, such as `400: malformed head`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
     /// A line feed without a carriage return in a head.
     BareLineFeedInHead,
     /// A carriage return without a line feed in a head.
     BareCarriageReturnInHead,
-    /// A head over [`crate::Limits::max_head_bytes`].
+    /// A head longer than [`crate::Limits::max_head_bytes`].
     HeadTooLarge,
     /// A head with more fields than [`crate::Limits::max_fields`].
     TooManyFields,
-    /// A head that does not parse.
+    /// A head that cannot be parsed.
     MalformedHead,
-    /// A field that does not parse.
+    /// A field that cannot be parsed.
     MalformedField,
     /// A field name with a character that is not allowed there.
     MalformedFieldName,
@@ -24,37 +24,37 @@
     MalformedFieldValue,
     /// A version other than HTTP/1.0 and HTTP/1.1.
     UnsupportedVersion,
-    /// A method that does not parse.
+    /// A method that cannot be parsed.
     MalformedMethod,
-    /// The method CONNECT.
+    /// The method CONNECT, which asks for a tunnel.
     ConnectNotSupported,
     /// A target that is neither a path nor an absolute URI.
     MalformedTarget,
-    /// A request without `Host`, or with several.
+    /// A request without a `Host` field, or with several.
     HostMissingOrRepeated,
     /// A value of `Expect` other than `100-continue`.
     UnknownExpectation,
-    /// A status that is out of range.
+    /// A status code out of range.
     MalformedStatus,
-    /// A `Content-Length` that is not one plain number.
+    /// A `Content-Length` that is not a single decimal number, or has too many digits.
     MalformedContentLength,
     /// Several `Content-Length` fields with different values.
     ConflictingContentLengths,
-    /// `Transfer-Encoding` in a message of HTTP/1.0.
+    /// `Transfer-Encoding` in an HTTP/1.0 message.
     TransferEncodingInHttp10,
     /// A transfer coding other than `chunked`.
     UnknownTransferCoding,
     /// Both `Transfer-Encoding` and `Content-Length`.
     ConflictingFramings,
-    /// A body over [`crate::Limits::max_body_bytes`].
+    /// A body longer than [`crate::Limits::max_body_bytes`].
     BodyTooLarge,
     /// The peer closed the connection before the end of a body.
     ClosedWithinBody,
-    /// A chunk size that is not a hexadecimal number.
+    /// A chunk size that is not a hexadecimal number, or has too many digits.
     MalformedChunkSize,
-    /// A chunk that goes on after its size.
+    /// A chunk whose data is not followed by CR LF: it is longer than its stated size.
     ChunkSizeMismatch,
-    /// A line of a chunked body that is too long.
+    /// A chunk-size line or trailer line that is too long.
     BodyLineTooLong,
     /// A line feed without a carriage return in a chunked body.
     BareLineFeedInBody,
@@ -62,16 +62,16 @@
     BareCarriageReturnInBody,
     /// Too many trailer fields.
     TooManyTrailers,
-    /// Input from a server that no request was sent to.
+    /// Input from a server while no request waits for a response.
     UnexpectedResponse,
-    /// `101 Switching Protocols`, which no request asks for.
+    /// A response `101 Switching Protocols`. No request asks for it, as the field `Upgrade` is not forwarded.
     UnexpectedUpgrade,
     /// The server closed the connection before the head of its response.
     ClosedBeforeResponse,
 }
 
 impl FramingError {
-    /// The status that a server responds with.
+    /// Returns the status that a server sends in response to this error.
     pub fn status(self) -> StatusCode {
         match self {
             FramingError::HeadTooLarge | FramingError::TooManyFields => {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What is wrong, for people.
+    /// Returns the reason as text. Servers send it to the client in the error response.
     pub fn reason(self) -> &'static str {
         match self {
             FramingError::BareLineFeedInHead => "bare line feed in a head",
@@ -118,8 +118,8 @@
             FramingError::BareLineFeedInBody => "bare line feed in a body",
             FramingError::BareCarriageReturnInBody => "bare carriage return in a body",
             FramingError::TooManyTrailers => "too many trailers",
-            FramingError::UnexpectedResponse => "an answer to no request",
-            FramingError::UnexpectedUpgrade => "an upgrade that nobody asked for",
+            FramingError::UnexpectedResponse => "response without a request",
+            FramingError::UnexpectedUpgrade => "response is an upgrade that was not requested",
             FramingError::ClosedBeforeResponse => "closed before an answer",
         }
     }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,21 +1,21 @@
-//! Message heads, parsed strictly.
+//! Parses the heads of messages, more strictly than `httparse` does.
 
 use crate::FramingError;
 use crate::framing::{Framing, has_body, keep_alive, request_framing, response_framing};
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, StatusCode, Version};
 
-/// More fields than this are rejected whatever the limits say.
+/// The maximum number of fields in a head, even if [`Limits::max_fields`] is larger.
 const MAX_PARSED_FIELDS: usize = 128;
 
-/// Bounds on what a peer can make this side buffer.
+/// Limits on what a peer can make this side buffer.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a head, including the request or status line.
+    /// The maximum length of a head in bytes, including its request line or status line.
     pub max_head_bytes: usize,
-    /// Fields of a head.
+    /// The maximum number of fields in a head.
     pub max_fields: usize,
-    /// Bytes of a request's body; a longer one is answered 413.
+    /// The maximum length of a request's body in bytes. A longer one is answered with status 413.
     pub max_body_bytes: u64,
 }
 
@@ -30,15 +30,15 @@
 pub struct RequestHead {
     /// The method.
     pub method: Method,
-    /// The target as the client wrote it; of an absolute URI, the path and query.
+    /// The target as the client sent it; if it was an absolute URI, its path and query.
     pub target: String,
-    /// HTTP/1.0 or HTTP/1.1.
+    /// The version, HTTP/1.0 or HTTP/1.1.
     pub version: Version,
-    /// All fields.
+    /// All header fields.
     pub headers: HeaderMap,
     /// How the body is framed.
     pub framing: Framing,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
@@ -49,17 +49,17 @@
 pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
-    /// HTTP/1.0 or HTTP/1.1.
+    /// The version, HTTP/1.0 or HTTP/1.1.
     pub version: Version,
-    /// All fields.
+    /// All header fields.
     pub headers: HeaderMap,
     /// How the body is framed.
     pub framing: Framing,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// Parses a complete request head, as [`crate::scan::scan_head`] delimited it.
+/// Parses a complete request head, whose end [`crate::scan::scan_head`] has found.
 ///
 /// # Errors
 /// [`FramingError`] if the head does not parse, or is ambiguous about the body's length.
@@ -67,7 +67,7 @@
     let mut fields = [httparse::EMPTY_HEADER; MAX_PARSED_FIELDS];
     let max_fields = limits.max_fields.min(MAX_PARSED_FIELDS);
     let mut parsed = httparse::Request::new(&mut fields[..max_fields]);
-    expect_complete(parsed.parse(head), head)?;
+    check_head_end(parsed.parse(head), head)?;
     let method = parse_method(parsed.method.unwrap_or(""))?;
     let target = origin_form(parsed.path.unwrap_or(""), &method)?;
     let version = to_version(parsed.version);
@@ -94,7 +94,7 @@
     let mut fields = [httparse::EMPTY_HEADER; MAX_PARSED_FIELDS];
     let max_fields = limits.max_fields.min(MAX_PARSED_FIELDS);
     let mut parsed = httparse::Response::new(&mut fields[..max_fields]);
-    expect_complete(parsed.parse(head), head)?;
+    check_head_end(parsed.parse(head), head)?;
     let status = StatusCode::from_u16(parsed.code.unwrap_or(0)).map_err(|_| FramingError::MalformedStatus)?;
     let version = to_version(parsed.version);
     let headers = to_header_map(parsed.headers)?;
@@ -103,8 +103,8 @@
     Ok(ResponseHead { status, version, headers, framing, keep_alive })
 }
 
-/// A head must be complete and end where the scan found its end.
-fn expect_complete(
+/// Checks that `httparse` found the end of the head where the scan found it.
+fn check_head_end(
     parsed: Result<httparse::Status<usize>, httparse::Error>,
     head: &[u8],
 ) -> Result<(), FramingError> {
@@ -136,7 +136,8 @@
     Ok(method)
 }
 
-/// Returns `/path`, `*` for OPTIONS, or the path and query of an absolute URI.
+/// Returns the target in origin form: a target `/path`, or `*` of an OPTIONS request, as it is, and of an
+/// absolute URI the path and query.
 fn origin_form(target: &str, method: &Method) -> Result<String, FramingError> {
     if target.starts_with('/') || (target == "*" && method == Method::OPTIONS) {
         return Ok(target.to_owned());
@@ -153,7 +154,7 @@
     }
 }
 
-/// A request has one `Host`; one of HTTP/1.0 may have none.
+/// Checks that a request has exactly one `Host` field. A request of HTTP/1.0 may have none.
 fn check_host(version: Version, headers: &HeaderMap) -> Result<(), FramingError> {
     match headers.get_all(header::HOST).into_iter().count() {
         1 => Ok(()),
@@ -162,7 +163,7 @@
     }
 }
 
-/// Whether the client waits for `100 Continue`. Without a body there is nothing to wait with.
+/// Whether the client waits for `100 Continue`. A client whose request has no body does not wait.
 fn expects_continue(version: Version, headers: &HeaderMap, framing: Framing) -> Result<bool, FramingError> {
     let Some(expectation) = headers.get(header::EXPECT) else { return Ok(false) };
     if !expectation.as_bytes().eq_ignore_ascii_case(b"100-continue") {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,11 +1,12 @@
-//! HTTP/1.1 framing without I/O (RFC 9112): bytes in, events out, for both sides of a proxy.
+//! HTTP/1.1 framing (RFC 9112) without I/O, for both sides of a proxy: input bytes are turned into events.
 //!
-//! [`server::ServerConnection`] parses requests and writes responses, [`client::ClientConnection`] parses
-//! responses to requests that [`client::write_request_head`] writes. Neither touches a socket or a clock, and
-//! any division of the input into pieces gives the same events.
+//! [`server::ServerConnection`] parses requests and writes responses. [`client::ClientConnection`] parses the
+//! responses to requests that [`client::write_request_head`] writes. Neither uses a socket or a clock. The
+//! events do not depend on how the input is divided into reads.
 //!
-//! Heads are parsed by `httparse`. What that crate accepts and a proxy must not (bare line feeds, two
-//! framings at once) is rejected here, as a disagreement about where a message ends allows request smuggling.
+//! The crate `httparse` parses the heads. It accepts messages that a proxy must not accept, such as those
+//! with bare line feeds or with two framings at once. They are rejected here: if two parties disagree about
+//! where a message ends, an attacker can smuggle requests.
 
 mod body;
 pub mod client;
--- a/crates/http1/src/scan.rs
+++ b/crates/http1/src/scan.rs
@@ -1,21 +1,21 @@
-//! Finds where a message head ends.
+//! Finds the end of a message head in the input.
 
 use crate::{FramingError, Limits};
 
-/// What a scan for the end of a head found.
+/// The result of a scan for the end of a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadScan {
-    /// The head is complete. Its length in bytes, including its empty line.
+    /// The head is complete: its length in bytes, including the empty line that ends it.
     Complete(usize),
-    /// More input is needed. The offset from which the next scan may start.
+    /// More input is needed: the offset at which the next scan can start.
     Incomplete(usize),
 }
 
-/// Scans for the end of a head from the offset `start` on. Lines must end in CR LF: a bare CR or LF is
-/// rejected, as two parties that treat it differently disagree about where the head ends.
+/// Scans for the end of a head, starting at the offset `start`. Lines must end in CR LF. A bare CR or LF is
+/// rejected, because two parties that treat it differently disagree about where the head ends.
 ///
 /// # Errors
-/// [`FramingError`] if the head is over its limits or has a bare CR or LF.
+/// [`FramingError`] if the head exceeds its limit or contains a bare CR or LF.
 pub(crate) fn scan_head(input: &[u8], start: usize, limits: &Limits) -> Result<HeadScan, FramingError> {
     let mut scanned = start;
     while let Some(distance) = memchr::memchr2(b'\r', b'\n', &input[scanned..]) {
@@ -42,7 +42,8 @@
     Ok(HeadScan::Incomplete(input.len()))
 }
 
-/// Whether the line that ends at this offset is empty: it follows another line's end, or starts the input.
+/// Whether the line whose CR LF is at this offset is empty: the CR LF follows that of another line, or is at
+/// the start of the input.
 fn is_empty_line(input: &[u8], line_end: usize) -> bool {
     line_end == 0 || (line_end >= 2 && input[line_end - 1] == b'\n')
 }
