--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,37 +1,37 @@
-//! Message bodies: by length, in chunks, or until the connection closes.
+//! Reads and writes message bodies that are framed by a length, by chunks or by the end of the connection.
 
 use crate::input::InputBuffer;
 use crate::{Framing, FramingError};
 
 /// The maximum length of a chunk's size line or a trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 512;
-/// The maximum number of trailer lines. They are dropped.
+/// The maximum number of trailer lines. Trailers are discarded.
 const MAX_TRAILERS: usize = 32;
 /// The maximum number of hexadecimal digits of a chunk's size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
-/// The length of the line end CR LF.
+/// The length of the line end CR LF, in bytes.
 const LINE_END_BYTES: usize = 2;
 
-/// What is expected next.
+/// The part of the body that is expected next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Bytes of a body with a length: how many.
+    /// This number of bytes, which are the rest of a body with a length.
     Length(u64),
-    /// Bytes until the connection closes.
+    /// All bytes until the connection closes.
     UntilClose,
-    /// The size line of a chunk.
+    /// The line with the size of a chunk.
     ChunkSize,
-    /// Bytes of a chunk: how many.
+    /// This number of bytes, which are the rest of a chunk's data.
     ChunkData(u64),
-    /// The line end after a chunk.
+    /// The line end after a chunk's data.
     ChunkEnd,
-    /// A trailer line or the empty line that ends the body: how many trailers came before.
+    /// A trailer line or the empty line that ends the body, after this number of trailers.
     Trailers(usize),
-    /// Nothing.
+    /// Nothing: the body is complete.
     Done,
 }
 
-/// Reads one body. Feed it input until [`BodyReader::is_done`].
+/// Reads one message body. The caller passes input to [`BodyReader::read`] until [`BodyReader::is_done`].
 #[derive(Clone, Debug)]
 pub struct BodyReader {
     state: State,
@@ -40,7 +40,7 @@
 }
 
 impl BodyReader {
-    /// A reader for a body with this framing, of at most `max_body_bytes`.
+    /// Creates a reader for a body with this framing and with at most `max_body_bytes` bytes.
     pub fn new(framing: Framing, max_body_bytes: u64) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
@@ -56,11 +56,12 @@
         self.state == State::Done
     }
 
-    /// The sender closed the connection. This completes a body that is framed so, and cuts any other short.
+    /// Tells the reader that the sender has closed the connection. This completes a body that is framed by
+    /// the end of the connection, and truncates any other body.
     ///
     /// # Errors
-    /// [`FramingError::ClosedWithinBody`] if the body has been cut short.
-    pub fn close(&mut self) -> Result<(), FramingError> {
+    /// [`FramingError::ClosedWithinBody`] if the body is truncated.
+    pub fn on_connection_closed(&mut self) -> Result<(), FramingError> {
         match self.state {
             State::UntilClose | State::Done => {
                 self.state = State::Done;
@@ -70,11 +71,12 @@
         }
     }
 
-    /// Reads what it can of `input`, appends the body's bytes to `out`, and returns how much it consumed.
-    /// Consuming nothing of a non-empty input means that a line is not complete yet.
+    /// Reads as much of `input` as possible, appends the bytes of the body to `out`, and returns the number
+    /// of input bytes that it consumed. A result of 0 for a non-empty input means that a line is incomplete,
+    /// or that the body was complete before.
     ///
     /// # Errors
-    /// [`FramingError`] if the input is malformed, or a part of it is over its limit.
+    /// [`FramingError`] if the input is malformed, or if a part of it exceeds its limit.
     pub fn read(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
         let mut total = 0;
         while total < input.len() && !self.is_done() {
@@ -87,8 +89,8 @@
         Ok(total)
     }
 
-    /// Reads the element that the state expects, or as much of it as there is. Returns 0 for a line that is
-    /// incomplete.
+    /// Reads the element that the state expects, or the available part of it. Returns the number of consumed
+    /// bytes, which is 0 for an incomplete line.
     fn read_element(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
         match self.state {
             State::Done => Ok(0),
@@ -97,14 +99,14 @@
                 Ok(input.len())
             }
             State::Length(remaining) => {
-                let data = up_to(input, remaining);
+                let data = first_bytes(input, remaining);
                 self.append(data, out)?;
                 let remaining = remaining - data.len() as u64;
                 self.state = if remaining == 0 { State::Done } else { State::Length(remaining) };
                 Ok(data.len())
             }
             State::ChunkData(remaining) => {
-                let data = up_to(input, remaining);
+                let data = first_bytes(input, remaining);
                 self.append(data, out)?;
                 let remaining = remaining - data.len() as u64;
                 self.state = if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
@@ -147,10 +149,10 @@
         Ok(line.len() + LINE_END_BYTES)
     }
 
-    /// Reads what it can of a buffer, consumes it, and returns the body's bytes.
+    /// Reads and consumes as much of a buffer as possible, and returns the bytes of the body.
     pub(crate) fn read_buffered(&mut self, input: &mut InputBuffer) -> Result<Vec<u8>, FramingError> {
         let mut body = Vec::new();
-        let consumed = self.read(input.unread(), &mut body)?;
+        let consumed = self.read(input.unconsumed(), &mut body)?;
         input.consume(consumed);
         Ok(body)
     }
@@ -165,13 +167,14 @@
     }
 }
 
-/// The first bytes of `input`, at most `count`.
-fn up_to(input: &[u8], count: u64) -> &[u8] {
+/// Returns the first `count` bytes of `input`, or all of it if it is shorter.
+fn first_bytes(input: &[u8], count: u64) -> &[u8] {
     let count = usize::try_from(count).unwrap_or(usize::MAX);
     &input[..input.len().min(count)]
 }
 
-/// The first line of `input` without its CR LF, once it is complete. Bare line ends are rejected.
+/// Returns the first line of `input` without its CR LF, or none if the line is incomplete. A bare CR or LF is
+/// rejected.
 fn first_line(input: &[u8]) -> Result<Option<&[u8]>, FramingError> {
     let window = &input[..input.len().min(MAX_LINE_BYTES)];
     let Some(end) = memchr::memchr2(b'\r', b'\n', window) else {
@@ -192,7 +195,7 @@
 fn parse_chunk_size(line: &[u8]) -> Result<u64, FramingError> {
     let size = line.split(|&byte| byte == b';').next().unwrap_or(line);
     let digits = std::str::from_utf8(size.trim_ascii_end()).map_err(|_| FramingError::MalformedChunkSize)?;
-    // `from_str_radix` would accept a sign.
+    // The digits are checked because `from_str_radix` would accept a sign.
     let is_number = digits.len() <= MAX_CHUNK_SIZE_DIGITS && digits.bytes().all(|b| b.is_ascii_hexdigit());
     if !is_number {
         return Err(FramingError::MalformedChunkSize);
@@ -200,7 +203,7 @@
     u64::from_str_radix(digits, 16).map_err(|_| FramingError::MalformedChunkSize)
 }
 
-/// Appends one chunk; none for no bytes, as an empty chunk would end the body.
+/// Appends these bytes as one chunk. Appends nothing if there are none, as an empty chunk would end the body.
 pub fn write_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     if !bytes.is_empty() {
         out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
@@ -209,7 +212,7 @@
     }
 }
 
-/// Appends the chunk that ends a body.
+/// Appends the empty chunk that ends a body, without trailers.
 pub fn write_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -3,7 +3,8 @@
 use crate::framing::{Framing, has_token};
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Whether a field concerns one connection only (RFC 9110, 7.6.1). `Connection` can name further ones.
+/// Whether a field applies to a single connection only and must not be forwarded (RFC 9110, 7.6.1). The field
+/// `Connection` can name more of them.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     const NAMES: [&str; 8] = [
         "connection",
@@ -18,9 +19,10 @@
     *name == header::TRANSFER_ENCODING || NAMES.contains(&name.as_str())
 }
 
-/// The fields to forward, without those that frame the body. `Connection` may name further fields to drop,
-/// but not those in `protected`: a client must not be able to strip an idempotency key, say.
-pub(crate) fn end_to_end<'a>(
+/// Returns the fields to forward. Leaves out hop-by-hop fields, the fields that frame the body, and those
+/// that `Connection` names. The fields in `protected` are forwarded even if `Connection` names them, so that
+/// a client cannot strip an idempotency key, for example.
+pub(crate) fn end_to_end_fields<'a>(
     headers: &'a HeaderMap,
     protected: &'a [HeaderName],
 ) -> impl Iterator<Item = (&'a HeaderName, &'a HeaderValue)> {
@@ -35,7 +37,7 @@
     })
 }
 
-/// Appends `name: value` and the line end.
+/// Appends the line of a field: `name: value` and CR LF.
 pub(crate) fn write_field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
@@ -43,7 +45,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends the field that frames a body; none for a body that ends with the connection.
+/// Appends the field that states a body's framing. A body that ends with the connection has no such field.
 pub(crate) fn write_framing(out: &mut Vec<u8>, framing: Framing) {
     match framing {
         Framing::Length(length) => write_field(out, "content-length", length.to_string().as_bytes()),
--- a/crates/http1/src/input.rs
+++ b/crates/http1/src/input.rs
@@ -1,34 +1,34 @@
-//! Received bytes that have not been parsed yet.
+//! The buffer for received bytes that have not been parsed yet.
 
-/// A buffer that is appended to at its end and consumed from its front.
+/// A byte buffer that is filled at its end and consumed from its start.
 #[derive(Debug, Default)]
 pub(crate) struct InputBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that have been consumed.
+    /// The number of bytes at the start that have been consumed.
     consumed: usize,
 }
 
 impl InputBuffer {
     /// Appends received bytes.
     pub fn append(&mut self, bytes: &[u8]) {
-        self.drop_consumed();
+        self.remove_consumed();
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Frees what has been consumed.
-    pub fn drop_consumed(&mut self) {
+    /// Removes the consumed bytes from the buffer.
+    pub fn remove_consumed(&mut self) {
         if self.consumed > 0 {
             self.bytes.drain(..self.consumed);
             self.consumed = 0;
         }
     }
 
-    /// The bytes that have not been consumed.
-    pub fn unread(&self) -> &[u8] {
+    /// Returns the bytes that have not been consumed.
+    pub fn unconsumed(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// How many bytes have not been consumed.
+    /// Returns the number of bytes that have not been consumed.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.consumed
     }
@@ -38,7 +38,7 @@
         self.len() == 0
     }
 
-    /// Consumes bytes at the front.
+    /// Marks this number of bytes at the start as consumed.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
     }
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,10 +1,11 @@
-//! The side that faces clients: reads requests one at a time and writes their responses.
+//! The side of a proxy that faces clients: reads requests, one at a time, and writes their responses.
 //!
-//! Pipelined requests wait in the input buffer until the one before them has its response. After an error, or
-//! a request that asks for it, the connection closes once its response is written.
+//! Pipelined requests wait in the input buffer until the response to the previous request is complete. After
+//! an error, or after a request with `Connection: close`, the connection ends once the response has been
+//! written.
 
 use crate::body::{BodyReader, write_chunk, write_last_chunk};
-use crate::fields::{end_to_end, write_field, write_framing};
+use crate::fields::{end_to_end_fields, write_field, write_framing};
 use crate::framing::has_body;
 use crate::head::{Limits, RequestHead, parse_request};
 use crate::input::InputBuffer;
@@ -13,27 +14,27 @@
 use http::header::{HeaderMap, HeaderName};
 use http::{Method, StatusCode, Version};
 
-/// What the input contained.
+/// An event that the input from a client contains.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// A request's head; its body follows, if it has one.
+    /// The head of a request. The events of its body follow, if it has one.
     Head(Box<RequestHead>),
     /// Bytes of the body.
     Body(Vec<u8>),
     /// The request is complete.
     End,
-    /// The input is malformed: respond with the error's status and close the connection.
+    /// The input is malformed. The caller responds with the error's status and closes the connection.
     Error(FramingError),
 }
 
-/// The start of a response.
+/// The values from which the head of a response is written.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseStart<'a> {
     /// The status.
     pub status: StatusCode,
-    /// Fields to forward; hop-by-hop fields among them are dropped.
+    /// The header fields to forward, if any. Hop-by-hop fields among them are left out.
     pub headers: Option<&'a HeaderMap>,
-    /// Further fields, written as they are.
+    /// Additional fields, which are written unchanged.
     pub extra_fields: &'a [(HeaderName, &'a [u8])],
     /// How the body is framed.
     pub framing: Framing,
@@ -42,43 +43,43 @@
 }
 
 impl ResponseStart<'_> {
-    /// A response without fields of its own, after which the connection may carry another request.
+    /// Creates a response without header fields, after which the connection can carry another request.
     pub fn new(status: StatusCode, framing: Framing) -> Self {
         ResponseStart { status, headers: None, extra_fields: &[], framing, close: false }
     }
 }
 
-/// What is expected from the client.
+/// The input that is expected from the client.
 #[derive(Debug)]
 enum State {
-    /// A request's head, which has been scanned up to this offset.
+    /// The head of a request. The input has been scanned for its end up to the offset `scanned`.
     Head { scanned: usize },
-    /// A request's body.
+    /// The body of a request.
     Body(BodyReader),
-    /// Nothing until the request, which is complete, has its response.
+    /// Nothing, as the request is complete and its response has not been written yet.
     AwaitingResponse,
-    /// Nothing more.
+    /// Nothing, as the connection is closed or closes after the response.
     Closed,
 }
 
-/// The framing of one connection to a client.
+/// The protocol state of one connection to a client.
 #[derive(Debug)]
 pub struct ServerConnection {
     limits: Limits,
     input: InputBuffer,
     state: State,
-    /// The current request's version is HTTP/1.0.
+    /// Whether the version of the current request is HTTP/1.0.
     is_http10: bool,
-    /// The current request's method is HEAD.
+    /// Whether the method of the current request is HEAD.
     is_head_request: bool,
-    /// The connection may carry another request after the current one.
+    /// Whether the connection can carry another request after the current one.
     keep_alive: bool,
-    /// How the current response's body is framed, once it has started.
+    /// How the body of the current response is framed; none before the response has started.
     response_framing: Option<Framing>,
 }
 
 impl ServerConnection {
-    /// A new connection.
+    /// Creates the state of a new connection.
     pub fn new(limits: Limits) -> Self {
         ServerConnection {
             limits,
@@ -91,25 +92,26 @@
         }
     }
 
-    /// Appends bytes from the client.
+    /// Adds bytes that were received from the client. They are discarded after an error or the last response.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.input.drop_consumed();
+        self.input.remove_consumed();
         if !matches!(self.state, State::Closed) {
             self.input.append(bytes);
         }
     }
 
-    /// How many received bytes no event has returned yet. A driver stops reading while this is large.
+    /// Returns the number of received bytes that are not part of an event yet. The driver stops reading from
+    /// the client while this number is large.
     pub fn buffered_bytes(&self) -> usize {
         self.input.len()
     }
 
-    /// Whether the connection is between requests, with nothing received of the next one.
+    /// Whether the connection is between requests and nothing of the next request has been received.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Head { .. }) && self.input.is_empty()
     }
 
-    /// Whether a part of a request has arrived and the rest has not.
+    /// Whether a request has been received in part.
     pub fn is_receiving(&self) -> bool {
         match self.state {
             State::Head { .. } => !self.input.is_empty(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The next event of the received input, if it is complete.
+    /// Returns the next event, or none if more input or the response to the current request is needed first.
     pub fn next_event(&mut self) -> Option<ServerEvent> {
         self.advance().unwrap_or_else(|error| {
             self.close_input();
@@ -136,18 +138,18 @@
     }
 
     fn read_head(&mut self, scanned: usize) -> Result<Option<ServerEvent>, FramingError> {
-        // One empty line before a request is ignored (RFC 9112, 2.2).
-        if scanned == 0 && self.input.unread().starts_with(b"\r\n") {
+        // One empty line before the request line is ignored (RFC 9112, 2.2).
+        if scanned == 0 && self.input.unconsumed().starts_with(b"\r\n") {
             self.input.consume(2);
         }
-        let length = match scan_head(self.input.unread(), scanned, &self.limits)? {
+        let length = match scan_head(self.input.unconsumed(), scanned, &self.limits)? {
             HeadScan::Incomplete(scanned) => {
                 self.state = State::Head { scanned };
                 return Ok(None);
             }
             HeadScan::Complete(length) => length,
         };
-        let head = parse_request(&self.input.unread()[..length], &self.limits)?;
+        let head = parse_request(&self.input.unconsumed()[..length], &self.limits)?;
         self.input.consume(length);
         self.is_http10 = head.version == Version::HTTP_10;
         self.is_head_request = head.method == Method::HEAD;
@@ -169,13 +171,13 @@
         Ok(Some(ServerEvent::End))
     }
 
-    /// Appends `100 Continue`.
+    /// Appends the informational response `100 Continue`.
     pub fn write_continue(&self, out: &mut Vec<u8>) {
         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
     }
 
-    /// Appends a response's head. A response before the request is complete closes the connection, as what is
-    /// left of the request cannot be told from a next one.
+    /// Appends the head of a response. If the request is not complete yet, the connection closes after the
+    /// response, because the rest of the request could be taken for the next request.
     pub fn start_response(&mut self, out: &mut Vec<u8>, response: ResponseStart<'_>) {
         let status = response.status;
         let has_body = has_body(status, self.is_head_request);
@@ -187,14 +189,15 @@
         }
         self.write_status_line(out, status);
         if let Some(headers) = response.headers {
-            for (name, value) in end_to_end(headers, &[]) {
+            for (name, value) in end_to_end_fields(headers, &[]) {
                 write_field(out, name.as_str(), value.as_bytes());
             }
         }
         for (name, value) in response.extra_fields {
             write_field(out, name.as_str(), value);
         }
-        // Responses to HEAD and of 304 state the length that a body would have; these must not.
+        // Responses to HEAD and responses with status 304 state the length that a body would have.
+        // Informational responses and those with status 204 must not state a framing.
         let forbids_framing = status.is_informational() || status == StatusCode::NO_CONTENT;
         if !forbids_framing {
             write_framing(out, framing);
@@ -204,7 +207,8 @@
         self.response_framing = Some(if has_body { framing } else { Framing::Length(0) });
     }
 
-    /// A client of HTTP/1.0 does not know chunks: the body ends with the connection instead.
+    /// Returns a framing that the client supports. HTTP/1.0 has no chunks, so the body ends with the
+    /// connection instead.
     fn supported_framing(&self, framing: Framing) -> Framing {
         match framing {
             Framing::Chunked if self.is_http10 => Framing::UntilClose,
@@ -221,7 +225,7 @@
         out.extend_from_slice(b"\r\n");
     }
 
-    /// Writes whether the connection persists, where that differs from the version's default.
+    /// Appends the field `Connection` if the connection does not do what is the default of the HTTP version.
     fn write_connection_field(&self, out: &mut Vec<u8>) {
         if !self.keep_alive {
             out.extend_from_slice(b"connection: close\r\n");
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Appends bytes of the response's body.
+    /// Appends bytes of the response's body. They are dropped if the response has no body.
     pub fn write_body(&mut self, out: &mut Vec<u8>, bytes: &[u8]) {
         match self.response_framing {
             Some(Framing::Chunked) => write_chunk(out, bytes),
@@ -239,7 +243,8 @@
         }
     }
 
-    /// Ends the response. Returns whether the connection persists; then the next request is read.
+    /// Appends the end of the response. Returns whether the connection persists, so that the next request can
+    /// be read.
     pub fn finish_response(&mut self, out: &mut Vec<u8>) -> bool {
         if self.response_framing.take() == Some(Framing::Chunked) {
             write_last_chunk(out);
@@ -253,7 +258,7 @@
         persists
     }
 
-    /// Reads nothing more, and frees what has been received.
+    /// Stops reading, and frees the received bytes.
     fn close_input(&mut self) {
         self.state = State::Closed;
         self.input.clear();
