--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -39,13 +39,13 @@
     /// The connection was not established before the deadline.
     #[error("no connection in time")]
     ConnectTimeout,
-    /// The response did not begin before the deadline.
+    /// The request could not be written, or the response did not begin, before the deadline.
     #[error("no answer in time")]
     Timeout,
     /// The daemon closed the connection to its local socket.
     #[error("closed the connection without an answer")]
     Closed,
-    /// The daemon closed the TLS connection. It does so if it does not trust the operator's certificate.
+    /// The daemon closed the TLS connection, as it does if it does not trust the operator's certificate.
     #[error("closed the connection without an answer: it may not trust the operator's certificate")]
     ClosedTls,
     /// TLS rejected the daemon's certificate or the data that it sent.
