--- a/crates/starlark-config/src/error.rs
+++ b/crates/starlark-config/src/error.rs
@@ -1,109 +1,111 @@
-//! Why a script is rejected.
+//! The errors that reject a script.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a script is rejected. The text of each variant starts with the file, and the line where it is known.
+/// The reason why a script was rejected. The message of each variant starts with the file name, followed by the
+/// line number if it is known.
 #[derive(Debug, Error)]
 pub enum ScriptError {
-    /// The script's file could not be read.
+    /// The script file could not be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the script file.
         path: PathBuf,
         /// Why it could not be read.
         source: ReadFileError,
     },
-    /// The script does not parse, failed, or went past one of its bounds.
+    /// The script has a syntax error, failed while it ran, or exceeded one of the resource limits.
     #[error("{location}: {reason}")]
     Evaluation {
-        /// File and line, or the script's name where there is no line.
+        /// File and line, or the script's name if the line is not known.
         location: String,
-        /// The interpreter's text.
+        /// The interpreter's error message.
         reason: String,
     },
-    /// The arguments of a call are not those of its section.
+    /// The arguments of a call do not match the section: one is missing, unknown or of the wrong type.
     #[error("{location}: {function}: {source}")]
     Arguments {
         /// File and line of the call.
         location: String,
-        /// The function that was called.
+        /// Name of the section function that was called.
         function: &'static str,
-        /// The argument and what is wrong with it.
+        /// The deserialization error, with the path of the argument.
         source: serde_path_to_error::Error<serde_json::Error>,
     },
-    /// An option was given that the script does not read.
+    /// The caller set an option that the script never reads with `option(...)`.
     #[error("{script}: asks for no option {option:?}")]
     UnknownOption {
         /// The script's name.
         script: String,
-        /// The option's name.
+        /// Name of the option.
         option: String,
     },
-    /// A section that must be there is not.
+    /// The script does not call a required section.
     #[error("{script}: no {section}(...)")]
     MissingSection {
         /// The script's name.
         script: String,
-        /// The function of the section.
+        /// Name of the section function.
         section: String,
     },
-    /// A section that may be there once is there twice.
+    /// The script calls a section twice that it may call only once.
     #[error("{location}: {section}: called before, at {first}")]
     DuplicateSection {
         /// File and line of the second call.
         location: String,
-        /// The function of the section.
+        /// Name of the section function.
         section: String,
         /// File and line of the first call.
         first: String,
     },
-    /// A section is well-formed, but its values are not acceptable.
+    /// A section has all its arguments, but their values are out of bounds or contradict other values.
     #[error("{location}: {reason}")]
     Invalid {
-        /// File and line, or the script's name.
+        /// File and line, or the script's name if the error concerns the script as a whole.
         location: String,
-        /// What is not acceptable, and why.
+        /// The value that is not valid, and why.
         reason: String,
     },
 }
 
 impl ScriptError {
-    /// Values that are not acceptable, at a place in a script.
+    /// Creates a [`ScriptError::Invalid`] for values at a location in a script.
     pub fn invalid(location: impl Into<String>, reason: impl std::fmt::Display) -> ScriptError {
         ScriptError::Invalid { location: location.into(), reason: reason.to_string() }
     }
 
-    /// A section that must be there and is not.
+    /// Creates a [`ScriptError::MissingSection`].
     pub fn missing_section(script: impl Into<String>, section: impl Into<String>) -> ScriptError {
         ScriptError::MissingSection { script: script.into(), section: section.into() }
     }
 }
 
-/// Why a script's file could not be read.
+/// The reason why a script file could not be read.
 #[derive(Debug, Error)]
 pub enum ReadFileError {
-    /// The file system's error.
+    /// The file system returned an error.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// It is a folder, a device or the like, or too large.
+    /// The path is not a regular file (for example a folder or a device), or the file exceeds the size limit.
     #[error("not a file, or over 1 MiB")]
-    NotASmallFile,
+    NotARegularFileOrTooLarge,
 }
 
-/// Why `load(...)` failed.
+/// The reason why `load(...)` failed.
 #[derive(Debug, Error)]
 pub(crate) enum LoadError {
     #[error("load({file:?}): only plain names of files in the script's own folder")]
     OutsideFolder { file: String },
     #[error("load({file:?}): loaded too deep, or in a circle")]
     TooDeep { file: String },
-    // The cause is part of the text and no `source`: the interpreter would print it a second time.
+    // The cause is part of the message and not a `source`, because the interpreter would print a source a
+    // second time.
     #[error("load({file:?}): {reason}")]
     Unreadable { file: String, reason: ReadFileError },
 }
 
-/// Why `option(...)` failed.
+/// The reason why `option(...)` failed.
 #[derive(Debug, Error)]
 pub(crate) enum OptionError {
     #[error("option {name}: {value:?} is neither true nor false")]
