--- a/crates/starlark-config/src/call.rs
+++ b/crates/starlark-config/src/call.rs
@@ -1,45 +1,45 @@
-//! The calls that a script made, and the sections that they are read into.
+//! The calls that a script made, and their deserialization into sections.
 
 use crate::error::ScriptError;
 use serde::de::DeserializeOwned;
 
-/// A section's value and the location of the call that gave it.
+/// A section and the location of the call that defined it.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
-    /// File and line of the call.
+    /// File and line of the call, as `FILE:LINE`.
     pub location: String,
-    /// The section.
+    /// The deserialized section.
     pub value: T,
 }
 
 impl<T> Located<T> {
-    /// Rejects the section.
+    /// Returns an error that rejects the section for the given reason.
     ///
     /// # Errors
     ///
-    /// Always: [`ScriptError::Invalid`] with the section's location and the reason.
+    /// Always returns [`ScriptError::Invalid`] with the section's location and the reason.
     pub fn reject<R>(&self, reason: impl std::fmt::Display) -> Result<R, ScriptError> {
         Err(ScriptError::invalid(&self.location, reason))
     }
 }
 
-/// One call of a section's function.
+/// One call of a section function.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The function.
+    /// Name of the section function.
     pub function: &'static str,
-    /// File and line.
+    /// File and line of the call, as `FILE:LINE`.
     pub location: String,
-    /// Its arguments by name.
+    /// The keyword arguments of the call.
     pub arguments: serde_json::Map<String, serde_json::Value>,
 }
 
 impl Call {
-    /// Reads the arguments into the section's type.
+    /// Deserializes the arguments into the section type `T`.
     ///
     /// # Errors
     ///
-    /// [`ScriptError::Arguments`] if an argument is missing, unknown or of another type.
+    /// [`ScriptError::Arguments`] if an argument is missing, unknown or of the wrong type.
     pub fn read<T: DeserializeOwned>(self) -> Result<Located<T>, ScriptError> {
         let Call { function, location, arguments } = self;
         match serde_path_to_error::deserialize(serde_json::Value::Object(arguments)) {
@@ -49,11 +49,11 @@
     }
 }
 
-/// The call of a section that may be there once; none if it is not there.
+/// Returns the single call of an optional section, or `None` if the script does not call it.
 ///
 /// # Errors
 ///
-/// [`ScriptError::DuplicateSection`] if there is more than one call.
+/// [`ScriptError::DuplicateSection`] if the script calls the section more than once.
 pub fn optional_section<'a, T>(
     section: &str,
     calls: &'a [Located<T>],
@@ -69,12 +69,12 @@
     }
 }
 
-/// The call of a section that must be there once. `script` is the script's name.
+/// Returns the single call of a required section. `script` is the script's name for the error message.
 ///
 /// # Errors
 ///
-/// [`ScriptError::MissingSection`] if there is no call, [`ScriptError::DuplicateSection`] if there is more
-/// than one.
+/// [`ScriptError::MissingSection`] if the script does not call the section, and
+/// [`ScriptError::DuplicateSection`] if it calls it more than once.
 pub fn required_section<'a, T>(
     script: &str,
     section: &str,
--- a/crates/starlark-config/src/duration.rs
+++ b/crates/starlark-config/src/duration.rs
@@ -1,4 +1,4 @@
-//! Durations as scripts write them: `"300ms"`, `"1.5s"`.
+//! Durations in the text form that scripts use, such as `"300ms"` or `"1.5s"`.
 
 use serde::de::{Deserialize, Deserializer, Error};
 
@@ -8,40 +8,43 @@
 const MICROS_PER_HOUR: f64 = 60.0 * MICROS_PER_MINUTE;
 const MICROS_PER_DAY: f64 = 24.0 * MICROS_PER_HOUR;
 
-/// The longest duration of a script, in microseconds: 90 days, so that sums of durations stay far from
-/// overflow.
+/// Longest duration that a script may contain, in microseconds. The limit of 90 days keeps sums of durations
+/// far from overflow.
 const MAX_DURATION_MICROS: f64 = 90.0 * MICROS_PER_DAY;
 
-/// A duration in whole microseconds, read from a number with its unit: us, ms, s, m, h or d. At most 90 days.
+/// A duration of at most 90 days in whole microseconds. Scripts write it as a decimal number followed by a
+/// unit: us, ms, s, m, h or d.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScriptDuration {
     micros: u64,
 }
 
 impl ScriptDuration {
-    /// The empty duration.
+    /// The duration of length zero.
     pub const ZERO: ScriptDuration = ScriptDuration::from_micros(0);
 
-    /// A duration of so many microseconds.
+    /// Creates a duration from microseconds.
     pub const fn from_micros(micros: u64) -> ScriptDuration {
         ScriptDuration { micros }
     }
 
-    /// A duration of so many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> ScriptDuration {
         ScriptDuration::from_micros(millis * 1_000)
     }
 
-    /// A duration of so many seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(seconds: u64) -> ScriptDuration {
         ScriptDuration::from_micros(seconds * 1_000_000)
     }
 
-    /// The duration in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.micros
     }
 
+    /// Parses a decimal number with a unit, without a sign or an exponent. Returns `None` if the text is
+    /// malformed or the duration exceeds [`MAX_DURATION_MICROS`].
     fn parse(text: &str) -> Option<ScriptDuration> {
         let unit_start = text.find(|character: char| character.is_ascii_alphabetic())?;
         let (number, unit) = text.split_at(unit_start);
