--- a/crates/starlark-config/src/recorder.rs
+++ b/crates/starlark-config/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records the calls of the script that is being evaluated, and gives it its options.
+//! Records the section calls of the script that is being evaluated, and provides its options.
 
 use crate::call::Call;
 use crate::error::OptionError;
@@ -12,7 +12,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a script has done so far, and the options that it was given.
+/// The state of one evaluation: the calls and option reads so far, and the options that the caller set.
 #[derive(Default)]
 struct Recorder {
     calls: Vec<Call>,
@@ -20,36 +20,37 @@
     requested_options: BTreeSet<String>,
 }
 
-/// What an evaluated script did.
+/// The calls and option reads of a script that was evaluated.
 pub(crate) struct Recording {
     /// The calls of section functions, in order.
     pub calls: Vec<Call>,
-    /// The names of the options that it read.
+    /// The names of the options that the script read.
     pub requested_options: BTreeSet<String>,
 }
 
 thread_local! {
-    /// Of the script under evaluation on this thread. The evaluator's own place for such state (`extra`)
-    /// takes only types with an `unsafe` trait, which this project forbids.
+    /// The recorder of the script that is being evaluated on this thread. It is not stored in
+    /// `Evaluator::extra`, because that field only accepts types that implement an `unsafe` trait, and this
+    /// project forbids unsafe code.
     static RECORDER: RefCell<Recorder> = RefCell::default();
 }
 
-/// Starts a recording on this thread; drops an earlier one.
+/// Starts a recording on this thread and discards an unfinished one.
 pub(crate) fn start(options: &[(String, String)]) {
     RECORDER.set(Recorder { options: options.iter().cloned().collect(), ..Recorder::default() });
 }
 
-/// Ends this thread's recording.
+/// Ends the recording of this thread and returns it.
 pub(crate) fn finish() -> Recording {
     let Recorder { calls, requested_options, .. } = RECORDER.take();
     Recording { calls, requested_options }
 }
 
-/// Records a call; each function that [`functions!`](crate::functions) makes calls this.
+/// Records a call of a section function. The functions that [`functions!`](crate::functions) defines call this.
 ///
 /// # Errors
 ///
-/// If an argument cannot be expressed as JSON.
+/// Returns an error if an argument cannot be converted to JSON.
 pub fn record_call<'v>(
     eval: &Evaluator<'v, '_, '_>,
     function: &'static str,
@@ -68,9 +69,9 @@
     Ok(NoneType)
 }
 
-/// Defines a function `$register` that gives a script these section functions; for
-/// [`evaluate`](crate::evaluate()). The package that uses it depends on `starlark` and `anyhow`, which the
-/// expansion names.
+/// Defines a function `$register` that adds the named section functions to a script's globals, for use with
+/// [`evaluate`](crate::evaluate()). A package that uses this macro must depend on `starlark` and `anyhow`,
+/// because the expansion refers to them.
 #[macro_export]
 macro_rules! functions {
     ($register:ident: $($name:ident),* $(,)?) => {
@@ -89,7 +90,7 @@
     };
 }
 
-/// Notes that the script reads an option: the value given, if any.
+/// Records that the script reads an option, and returns its value if the caller set one.
 fn request_option(name: &str) -> Option<String> {
     RECORDER.with_borrow_mut(|recorder| {
         recorder.requested_options.insert(name.to_owned());
@@ -97,11 +98,11 @@
     })
 }
 
-/// The functions that every script has.
+/// Adds the functions that are available to every script.
 #[starlark_module]
 pub(crate) fn common_functions(globals: &mut GlobalsBuilder) {
-    /// The value given on the command line (`--set name=value`), else the default, which also determines
-    /// whether a text, a boolean or a number is expected.
+    /// Returns the value that was set on the command line (`--set name=value`), or else the default. The type of
+    /// the default determines whether the value is read as a string, a boolean or a number.
     fn option<'v>(
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] default: Value<'v>,
