--- a/crates/starlark-config/src/error.rs
+++ b/crates/starlark-config/src/error.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The reason why a script was rejected. The message of each variant starts with the file name, followed by the
-/// line number if it is known.
+/// The reason why a script was rejected. The message of each variant starts with the file name, followed by
+/// the line number if it is known.
 #[derive(Debug, Error)]
 pub enum ScriptError {
     /// The script file could not be read.
--- a/crates/starlark-config/src/recorder.rs
+++ b/crates/starlark-config/src/recorder.rs
@@ -46,7 +46,8 @@
     Recording { calls, requested_options }
 }
 
-/// Records a call of a section function. The functions that [`functions!`](crate::functions) defines call this.
+/// Records a call of a section function. The functions that [`functions!`](crate::functions) defines call
+/// this.
 ///
 /// # Errors
 ///
@@ -101,8 +102,8 @@
 /// Adds the functions that are available to every script.
 #[starlark_module]
 pub(crate) fn common_functions(globals: &mut GlobalsBuilder) {
-    /// Returns the value that was set on the command line (`--set name=value`), or else the default. The type of
-    /// the default determines whether the value is read as a string, a boolean or a number.
+    /// Returns the value that was set on the command line (`--set name=value`), or else the default. The type
+    /// of the default determines whether the value is read as a string, a boolean or a number.
     fn option<'v>(
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] default: Value<'v>,
