--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a checked script gives: the settings that a proxy runs by, and a fleet file's daemons.
+//! The validated result of a script: the settings of a proxy, or the contents of a fleet file.
 
 use crate::route_table::RouteTable;
 use crate::sections::{HalfClose, Identity, Member};
@@ -9,136 +9,137 @@
 use violetseam::interface::{Micros, Settings};
 use violetseam_fleet_state::fleet_quotas::QuotaPlan;
 
-/// Requests with this method and path prefix are of this class.
+/// Assigns the requests with this method and path prefix to a request class.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The method; none: any.
+    /// Method of the requests; `None` matches any method.
     pub method: Option<Method>,
-    /// What the path starts with.
+    /// Prefix of the request path. It need not end at a path segment.
     pub prefix: String,
-    /// The class's index.
+    /// Index of the request class.
     pub class: usize,
 }
 
-/// The header fields that carry what the decisions rest on.
+/// Names of the header fields that carry the inputs of the balancer's decisions.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The key of a keyed request.
+    /// Request field with the idempotency key of a keyed request.
     pub idempotency_key: HeaderName,
-    /// The tenant's name.
+    /// Request field with the tenant's name.
     pub tenant: HeaderName,
-    /// The work expected, in microseconds.
+    /// Request field with the expected work, in microseconds.
     pub cost: HeaderName,
-    /// How long the client waits, in milliseconds from the request's head.
+    /// Request field with the time that the client waits, in milliseconds from the request's head.
     pub deadline: HeaderName,
-    /// Present on a client's own retries.
+    /// Request field that marks a client's own retries.
     pub retry: HeaderName,
-    /// On a server's 503: the request was not processed.
+    /// Response field that marks a 503 from a server that did not process the request.
     pub not_processed: HeaderName,
-    /// On a response: the id by which a client can report it wrong.
+    /// Response field with the id that a client uses to report a wrong response.
     pub response_id: HeaderName,
 }
 
-/// Bounds and time-outs of connections. Time-outs in microseconds, sizes in bytes.
+/// Limits and time-outs of connections. Time-outs are in microseconds, sizes in bytes.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// Of a request's head; past it 431.
+    /// Maximum size of a request's head. A larger head is answered with 431.
     pub max_head_bytes: usize,
-    /// The most fields of a request's head; past it 431.
+    /// Maximum number of header fields of a request. A head with more is answered with 431.
     pub max_header_fields: usize,
-    /// Of a request's body; past it 413.
+    /// Maximum size of a request's body. A larger body is answered with 413.
     pub max_body_bytes: u64,
-    /// Of a request's body that is retained for a further attempt.
+    /// Maximum size of a request body that is retained for a further attempt.
     pub max_retained_body_bytes: usize,
-    /// Of a response that is received completely before it is passed on.
+    /// Maximum size of a response that is received completely before it is forwarded.
     pub max_buffered_response_bytes: usize,
-    /// For a request's head, from its first byte; past it 408.
+    /// Time-out for a request's head, from its first byte. A later head is answered with 408.
     pub head_timeout: Micros,
-    /// For a request's body, from its head; past it 408.
+    /// Time-out for a request's body, from the end of its head. A later body is answered with 408.
     pub body_timeout: Micros,
-    /// Between requests of a client.
+    /// Maximum time between two requests on a client connection.
     pub client_idle_timeout: Micros,
-    /// Between requests to a server.
+    /// Maximum time between two requests on a server connection.
     pub server_idle_timeout: Micros,
-    /// Without a byte of a response that is being passed on.
+    /// Maximum time without a byte of a response that is being forwarded.
     pub stream_idle_timeout: Micros,
-    /// For a connection to a server.
+    /// Time-out for opening a connection to a server.
     pub connect_timeout: Micros,
-    /// Idle connections kept open to each server.
+    /// Maximum number of idle connections that are kept open to each server.
     pub max_idle_per_server: usize,
-    /// Client connections accepted at once.
+    /// Maximum number of client connections that are open at the same time.
     pub max_clients: usize,
-    /// What it means that a client has closed its sending side.
+    /// How to treat a client that has closed its sending side.
     pub half_close: HalfClose,
-    /// The path at which clients report wrong answers.
+    /// Request path at which clients report wrong responses.
     pub wrong_answer_path: String,
 }
 
-/// Control over TCP under mutual TLS.
+/// Control of the daemon over TCP with mutual TLS.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlTls {
-    /// The address that the daemon listens on.
+    /// Address that the daemon listens on.
     pub listen: SocketAddr,
-    /// The daemon's files.
+    /// The daemon's certificate files.
     pub identity: Identity,
 }
 
-/// All that a proxy runs by. Times in microseconds.
+/// All settings of a proxy. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
-    /// Its fleet's name.
+    /// Name of the proxy's fleet.
     pub fleet_name: String,
-    /// A number that all proxies of the fleet share.
+    /// Number of the site. All proxies of the fleet have the same one.
     pub site: u32,
-    /// Where clients connect.
+    /// Addresses on which the proxy accepts client connections.
     pub listen: Vec<SocketAddr>,
-    /// The discovery service, which gives out the endpoint list.
+    /// Address of the discovery service, which provides the endpoint list.
     pub discovery: SocketAddr,
-    /// For the first line of a call to the discovery service.
+    /// Time-out for the first line of the response to a call of the discovery service.
     pub discovery_timeout: Micros,
-    /// The release service, followed by its standbys.
+    /// Address of the release service, followed by the addresses of its standbys.
     pub release_services: Vec<SocketAddr>,
-    /// A watch of the release that is silent for so long is lost; none: never.
+    /// Time without data after which a watch of the release counts as lost; `None` for no time-out.
     pub release_idle_timeout: Option<Micros>,
-    /// The delay before a lost watch of the release is opened again.
+    /// Delay before a lost watch of the release is opened again.
     pub release_reconnect_delay: Micros,
-    /// The publisher of the routes, if they are distributed; needs [`ProxySettings::state_dir`].
+    /// Address of the publisher that distributes the routes, if they are distributed. Requires
+    /// [`ProxySettings::state_dir`].
     pub publisher: Option<SocketAddr>,
-    /// Where peers' datagrams arrive.
+    /// Address on which datagrams of peers are received.
     pub peer_listen: Option<SocketAddr>,
-    /// Peers by position, this proxy's own address among them.
+    /// Addresses of the peers by position, including this proxy's own address.
     pub peers: Vec<SocketAddr>,
-    /// Names of the classes, by index.
+    /// Names of the request classes, by index.
     pub class_names: Vec<String>,
-    /// Tenants' indices by name.
+    /// Indices of the tenants, by name.
     pub tenants: BTreeMap<String, usize>,
-    /// In the order of the script: the first that matches counts.
+    /// Routes in the order of the script. The first route that matches a request applies.
     pub routes: Vec<Route>,
-    /// The same, for lookups.
+    /// The same routes as a lookup table.
     pub route_table: RouteTable,
-    /// Names of header fields.
+    /// Names of the header fields that the proxy reads or writes.
     pub headers: HeaderNames,
-    /// Bounds of connections.
+    /// Limits and time-outs of connections.
     pub connections: ConnectionLimits,
-    /// A fixed seed for the balancer's random draws; else drawn at each start.
+    /// Fixed seed of the balancer's random numbers; `None` to choose a new seed at each start.
     pub seed: Option<u64>,
-    /// Where the last list and the daemon's state are kept over restarts.
+    /// Folder in which the last server list and the daemon's state are kept across restarts.
     pub state_dir: Option<PathBuf>,
-    /// The path of the control socket.
+    /// Path of the control socket.
     pub control_socket: Option<PathBuf>,
-    /// Control over TCP, if there is any.
+    /// Control over TCP, if it is configured.
     pub control_tls: Option<ControlTls>,
-    /// Budgets of further attempts that the whole fleet keeps, if any class has one.
+    /// Fleet-wide budgets for further attempts, if any class has one.
     pub retry_quotas: Option<QuotaPlan>,
-    /// What the balancer decides by.
+    /// Settings of the balancer.
     pub decisions: Settings,
 }
 
-/// What a fleet file says.
+/// The contents of a fleet file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetFile {
-    /// The daemons.
+    /// The daemons of the fleet.
     pub members: Vec<Member>,
-    /// The operator's files, for daemons that are controlled over TCP.
+    /// The operator's certificate files, for daemons that are controlled over TCP.
     pub identity: Option<Identity>,
 }
