--- a/crates/settings/src/collect.rs
+++ b/crates/settings/src/collect.rs
@@ -1,4 +1,4 @@
-//! The calls of a script, gathered by section.
+//! Groups the calls of a script by section.
 
 use crate::sections::{
     BudgetsSection, ConnectionsSection, ContractSection, ControlTlsSection, DiscoverySection, FleetSection,
@@ -7,7 +7,8 @@
 };
 use violetseam_starlark_config::{Call, Located, ScriptError};
 
-/// All sections of a script, as called.
+/// All section calls of a script, in the order of the script. How often each section may be called is checked
+/// later.
 #[derive(Debug, Default)]
 pub(crate) struct Sections {
     pub fleet: Vec<Located<FleetSection>>,
@@ -30,11 +31,11 @@
     pub control_tls: Vec<Located<ControlTlsSection>>,
 }
 
-/// Reads each call as the section that it names.
+/// Deserializes each call into the section that it names.
 ///
 /// # Errors
 ///
-/// Arguments that are not those of the section, with the call's location.
+/// The first call whose arguments do not match its section, with the location of the call.
 pub(crate) fn collect(calls: Vec<Call>) -> Result<Sections, ScriptError> {
     let mut sections = Sections::default();
     for call in calls {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,11 @@
-//! A proxy's settings: a Starlark script, evaluated and checked completely before anything is bound.
+//! A proxy's settings. They are a Starlark script, which is evaluated and validated completely before the
+//! proxy binds any socket.
 //!
-//! A script calls one function for each section (`fleet(...)`, `request_class(...)`, `route(...)` ...). It is in
-//! Starlark because the proxies of a fleet share almost all of their settings: a function or a loaded file says
-//! once what plain data would repeat. A script has no clock, no network and no files but `load` of its own folder,
-//! and its steps and memory are bounded. `docs/settings.md` lists the sections.
+//! A script calls one function for each section (`fleet(...)`, `request_class(...)`, `route(...)` ...).
+//! Settings are written in Starlark because the proxies of a fleet share almost all of them: a function or a
+//! loaded file avoids the repetition that a plain data format would need. A script has no access to a clock
+//! or the network, can only `load` files from its own folder, and is limited in its execution steps and
+//! memory. `docs/settings.md` lists the sections.
 
 mod check;
 mod collect;
