--- a/crates/settings/src/sections/connections.rs
+++ b/crates/settings/src/sections/connections.rs
@@ -1,4 +1,4 @@
-//! Header fields and bounds of connections.
+//! Sections for the names of header fields and the limits of connections.
 
 use serde::Deserialize;
 use violetseam_starlark_config::ScriptDuration;
@@ -7,12 +7,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct HeadersSection {
+    /// Field with the idempotency key.
     pub key: String,
     pub tenant: String,
     pub cost: String,
     pub deadline: String,
     pub retry: String,
+    /// Response field of a server that did not process the request.
     pub not_run: String,
+    /// Response field with the id of the response.
     pub answer: String,
 }
 
@@ -30,27 +33,29 @@
     }
 }
 
-/// What it means that a client has closed its sending side.
+/// How the proxy treats a client that has closed the sending side of its connection.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 pub enum HalfClose {
-    /// The client has left, and its request is cancelled: a closed socket looks the same until it is written
-    /// to.
+    /// Treats the client as gone and cancels its request, because a completely closed socket cannot be told
+    /// apart from a half-closed one until it is written to.
     #[default]
     #[serde(rename = "gone")]
     Cancel,
-    /// It still reads: its response is awaited and written.
+    /// Assumes that the client still reads, and sends it the response.
     #[serde(rename = "serve")]
     Serve,
 }
 
-/// `connections(...)`: sizes in bytes.
+/// `connections(...)`: limits and time-outs of connections. Sizes are in bytes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct ConnectionsSection {
     pub max_head: usize,
     pub max_fields: usize,
     pub max_body: u64,
+    /// Maximum size of a request body that is retained for a further attempt.
     pub keep_body: usize,
+    /// Maximum size of a response that is received completely before it is forwarded.
     pub keep_answer: usize,
     pub head_timeout: ScriptDuration,
     pub body_timeout: ScriptDuration,
@@ -61,6 +66,7 @@
     pub idle_per_server: usize,
     pub max_clients: usize,
     pub half_close: HalfClose,
+    /// Request path at which clients report wrong responses.
     pub flag_path: String,
 }
 
--- a/crates/settings/src/sections/fleet.rs
+++ b/crates/settings/src/sections/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet, the services that a proxy calls, and the daemons of a fleet file.
+//! Sections for the fleet, the services that a proxy calls, and the daemons of a fleet file.
 
 use super::one_second;
 use serde::Deserialize;
@@ -26,22 +26,22 @@
     pub control: Option<String>,
 }
 
-/// Files in PEM form: a daemon's for control over TCP, an operator's in a fleet file.
+/// Paths of the PEM files for mutual TLS: a daemon's for control over TCP, or an operator's in a fleet file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// The certificate, followed by the intermediate ones.
+    /// File with the certificate, followed by the intermediate certificates.
     pub cert: String,
-    /// Its private key, readable by its owner alone.
+    /// File with the certificate's private key. Only its owner may have read permission.
     pub key: String,
-    /// The authorities that the other side's certificate may be from.
+    /// File with the certificate authorities that are trusted to issue the peer's certificate.
     pub trusted: String,
-    /// Revocation lists.
+    /// File with certificate revocation lists.
     #[serde(default)]
     pub revoked: Option<String>,
 }
 
-/// `control_tls(...)`: control over TCP under mutual TLS.
+/// `control_tls(...)`: control of the daemon over TCP with mutual TLS.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ControlTlsSection {
@@ -57,23 +57,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
-    /// The path of its control socket, or `tls://HOST:PORT`.
+    /// Path of the daemon's control socket, or `tls://HOST:PORT`.
     pub control: String,
-    /// Groups it can be addressed by.
+    /// Groups by which an operator can address the daemon.
     #[serde(default)]
     pub groups: Vec<String>,
 }
 
-/// `listen(...)`: an address for clients.
+/// `listen(...)`: an address on which the proxy accepts client connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ListenSection {
     pub addr: SocketAddr,
 }
 
-/// `roster(...)`: the discovery service, which gives out the endpoint list.
+/// `roster(...)`: the discovery service, which provides the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct DiscoverySection {
@@ -87,18 +87,19 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct ReleaseServiceSection {
     pub addr: SocketAddr,
-    /// Controllers to try when the first does not answer.
+    /// Addresses of standby controllers, which are tried when the first does not answer.
     #[serde(default)]
     pub standby: Vec<SocketAddr>,
-    /// A watch of the release that is silent for so long is lost; blank lines count as heartbeats.
+    /// Time without data after which a watch of the release counts as lost. Blank lines count as heartbeats.
     #[serde(default)]
     pub silence: Option<ScriptDuration>,
+    /// Delay before a lost watch is opened again.
     #[serde(default = "default_reconnect_delay")]
     pub reconnect: ScriptDuration,
 }
 
 impl ReleaseServiceSection {
-    /// The addresses in the order in which they are tried.
+    /// Returns the addresses in the order in which they are tried.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         std::iter::once(self.addr).chain(self.standby.iter().copied()).collect()
     }
@@ -108,17 +109,19 @@
     ScriptDuration::from_millis(200)
 }
 
-/// `publisher(...)`: the publisher of distributed routes.
+/// `publisher(...)`: the publisher that distributes the routes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PublisherSection {
     pub addr: SocketAddr,
 }
 
-/// `peers(...)`: the other proxies' gossip addresses.
+/// `peers(...)`: the gossip addresses of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PeersSection {
+    /// Address on which this proxy receives datagrams.
     pub listen: SocketAddr,
+    /// Addresses of all proxies by position, including this one.
     pub addrs: Vec<SocketAddr>,
 }
--- a/crates/settings/src/sections/mod.rs
+++ b/crates/settings/src/sections/mod.rs
@@ -1,6 +1,6 @@
-//! The sections as a script writes them: names, types and defaults. Fields have the names that scripts use;
-//! what the sections mean together is checked in `check`, which also gives the fields the names of the
-//! program.
+//! The sections of a script, with the types and defaults of their arguments. Fields have the names that
+//! scripts use. The `check` module validates the sections together and translates the fields to the names
+//! that the rest of the program uses.
 
 mod connections;
 mod fleet;
