--- a/crates/settings/src/sections/release.rs
+++ b/crates/settings/src/sections/release.rs
@@ -1,10 +1,10 @@
-//! How a release goes on, the limits of attempts, and what servers promise.
+//! Sections for the rollout of a release, the limits of attempts, and the service rules of servers.
 
 use super::{one, one_second};
 use serde::Deserialize;
 use violetseam_starlark_config::ScriptDuration;
 
-/// What ends a stage.
+/// The condition that promotes a release to the next stage. See [`violetseam::interface::GateMode`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum GateName {
@@ -14,38 +14,46 @@
     Timer,
 }
 
-/// `rollout(...)`.
+/// `rollout(...)`: how builds are rolled out.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RolloutSection {
+    /// Exposure cap of each stage, as a share of the attempts.
     pub stage_caps: Vec<f64>,
-    /// The window over which exposure is counted.
+    /// Length of the window over which exposure is counted.
     pub counted_over: ScriptDuration,
     #[serde(default)]
     pub gate: GateName,
+    /// Whether servers of the earlier build drain as soon as their replacements are up.
     #[serde(default)]
     pub in_place: bool,
-    /// Stages below this number take idempotent requests only.
+    /// Number of initial stages in which only idempotent requests may go to the new build.
     #[serde(default)]
     pub guarded_stages: u8,
-    /// Attempts that a window allows beyond the cap's share.
+    /// Number of attempts that the exposure rule allows in a window in addition to the cap's share.
     #[serde(default)]
     pub uncounted: f64,
+    /// Whether the exposure rule counts each request class separately.
     #[serde(default)]
     pub per_class: bool,
-    /// A key that the new build has answered goes to no earlier build.
+    /// Whether a key that the new build has answered is never sent to an earlier build.
     #[serde(default)]
     pub one_way: bool,
+    /// How long a vote counts after it was cast.
     pub vote_ttl: ScriptDuration,
+    /// Time-out for the reply to a vote.
     #[serde(default = "one_second")]
     pub call_timeout: ScriptDuration,
+    /// Share of the wrong responses that clients report.
     #[serde(default)]
     pub flag_share: f64,
+    /// Number of votes that promote a release to the next stage.
     #[serde(default = "one")]
     pub votes_on: f64,
+    /// Number of votes that roll a build back.
     #[serde(default = "one")]
     pub votes_back: f64,
-    /// Votes a second.
+    /// Votes per second that the platform accepts from all balancers together.
     #[serde(default = "unlimited")]
     pub vote_allowance: f64,
 }
@@ -54,20 +62,24 @@
     f64::MAX
 }
 
-/// `limits(...)`: what a request may cost beyond its first attempt.
+/// `limits(...)`: limits of the attempts of a request, and the optional features of the balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct LimitsSection {
     pub max_attempts: usize,
-    /// Hedging.
+    /// Whether requests may be hedged.
     pub second_copies: bool,
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Gossip.
+    /// Whether gossip may be sent to peers.
     pub peer_messages: bool,
+    /// Whether rejections may carry a `Retry-After`.
     pub retry_after: bool,
+    /// Longest `Retry-After` that clients honour.
     pub max_retry_after: ScriptDuration,
+    /// Shortest time between two rounds of events.
     pub tick: ScriptDuration,
-    /// The weight of a request past its tenant's quota, as a share of its class's.
+    /// Weight of a request that exceeds its tenant's quota, as a share of the weight of its class.
     pub over_share_worth: f64,
 }
 
@@ -86,20 +98,24 @@
     }
 }
 
-/// `contract(...)`: what servers promise, and how they start and stop.
+/// `contract(...)`: the service rules, which say what servers guarantee and how they start and stop.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ContractSection {
+    /// Time after the deadline within which a final response still counts as in time.
     #[serde(default = "default_deadline_grace")]
     pub answer_grace: ScriptDuration,
+    /// Longest interval between two polls of the server list.
     pub ask_within: ScriptDuration,
-    /// The least share of its capacity that a server starts with.
+    /// Smallest share of its capacity that a server has right after its start.
     pub cold_from: f64,
-    /// The longest slow start.
+    /// Longest duration of a slow start.
     pub cold_span: ScriptDuration,
+    /// Time within which the proxy must stop sending requests to a draining server.
     pub drain_grace: ScriptDuration,
-    /// A server that is warming up is overloaded past this multiple of its present capacity.
+    /// Multiple of its current capacity above which a server that is warming up is overloaded.
     pub fall_multiple: f64,
+    /// How long a server that is warming up tolerates an overload.
     pub fall_span: ScriptDuration,
 }
 
--- a/crates/settings/src/sections/requests.rs
+++ b/crates/settings/src/sections/requests.rs
@@ -1,10 +1,10 @@
-//! Request classes, routes, tenants, and the fleet's budgets of further attempts.
+//! Sections for request classes, routes, tenants, and the fleet's budgets for further attempts.
 
 use super::one;
 use serde::Deserialize;
 use violetseam_starlark_config::ScriptDuration;
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub(crate) enum IdempotencyName {
     #[serde(rename = "retryable")]
@@ -15,7 +15,7 @@
     NonIdempotent,
 }
 
-/// The servers that share their memory of idempotency keys.
+/// The group of servers that share a record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DedupGroupName {
@@ -25,39 +25,45 @@
     Cell,
 }
 
-/// `request_class(...)`.
+/// `request_class(...)`: a class of requests with common objectives.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RequestClassSection {
     pub name: String,
-    /// The latency objective.
+    /// Latency objective.
     pub aim: ScriptDuration,
     pub deadline: ScriptDuration,
     pub effect: IdempotencyName,
     #[serde(default)]
     pub group: DedupGroupName,
+    /// For keyed classes, how long servers remember an idempotency key.
     #[serde(default)]
     pub window: Option<ScriptDuration>,
-    /// The weight of a response within the latency objective.
+    /// Weight of a response within the latency objective.
     #[serde(default = "one")]
     pub worth: f64,
-    /// The share of the weight that a later response keeps.
+    /// Share of the weight that a response after the latency objective still earns.
     #[serde(default)]
     pub late_worth: f64,
+    /// Whether responses are streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Further attempts a second of the whole fleet; 0: no budget.
+    /// Budget for further attempts of the whole fleet, in attempts per second; 0 for no budget.
     #[serde(default)]
     pub further: f64,
 }
 
-/// `budgets(...)`: how the fleet's budgets are divided.
+/// `budgets(...)`: how the fleet-wide budgets are divided among the proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct BudgetsSection {
+    /// Part of the budgets that proxies never lend to each other, in percent.
     pub floor_percent: u64,
+    /// Duration of a quota lease.
     pub lease: ScriptDuration,
+    /// Largest deviation of a proxy's clock from true time, in parts per million.
     pub drift_ppm: u64,
+    /// Longest time for which an unused budget is saved up.
     pub burst: ScriptDuration,
 }
 
@@ -72,7 +78,7 @@
     }
 }
 
-/// `route(...)`: requests with this method and path prefix are of the class `to`.
+/// `route(...)`: assigns the requests with this method and path prefix to the class `to`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RouteSection {
@@ -82,12 +88,12 @@
     pub to: String,
 }
 
-/// `tenant(...)`.
+/// `tenant(...)`: a tenant and its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TenantSection {
     pub name: String,
-    /// Requests a second.
+    /// Quota in requests per second.
     #[serde(default)]
     pub quota: f64,
 }
