--- a/crates/settings/src/route_table.rs
+++ b/crates/settings/src/route_table.rs
@@ -1,14 +1,15 @@
-//! Routes by path prefix and method, found in time that grows with the path's length alone.
+//! A table of routes by path prefix and method. The cost of a lookup depends on the length of the path and
+//! not on the number of routes.
 //!
-//! The table is a radix tree over the bytes of the prefixes: a node stands for the bytes from the root to it
-//! and has the routes with exactly this prefix. A lookup walks down along the path, so that it visits at most
-//! one node for each of the path's bytes, and none without routes below it. Insertion and removal touch the
-//! nodes along the route's own prefix.
+//! The table is a radix tree over the bytes of the prefixes. A node represents the bytes on the way from the
+//! root to it, and holds the routes with exactly this prefix. A lookup descends along the path, so that it
+//! visits at most one node for each byte of the path, and only nodes that have routes at or below them.
+//! Insertion and removal only touch the nodes along the route's own prefix.
 //!
-//! Of several routes that match a path, the one with the lowest [`Rank`] counts. A settings script ranks its
-//! routes by their order in the script, so that the first that matches counts. Routes without an order are
-//! ranked by [`Rank::by_prefix`]: the longest prefix, and of two with the same prefix the one that names the
-//! method.
+//! If several routes match a path, the one with the lowest [`Rank`] applies. The routes of a settings script
+//! are ranked by their order in the script, so that the first match applies. Routes without an order are
+//! ranked by [`Rank::by_prefix`]: the longest prefix applies, and of two routes with the same prefix the one
+//! that names the method.
 
 mod node;
 
@@ -16,28 +17,29 @@
 use node::{Child, Node};
 use slab::Slab;
 
-/// Precedence of a route among those that match the same request: the lowest counts.
+/// Precedence of a route among those that match the same request. The lowest rank takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(pub u64);
 
 impl Rank {
-    /// Of routes without an order: a longer prefix before a shorter one, with a method before without.
+    /// Returns the rank of a route that has no position in an order. Longer prefixes precede shorter ones,
+    /// and with the same prefix, a route for one method precedes the route for any method.
     pub fn by_prefix(method: Option<&Method>, prefix: &str) -> Rank {
         let length = u64::try_from(prefix.len()).unwrap_or(u64::MAX).min(u64::MAX / 4);
         Rank(u64::MAX - 2 * length - u64::from(method.is_some()))
     }
 }
 
-/// What a route leads to.
+/// The target of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The lowest of those that match counts.
+    /// Precedence of the route. Of the matching routes, the one with the lowest rank applies.
     pub rank: Rank,
-    /// The index of the class that the requests are of.
+    /// Index of the request class that the route assigns to requests.
     pub class: usize,
 }
 
-/// Routes by prefix and method.
+/// A table of routes by prefix and method.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     nodes: Slab<Node>,
@@ -54,33 +56,34 @@
 }
 
 impl RouteTable {
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.route_count
     }
 
-    /// Whether there is none.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.route_count == 0
     }
 
-    /// The route that counts for a request with this method and path.
+    /// Returns the target of the route that applies to a request with this method and path.
     pub fn find(&self, method: &Method, path: &str) -> Option<Target> {
         self.lowest_ranked(Some(method), path)
     }
 
-    /// A route that matches every request that one with this method and prefix would match; with no method
-    /// given, only routes for any method do.
+    /// Returns the target of the lowest-ranked route that matches every request that a route with this method
+    /// and prefix would match. Without a method, only routes for any method qualify.
     pub fn covering(&self, method: Option<&Method>, prefix: &str) -> Option<Target> {
         self.lowest_ranked(method, prefix)
     }
 
-    /// The number of nodes that a lookup of this path visits: a measure of its cost for tests.
+    /// Returns the number of nodes that a lookup of this path visits. Tests use it as a measure of the cost.
     pub fn nodes_visited(&self, path: &str) -> usize {
         self.walk(path).count()
     }
 
-    /// Adds a route; returns the one with the same method and prefix that it replaces.
+    /// Adds a route. Returns the target of the route that it replaces, which is the one with the same method
+    /// and prefix.
     pub fn insert(&mut self, method: Option<&Method>, prefix: &str, target: Target) -> Option<Target> {
         let node = self.get_or_insert_node(prefix.as_bytes());
         let replaced = self.nodes[node].set_route(method, target);
@@ -90,7 +93,7 @@
         replaced
     }
 
-    /// Removes the route with exactly this method and prefix, and returns it.
+    /// Removes the route with exactly this method and prefix, and returns its target.
     pub fn remove(&mut self, method: Option<&Method>, prefix: &str) -> Option<Target> {
         let branch = self.branch_to(prefix.as_bytes())?;
         let node = *branch.last()?;
@@ -104,12 +107,12 @@
         self.walk(path).filter_map(|node| node.best_route(method)).min_by_key(|target| target.rank)
     }
 
-    /// The nodes whose prefix the path starts with, from the root on.
+    /// Iterates over the nodes whose prefix the path starts with, starting at the root.
     fn walk<'a>(&'a self, path: &'a str) -> Walk<'a> {
         Walk { table: self, rest: path.as_bytes(), next: Some(self.root) }
     }
 
-    /// The node for exactly this prefix, inserted if there is none.
+    /// Returns the node for exactly this prefix, and inserts it if there is none.
     fn get_or_insert_node(&mut self, prefix: &[u8]) -> usize {
         let mut node = self.root;
         let mut rest = prefix;
@@ -129,8 +132,9 @@
         node
     }
 
-    /// Splits a child where its label and these bytes differ; returns the part that the bytes begin with. A
-    /// child whose whole label they begin with stays as it is.
+    /// Splits a child at the first byte where its label differs from `bytes`, and returns the upper part,
+    /// whose label is a prefix of `bytes`. If `bytes` start with the child's whole label, the child is not
+    /// split.
     fn split_child(&mut self, parent: usize, index: usize, bytes: &[u8]) -> usize {
         let child = self.nodes[parent].children[index].key;
         let label = &self.nodes[child].label;
@@ -147,7 +151,8 @@
         upper
     }
 
-    /// The nodes from the root to the one for exactly this prefix.
+    /// Returns the nodes from the root to the node for exactly this prefix, or `None` if there is no such
+    /// node.
     fn branch_to(&self, prefix: &[u8]) -> Option<Vec<usize>> {
         let mut branch = vec![self.root];
         let mut node = self.root;
@@ -160,8 +165,8 @@
         Some(branch)
     }
 
-    /// Removes the last node of the branch if it has neither routes nor children, and merges nodes that no
-    /// longer separate anything with their only child.
+    /// Removes the last node of the branch if it has neither routes nor children. Merges the last node, or
+    /// the parent of the removed one, with its only child if it has no routes and a single child.
     fn prune(&mut self, branch: &[usize]) {
         let &[.., parent, node] = branch else { return };
         if self.nodes[node].has_routes() {
@@ -181,7 +186,7 @@
         }
     }
 
-    /// A node without routes and with one child is replaced by the child.
+    /// Replaces a node by its child if it has exactly one. The node must not have routes.
     fn merge_with_only_child(&mut self, node: usize) {
         let [child] = self.nodes[node].children[..] else { return };
         let mut child = self.nodes.remove(child.key);
@@ -190,10 +195,10 @@
     }
 }
 
-/// A walk from the root along a path.
+/// An iterator over the nodes from the root along a path.
 struct Walk<'a> {
     table: &'a RouteTable,
-    /// What is left of the path after the next node's prefix.
+    /// The part of the path after the next node's prefix.
     rest: &'a [u8],
     next: Option<usize>,
 }
@@ -209,7 +214,7 @@
 }
 
 impl Walk<'_> {
-    /// The child whose label the rest of the path starts with.
+    /// Returns the child whose label the rest of the path starts with, and removes this label from the rest.
     fn next_below(&mut self, node: &Node) -> Option<usize> {
         let child = node.child_towards(self.rest)?;
         self.rest = self.rest.strip_prefix(self.table.nodes[child].label.as_slice())?;
--- a/crates/settings/src/route_table/node.rs
+++ b/crates/settings/src/route_table/node.rs
@@ -3,20 +3,20 @@
 use super::Target;
 use http::Method;
 
-/// The routes of one prefix, and the edges to longer ones.
+/// The routes of one prefix, and the edges to longer prefixes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Node {
-    /// The bytes that the prefix has more than the parent's; empty at the root alone.
+    /// The bytes by which the prefix is longer than the parent's. Only the root has an empty label.
     pub label: Vec<u8>,
     /// The route for any method.
     any_method: Option<Target>,
-    /// The routes for one method each, sorted by its name.
+    /// The routes for a single method, sorted by the method's name.
     by_method: Vec<MethodRoute>,
-    /// Sorted by first byte.
+    /// The edges to longer prefixes, sorted by first byte.
     pub children: Vec<Child>,
 }
 
-/// The route for one method.
+/// A route for a single method.
 #[derive(Clone, Debug)]
 struct MethodRoute {
     method: Method,
@@ -28,7 +28,7 @@
 pub(super) struct Child {
     /// The first byte of the child's label.
     pub first_byte: u8,
-    /// The child's key in the table.
+    /// Key of the child node in the table's slab.
     pub key: usize,
 }
 
@@ -37,12 +37,13 @@
         Node { label: label.to_vec(), ..Node::default() }
     }
 
-    /// The index of the child whose label begins with a byte, else the index to insert one at.
+    /// Returns the index of the child whose label starts with this byte, or else the index at which to insert
+    /// such a child.
     pub(super) fn child_index(&self, first_byte: u8) -> Result<usize, usize> {
         self.children.binary_search_by_key(&first_byte, |child| child.first_byte)
     }
 
-    /// The key of the child that the next of these bytes leads to.
+    /// Returns the key of the child whose label starts with the first of these bytes.
     pub(super) fn child_towards(&self, bytes: &[u8]) -> Option<usize> {
         let index = self.child_index(*bytes.first()?).ok()?;
         Some(self.children[index].key)
@@ -52,14 +53,15 @@
         self.any_method.is_some() || !self.by_method.is_empty()
     }
 
-    /// The route that counts here for a request with this method; with none, the one for any method.
+    /// Returns the lowest-ranked target of this node for a request with this method. Without a method, only
+    /// the route for any method qualifies.
     pub(super) fn best_route(&self, method: Option<&Method>) -> Option<Target> {
         let index = method.and_then(|method| self.method_index(method).ok());
         let for_method = index.map(|index| self.by_method[index].target);
         [self.any_method, for_method].into_iter().flatten().min_by_key(|target| target.rank)
     }
 
-    /// Sets a route; returns the one that it replaces.
+    /// Sets the route for this method, and returns the target of the route that it replaces.
     pub(super) fn set_route(&mut self, method: Option<&Method>, target: Target) -> Option<Target> {
         let Some(method) = method else { return self.any_method.replace(target) };
         match self.method_index(method) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Removes a route, and returns it.
+    /// Removes the route for this method, and returns its target.
     pub(super) fn remove_route(&mut self, method: Option<&Method>) -> Option<Target> {
         let Some(method) = method else { return self.any_method.take() };
         let index = self.method_index(method).ok()?;
