--- a/crates/settings/src/check/fleet.rs
+++ b/crates/settings/src/check/fleet.rs
@@ -1,21 +1,24 @@
-//! The fleet that a proxy belongs to, its control over TCP, and the publisher of its configuration.
+//! Validation of the proxy's fleet, its control over TCP, and the publisher of its configuration.
 
 use crate::sections::{ControlTlsSection, FleetSection, Identity, PeersSection, PublisherSection};
 use crate::settings::ControlTls;
 use std::net::SocketAddr;
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// The longest name of a fleet, in bytes.
+/// Maximum length of a fleet's name.
 const MAX_FLEET_NAME_BYTES: usize = 64;
-/// The longest name that a publisher knows a proxy by, in bytes: its fleet's name, `-` and its position.
+/// Maximum length of the name under which a proxy subscribes to a publisher. This name consists of the
+/// fleet's name, `-` and the proxy's position.
 const MAX_SUBSCRIBER_NAME_BYTES: usize = 64;
 
-/// Checks the fleet's bounds, and that there is an address for each peer.
+/// Validates the fleet section, and checks that the `peers` section has one address for each proxy of the
+/// fleet.
 ///
 /// # Errors
 ///
-/// A name, size or position out of bounds, a control socket without a folder for its state, or a list of
-/// peers of another length than the fleet.
+/// - The fleet's name or size, or the proxy's position, is out of bounds.
+/// - There is a control socket, but no folder for the daemon's state.
+/// - The number of peer addresses differs from the size of the fleet.
 pub(super) fn check_fleet(
     fleet: &Located<FleetSection>,
     peers: Option<&Located<PeersSection>>,
@@ -46,11 +49,11 @@
     (1..=MAX_FLEET_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_permitted)
 }
 
-/// Control over TCP, if the settings ask for it.
+/// Returns the settings for control over TCP, if the script has such a section.
 ///
 /// # Errors
 ///
-/// There is no control socket.
+/// There is a section for control over TCP, but no local control socket.
 pub(super) fn check_control_tls(
     fleet: &Located<FleetSection>,
     section: Option<&Located<ControlTlsSection>>,
@@ -63,11 +66,12 @@
     Ok(Some(ControlTls { listen, identity: Identity { cert, key, trusted, revoked } }))
 }
 
-/// Where the publisher is, if the settings name one.
+/// Returns the address of the publisher, if the script names one.
 ///
 /// # Errors
 ///
-/// There is no folder for the last configuration, or the proxy's name is too long for the publisher.
+/// There is a publisher, but no folder for the last configuration, or the proxy's name is too long for the
+/// publisher.
 pub(super) fn check_publisher(
     fleet: &Located<FleetSection>,
     publisher: Option<&Located<PublisherSection>>,
--- a/crates/settings/src/check/members.rs
+++ b/crates/settings/src/check/members.rs
@@ -1,21 +1,22 @@
-//! The daemons of a fleet file.
+//! Validation of fleet files.
 
 use crate::collect::Sections;
 use crate::sections::Member;
 use crate::settings::FleetFile;
 use violetseam_starlark_config::{Located, ScriptError, optional_section};
 
-/// The longest name of a member or a group, in bytes.
+/// Maximum length of the name of a member or a group.
 const MAX_MEMBER_NAME_BYTES: usize = 128;
-/// What the address of a daemon that is controlled over TCP starts with.
+/// Prefix of the address of a daemon that is controlled over TCP.
 const TLS_SCHEME: &str = "tls://";
 
-/// Checks the sections of a fleet file; `script` is its name.
+/// Validates the sections of a fleet file. `script` is the name of the file for errors.
 ///
 /// # Errors
 ///
-/// There is no member, one is malformed or there twice, or the operator's identity is missing where it is
-/// needed.
+/// - There is no member, or one is malformed.
+/// - Two members have the same name or the same control address.
+/// - There is more than one identity, or none although a member is controlled over TCP.
 pub(crate) fn check_fleet_file(script: &str, sections: &Sections) -> Result<FleetFile, ScriptError> {
     let identity = optional_section("identity", &sections.identity)?.map(|section| section.value.clone());
     let mut members: Vec<Member> = Vec::new();
@@ -38,18 +39,31 @@
     let are_names_valid =
         is_valid_name(&member.name) && member.groups.iter().all(|group| is_valid_name(group));
     if !are_names_valid || member.control.is_empty() {
-        return section.reject("member: names and groups are 1 to 128 characters without spaces");
+        return section.reject(format!(
+            "member {:?}: control must not be empty, and names of members and groups must have \
+             1 to {MAX_MEMBER_NAME_BYTES} bytes without spaces",
+            member.name
+        ));
     }
-    let is_same = |other: &Member| other.name == member.name || other.control == member.control;
-    if earlier_members.iter().any(is_same) {
-        return section.reject(format!("member: {:?} or its control socket twice", member.name));
+    let is_duplicate = |other: &Member| other.name == member.name || other.control == member.control;
+    if earlier_members.iter().any(is_duplicate) {
+        return section.reject(format!(
+            "member {:?}: an earlier member has the same name or the same control {:?}",
+            member.name, member.control
+        ));
     }
     if let Some(host_and_port) = member.control.strip_prefix(TLS_SCHEME) {
         if !is_host_and_port(host_and_port) {
-            return section.reject("member: control over TCP is tls://HOST:PORT");
+            return section.reject(format!(
+                "member {:?}: control must be a path or tls://HOST:PORT, not {:?}",
+                member.name, member.control
+            ));
         }
         if !has_identity {
-            return section.reject("member: tls:// needs an identity(cert = ..., key = ..., trusted = ...)");
+            return section.reject(format!(
+                "member {:?}: control {:?} needs an identity(cert = ..., key = ..., trusted = ...)",
+                member.name, member.control
+            ));
         }
     }
     Ok(())
--- a/crates/settings/src/check/tenants.rs
+++ b/crates/settings/src/check/tenants.rs
@@ -1,14 +1,15 @@
-//! Tenants and their quotas.
+//! Validation of tenants and their quotas.
 
 use crate::sections::TenantSection;
 use std::collections::BTreeMap;
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// Tenants' indices by name, in the order of the script.
+/// Validates the tenants, and returns the index of each tenant by its name. Indices count in the order of the
+/// script.
 ///
 /// # Errors
 ///
-/// A quota that is negative or not a number, or a name that is there twice.
+/// A quota is negative or not a finite number, or two tenants have the same name.
 pub(super) fn check_tenants(
     sections: &[Located<TenantSection>],
 ) -> Result<BTreeMap<String, usize>, ScriptError> {
