--- a/crates/settings/src/check/budgets.rs
+++ b/crates/settings/src/check/budgets.rs
@@ -1,21 +1,22 @@
-//! Budgets of further attempts that the whole fleet keeps.
+//! Validation of the fleet-wide budgets for further attempts.
 
 use super::value_or_default;
 use crate::sections::{BudgetsSection, FleetSection, RequestClassSection};
 use violetseam_fleet_state::fleet_quotas::QuotaPlan;
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// The largest budget of further attempts, a second.
+/// Maximum budget of a class for further attempts.
 const MAX_FURTHER_ATTEMPTS_PER_S: f64 = 1e6;
-/// Quotas are counted in thousandths of an attempt.
+/// Quotas are counted in thousandths of an attempt per second.
 const QUOTA_UNITS_PER_ATTEMPT: f64 = 1e3;
 
-/// The fleet's budgets; none where no class has one.
+/// Returns the quota plan for the fleet's budgets, or `None` if no class has a budget.
 ///
 /// # Errors
 ///
-/// A class's budget out of bounds, a `budgets(...)` section without a class that has one, or a division of
-/// the budgets that cannot be kept.
+/// - The budget of a class is out of bounds.
+/// - There is a `budgets(...)` section, but no class has a budget.
+/// - The budgets cannot be divided among the proxies as configured.
 pub(super) fn check_budgets(
     fleet: &Located<FleetSection>,
     classes: &[Located<RequestClassSection>],
@@ -28,7 +29,8 @@
             class.value.name
         ));
     }
-    let quota_by_class: Vec<u64> = classes.iter().map(|class| quota(class.value.further)).collect();
+    let quota_by_class: Vec<u64> =
+        classes.iter().map(|class| quota_from_budget(class.value.further)).collect();
     if quota_by_class.iter().all(|quota| *quota == 0) {
         return match section {
             Some(section) => section.reject("budgets: no request_class has a budget of further attempts"),
@@ -52,6 +54,7 @@
     Ok(Some(plan))
 }
 
-fn quota(attempts_per_s: f64) -> u64 {
+/// Converts a budget to quota units.
+fn quota_from_budget(attempts_per_s: f64) -> u64 {
     (attempts_per_s * QUOTA_UNITS_PER_ATTEMPT).round() as u64
 }
--- a/crates/settings/src/check/classes.rs
+++ b/crates/settings/src/check/classes.rs
@@ -1,18 +1,19 @@
-//! Classes of requests.
+//! Validation of request classes.
 
 use crate::sections::{IdempotencyName, RequestClassSection};
 use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
-/// The most classes.
+/// Maximum number of request classes.
 const MAX_CLASSES: usize = 64;
-/// The shortest deadline.
+/// Minimum deadline of a request class. A shorter one leaves servers no time to respond.
 const MIN_DEADLINE: ScriptDuration = ScriptDuration::from_millis(50);
 
-/// The names of the classes, in the order of the script.
+/// Validates the request classes, and returns their names in the order of the script.
 ///
 /// # Errors
 ///
-/// No class or too many, a name that is there twice, or a class out of bounds.
+/// There is no class or there are too many, two classes have the same name, or a value of a class is out of
+/// bounds.
 pub(super) fn check_classes(
     script: &str,
     classes: &[Located<RequestClassSection>],
--- a/crates/settings/src/check/connections.rs
+++ b/crates/settings/src/check/connections.rs
@@ -1,4 +1,4 @@
-//! Header fields that carry what the decisions look at, and bounds of connections.
+//! Validation of the names of header fields and the limits of connections.
 
 use super::value_or_default;
 use crate::sections::{ConnectionsSection, HeadersSection};
@@ -7,33 +7,33 @@
 use std::ops::RangeInclusive;
 use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
-/// The shortest time-out of a connection.
+/// Minimum of each time-out of a connection.
 const MIN_TIMEOUT: ScriptDuration = ScriptDuration::from_millis(1);
-/// The bounds of the largest request head, in bytes.
+/// Permitted values of `max_head`, the maximum size of a request head in bytes.
 const MAX_HEAD_BOUNDS: RangeInclusive<usize> = 256..=1 << 20;
-/// The bounds of the largest count of header fields.
+/// Permitted values of `max_fields`, the maximum number of header fields of a request.
 const MAX_FIELDS_BOUNDS: RangeInclusive<usize> = 1..=128;
 
-/// The names of the header fields.
+/// Validates and returns the names of the header fields. Without a section, these are the default names.
 ///
 /// # Errors
 ///
-/// A name that HTTP does not permit, or one that stands for two request fields.
+/// A name is not a valid HTTP field name, or the same name is configured for two request fields.
 pub(super) fn check_headers(section: Option<&Located<HeadersSection>>) -> Result<HeaderNames, ScriptError> {
-    let texts = value_or_default(section);
+    let configured_names = value_or_default(section);
     let location = section.map_or("headers", |section| section.location.as_str());
     let parse = |text: &str| {
         HeaderName::from_bytes(text.as_bytes())
             .map_err(|_| ScriptError::invalid(location, format!("headers: {text:?} is no field name")))
     };
     let names = HeaderNames {
-        idempotency_key: parse(&texts.key)?,
-        tenant: parse(&texts.tenant)?,
-        cost: parse(&texts.cost)?,
-        deadline: parse(&texts.deadline)?,
-        retry: parse(&texts.retry)?,
-        not_processed: parse(&texts.not_run)?,
-        response_id: parse(&texts.answer)?,
+        idempotency_key: parse(&configured_names.key)?,
+        tenant: parse(&configured_names.tenant)?,
+        cost: parse(&configured_names.cost)?,
+        deadline: parse(&configured_names.deadline)?,
+        retry: parse(&configured_names.retry)?,
+        not_processed: parse(&configured_names.not_run)?,
+        response_id: parse(&configured_names.answer)?,
     };
     match section {
         Some(section) if has_duplicate_request_field(&names) => {
@@ -45,15 +45,15 @@
 
 fn has_duplicate_request_field(names: &HeaderNames) -> bool {
     let request_fields = [&names.idempotency_key, &names.tenant, &names.cost, &names.deadline, &names.retry];
-    let is_duplicate = |index: usize| request_fields[..index].contains(&request_fields[index]);
-    (1..request_fields.len()).any(is_duplicate)
+    let is_repeated = |index: usize| request_fields[..index].contains(&request_fields[index]);
+    (1..request_fields.len()).any(is_repeated)
 }
 
-/// The bounds of connections, with defaults where there is no section.
+/// Validates and returns the limits of connections. Without a section, these are the default limits.
 ///
 /// # Errors
 ///
-/// A bound that the section sets too low or too high.
+/// The section sets a limit that is too low or too high.
 pub(super) fn check_connections(
     section: Option<&Located<ConnectionsSection>>,
 ) -> Result<ConnectionLimits, ScriptError> {
