--- a/crates/settings/src/check/decisions.rs
+++ b/crates/settings/src/check/decisions.rs
@@ -1,4 +1,4 @@
-//! The balancer's settings, from sections that were checked.
+//! Conversion of validated sections to the balancer's settings.
 
 use super::{SingleSections, value_or_default};
 use crate::collect::Sections;
@@ -9,7 +9,7 @@
 use violetseam::interface;
 use violetseam_starlark_config::ScriptDuration;
 
-/// The balancer's settings. The sections have passed their checks.
+/// Converts the sections to the balancer's settings. The sections must have been validated.
 pub(super) fn balancer_settings(sections: &Sections, single: &SingleSections<'_>) -> interface::Settings {
     let fleet = &single.fleet.value;
     let limits = value_or_default(single.limits);
@@ -20,7 +20,7 @@
         rollout: rollout(&single.rollout.value),
         limits: attempt_limits(&limits, has_peers),
         rules: service_rules(&single.contract.value),
-        // The list is always subscribed to: the balancer opens a broken watch again.
+        // The balancer always subscribes to the server list, and reopens a watch that breaks.
         subscribes_to_list: true,
         fleet_size: fleet.size,
         position: fleet.position,
--- a/crates/settings/src/check/mod.rs
+++ b/crates/settings/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! What the sections mean together: rejects contradictions, gives the settings that the program runs by.
+//! Validates the sections of a script together, and converts them to the settings that the program uses.
 
 mod budgets;
 mod classes;
@@ -30,11 +30,12 @@
 use tenants::check_tenants;
 use violetseam_starlark_config::{Located, ScriptDuration, ScriptError, optional_section, required_section};
 
-/// Checks the sections of a settings script; `script` is its name.
+/// Validates the sections of a settings script and converts them to settings. `script` is the script's name
+/// for errors.
 ///
 /// # Errors
 ///
-/// The first section that is missing, there twice, out of bounds, or contradicts another.
+/// The first section that is missing, duplicate, out of bounds, or in contradiction to another section.
 pub(crate) fn check_settings(script: &str, sections: &Sections) -> Result<ProxySettings, ScriptError> {
     let single = SingleSections::find(script, sections)?;
     if sections.listen.is_empty() {
@@ -52,7 +53,7 @@
     proxy_settings(sections, &single, routing)
 }
 
-/// The sections that may be there once.
+/// The sections that a script may call only once and that several checks use.
 struct SingleSections<'a> {
     fleet: &'a Located<FleetSection>,
     discovery: &'a Located<DiscoverySection>,
@@ -86,7 +87,8 @@
     route_table: RouteTable,
 }
 
-/// The settings, after the checks of fleet, classes, rollout and routes; the remaining sections are checked here.
+/// Assembles the settings. The fleet, classes, rollout, contract, limits and routes must have been validated;
+/// this function validates the remaining sections.
 fn proxy_settings(
     sections: &Sections,
     single: &SingleSections<'_>,
@@ -127,7 +129,7 @@
     })
 }
 
-/// The section's value, or the defaults where there is no section.
+/// Returns the section's value, or the defaults if the script has no such section.
 fn value_or_default<T: Clone + Default>(section: Option<&Located<T>>) -> T {
     section.map(|section| section.value.clone()).unwrap_or_default()
 }
--- a/crates/settings/src/check/rollout.rs
+++ b/crates/settings/src/check/rollout.rs
@@ -1,27 +1,29 @@
-//! How a release goes on, what servers promise, and the limits of attempts.
+//! Validation of the rollout, the service rules of servers, and the limits of attempts.
 
 use crate::sections::{ContractSection, IdempotencyName, LimitsSection, RequestClassSection, RolloutSection};
 use std::ops::RangeInclusive;
 use violetseam_starlark_config::{Located, ScriptDuration, ScriptError};
 
-/// The most stages of a release.
+/// Maximum number of stages of a release.
 const MAX_STAGES: usize = 64;
-/// The shortest interval at which servers must be polled.
+/// Minimum of `ask_within`, the longest interval between two polls of the server list.
 const MIN_POLL_INTERVAL: ScriptDuration = ScriptDuration::from_secs(1);
-/// The shortest time that a server has to drain.
+/// Minimum of `drain_grace`, the time within which the proxy must stop sending to a draining server.
 const MIN_DRAIN_GRACE: ScriptDuration = ScriptDuration::from_millis(50);
-/// The bounds of the attempts of one request.
+/// Permitted values of `max_attempts`, the maximum number of attempts per request.
 const MAX_ATTEMPTS_BOUNDS: RangeInclusive<usize> = 1..=100;
-/// The bounds of the shortest span between two rounds of events.
+/// Permitted values of `tick`, the shortest time between two rounds of events.
 const TICK_BOUNDS: RangeInclusive<ScriptDuration> =
     ScriptDuration::from_millis(1)..=ScriptDuration::from_millis(50);
 
-/// Checks stages, votes and exposure.
+/// Validates the stages, votes and exposure limits of a rollout.
 ///
 /// # Errors
 ///
-/// A value out of bounds, caps that fall, stages in which no class could try a build, or votes that expire
-/// before they are answered.
+/// - A value is out of bounds.
+/// - The cap of a stage is lower than that of the stage before it.
+/// - Only idempotent requests may go to a new build in any stage, but no class is idempotent.
+/// - A vote can expire before the time-out for its reply.
 pub(super) fn check_rollout(
     rollout: &Located<RolloutSection>,
     classes: &[Located<RequestClassSection>],
@@ -73,11 +75,11 @@
     Ok(())
 }
 
-/// Checks what servers promise.
+/// Validates the service rules.
 ///
 /// # Errors
 ///
-/// A value out of bounds, or a grace past the deadline that is longer than a class's deadline.
+/// A value is out of bounds, or the grace time after a deadline is longer than the deadline of a class.
 pub(super) fn check_contract(
     contract: &Located<ContractSection>,
     classes: &[Located<RequestClassSection>],
@@ -100,11 +102,11 @@
     Ok(())
 }
 
-/// Checks the limits of attempts.
+/// Validates the limits of attempts.
 ///
 /// # Errors
 ///
-/// A value out of bounds.
+/// A value is out of bounds.
 pub(super) fn check_limits(limits: &Located<LimitsSection>) -> Result<(), ScriptError> {
     if !MAX_ATTEMPTS_BOUNDS.contains(&limits.value.max_attempts) {
         return limits.reject("limits: max_attempts is 1 to 100");
--- a/crates/settings/src/check/routes.rs
+++ b/crates/settings/src/check/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests are of which class.
+//! Validation of the routes, which assign requests to classes.
 
 use crate::route_table::{Rank, RouteTable, Target};
 use crate::sections::RouteSection;
@@ -7,12 +7,13 @@
 use std::collections::HashMap;
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// The routes in the order of the script, and their table.
+/// Validates the routes. Returns them in the order of the script, and as a lookup table.
 ///
 /// # Errors
 ///
-/// A malformed route, one that an earlier one covers, so that it could never match, or a class without a
-/// route.
+/// - A route is malformed or names an unknown class.
+/// - A route can never match because an earlier route matches all of its requests.
+/// - A class has no route.
 pub(super) fn check_routes(
     script: &str,
     sections: &[Located<RouteSection>],
