--- a/crates/settings/tests/scripts.rs
+++ b/crates/settings/tests/scripts.rs
@@ -1,11 +1,12 @@
-//! Settings scripts: a sound one is read completely, and each kind of error is rejected with file, line and
-//! reason.
+//! Settings scripts: a valid script gives the expected settings, and each kind of error is rejected with its
+//! file, line and reason.
 
 use std::path::PathBuf;
 use violetseam::interface::{GateMode, Idempotency};
 use violetseam_settings::{HalfClose, read_file, read_text};
 
-const SOUND: &str = r#"
+/// A valid script, from which the tests derive invalid ones.
+const VALID_SCRIPT: &str = r#"
 PORT = 7000
 fleet(name = "plant", size = 3, position = option("position", 0), site = 17)
 listen(addr = "127.0.0.1:%d" % (8000 + option("position", 0)))
@@ -24,33 +25,36 @@
 "#;
 
 fn options(pairs: &[(&str, &str)]) -> Vec<(String, String)> {
-    pairs.iter().map(|(a, b)| ((*a).into(), (*b).into())).collect()
+    pairs.iter().map(|(name, value)| ((*name).into(), (*value).into())).collect()
 }
 
 #[test]
-fn a_sound_script_gives_the_decisions_their_settings() {
-    let s = read_text("s.star", SOUND, &options(&[("position", "2")])).unwrap();
-    assert_eq!(s.listen[0].port(), 8002);
-    assert_eq!((s.decisions.position, s.decisions.fleet_size), (2, 3));
-    assert_eq!(s.decisions.classes[1].idempotency, Idempotency::Keyed);
-    assert_eq!(s.decisions.classes[1].dedup_window, 2_000_000);
-    assert_eq!(s.decisions.rollout.gate, GateMode::Any);
-    assert_eq!(s.connections.half_close, HalfClose::Serve);
-    assert!(s.decisions.limits.gossip);
-    assert_eq!((s.routes[0].class, s.routes[1].class, s.tenants["a"]), (0, 1, 0));
+fn a_valid_script_gives_the_expected_settings() {
+    let settings = read_text("s.star", VALID_SCRIPT, &options(&[("position", "2")])).unwrap();
+    assert_eq!(settings.listen[0].port(), 8002);
+    assert_eq!((settings.decisions.position, settings.decisions.fleet_size), (2, 3));
+    assert_eq!(settings.decisions.classes[1].idempotency, Idempotency::Keyed);
+    assert_eq!(settings.decisions.classes[1].dedup_window, 2_000_000);
+    assert_eq!(settings.decisions.rollout.gate, GateMode::Any);
+    assert_eq!(settings.connections.half_close, HalfClose::Serve);
+    assert!(settings.decisions.limits.gossip);
+    assert_eq!((settings.routes[0].class, settings.routes[1].class, settings.tenants["a"]), (0, 1, 0));
 }
 
-/// Replaces a piece of the sound script and expects the reason, at the line that holds the piece.
-fn assert_rejected(piece: &str, by: &str, reason: &str) {
-    let at = SOUND.find(piece).unwrap_or_else(|| panic!("{piece:?} is not in the script"));
-    let line = SOUND[..at].matches('\n').count() + 1;
-    let error = read_text("s.star", &SOUND.replacen(piece, by, 1), &[]).expect_err(by).to_string();
-    assert!(error.contains(reason), "{by}: {error}");
-    assert!(error.starts_with(&format!("s.star:{line}:")), "{by}: {error}, wanted line {line}");
+/// Replaces a piece of the valid script, and checks that the script is rejected with this reason at the line
+/// of the piece.
+fn assert_rejected(piece: &str, replacement: &str, reason: &str) {
+    let offset = VALID_SCRIPT.find(piece).unwrap_or_else(|| panic!("{piece:?} is not in the script"));
+    let line = VALID_SCRIPT[..offset].matches('\n').count() + 1;
+    let error = read_text("s.star", &VALID_SCRIPT.replacen(piece, replacement, 1), &[])
+        .expect_err(replacement)
+        .to_string();
+    assert!(error.contains(reason), "{replacement}: {error}, expected {reason:?}");
+    assert!(error.starts_with(&format!("s.star:{line}:")), "{replacement}: {error}, expected line {line}");
 }
 
 #[test]
-fn errors_name_their_line() {
+fn errors_state_their_line_and_reason() {
     assert_rejected("worth = 3", "wrth = 3", "unknown field `wrth`");
     assert_rejected("worth = 3", "worth = \"3\"", "worth: invalid type");
     assert_rejected("aim = \"300ms\"", "aim = 300", "aim: invalid type");
@@ -78,26 +82,27 @@
 }
 
 #[test]
-fn scripts_that_would_run_or_grow_without_end_are_stopped() {
-    let grows = SOUND.replace("PORT = 7000", "PORT = [0 for a in range(100000) for b in range(100000)]");
-    assert!(read_text("s.star", &grows, &[]).unwrap_err().to_string().contains("limit"));
-    let deep = SOUND.replace("PORT = 7000", "def f(n):\n    return f(n + 1)\nPORT = f(0)");
-    assert!(read_text("s.star", &deep, &[]).is_err());
+fn scripts_that_exceed_resource_limits_are_rejected() {
+    let endless =
+        VALID_SCRIPT.replace("PORT = 7000", "PORT = [0 for a in range(100000) for b in range(100000)]");
+    assert!(read_text("s.star", &endless, &[]).unwrap_err().to_string().contains("limit"));
+    let too_deep = VALID_SCRIPT.replace("PORT = 7000", "def f(n):\n    return f(n + 1)\nPORT = f(0)");
+    assert!(read_text("s.star", &too_deep, &[]).is_err());
 }
 
 #[test]
 fn missing_sections_unknown_options_and_routes_that_cannot_match_are_rejected() {
-    let without = |piece: &str| SOUND.replacen(piece, "", 1);
+    let without = |piece: &str| VALID_SCRIPT.replacen(piece, "", 1);
     let error = |text: &str| read_text("s.star", text, &[]).unwrap_err().to_string();
     assert!(error(&without("desk(addr = \"127.0.0.1:7200\")")).contains("no desk(...)"));
     assert!(error(&without("route(prefix = \"/log\", to = \"log\")")).contains("no route leads to class"));
-    let hidden = SOUND
+    let covered = VALID_SCRIPT
         .replace("route(prefix = \"/log\"", "route(prefix = \"/\", to = \"read\")\nroute(prefix = \"/log\"");
-    assert!(error(&hidden).contains("can never match"));
-    let unknown = read_text("s.star", SOUND, &options(&[("positon", "1")])).unwrap_err().to_string();
+    assert!(error(&covered).contains("can never match"));
+    let unknown = read_text("s.star", VALID_SCRIPT, &options(&[("positon", "1")])).unwrap_err().to_string();
     assert!(unknown.contains("asks for no option \"positon\""));
     assert!(
-        read_text("s.star", SOUND, &options(&[("position", "x")]))
+        read_text("s.star", VALID_SCRIPT, &options(&[("position", "x")]))
             .unwrap_err()
             .to_string()
             .contains("is no number")
@@ -105,23 +110,29 @@
 }
 
 #[test]
-fn only_files_of_the_own_folder_are_loaded() {
+fn scripts_can_only_load_files_from_their_own_folder() {
     let folder: PathBuf = std::env::temp_dir().join(format!("violetseam-settings-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("common.star"), "CAPS = [0.1, 1.0]\n").unwrap();
     std::fs::write(folder.join("round.star"), "load(\"round.star\", \"X\")\n").unwrap();
-    let write = |load: &str, caps: &str| {
-        let text = format!("{load}\n{}", SOUND.replace("[0.16, 0.5, 1.0]", caps));
+    let write_and_read = |load: &str, caps: &str| {
+        let text = format!("{load}\n{}", VALID_SCRIPT.replace("[0.16, 0.5, 1.0]", caps));
         std::fs::write(folder.join("main.star"), text).unwrap();
         read_file(&folder.join("main.star"), &[])
     };
-    let sound = write("load(\"common.star\", \"CAPS\")", "CAPS").unwrap();
-    assert_eq!(sound.decisions.rollout.stage_caps, [0.1, 1.0]);
+    let settings = write_and_read("load(\"common.star\", \"CAPS\")", "CAPS").unwrap();
+    assert_eq!(settings.decisions.rollout.stage_caps, [0.1, 1.0]);
     for outside in ["../common.star", "/etc/hostname", ".hidden", "sub/common.star"] {
-        let error = write(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().to_string();
+        let error =
+            write_and_read(&format!("load(\"{outside}\", \"CAPS\")"), "[1.0]").unwrap_err().to_string();
         assert!(error.contains("only plain names"), "{error}");
     }
-    assert!(write("load(\"round.star\", \"X\")", "[1.0]").unwrap_err().to_string().contains("in a circle"));
-    assert!(write("load(\"none.star\", \"X\")", "[1.0]").is_err());
+    assert!(
+        write_and_read("load(\"round.star\", \"X\")", "[1.0]")
+            .unwrap_err()
+            .to_string()
+            .contains("in a circle")
+    );
+    assert!(write_and_read("load(\"none.star\", \"X\")", "[1.0]").is_err());
     std::fs::remove_dir_all(&folder).unwrap();
 }
