--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,89 +1,94 @@
-//! A release plan: fleet, waves, holds, approvals, operators' powers and calendar.
+//! A release plan: its fleet, waves, holds, approvals, operator permissions and calendar.
 //!
-//! Names of types and fields are part of the stored form and of the text of differences.
+//! The names of types and fields are part of the format of stored plans and of the text that
+//! [`diff`](crate::diff()) prints.
 
 use crate::Micros;
 use crate::calendar::Calendar;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A plan that passed the checks.
+/// The plan of one release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// The build that it releases.
+    /// Number of the build that the plan releases.
     pub build: u16,
-    /// The longest the release may take, from its offer on; past it, the build is rolled back.
+    /// Maximum duration of the release, from its offer on. A build that is not released by then is rolled
+    /// back.
     pub longest: Micros,
-    /// How time without a controller counts.
+    /// Whether time without a running controller counts towards soaks.
     pub downtime: Downtime,
-    /// The fleet that it is for.
+    /// The fleet that the plan is made for.
     pub fleet: Fleet,
     /// The waves, in order.
     pub waves: Vec<Wave>,
-    /// The waves before which the release waits for somebody.
+    /// The holds: points before a wave at which the release waits for an operator.
     pub holds: Vec<Hold>,
-    /// The approvals that waves need.
+    /// The approvals that waves need before they begin.
     pub sign_offs: Vec<SignOff>,
-    /// What operators may do outside the plan.
+    /// The permissions of operators to intervene in the release.
     pub overrides: Vec<Override>,
-    /// When waves may begin.
+    /// The times at which waves may begin.
     pub calendar: Calendar,
 }
 
-/// How time without a controller counts.
+/// Whether time without a running controller counts towards soaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Downtime {
-    /// A wave's soak stands still while no controller runs.
+    /// The soak of a wave is suspended while no controller runs.
     Stops,
-    /// It goes on.
+    /// The soak of a wave continues while no controller runs.
     Counts,
 }
 
-/// The fleet that a plan is for.
+/// The fleet that a plan is made for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Proxies that vote, numbered from 0.
+    /// Number of proxies that vote. They are numbered from 0.
     pub proxies: u32,
-    /// Places that run a build, numbered from 0.
+    /// Number of places that run a build. They are numbered from 0.
     pub places: u32,
     /// How long a vote is valid, in microseconds.
     pub vote_ttl: Micros,
-    /// Votes a second that are taken from all proxies together.
+    /// Votes per second that the controller accepts from all proxies together.
     pub votes_per_s: f64,
-    /// The caps that the proxies' settings permit, by stage.
+    /// Maximum cap of each stage that the proxies' settings permit.
     pub stage_caps: Vec<f64>,
-    /// The share of proxies whose 'back' rolls the build back; under the gate `any`, one is enough.
+    /// Share of the proxies that must vote 'back' to roll the build back. In a wave with the gate `any`, a
+    /// single vote is enough.
     pub votes_back: f64,
-    /// The earlier build keeps running in a place beside the new one until the release.
+    /// Whether a place keeps running the earlier build beside the new one until the new one is released.
     pub beside: bool,
-    /// How long a wave waits for its places to run the build; then it goes on with those that do.
+    /// How long a wave waits for all its places to run the build. After that, it continues with the places
+    /// that do.
     pub launch: Micros,
-    /// A wave's soak begins so long after its places run.
+    /// Delay between the moment when a wave's places run the build and the start of its soak.
     pub settle: Micros,
 }
 
-/// What moves a wave on, once it has soaked.
+/// The condition that ends a wave after its soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Gate {
-    /// One 'on'.
+    /// A single 'on' vote.
     Any,
-    /// A share of all proxies.
+    /// 'On' votes of a share of all proxies.
     Share,
-    /// The soak alone, which a share of 'hold' stops.
+    /// The end of the soak alone, unless a share of all proxies votes 'hold'.
     Timer,
 }
 
-/// What happens to a wave when its window closes.
+/// The effect of a closing window on the wave in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnClose {
-    /// Its soak stands still until a window opens.
+    /// The soak of the wave is suspended until a window opens.
     Hold,
-    /// It soaks on, and the last one may release; the next wave waits for a window.
+    /// The wave continues to soak, and the build may be released after the last wave. The next wave waits for
+    /// a window.
     Finish,
     /// The build is rolled back.
     Back,
@@ -92,86 +97,89 @@
 /// A wave: one stage of the release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Wave {
-    /// Its name.
+    /// Name of the wave.
     pub name: String,
     /// The places that run the new build.
     pub places: BTreeSet<u32>,
-    /// The most of the traffic that the new build may get, 0 to 1.
+    /// Maximum share of the traffic, 0 to 1, that the new build may receive.
     pub cap: f64,
-    /// The least time, from when its places run.
+    /// Minimum time that the build runs in the wave's places before the wave can end.
     pub soak: Micros,
-    /// What moves it on.
+    /// The condition that ends the wave after its soak.
     pub gate: Gate,
-    /// The share of proxies whose 'on' moves it on (gate `share`), or whose 'hold' stops it (gate `timer`).
+    /// Share of the proxies whose 'on' votes end the wave (gate `share`), or whose 'hold' votes keep it from
+    /// ending (gate `timer`).
     pub votes: f64,
-    /// What happens when the window closes.
+    /// The effect of a closing window on the wave.
     pub on_close: OnClose,
 }
 
-/// The release waits before a wave until somebody ends the hold.
+/// A point before a wave at which the release waits until an operator ends the hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// The wave that waits.
+    /// Name of the wave that waits.
     pub before: String,
-    /// Who may end the hold.
+    /// Names of the operators who may end the hold.
     pub leave: Vec<String>,
-    /// The hold ends by itself after so long.
+    /// Time after which the hold ends without an operator, if any.
     pub at_most: Option<Micros>,
 }
 
 /// Approvals that a wave needs before it begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignOff {
-    /// The wave.
+    /// Name of the wave that needs the approvals.
     pub wave: String,
-    /// Who may give one.
+    /// Names of the operators who may approve.
     pub by: Vec<String>,
-    /// How many of them must.
+    /// Number of approvals that the wave needs.
     pub count: usize,
-    /// Within this time from the offer; past it, the build is rolled back.
+    /// Time from the offer of the release within which the approvals must arrive. Without them, the build is
+    /// rolled back.
     pub within: Micros,
 }
 
-/// What an operator may do outside the plan.
+/// A permission of an operator to intervene in a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Power {
-    /// Hold the release for a while.
+    /// Hold the release for a limited time.
     Hold,
     /// End a hold.
     Resume,
     /// Roll the build back.
     Back,
-    /// Skip what is left of a soak; never votes, windows or sign-offs.
+    /// Skip the rest of a soak. Votes, windows and sign-offs cannot be skipped.
     Skip,
 }
 
-/// Somebody's powers.
+/// The permissions of one operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Override {
-    /// Who.
+    /// Name of the operator.
     pub who: String,
-    /// What they may do.
+    /// The permissions.
     pub may: BTreeSet<Power>,
 }
 
 impl Plan {
-    /// The votes that a share of all proxies is, at least one.
+    /// Returns the number of votes that corresponds to a share of all proxies, rounded up and at least 1.
     pub fn votes_for_share(&self, share: f64) -> usize {
         ((share * f64::from(self.fleet.proxies)).ceil() as usize).max(1)
     }
 
-    /// The 'on' votes that a wave needs, or under a timer the 'hold' votes that stop it.
+    /// Returns the number of 'on' votes that end a wave, or with the gate `timer` the number of 'hold' votes
+    /// that keep it from ending.
     pub fn deciding_votes(&self, wave: &Wave) -> usize {
         if wave.gate == Gate::Any { 1 } else { self.votes_for_share(wave.votes) }
     }
 
-    /// The 'back' votes that roll the build back in a wave.
+    /// Returns the number of 'back' votes that roll the build back during a wave.
     pub fn votes_to_roll_back(&self, wave: &Wave) -> usize {
         if wave.gate == Gate::Any { 1 } else { self.votes_for_share(self.fleet.votes_back) }
     }
 
-    /// Whether the plan gives somebody a power.
+    /// Returns whether the plan gives an operator this permission.
     pub fn permits(&self, who: &str, power: Power) -> bool {
         self.overrides.iter().any(|given| given.who == who && given.may.contains(&power))
     }
