--- a/crates/plan/src/calendar.rs
+++ b/crates/plan/src/calendar.rs
@@ -1,11 +1,15 @@
-//! When the windows are open: weekday and time in a time zone, less freezes.
+//! The times at which a release may proceed: weekly windows, each in its time zone, minus freezes.
 //!
-//! A window opens on a day at the first moment at which the clocks there show its start, or have jumped over
-//! it, and closes at the first moment at which they show its end, or have jumped over it. So a window is open
-//! once on a day whose clocks go back, with the repeated hour in it where both its ends are outside, and a
-//! window that a jump skips entirely does not open that day.
+//! A window opens at the first moment at which local clocks show its start time, or have been set forward
+//! past it. It closes at the first moment at which they show its end time, or have been set forward past it.
+//! Consequences for the days on which clocks change:
 //!
-//! `jiff` knows the zones; its database is built in, so that a machine without one reads a plan alike.
+//! - On a day with a repeated hour, a window opens only once. It includes both passes of the repeated hour if
+//!   its start and its end are outside of that hour.
+//! - A window that lies entirely in a skipped hour does not open on that day.
+//!
+//! Time zones come from `jiff`. Its database is compiled in, so that a plan has the same meaning on a machine
+//! without a time zone database.
 
 use crate::Micros;
 use jiff::civil::{Date, DateTime, Weekday};
@@ -13,85 +17,91 @@
 use jiff::{Timestamp, ToSpan};
 use serde::{Deserialize, Serialize};
 
-/// A window as a plan gives it.
+/// A weekly window in which a release may proceed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
-    /// Weekdays on which it opens; Monday is 0.
+    /// Weekdays on which the window opens; Monday is 0.
     pub days: Vec<u8>,
-    /// Minutes since midnight at which it opens.
+    /// Opening time, in minutes since midnight.
     pub start: u16,
-    /// Minutes since midnight at which it closes; if that is not after the start, on the next day.
+    /// Closing time, in minutes since midnight. If it is not after `start`, the window closes on the next
+    /// day.
     pub end: u16,
-    /// IANA name of its zone.
+    /// IANA name of the window's time zone.
     pub zone: String,
 }
 
-/// A time in which no window is open.
+/// A period in which no window is open.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freeze {
-    /// When it begins.
+    /// Start of the freeze.
     pub start: Micros,
-    /// When it ends.
+    /// End of the freeze, exclusive.
     pub end: Micros,
-    /// Why, for people.
+    /// Reason for the freeze, as a text for operators.
     pub reason: String,
 }
 
-/// Windows and freezes.
+/// The windows and freezes of a plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calendar {
-    /// The windows; with none, always open.
+    /// The windows. Without any, the calendar is open except during freezes.
     pub windows: Vec<Window>,
-    /// Times in which no window is open.
+    /// The periods in which no window is open.
     pub freezes: Vec<Freeze>,
 }
 
-/// A time in which a window is open, from its start to before its end.
+/// A period in which a window or the calendar is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenInterval {
-    /// When it begins.
+    /// Start of the interval.
     pub start: Micros,
-    /// When it ends.
+    /// End of the interval, exclusive.
     pub end: Micros,
 }
 
 impl OpenInterval {
-    /// Whether a moment is in it.
+    /// Returns whether the interval contains this moment.
     pub fn contains(&self, at: Micros) -> bool {
         self.start <= at && at < self.end
     }
 
-    /// How long it is.
+    /// Returns the length of the interval.
     pub fn duration(&self) -> Micros {
         self.end - self.start
     }
 }
 
-/// The most edges that are looked at for one answer. Windows repeat weekly, so that far fewer are ever
-/// needed.
+/// Maximum number of edges of windows and freezes that one query examines. Windows repeat weekly, so that far
+/// fewer are ever needed.
 const MAX_EDGES: usize = 20_000;
 const DAY: Micros = 86_400_000_000;
-/// An edge is looked for within this span: more than a week, after which windows repeat.
+/// Time span in which the next edge of a window is searched. It is longer than a week, after which windows
+/// repeat.
 const EDGE_SEARCH_SPAN: Micros = 9 * DAY;
 const MINUTES_PER_HOUR: u16 = 60;
 const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 
-/// The first moment at which the clocks of a zone (its IANA name) show a time such as `2026-12-01T08:00`.
+/// Returns the first moment at which the clocks of a time zone show a local time such as `2026-12-01T08:00`,
+/// or have been set forward past it. `zone_name` is the IANA name of the zone. Returns `None` if the time or
+/// the zone is not valid.
 pub fn moment_of(time: &str, zone_name: &str) -> Option<Micros> {
     first_moment(&time_zone(zone_name)?, time.parse().ok()?)
 }
 
-/// A zone by its IANA name.
+/// Returns the time zone with this IANA name.
 pub(crate) fn time_zone(name: &str) -> Option<TimeZone> {
     TimeZone::get(name).ok()
 }
 
-/// The first moment at which the clocks of a zone show a time, or have jumped over it.
+/// Returns the first moment at which the clocks of a zone show a local time, or have been set forward past
+/// it.
 fn first_moment(zone: &TimeZone, time: DateTime) -> Option<Micros> {
     let ambiguous = zone.to_ambiguous_timestamp(time);
     let moment = match ambiguous.offset() {
         AmbiguousOffset::Gap { .. } => {
-            // The two readings lie on either side of the jump.
+            // The clocks never show this time. Its two interpretations, with the UTC offset before and after
+            // the transition, lie on either side of the transition.
             let before = ambiguous.earlier().ok()?;
             zone.following(before).next().map_or(before, |jump| jump.timestamp())
         }
@@ -100,7 +110,8 @@
     u64::try_from(moment.as_microsecond()).ok()
 }
 
-/// The first moment at which the clocks of a zone show a time of a date. 24:00 is the next day's midnight.
+/// Returns the first moment at which the clocks of a zone show a time of day, in minutes since midnight, on a
+/// date. 24:00 is midnight of the next day.
 fn first_moment_on(zone: &TimeZone, date: Date, minutes: u16) -> Option<Micros> {
     if minutes >= MINUTES_PER_DAY {
         return first_moment_on(zone, next_day(date)?, minutes - MINUTES_PER_DAY);
@@ -124,7 +135,7 @@
 }
 
 impl Window {
-    /// When it is open on a date, if it is.
+    /// Returns the interval of the window that starts on this date, if there is one.
     fn interval_on(&self, zone: &TimeZone, date: Date) -> Option<OpenInterval> {
         if !self.days.contains(&weekday_number(date.weekday())) {
             return None;
@@ -136,10 +147,10 @@
         (start < end).then_some(OpenInterval { start, end })
     }
 
-    /// When it is open, as far as that overlaps the time between two moments.
+    /// Returns the intervals of the window that overlap the time between two moments.
     fn intervals_between(&self, from: Micros, to: Micros) -> Vec<OpenInterval> {
         let Some(zone) = time_zone(&self.zone) else { return Vec::new() };
-        // A window that opened on the day before may still be open.
+        // A window that opened on the previous day may still be open.
         let first_date = date_at(&zone, from.saturating_sub(DAY));
         let last_date = date_at(&zone, to);
         let (Some(first_date), Some(last_date)) = (first_date, last_date) else { return Vec::new() };
@@ -157,7 +168,7 @@
 }
 
 impl Calendar {
-    /// Whether a window is open.
+    /// Returns whether the calendar is open: a window is open, or there are none, and there is no freeze.
     pub fn is_open(&self, at: Micros) -> bool {
         let is_frozen = self.freezes.iter().any(|freeze| freeze.start <= at && at < freeze.end);
         if is_frozen {
@@ -166,7 +177,8 @@
         self.windows.is_empty() || self.windows.iter().any(|window| window.is_open(at))
     }
 
-    /// The next edge of a window or freeze: a window's within [`EDGE_SEARCH_SPAN`].
+    /// Returns the next start or end of a window or a freeze. Windows are only searched within
+    /// [`EDGE_SEARCH_SPAN`].
     fn next_edge(&self, at: Micros) -> Option<Micros> {
         let windows =
             self.windows.iter().flat_map(|window| window.intervals_between(at, at + EDGE_SEARCH_SPAN));
@@ -175,7 +187,7 @@
         window_edges.chain(freeze_edges).filter(|edge| *edge > at).min()
     }
 
-    /// The next moment at which the calendar opens or closes, before `until`.
+    /// Returns the next moment after `at` and before `until` at which the calendar opens or closes.
     pub fn next_change(&self, at: Micros, until: Micros) -> Option<Micros> {
         let is_open = self.is_open(at);
         let mut edge = at;
@@ -188,12 +200,13 @@
         None
     }
 
-    /// The first open moment from `at` on, before `until`.
+    /// Returns `at` if the calendar is open then, and otherwise the next moment before `until` at which it
+    /// opens.
     pub fn next_open(&self, at: Micros, until: Micros) -> Option<Micros> {
         if self.is_open(at) { Some(at) } else { self.next_change(at, until) }
     }
 
-    /// When the calendar is open between two moments, in order.
+    /// Returns the intervals in which the calendar is open between two moments, in order.
     pub fn open_intervals(&self, from: Micros, to: Micros) -> Vec<OpenInterval> {
         let mut intervals = Vec::new();
         let mut at = from;
@@ -206,7 +219,7 @@
         intervals
     }
 
-    /// How long the calendar is open between two moments.
+    /// Returns the total time for which the calendar is open between two moments.
     pub fn open_time(&self, from: Micros, to: Micros) -> Micros {
         self.open_intervals(from, to).iter().map(OpenInterval::duration).sum()
     }
