--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -1,4 +1,4 @@
-//! Makes the sections of a script into a [`Plan`], which is not checked for contradictions yet.
+//! Converts the sections of a script to a [`Plan`], which is not validated yet.
 
 use crate::schedule_text::{parse_freeze, parse_window};
 use crate::script_errors::ScriptErrors;
@@ -9,11 +9,11 @@
 use std::collections::BTreeSet;
 use violetseam_starlark_config::{Located, ScriptDuration, ScriptError, required_section};
 
-/// Makes the plan; `name` is the script's.
+/// Converts the sections to a plan. `name` is the script's name for errors.
 ///
 /// # Errors
 ///
-/// Every section that is missing, there twice, or cannot be made into its part of the plan.
+/// Returns an error for each section that is missing, duplicate or cannot be converted.
 pub(crate) fn build(name: &str, sections: &Sections) -> Result<Plan, Vec<ScriptError>> {
     let mut errors = ScriptErrors::default();
     let plan = errors.ok_or_add(required_section(name, "plan", &sections.plan));
@@ -88,6 +88,7 @@
     })
 }
 
+/// Resolves the share or the groups of a wave to the places that run the new build.
 fn wave_places(section: &Located<WaveSection>, fleet: &FleetSection) -> Result<BTreeSet<u32>, ScriptError> {
     let WaveSection { name, share, groups, .. } = &section.value;
     match (share, groups) {
@@ -107,20 +108,23 @@
     }
 }
 
-/// The step between the places of a share: they are spread over all places, and so over zones and cells.
+/// Step between successive places of a share. It spreads a share over all places, and so over zones and
+/// cells.
 const SPREAD_STEP: u64 = 7;
-/// The first place of every share.
+/// First place of every share.
 const SPREAD_START: u64 = 3;
 
-/// The places of a share; a larger share has all places of a smaller one.
-fn spread_places(share: f64, places: u32) -> BTreeSet<u32> {
-    let wanted = ((share * f64::from(places)).ceil() as usize).min(places as usize);
-    let modulus = u64::from(places.max(1));
-    let spread = (0..u64::from(places)).map(|index| ((index * SPREAD_STEP + SPREAD_START) % modulus) as u32);
+/// Selects the places of a share. A larger share includes all places of a smaller one.
+fn spread_places(share: f64, place_count: u32) -> BTreeSet<u32> {
+    let chosen_count = ((share * f64::from(place_count)).ceil() as usize).min(place_count as usize);
+    let modulus = u64::from(place_count.max(1));
+    let spread =
+        (0..u64::from(place_count)).map(|index| ((index * SPREAD_STEP + SPREAD_START) % modulus) as u32);
     let mut chosen = BTreeSet::new();
-    // Where the step divides the count of places it leaves some out, so that all follow.
-    for place in spread.chain(0..places) {
-        if chosen.len() < wanted {
+    // If the step divides the number of places, the spread misses some of them. All places follow it, so that
+    // the missing ones are chosen last.
+    for place in spread.chain(0..place_count) {
+        if chosen.len() < chosen_count {
             chosen.insert(place);
         }
     }
--- a/crates/plan/src/read.rs
+++ b/crates/plan/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a plan: the script is evaluated, made into a plan, and checked.
+//! Reads a plan: evaluates the script, converts its sections to a plan, and validates the plan.
 
 use crate::build::build;
 use crate::check::check;
@@ -7,31 +7,36 @@
 use std::path::Path;
 use violetseam_starlark_config::{Call, ScriptError, evaluate, evaluate_file};
 
-violetseam_starlark_config::functions! { functions: plan, fleet, wave, hold, window, freeze, sign_off, allow }
+violetseam_starlark_config::functions! {
+    section_functions: plan, fleet, wave, hold, window, freeze, sign_off, allow
+}
 
-/// Reads and checks a plan for a release that is offered at `at`. `options` are the names and values that
-/// `option(...)` returns.
+/// Reads and validates a plan for a release that is offered at the time `at`. `options` are the names and
+/// values that `option(...)` returns to the script.
 ///
 /// # Errors
 ///
-/// Every error of the script that can be found together with its place, or that the file cannot be read.
+/// [`ScriptError::Read`] if the file cannot be read, and otherwise all errors of the script that can be
+/// determined together, each with its location.
 pub fn read_file(path: &Path, options: &[(String, String)], at: Micros) -> Result<Plan, Vec<ScriptError>> {
-    let calls = evaluate_file(path, options, functions).map_err(|error| vec![error])?;
+    let calls = evaluate_file(path, options, section_functions).map_err(|error| vec![error])?;
     read(&path.display().to_string(), calls, at)
 }
 
-/// The same from a text, which can load no files. `name` stands for the file in errors.
+/// Reads and validates a plan from a text, which cannot load files. `name` takes the place of the file name
+/// in errors; the other parameters are those of [`read_file`].
 ///
 /// # Errors
 ///
-/// Every error of the script that can be found together with its place.
+/// All errors of the script that can be determined together, each with its location.
 pub fn read_text(
     name: &str,
     text: &str,
     options: &[(String, String)],
     at: Micros,
 ) -> Result<Plan, Vec<ScriptError>> {
-    let calls = evaluate(name, text.to_owned(), None, options, functions).map_err(|error| vec![error])?;
+    let calls =
+        evaluate(name, text.to_owned(), None, options, section_functions).map_err(|error| vec![error])?;
     read(name, calls, at)
 }
 
--- a/crates/plan/src/schedule_text.rs
+++ b/crates/plan/src/schedule_text.rs
@@ -1,20 +1,20 @@
-//! Windows and freezes from the texts of a script.
+//! Parses the weekdays and times of the windows and freezes of a script.
 
 use crate::calendar::{Freeze, Window, moment_of, time_zone};
 use crate::sections::{FreezeSection, WindowSection};
 use std::collections::BTreeSet;
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// The weekdays' names in scripts; Monday is 0.
+/// The names of weekdays in scripts. The index is the weekday's number; Monday is 0.
 const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 const MINUTES_PER_HOUR: u16 = 60;
 const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 
-/// A window from its section.
+/// Converts a section to a window.
 ///
 /// # Errors
 ///
-/// Days, times or a zone that do not parse, or a window that opens and closes at once.
+/// The days, the times or the time zone are not valid, or the window opens and closes at the same time.
 pub(crate) fn parse_window(section: &Located<WindowSection>) -> Result<Window, ScriptError> {
     let WindowSection { days, start, end, zone } = &section.value;
     let Some(weekdays) = parse_weekdays(days) else {
@@ -32,11 +32,11 @@
     Ok(Window { days: weekdays, start, end, zone: zone.clone() })
 }
 
-/// A freeze from its section.
+/// Converts a section to a freeze.
 ///
 /// # Errors
 ///
-/// Moments or a zone that do not parse, or a freeze that ends before it begins.
+/// The times or the time zone are not valid, or the freeze does not end after its start.
 pub(crate) fn parse_freeze(section: &Located<FreezeSection>) -> Result<Freeze, ScriptError> {
     let FreezeSection { start, end, zone, reason } = &section.value;
     if time_zone(zone).is_none() {
@@ -51,7 +51,8 @@
     Ok(Freeze { start, end, reason: reason.clone() })
 }
 
-/// Weekdays by their numbers, from texts such as `mon-fri`, `sat,sun`, `mon-wed,fri`.
+/// Parses the numbers of weekdays from a text such as `mon-fri`, `sat,sun` or `mon-wed,fri`. A range may wrap
+/// round the end of the week.
 fn parse_weekdays(text: &str) -> Option<Vec<u8>> {
     let mut weekdays = BTreeSet::new();
     for part in text.split(',') {
@@ -72,7 +73,7 @@
     Some(number as u8)
 }
 
-/// Minutes since midnight, from texts such as `07:30`, up to `24:00`.
+/// Parses a time of day from `00:00` to `24:00`, and returns it in minutes since midnight.
 fn parse_time_of_day(text: &str) -> Option<u16> {
     let (hours, minutes) = text.split_once(':')?;
     let hours = parse_two_digits(hours)?;
