--- a/crates/plan/src/script_errors.rs
+++ b/crates/plan/src/script_errors.rs
@@ -1,8 +1,8 @@
-//! The errors of one script, so that all that can be found together are reported together.
+//! Collects the errors of a script, so that they can be reported together.
 
 use violetseam_starlark_config::{Located, ScriptError};
 
-/// Errors in the order in which they were found.
+/// The errors of a script, in the order in which they were found.
 #[derive(Debug, Default)]
 pub(crate) struct ScriptErrors {
     errors: Vec<ScriptError>,
@@ -14,27 +14,27 @@
         self.errors.push(error);
     }
 
-    /// Rejects a section.
+    /// Adds an error that rejects a section for the given reason.
     pub(crate) fn reject<T>(&mut self, section: &Located<T>, reason: impl std::fmt::Display) {
         self.add(ScriptError::invalid(&section.location, reason));
     }
 
-    /// The value, or none after its error is added.
+    /// Returns the value of an `Ok`. Adds the error of an `Err` and returns `None`.
     pub(crate) fn ok_or_add<T>(&mut self, result: Result<T, ScriptError>) -> Option<T> {
         result.map_err(|error| self.add(error)).ok()
     }
 
-    /// The values of those that have one; the errors of the others are added.
+    /// Returns the values of the results that are `Ok`, and adds the errors of the others.
     pub(crate) fn collect<T>(&mut self, results: impl Iterator<Item = Result<T, ScriptError>>) -> Vec<T> {
         results.filter_map(|result| self.ok_or_add(result)).collect()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no errors.
     pub(crate) fn is_empty(&self) -> bool {
         self.errors.is_empty()
     }
 
-    /// The errors.
+    /// Returns the errors.
     pub(crate) fn into_vec(self) -> Vec<ScriptError> {
         self.errors
     }
--- a/crates/plan/src/sections.rs
+++ b/crates/plan/src/sections.rs
@@ -1,4 +1,5 @@
-//! The sections of a plan as a script writes them. Fields have the names that scripts use.
+//! The sections of a plan script, with the types and defaults of their arguments. Fields have the names that
+//! scripts use; the types in `plan.rs` document them.
 
 use crate::{Downtime, Gate, OnClose, Power};
 use serde::Deserialize;
@@ -16,7 +17,7 @@
     pub downtime: Downtime,
 }
 
-/// `fleet(...)`: the fleet that the plan is for.
+/// `fleet(...)`: the fleet that the plan is made for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FleetSection {
@@ -34,17 +35,20 @@
     pub launch: ScriptDuration,
     #[serde(default = "default_settle")]
     pub settle: ScriptDuration,
+    /// Named groups of places, which waves can refer to.
     #[serde(default)]
     pub groups: BTreeMap<String, BTreeSet<u32>>,
 }
 
-/// `wave(...)`: one stage; its places are given by a share or by groups.
+/// `wave(...)`: one stage of the release. Its places are given either as a share or as groups.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct WaveSection {
     pub name: String,
+    /// Share of all places that run the new build.
     #[serde(default)]
     pub share: Option<f64>,
+    /// Names of the groups of places that run the new build.
     #[serde(default)]
     pub groups: Option<Vec<String>>,
     pub cap: f64,
@@ -56,7 +60,7 @@
     pub on_close: OnClose,
 }
 
-/// `hold(...)`: the release waits before a wave.
+/// `hold(...)`: a point before a wave at which the release waits for an operator.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct HoldSection {
@@ -67,7 +71,7 @@
     pub at_most: Option<ScriptDuration>,
 }
 
-/// `window(...)`: a weekly window in which waves may begin.
+/// `window(...)`: a weekly window in which a release may proceed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct WindowSection {
@@ -77,7 +81,7 @@
     pub zone: String,
 }
 
-/// `freeze(...)`: a time in which no window is open.
+/// `freeze(...)`: a period in which no window is open.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FreezeSection {
@@ -99,7 +103,7 @@
     pub within: ScriptDuration,
 }
 
-/// `allow(...)`: an operator's powers.
+/// `allow(...)`: the permissions of an operator.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct AllowSection {
@@ -139,7 +143,7 @@
     ScriptDuration::from_secs(1)
 }
 
-/// All sections, as called.
+/// All section calls of a script, in the order of the script.
 #[derive(Debug, Default)]
 pub(crate) struct Sections {
     pub plan: Vec<Located<PlanSection>>,
@@ -152,11 +156,11 @@
     pub allows: Vec<Located<AllowSection>>,
 }
 
-/// Reads each call as the section that it names.
+/// Deserializes each call into the section that it names.
 ///
 /// # Errors
 ///
-/// The first call whose arguments are not those of its section.
+/// The first call whose arguments do not match its section, with the location of the call.
 pub(crate) fn collect(calls: Vec<Call>) -> Result<Sections, ScriptError> {
     let mut sections = Sections::default();
     for call in calls {
