--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -1,10 +1,10 @@
-//! What differs between two plans, in words: for whoever reviews the second.
+//! Describes the differences between two plans as text, for a review of the new plan.
 
 use crate::duration_text::duration_text;
 use crate::{Plan, Wave};
 use std::collections::BTreeSet;
 
-/// The differences from one plan to another, a line each.
+/// Returns the differences between two plans, one line for each.
 pub fn diff(from: &Plan, to: &Plan) -> Vec<String> {
     let mut lines = Vec::new();
     compare(&mut lines, &PLAN_PROPERTIES, "", from, to);
@@ -16,19 +16,19 @@
     for ListProperty { name, entries } in &LIST_PROPERTIES {
         let before = entries(from);
         let after = entries(to);
-        lines.extend(before.difference(&after).map(|gone| format!("{name} gone: {gone}")));
-        lines.extend(after.difference(&before).map(|new| format!("{name} new: {new}")));
+        lines.extend(before.difference(&after).map(|removed| format!("{name} gone: {removed}")));
+        lines.extend(after.difference(&before).map(|added| format!("{name} new: {added}")));
     }
     lines
 }
 
-/// A property with one value.
+/// A property with a single value.
 struct Property<T> {
     name: &'static str,
     text: fn(&T) -> String,
 }
 
-/// A property that is a list of entries without an order.
+/// A property that is an unordered list of entries.
 struct ListProperty {
     name: &'static str,
     entries: fn(&Plan) -> BTreeSet<String>,
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,15 +1,15 @@
-//! Release plans as data: waves, windows, freezes, holds, approvals and operators' powers, read from a
-//! reviewable script and checked for contradictions before anything runs.
+//! Release plans as data: waves, windows, freezes, holds, approvals and the permissions of operators. A plan
+//! is read from a script, which can be reviewed, and is validated before the release starts.
 //!
 //! - `plan.rs`: the plan
-//! - `sections.rs`: the sections as a script writes them
-//! - `read.rs`, `build.rs`, `schedule_text.rs`: from a script to a plan
-//! - `calendar.rs`: when the windows are open, by time zone, over changes of the clocks
-//! - `check/`: everything that can be proved wrong about a plan, each with its line
-//! - `diff.rs`: what differs between two plans
+//! - `sections.rs`: the sections of a script
+//! - `read.rs`, `build.rs`, `schedule_text.rs`: conversion of a script to a plan
+//! - `calendar.rs`: the open times of windows in their time zones, including daylight saving time
+//! - `check/`: validation of a plan; each error has the line that it refers to
+//! - `diff.rs`: the differences between two plans
 //!
-//! Nothing here has a clock or does I/O beyond reading the script. Moments are microseconds since 1970 UTC,
-//! spans are microseconds. `docs/plans.md` is the reference.
+//! This crate does not read a clock, and does no I/O except for reading the script. Points in time are
+//! microseconds since 1970 UTC, durations are microseconds. `docs/plans.md` is the reference.
 
 mod build;
 mod calendar;
@@ -28,5 +28,5 @@
 pub use read::{read_file, read_text};
 pub use violetseam_starlark_config::ScriptError;
 
-/// Microseconds: of a span, or since 1970 UTC.
+/// A duration in microseconds, or a point in time in microseconds since 1970 UTC.
 pub type Micros = u64;
