--- a/crates/plan/src/check/fleet.rs
+++ b/crates/plan/src/check/fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet that a plan is for.
+//! Validation of the fleet that a plan is made for.
 
-use super::{can_be_taken_in_time, is_share};
+use super::{can_be_accepted_in_time, is_nonzero_share};
 use crate::Plan;
 use crate::duration_text::duration_text;
 use crate::script_errors::ScriptErrors;
@@ -8,12 +8,12 @@
 use std::ops::RangeInclusive;
 use violetseam_starlark_config::Located;
 
-/// The bounds of the count of proxies.
+/// Permitted numbers of proxies.
 const PROXIES_BOUNDS: RangeInclusive<u32> = 1..=65_535;
-/// The bounds of the count of places.
+/// Permitted numbers of places.
 const PLACES_BOUNDS: RangeInclusive<u32> = 1..=20_000;
 
-/// Checks the bounds of the fleet, and that a rollback can be voted for.
+/// Validates the fleet, its groups, and that enough votes for a rollback can be valid at the same time.
 pub(super) fn check_fleet(errors: &mut ScriptErrors, section: &Located<FleetSection>, plan: &Plan) {
     let fleet = &plan.fleet;
     if !PROXIES_BOUNDS.contains(&fleet.proxies) || !PLACES_BOUNDS.contains(&fleet.places) {
@@ -31,7 +31,7 @@
 
 fn check_votes(errors: &mut ScriptErrors, section: &Located<FleetSection>, plan: &Plan) {
     let fleet = &plan.fleet;
-    if !is_share(fleet.votes_back) {
+    if !is_nonzero_share(fleet.votes_back) {
         let share = fleet.votes_back;
         errors
             .reject(section, format!("fleet: {share} of the proxies cannot vote back: over 0 and at most 1"));
@@ -42,7 +42,7 @@
         return;
     }
     let votes = plan.votes_for_share(fleet.votes_back);
-    if !can_be_taken_in_time(plan, votes) {
+    if !can_be_accepted_in_time(plan, votes) {
         let ttl = duration_text(fleet.vote_ttl);
         errors.reject(section, format!("fleet: {votes} 'back' votes are not taken within a vote's {ttl}"));
     }
@@ -51,8 +51,8 @@
 fn check_groups(errors: &mut ScriptErrors, section: &Located<FleetSection>) {
     let FleetSection { groups, places, .. } = &section.value;
     for (name, group_places) in groups {
-        let are_in_fleet = group_places.iter().all(|place| place < places);
-        if group_places.is_empty() || !are_in_fleet {
+        let are_all_in_fleet = group_places.iter().all(|place| place < places);
+        if group_places.is_empty() || !are_all_in_fleet {
             let last_place = places.saturating_sub(1);
             errors.reject(section, format!("fleet: group {name:?} has places from 0 to {last_place}"));
         }
--- a/crates/plan/src/check/mod.rs
+++ b/crates/plan/src/check/mod.rs
@@ -1,7 +1,8 @@
-//! Everything that can be proved wrong about a plan before it runs, each error with the line that it is on.
+//! Validation of a plan. It finds the contradictions that can be determined before the release starts, and
+//! reports each of them with its line.
 //!
-//! What is proved here is proved for a release that is offered at a given moment: windows and freezes make
-//! the same plan possible on Monday and impossible on the day before a freeze.
+//! A plan is validated for a release that is offered at a given time, because windows and freezes can make
+//! the same plan possible on a Monday and impossible on the day before a freeze.
 
 mod fleet;
 mod operators;
@@ -13,11 +14,11 @@
 use crate::{Micros, Plan};
 use violetseam_starlark_config::ScriptError;
 
-/// The longest name, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 64;
 
-/// All errors of a plan for a release that is offered at `at`, in the order of the script as far as it goes.
-/// `script` is the script's name.
+/// Returns all errors of a plan for a release that is offered at the time `at`, in the order of the checks,
+/// which mostly follows the order of the script. `script` is the script's name for errors.
 pub(crate) fn check(script: &str, sections: &Sections, plan: &Plan, at: Micros) -> Vec<ScriptError> {
     let mut errors = ScriptErrors::default();
     check_plan(&mut errors, script, sections, plan, at);
@@ -42,24 +43,25 @@
     waves::check_waves(errors, &sections.waves, plan);
     operators::check_holds(errors, &sections.holds, plan);
     operators::check_sign_offs(errors, &sections.sign_offs, plan);
-    operators::check_powers(errors, &sections.allows);
+    operators::check_permissions(errors, &sections.allows);
     schedule::check_schedule(errors, sections, plan, at);
 }
 
-/// Whether a name can stand on a command line and in a log.
+/// Returns whether a name can be used as a word on a command line and in a log line.
 fn is_valid_name(name: &str) -> bool {
-    let is_separator = |character: char| character.is_whitespace() || character.is_control();
-    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(is_separator)
+    let is_space_or_control = |character: char| character.is_whitespace() || character.is_control();
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(is_space_or_control)
 }
 
-/// Whether a number is a share that is not empty.
-fn is_share(number: f64) -> bool {
+/// Returns whether a number is a share greater than 0 and at most 1.
+fn is_nonzero_share(number: f64) -> bool {
     number > 0.0 && number <= 1.0
 }
 
-/// Whether so many votes can be valid at the same time: they are taken within a vote's time to live.
-fn can_be_taken_in_time(plan: &Plan, votes: usize) -> bool {
+/// Returns whether this number of votes can be valid at the same time, which requires that the controller
+/// accepts all of them within the time to live of a vote.
+fn can_be_accepted_in_time(plan: &Plan, votes: usize) -> bool {
     let seconds = votes as f64 / plan.fleet.votes_per_s;
-    let is_too_long = seconds > plan.fleet.vote_ttl as f64 / 1e6;
-    !is_too_long
+    let is_too_slow = seconds > plan.fleet.vote_ttl as f64 / 1e6;
+    !is_too_slow
 }
--- a/crates/plan/src/check/operators.rs
+++ b/crates/plan/src/check/operators.rs
@@ -1,4 +1,4 @@
-//! What people do: end holds, approve waves, and override the plan.
+//! Validation of what operators do: end holds, approve waves, and intervene in the release.
 
 use super::is_valid_name;
 use crate::script_errors::ScriptErrors;
@@ -7,7 +7,8 @@
 use std::collections::BTreeSet;
 use violetseam_starlark_config::Located;
 
-/// Checks that each hold is before a wave of the plan, the only one there, and can end.
+/// Checks that each hold is before a wave of the plan, that a wave has at most one hold, and that each hold
+/// can end.
 pub(super) fn check_holds(errors: &mut ScriptErrors, sections: &[Located<HoldSection>], plan: &Plan) {
     for (index, section) in sections.iter().enumerate() {
         let HoldSection { before, leave, at_most } = &section.value;
@@ -26,18 +27,19 @@
     }
 }
 
-/// Checks that each approval is for a wave of the plan, from enough people, and within the plan's longest.
+/// Checks that each approval is for a wave of the plan, that enough operators may approve, and that the time
+/// for it is not longer than the maximum duration of the release.
 pub(super) fn check_sign_offs(errors: &mut ScriptErrors, sections: &[Located<SignOffSection>], plan: &Plan) {
     for section in sections {
         let SignOffSection { wave, by, count, within } = &section.value;
         if !has_wave(plan, wave) {
             errors.reject(section, format!("sign_off: no wave {wave:?}"));
         }
-        let people = by.iter().collect::<BTreeSet<_>>().len();
-        if people == 0 || *count == 0 {
+        let operator_count = by.iter().collect::<BTreeSet<_>>().len();
+        if operator_count == 0 || *count == 0 {
             errors.reject(section, "sign_off: asked of nobody");
-        } else if *count > people {
-            errors.reject(section, format!("sign_off: {count} approvals from {people} people"));
+        } else if *count > operator_count {
+            errors.reject(section, format!("sign_off: {count} approvals from {operator_count} people"));
         }
         if !by.iter().all(|who| is_valid_name(who)) {
             errors.reject(section, "sign_off: names have 1 to 64 characters without spaces");
@@ -48,9 +50,10 @@
     }
 }
 
-/// Checks that powers are given once to each operator, and that somebody can end an operator's hold.
-pub(super) fn check_powers(errors: &mut ScriptErrors, sections: &[Located<AllowSection>]) {
-    let somebody_may_resume = sections.iter().any(|section| section.value.may.contains(&Power::Resume));
+/// Checks that each operator has one list of permissions, and that an operator can end holds if any operator
+/// can hold the release.
+pub(super) fn check_permissions(errors: &mut ScriptErrors, sections: &[Located<AllowSection>]) {
+    let some_operator_may_resume = sections.iter().any(|section| section.value.may.contains(&Power::Resume));
     for (index, section) in sections.iter().enumerate() {
         let AllowSection { who, may } = &section.value;
         if !is_valid_name(who) || may.is_empty() {
@@ -62,7 +65,7 @@
         if sections[..index].iter().any(|earlier| earlier.value.who == *who) {
             errors.reject(section, format!("allow: {who:?} twice"));
         }
-        if may.contains(&Power::Hold) && !somebody_may_resume {
+        if may.contains(&Power::Hold) && !some_operator_may_resume {
             errors.reject(section, "allow: a hold without a way out: nobody may resume");
         }
     }
--- a/crates/plan/src/check/waves.rs
+++ b/crates/plan/src/check/waves.rs
@@ -1,14 +1,14 @@
-//! Waves: names, caps, places and gates.
+//! Validation of the names, caps, places and gates of waves.
 
-use super::{can_be_taken_in_time, is_share, is_valid_name};
+use super::{can_be_accepted_in_time, is_nonzero_share, is_valid_name};
 use crate::duration_text::duration_text;
 use crate::script_errors::ScriptErrors;
 use crate::sections::WaveSection;
 use crate::{Gate, Plan, Wave};
 use violetseam_starlark_config::Located;
 
-/// Checks each wave by itself and against the one before it, and that the last one has all places.
-/// The plan's waves were made from these sections.
+/// Checks each wave by itself and against the one before it, and that the last wave includes all places. The
+/// waves of the plan must have been built from these sections in the same order.
 pub(super) fn check_waves(errors: &mut ScriptErrors, sections: &[Located<WaveSection>], plan: &Plan) {
     for (stage, section) in sections.iter().enumerate() {
         WaveCheck { errors, sections, section, stage, plan }.check();
@@ -57,14 +57,14 @@
             self.reject("a name has 1 to 64 characters without spaces");
         }
         let mut earlier = self.sections[..self.stage].iter();
-        if let Some(namesake) = earlier.find(|section| section.value.name == *name) {
-            self.reject(format!("there is one of this name at {}", namesake.location));
+        if let Some(duplicate) = earlier.find(|section| section.value.name == *name) {
+            self.reject(format!("there is one of this name at {}", duplicate.location));
         }
     }
 
     fn check_cap(&mut self) {
         let cap = self.wave().cap;
-        if !is_share(cap) {
+        if !is_nonzero_share(cap) {
             self.reject(format!("a cap is over 0 and at most 1, not {cap}"));
         }
         let stage = self.stage;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Places and caps never fall from one wave to the next.
+    /// Checks that a wave includes all places of the wave before it, and that its cap is not lower.
     fn check_growth(&mut self) {
         let Some(earlier_stage) = self.stage.checked_sub(1) else { return };
         let earlier = &self.plan.waves[earlier_stage];
@@ -99,7 +99,7 @@
         let wave = self.wave();
         match wave.gate {
             Gate::Any => {}
-            Gate::Share | Gate::Timer if !is_share(wave.votes) => self.reject(format!(
+            Gate::Share | Gate::Timer if !is_nonzero_share(wave.votes) => self.reject(format!(
                 "votes of {} of the proxies cannot be cast: over 0 and at most 1",
                 wave.votes
             )),
@@ -111,7 +111,7 @@
 
     fn check_votes_in_time(&mut self) {
         let needed = self.plan.votes_for_share(self.wave().votes);
-        if !can_be_taken_in_time(self.plan, needed) {
+        if !can_be_accepted_in_time(self.plan, needed) {
             let rate = self.plan.fleet.votes_per_s;
             let ttl = duration_text(self.plan.fleet.vote_ttl);
             self.reject(format!("{needed} votes at {rate} a second are not there within a vote's {ttl}"));
