--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -8,7 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The plan of one release.
+/// The plan of one release. [`read_file`](crate::read_file) and [`read_text`](crate::read_text) only return
+/// plans that have passed validation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// Name of the plan.
--- a/crates/plan/src/schedule_text.rs
+++ b/crates/plan/src/schedule_text.rs
@@ -73,7 +73,7 @@
     Some(number as u8)
 }
 
-/// Parses a time of day from `00:00` to `24:00`, and returns it in minutes since midnight.
+/// Parses a time of day such as `07:30`, up to `24:00`, and returns it in minutes since midnight.
 fn parse_time_of_day(text: &str) -> Option<u16> {
     let (hours, minutes) = text.split_once(':')?;
     let hours = parse_two_digits(hours)?;
--- a/crates/plan/src/sections.rs
+++ b/crates/plan/src/sections.rs
@@ -1,5 +1,5 @@
 //! The sections of a plan script, with the types and defaults of their arguments. Fields have the names that
-//! scripts use; the types in `plan.rs` document them.
+//! scripts use; the types in `plan.rs` and `calendar.rs` document them.
 
 use crate::{Downtime, Gate, OnClose, Power};
 use serde::Deserialize;
