--- a/crates/invariants/src/record.rs
+++ b/crates/invariants/src/record.rs
@@ -1,4 +1,4 @@
-//! What the simulated servers, the clients, the discovery service and the release service observed.
+//! The events that the simulated servers, clients, discovery service and release service observed.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
     Removed,
 }
 
-/// Where a build's release stands.
+/// The phase of a build's release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     /// On trial.
@@ -29,35 +29,35 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalResponse {
-    /// A server's response.
+    /// The client got a server's response.
     Served,
-    /// Rejected by the proxy: it did not run, or repeating it is harmless.
+    /// The proxy rejected the request: it did not run, or repeating it is harmless.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// No response: the connection closed.
+    /// The connection closed without a response.
     ConnectionClosed,
 }
 
-/// A start of a server, and how fast it may be sent work.
+/// A server's start, with its capacity during and after slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerStart {
-    /// Work that it does in a second once its slow start is over, in microseconds of a standard core.
+    /// The work that the server does per second after its slow start, in microseconds of a standard core.
     pub capacity: f64,
-    /// The share of its capacity that it has at the start ...
+    /// The share of its capacity that the server has when it starts.
     pub slow_start_floor: f64,
-    /// ... which rises evenly to all of it over this span, in microseconds.
+    /// The time over which that share rises linearly to 1, in microseconds.
     pub slow_start_span: u64,
 }
 
 /// An attempt as its server saw it arrive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptArrival {
-    /// The attempt's number, which its [`AttemptEnd`] repeats.
+    /// The attempt's number, by which its [`AttemptEnd`] refers to it.
     pub attempt: u64,
     /// The client's request.
     pub request: u64,
-    /// The proxy that sent it.
+    /// The proxy that sent the attempt.
     pub proxy: u32,
     /// The server.
     pub server: u64,
@@ -69,22 +69,22 @@
     pub cell: u16,
     /// The request's class.
     pub class: usize,
-    /// The request's key; 0: none.
+    /// The request's key; 0 if it has none.
     pub key: u64,
-    /// Its work, in microseconds of a standard core.
+    /// The request's work, in microseconds of a standard core.
     pub work: u64,
 }
 
 /// How an attempt ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// Answered well.
+    /// The server sent a good response.
     Ok,
-    /// Answered with an error after it may have run.
+    /// The server sent an error, and the request may have run.
     Error,
-    /// Rejected by the server before it ran, with a response that says so.
+    /// The server rejected the request before running it, and its response says so.
     NotRun,
-    /// The proxy closed the connection, or the server died.
+    /// The proxy closed the connection, or the server crashed.
     Lost,
 }
 
@@ -100,50 +100,51 @@
 /// A proxy's call for the endpoint list, as the discovery service saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointListCall {
-    /// A watch began and was answered.
+    /// A watch began and got a response.
     WatchStarted,
-    /// The complete list was asked for and sent.
+    /// The complete list was requested and sent.
     ListFetched,
-    /// A call that got no good response.
+    /// A call failed or got an error response.
     Failed,
     /// A watch ended.
     WatchEnded,
 }
 
-/// One thing that was observed.
+/// An observed event.
 ///
-/// The record file holds variants and fields by position: their order and types are its format.
+/// The record file identifies variants and fields by their position, so their order and types are part of its
+/// format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ObservedEvent {
     /// A client has sent a complete request.
     RequestSent {
         /// The request.
         request: u64,
-        /// The proxy that it was sent to.
+        /// The proxy that the request was sent to.
         proxy: u32,
-        /// Its class.
+        /// The request's class.
         class: usize,
-        /// When its client gives up, in microseconds.
+        /// When the client gives up, in microseconds.
         deadline: u64,
     },
     /// A client got a complete final response, or its connection closed without one.
     ResponseReceived {
         /// The request.
         request: u64,
-        /// How it ended.
+        /// How the request ended.
         response: FinalResponse,
     },
-    /// A client gave up and closed its connection.
+    /// A client gave up waiting and closed its connection.
     ClientDisconnected {
         /// The request.
         request: u64,
     },
-    /// A client got bytes that belong to no response.
+    /// A client received bytes that belong to no response.
     UnexpectedBytes {
         /// The proxy that sent them.
         proxy: u32,
     },
-    /// A server read an attempt's head.
+    /// A server read the request head of an attempt.
     AttemptArrived(AttemptArrival),
     /// An attempt ended at its server.
     AttemptEnded(AttemptEnd),
@@ -151,7 +152,7 @@
     ServerStarted {
         /// The server.
         server: u64,
-        /// How fast it may be sent work.
+        /// Its capacity during and after slow start.
         start: ServerStart,
     },
     /// The discovery service lists a server with this status from now on.
@@ -169,10 +170,10 @@
         server: u64,
         /// Its status.
         status: ServerStatus,
-        /// When it started, as sent; in microseconds.
+        /// The server's start time as it was sent, in microseconds.
         started: Option<u64>,
     },
-    /// A proxy called the discovery service.
+    /// The discovery service received a call of a proxy, or a watch ended.
     EndpointListCalled {
         /// The proxy.
         proxy: u32,
@@ -192,7 +193,7 @@
         /// The exposure cap.
         cap: f64,
     },
-    /// A proxy was killed: its requests in flight are excused.
+    /// A proxy was killed: its requests in flight need no response.
     ProxyKilled {
         /// The proxy.
         proxy: u32,
@@ -202,17 +203,17 @@
         /// The proxy.
         proxy: u32,
     },
-    /// A paused proxy goes on with the state that it had.
+    /// A paused proxy resumed with the state that it had.
     ProxyResumed {
         /// The proxy.
         proxy: u32,
     },
 }
 
-/// An event and when it was observed.
+/// An event and the time at which it was observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// In microseconds, on the one clock of the simulated site.
+    /// The time in microseconds, on the single clock of the simulated site.
     pub at: u64,
     /// What was observed.
     pub event: ObservedEvent,
--- a/crates/invariants/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -1,18 +1,18 @@
-//! The limits of the rules for one run, and what each class of requests allows.
+//! The five rules, their limits for one run, and the properties of each request class.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One of the five rules that the checker holds a run to.
+/// One of the five rules that the checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
     /// Every request gets one final response in time.
     FinalResponse,
-    /// No effect happens twice.
+    /// No request takes effect twice.
     DuplicateEffect,
-    /// No attempt is sent to a server that drains.
+    /// No attempt is sent to a server that is draining.
     Draining,
-    /// No server is overloaded within its slow start.
+    /// No server is overloaded during its slow start.
     SlowStart,
     /// The exposure of a build on trial stays within its cap.
     Exposure,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The rule's place in arrays of figures by rule.
+    /// The rule's index in arrays that hold one value per rule.
     pub fn index(self) -> usize {
         usize::from(self.number()) - 1
     }
@@ -45,75 +45,75 @@
     }
 }
 
-/// What a repeat of a request does.
+/// The effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
     /// Safe to repeat.
     Idempotent,
-    /// The servers of one group drop repeats of a key.
+    /// The servers of one group discard repeats of a key.
     Keyed(DedupGroup),
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which servers drop repeats of a key together.
+/// The servers that discard repeats of a key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupGroup {
     /// All servers.
     All,
-    /// Those of a zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of a cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of requests, as far as the rules go.
+/// The properties of a request class that the rules depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestClass {
-    /// What a repeat does.
+    /// The effect of repeating a request of the class.
     pub idempotency: Idempotency,
-    /// How long repeats are dropped, in microseconds.
+    /// How long servers discard repeats, in microseconds.
     pub dedup_window: u64,
-    /// Responses are passed on as they arrive and may break off.
+    /// Whether responses are passed on as they arrive, and so may be cut short.
     pub streaming: bool,
 }
 
-/// The limits of the rules for one run. Spans are in microseconds.
+/// The limits of the rules for one run. All durations are in microseconds.
 ///
-/// The record file holds the fields by position: their order and types are its format.
+/// The record file identifies the fields by their position, so their order and types are part of its format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Classes by index.
+    /// The request classes, by index.
     pub classes: Vec<RequestClass>,
-    /// A response this long after the deadline still counts as in time.
+    /// How long after its deadline a response still counts as in time.
     pub deadline_grace: u64,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// How long attempts may still reach a draining server, and how long a lowered cap does not bind yet.
+    /// How long attempts may still arrive at a draining server, and how long a lowered cap is not enforced.
     pub drain_grace: u64,
-    /// A proxy without a watch must fetch the endpoint list this often.
+    /// The longest interval between two fetches of the endpoint list by a proxy without a watch.
     pub poll_interval_max: u64,
-    /// A server within its slow start may be sent this multiple of its present capacity ...
+    /// The multiple of its current capacity that a server may be sent during its slow start.
     pub overload_multiple: f64,
-    /// ... over any span of this length.
+    /// The length of the time spans over which that multiple is checked.
     pub overload_span: u64,
-    /// Exposure counts over any span of this length.
+    /// The length of the time spans over which exposure is counted.
     pub exposure_window: u64,
-    /// Attempts that exposure allows beyond the cap's share.
+    /// The number of attempts that are allowed in addition to the cap's share.
     pub exposure_slack: f64,
-    /// Exposure counts each class by itself.
+    /// Whether exposure is counted separately for each class.
     pub exposure_per_class: bool,
-    /// The cap of the first stage: for builds that are not announced yet.
+    /// The cap of the first stage, which also applies to builds that are not announced yet.
     pub first_stage_cap: f64,
-    /// Stages below this admit only idempotent classes.
+    /// The number of first stages that admit only idempotent classes.
     pub idempotent_only_stages: u8,
-    /// A key that the new build has answered goes to no earlier build.
+    /// Whether a key that the new build has answered must not be sent to an earlier build.
     pub sticky_to_new_build: bool,
-    /// How far an outside observation may be off; always given in the proxy's favour.
+    /// The bound on the time between an action and its observation, always applied in the proxy's favour.
     pub observation_slack: u64,
-    /// By class: the attempts beyond each request's first that the whole fleet may make, in thousandths a
-    /// second. 0, or past the end: no limit.
+    /// By class: the rate at which the whole fleet may make attempts beyond each request's first, in
+    /// thousandths of an attempt per second. A class whose value is 0 or missing has no limit.
     pub fleet_retry_rates: Vec<u64>,
-    /// A span of this length may be saved up of these.
+    /// The burst that these rates allow, as the time in which an unused rate accumulates it.
     pub fleet_retry_burst: u64,
 }
