--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,15 +1,15 @@
 //! Checks the five rules from records of what servers, clients, the discovery service and the release service
-//! saw cross their sockets. It reads no log or counter of a proxy and shares no code with the proxy or the
-//! decisions: what it knows of the rules is written down here once more, from their wording.
+//! observed on their sockets. The checker reads no logs or counters of a proxy and shares no code with the
+//! proxy or the decision module: it implements the rules a second time, from their specification.
 //!
-//! [`check`] reads [`EventRecord`]s and gives a [`CheckReport`]; [`record_file`] is their format on disk.
-//! Times are microseconds on one clock of the simulated site. All events of a proxy are seen from outside, a
-//! little before or after it acted; [`Rules::observation_slack`] is what that may come to, and is always
-//! given in the proxy's favour.
+//! [`check`] reads [`EventRecord`]s and returns a [`CheckReport`]; [`record_file`] is their format on disk.
+//! Times are microseconds on the single clock of the simulated site. A proxy's actions are observed from
+//! outside, slightly before or after the proxy acted. [`Rules::observation_slack`] bounds that difference,
+//! and every check applies it in the proxy's favour.
 //!
 //! - `final_responses`, `duplicate_effects`, `draining`, `slow_start`, `exposure`: rules 1 to 5
 //! - `fleet_limits`: limits on all proxies together
-//! - `run`: the records indexed by what they are about
+//! - `run`: the records, indexed by request, proxy and server
 
 mod draining;
 mod duplicate_effects;
@@ -30,10 +30,10 @@
 pub use report::{CheckReport, FleetLimit, Violation};
 pub use rules::{DedupGroup, Idempotency, RequestClass, Rule, Rules};
 
-/// Checks a run's records, in any order.
+/// Checks the records of a run, which may be in any order.
 pub fn check(rules: &Rules, records: &[EventRecord]) -> CheckReport {
     let mut records: Vec<&EventRecord> = records.iter().collect();
-    // Stable: what one observer saw at one moment stays in its order.
+    // The sort is stable: records that one observer made at the same time keep their order.
     records.sort_by_key(|record| record.at);
     let run = run::Run::from_records(&records);
     let mut report = CheckReport::default();
--- a/crates/invariants/src/record_file.rs
+++ b/crates/invariants/src/record_file.rs
@@ -1,52 +1,54 @@
-//! Files of event records.
+//! The record file: a run's rules and event records on disk.
 //!
-//! A file is `VSAU` and a version byte, then frames: length and CRC-32 (four bytes each, little-endian) and a
-//! postcard-encoded [`EventRecord`]; the first frame holds the [`Rules`].
+//! A file starts with `VSAU` and a version byte. A sequence of frames follows, each with its length and
+//! CRC-32 (four bytes each, little-endian) and a postcard-encoded body. The body of the first frame is the
+//! [`Rules`], and that of every other frame is an [`EventRecord`].
 
 use crate::{EventRecord, Rules};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io::{Read, Write};
 
-/// The bytes that a file starts with; the last is the version.
+/// The first bytes of a file; the last of them is the format version.
 const MAGIC: [u8; 5] = [b'V', b'S', b'A', b'U', 2];
-/// The length and the checksum before each frame's body, in bytes.
+/// The size of a frame's head, which holds the length and the checksum of its body.
 const FRAME_HEAD_BYTES: usize = 8;
+/// The largest frame body that is read.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Why a file was not read.
+/// Why a record file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordFileError {
-    /// The reader failed.
+    /// Reading the bytes failed.
     #[error("{0}")]
     Read(#[source] std::io::Error),
-    /// The file does not start as a file of records does.
+    /// The file does not start with the magic bytes and the supported version.
     #[error("not a file of records")]
     WrongMagic,
-    /// The file has no frame.
-    #[error("no rules")]
+    /// The file ends after its first bytes, without a frame for the rules.
+    #[error("the record file ends before the frame with the rules")]
     NoRules,
     /// The file ends within a frame's head.
-    #[error("cut within a frame's head")]
+    #[error("the record file is truncated within a frame's head")]
     CutInFrameHead,
     /// The file ends within a frame's body.
-    #[error("cut within a frame")]
+    #[error("the record file is truncated within a frame's body")]
     CutInFrame,
-    /// A frame states a length past the bound.
+    /// A frame's length exceeds the largest that is read.
     #[error("a frame past the bound")]
     FrameTooLong,
-    /// A frame's body does not fit its checksum.
-    #[error("a frame whose checksum does not fit")]
+    /// A frame's body does not match its checksum.
+    #[error("a frame's body does not match its CRC-32 checksum")]
     WrongChecksum,
-    /// A frame's body is not what belongs there.
-    #[error("a frame that cannot be read: {0}")]
+    /// A frame's body cannot be decoded as the rules or an event record.
+    #[error("a frame's body cannot be decoded: {0}")]
     Undecodable(#[source] postcard::Error),
 }
 
-/// Writes a file of records.
+/// Writes a record file.
 ///
 /// # Errors
-/// Errors of the writer; a record that cannot be encoded as one of kind `Other`.
+/// Returns the writer's errors, and an error of kind `Other` if a record cannot be encoded.
 pub fn write(out: &mut impl Write, rules: &Rules, records: &[EventRecord]) -> std::io::Result<()> {
     out.write_all(&MAGIC)?;
     write_frame(out, rules)?;
@@ -60,10 +62,11 @@
     out.write_all(&body)
 }
 
-/// Reads a complete file of records; a damaged or cut one is no evidence and is refused.
+/// Reads a complete record file. A damaged or truncated file is rejected as a whole, because an incomplete
+/// run proves nothing.
 ///
 /// # Errors
-/// [`RecordFileError`] if the file cannot be read, is cut short, or a frame of it is damaged.
+/// [`RecordFileError`] if the file cannot be read, is truncated, or has a damaged frame.
 pub fn read(input: &mut impl Read) -> Result<(Rules, Vec<EventRecord>), RecordFileError> {
     let mut bytes = Vec::new();
     input.read_to_end(&mut bytes).map_err(RecordFileError::Read)?;
@@ -81,13 +84,13 @@
     postcard::from_bytes(body).map_err(RecordFileError::Undecodable)
 }
 
-/// The frames of a file that are not read yet.
+/// The frames of a file that have not been read yet.
 struct Frames<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Frames<'a> {
-    /// The body of the next frame, checked; `None` at the end of the file.
+    /// Returns the body of the next frame after verifying its checksum, or `None` at the end of the file.
     fn next_body(&mut self) -> Result<Option<&'a [u8]>, RecordFileError> {
         if self.rest.is_empty() {
             return Ok(None);
