--- a/crates/invariants/src/fleet_limits.rs
+++ b/crates/invariants/src/fleet_limits.rs
@@ -1,13 +1,14 @@
-//! Limits on the whole fleet: attempts beyond each request's first, by class, in any span of time. A proxy
-//! keeps its own part of such a limit; that the parts never come to more than the total shows only here.
+//! Fleet-wide limits on retries: the attempts beyond each request's first, per class, in any span of time.
+//! Each proxy enforces only its own share of such a limit; this check shows that the shares together never
+//! exceed the total.
 
 use crate::run::Run;
 use crate::{CheckReport, FleetLimit, Rules};
 
-/// What sums of floating-point shares may be off.
+/// Tolerance for rounding errors in sums of floating-point shares.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Checks each class that has a limit.
+/// Checks each class that has a fleet-wide limit.
 pub(crate) fn check(rules: &Rules, run: &Run<'_>, report: &mut CheckReport) {
     for (class, &milli_rate) in rules.fleet_retry_rates.iter().enumerate() {
         if milli_rate == 0 {
@@ -19,7 +20,7 @@
     }
 }
 
-/// When the attempts of a class beyond each request's first arrived, in the order of time.
+/// Returns the arrival times of a class's attempts beyond each request's first, in ascending order.
 fn retry_times(run: &Run<'_>, class: usize) -> Vec<u64> {
     let retries = run.requests.values().flat_map(|request| request.attempts.iter().skip(1));
     let retries = retries.map(|&index| &run.attempts[index]);
@@ -29,9 +30,11 @@
     times
 }
 
-/// Passes the attempts through a token bucket: any span may hold the rate over it and one burst.
+/// Runs the attempts through a token bucket: a span of any length may contain the rate times that length,
+/// plus one burst.
 fn check_class(rules: &Rules, class: usize, rate_per_second: f64, times: &[u64]) -> FleetLimit {
-    // Attempts that left in time may have been observed within the slack.
+    // The observation slack enlarges the burst, because attempts that were sent within the limit may have
+    // been observed closer together.
     let burst_span = rules.fleet_retry_burst + rules.observation_slack;
     let bucket_size = rate_per_second * burst_span as f64 / 1e6;
     let mut limit = FleetLimit {
--- a/crates/invariants/src/run.rs
+++ b/crates/invariants/src/run.rs
@@ -1,4 +1,4 @@
-//! The records of a run, indexed by what they are about.
+//! The records of a run, indexed by request, proxy and server.
 
 use crate::{
     AttemptArrival, AttemptEnd, AttemptOutcome, EndpointListCall, EventRecord, FinalResponse, ObservedEvent,
@@ -6,10 +6,11 @@
 };
 use std::collections::BTreeMap;
 
-/// The end of a pause that is not over when the records end; small enough to be added to.
+/// The end of a pause that lasts beyond the end of the records. It is far below `u64::MAX`, so that sums with
+/// it do not overflow.
 const OPEN_PAUSE_END: u64 = u64::MAX / 2;
 
-/// A value and when it was observed, in microseconds.
+/// A value and the time at which it was observed, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timed<T> {
     pub at: u64,
@@ -25,18 +26,18 @@
     pub deadline: u64,
 }
 
-/// One request as its client and the servers saw it.
+/// One request as its client and the servers observed it.
 #[derive(Debug, Default)]
 pub(crate) struct RequestHistory {
     pub sent: Option<SentRequest>,
     pub responses: Vec<Timed<FinalResponse>>,
-    /// When its client gave up.
+    /// When the client gave up and disconnected.
     pub disconnected: Option<u64>,
     /// Indices into [`Run::attempts`].
     pub attempts: Vec<usize>,
 }
 
-/// One attempt as its server saw it.
+/// One attempt as its server observed it.
 #[derive(Debug)]
 pub(crate) struct Attempt<'a> {
     pub at: u64,
@@ -44,7 +45,7 @@
     pub end: Option<Timed<AttemptOutcome>>,
 }
 
-/// The release status of one build, as a proxy got it.
+/// The release status of a build, as a proxy received it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReleaseNotice {
     pub at: u64,
@@ -54,7 +55,7 @@
     pub cap: f64,
 }
 
-/// A server's status, as a proxy got it.
+/// A server's status, as a proxy received it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerNotice {
     pub at: u64,
@@ -62,44 +63,44 @@
     pub started: Option<u64>,
 }
 
-/// A span in which a proxy was paused.
+/// A period in which a proxy was paused.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pause {
     pub from: u64,
     pub to: u64,
 }
 
-/// The records indexed by what they are about; each list is in the order of time.
+/// The records, indexed by request, proxy and server. Each list is in the order of time.
 #[derive(Debug, Default)]
 pub(crate) struct Run<'a> {
     pub requests: BTreeMap<u64, RequestHistory>,
     pub attempts: Vec<Attempt<'a>>,
-    /// By proxy: when it was killed.
+    /// By proxy: the times at which it was killed.
     pub kills: BTreeMap<u32, Vec<u64>>,
-    /// By proxy.
+    /// By proxy: the periods in which it was paused.
     pub pauses: BTreeMap<u32, Vec<Pause>>,
-    /// By proxy and server.
+    /// By proxy and server: the statuses of the server that the proxy received.
     pub server_notices: BTreeMap<(u32, u64), Vec<ServerNotice>>,
     /// By server: its status on the endpoint list.
     pub listed: BTreeMap<u64, Vec<Timed<ServerStatus>>>,
-    /// By proxy: its calls of the discovery service, and ends of its watches.
+    /// By proxy: its calls to the discovery service and the ends of its watches.
     pub list_calls: BTreeMap<u32, Vec<Timed<EndpointListCall>>>,
-    /// By proxy.
+    /// By proxy: the release statuses that it received.
     pub release_notices: BTreeMap<u32, Vec<ReleaseNotice>>,
-    /// By server.
+    /// By server: its starts.
     pub server_starts: BTreeMap<u64, Vec<Timed<ServerStart>>>,
     /// By proxy: the classes of the requests sent to it.
     pub received_classes: BTreeMap<u32, Vec<Timed<usize>>>,
-    /// Proxies from which clients got bytes after their final responses.
+    /// Proxies from which clients received bytes that belong to no response.
     pub unexpected_bytes: Vec<Timed<u32>>,
     /// When the last event was observed.
     pub last_event: u64,
 }
 
 impl<'a> Run<'a> {
-    /// Indexes records that are in the order of time.
+    /// Indexes records, which must be in the order of time.
     pub fn from_records(records: &[&'a EventRecord]) -> Self {
-        let mut run = Run { pauses: pauses(records), ..Run::default() };
+        let mut run = Run { pauses: collect_pauses(records), ..Run::default() };
         let mut open_attempts = BTreeMap::new();
         for record in records {
             run.last_event = run.last_event.max(record.at);
@@ -108,7 +109,7 @@
         run
     }
 
-    /// Adds one record; `open_attempts` are the indices of attempts without an end, by their number.
+    /// Adds one record. `open_attempts` maps the numbers of attempts that have not ended to their indices.
     fn add(&mut self, record: &'a EventRecord, open_attempts: &mut BTreeMap<u64, usize>) {
         let at = record.at;
         match &record.event {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Adds what was observed of servers, proxies and the services around them.
+    /// Adds an event about the state of servers, proxies, the discovery service or the release service.
     fn add_state_change(&mut self, at: u64, event: &ObservedEvent) {
         match event {
             ObservedEvent::ServerStarted { server, start } => {
@@ -166,7 +167,7 @@
                 self.release_notices.entry(*proxy).or_default().push(notice);
             }
             ObservedEvent::ProxyKilled { proxy } => self.kills.entry(*proxy).or_default().push(at),
-            // Pauses are collected before all else: see `pauses`.
+            // `collect_pauses` has already collected the pauses.
             ObservedEvent::ProxyPaused { .. } | ObservedEvent::ProxyResumed { .. } => {}
             ObservedEvent::RequestSent { .. }
             | ObservedEvent::ResponseReceived { .. }
@@ -177,31 +178,32 @@
         }
     }
 
-    /// When a proxy received what was sent to it at a moment: a paused one receives it once it resumes.
+    /// Returns when a proxy received what was sent to it at `at`. A paused proxy receives it when it resumes.
     fn received_at(&self, proxy: u32, at: u64) -> u64 {
         let mut pauses = self.pauses.get(&proxy).into_iter().flatten();
         pauses.find(|pause| pause.from <= at && at < pause.to).map_or(at, |pause| pause.to)
     }
 
-    /// How long the pauses of a proxy that touch a span lasted.
+    /// Returns the total length of a proxy's pauses that overlap a span, counting each pause whole.
     pub fn paused_within(&self, proxy: u32, from: u64, to: u64) -> u64 {
         let pauses = self.pauses.get(&proxy).into_iter().flatten();
         let touching = pauses.filter(|pause| pause.from <= to && pause.to >= from);
         touching.map(|pause| pause.to - pause.from).sum()
     }
 
-    /// Whether a proxy was killed between two moments.
+    /// Whether a proxy was killed between two times, both included.
     pub fn killed_within(&self, proxy: u32, from: u64, to: u64) -> bool {
         self.kills.get(&proxy).is_some_and(|kills| kills.iter().any(|&at| at >= from && at <= to))
     }
 
-    /// When the incarnation of a proxy that runs at a moment began: it knows nothing of what was sent before.
+    /// Returns the start of the proxy incarnation that runs at `at`. An incarnation knows nothing of what
+    /// was sent to the proxy before it started.
     pub fn incarnation_start(&self, proxy: u32, at: u64) -> u64 {
         let kills = self.kills.get(&proxy).into_iter().flatten();
         kills.copied().filter(|&killed| killed <= at).max().unwrap_or(0)
     }
 
-    /// The statuses of a server that the incarnation of a proxy that runs at a moment received until then.
+    /// Returns the statuses of a server that the proxy incarnation running at `at` had received by then.
     pub fn server_notices_until(
         &self,
         proxy: u32,
@@ -214,8 +216,8 @@
     }
 }
 
-/// By proxy: its pauses. The kill of a paused proxy ends its pause.
-fn pauses(records: &[&EventRecord]) -> BTreeMap<u32, Vec<Pause>> {
+/// Collects the pauses of each proxy. Killing a paused proxy ends its pause.
+fn collect_pauses(records: &[&EventRecord]) -> BTreeMap<u32, Vec<Pause>> {
     let mut pauses: BTreeMap<u32, Vec<Pause>> = BTreeMap::new();
     for record in records {
         match record.event {
@@ -223,7 +225,7 @@
                 pauses.entry(proxy).or_default().push(Pause { from: record.at, to: OPEN_PAUSE_END });
             }
             ObservedEvent::ProxyResumed { proxy } | ObservedEvent::ProxyKilled { proxy } => {
-                if let Some(pause) = pauses.get_mut(&proxy).and_then(|of_proxy| of_proxy.last_mut()) {
+                if let Some(pause) = pauses.get_mut(&proxy).and_then(|proxy_pauses| proxy_pauses.last_mut()) {
                     pause.to = pause.to.min(record.at);
                 }
             }
