--- a/crates/invariants/src/exposure/caps.rs
+++ b/crates/invariants/src/exposure/caps.rs
@@ -1,17 +1,19 @@
-//! Exposure caps: of the requests that a proxy got within a window, only a share may go to a build on trial.
+//! Exposure caps: only a limited share of the requests that a proxy received in a window may be sent to a
+//! build on trial.
 
 use super::ProxyRun;
 use crate::run::{Attempt, Timed};
 use crate::{CheckReport, Rule};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What products of floating-point shares may be off.
+/// Tolerance for rounding errors in products of floating-point shares.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Attempts within the present window, by build and, where each class counts by itself, by class.
+/// The times of the attempts within the current window, by build and class. All classes are counted under
+/// class 0 unless exposure is counted per class.
 type Windows = BTreeMap<(u16, usize), VecDeque<u64>>;
 
-/// Checks every attempt at a build on trial.
+/// Checks that no attempt to a build on trial exceeded the build's exposure cap.
 pub(super) fn check(proxy_run: &ProxyRun<'_>, report: &mut CheckReport) {
     let mut windows = Windows::new();
     for attempt in &proxy_run.attempts {
@@ -26,20 +28,20 @@
             let proxy = proxy_run.proxy;
             let description = format!(
                 "proxy {proxy}: {count} attempts at build {build} on trial, \
-                 {allowed:.1} allowed (cap {cap} of {requests})"
+                 {allowed:.1} allowed (cap {cap} of {requests} requests)"
             );
             report.add_violation(Rule::Exposure, attempt.at, description);
         }
     }
 }
 
-/// How long a lowered cap does not bind yet.
+/// Returns how long a proxy may still use the previous cap after receiving a lower one.
 fn lowering_grace(proxy_run: &ProxyRun<'_>) -> u64 {
     proxy_run.rules.drain_grace + proxy_run.rules.observation_slack
 }
 
-/// The highest cap that may still count at a moment: the one that the proxy got last, and those that were in
-/// force within the grace.
+/// Returns the highest cap that the proxy may use at `at`: the highest of the cap that it received last and
+/// those that were in force at some time within the grace.
 fn binding_cap(proxy_run: &ProxyRun<'_>, build: u16, at: u64, last_cap: f64) -> f64 {
     let within_grace = |moment: u64| moment <= at && moment + lowering_grace(proxy_run) >= at;
     let notices = proxy_run.notices;
@@ -50,7 +52,7 @@
     recent.chain(replaced).map(|notice| notice.cap).fold(last_cap, f64::max)
 }
 
-/// From when attempts are counted anew because a lowered cap has come to bind.
+/// Returns when the count of attempts last restarted because a lowered cap became binding.
 fn recount_from(proxy_run: &ProxyRun<'_>, build: u16, at: u64) -> u64 {
     let lowered = proxy_run.notices.windows(2).filter(|change| {
         change[0].build == build && change[1].build == build && change[1].cap < change[0].cap
@@ -59,7 +61,7 @@
     binding_from.filter(|from| *from <= at).max().unwrap_or(0)
 }
 
-/// The attempts at a build within the window that ends with this one.
+/// Counts the attempts to the build in the window that ends with this attempt, including it.
 fn count_attempts(proxy_run: &ProxyRun<'_>, windows: &mut Windows, attempt: &Attempt<'_>) -> usize {
     let rules = proxy_run.rules;
     let at = attempt.at;
@@ -76,7 +78,7 @@
     window.iter().filter(|sent| **sent >= incarnation_start).count()
 }
 
-/// The requests that the proxy got within the window that ends with an attempt.
+/// Counts the requests that the proxy received in the window that ends with this attempt.
 fn count_requests(proxy_run: &ProxyRun<'_>, attempt: &Attempt<'_>) -> usize {
     let rules = proxy_run.rules;
     let window_start = attempt.at.saturating_sub(rules.exposure_window + rules.observation_slack);
--- a/crates/invariants/src/exposure/sticky_keys.rs
+++ b/crates/invariants/src/exposure/sticky_keys.rs
@@ -1,12 +1,12 @@
-//! Sticky keys: a key that the new build has answered goes to no earlier build until the new one is rolled
-//! back.
+//! Sticky keys: a key that the new build has answered is not sent to an earlier build until the new build is
+//! rolled back.
 
 use super::ProxyRun;
 use crate::run::{ReleaseNotice, Run};
 use crate::{AttemptOutcome, CheckReport, FinalResponse, Phase, Rule};
 use std::collections::BTreeMap;
 
-/// A build's good response to a request with a key.
+/// A build's successful response to a request with a key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct KeyAnswer {
     at: u64,
@@ -14,7 +14,7 @@
     build: u16,
 }
 
-/// Checks every attempt with a key.
+/// Checks that no attempt with a key went to a build older than the one that had answered the key.
 pub(super) fn check(proxy_run: &ProxyRun<'_>, report: &mut CheckReport) {
     let answers = answers_by_key(proxy_run);
     for attempt in proxy_run.attempts.iter().filter(|attempt| attempt.arrival.key != 0) {
@@ -22,19 +22,21 @@
         if attempt.arrival.build >= newest.build {
             continue;
         }
-        let of_key = answers.get(&attempt.arrival.key).into_iter().flatten();
-        if of_key.into_iter().any(|answer| binds(proxy_run, answer, &newest, attempt.at)) {
+        let key_answers = answers.get(&attempt.arrival.key).into_iter().flatten();
+        if key_answers.into_iter().any(|answer| binds(proxy_run, answer, &newest, attempt.at)) {
             let proxy = proxy_run.proxy;
             let id = attempt.arrival.request;
             let build = attempt.arrival.build;
-            let description =
-                format!("proxy {proxy}: request {id} at build {build}, its key was answered by a newer one");
+            let description = format!(
+                "proxy {proxy}: request {id} was sent to build {build}, \
+                 but its key was answered by a newer one"
+            );
             report.add_violation(Rule::Exposure, attempt.at, description);
         }
     }
 }
 
-/// By key: the answers that clients got through this proxy, in the order of time.
+/// Returns, by key, the answers that clients received through this proxy, in the order of time.
 fn answers_by_key(proxy_run: &ProxyRun<'_>) -> BTreeMap<u64, Vec<KeyAnswer>> {
     let last_attempts = last_attempts(proxy_run);
     let mut answers: Vec<KeyAnswer> = Vec::new();
@@ -44,8 +46,8 @@
             continue;
         }
         let Some(end) = attempt.end.filter(|end| end.value == AttemptOutcome::Ok) else { continue };
-        // An answer that crossed the proxy's cancel reached no client and binds no key: the proxy went on
-        // with another attempt, which it would not have done, had it got the answer.
+        // A later attempt for the same request shows that the proxy did not receive this answer: the answer
+        // crossed the proxy's cancellation. It reached no client, so it does not bind the key.
         let crossed_cancel = last_attempts.get(&arrival.request).is_some_and(|last| *last > end.at);
         if !crossed_cancel {
             answers.push(KeyAnswer { at: end.at, key: arrival.key, build: arrival.build });
@@ -59,7 +61,7 @@
     by_key
 }
 
-/// By request: when the proxy's last attempt for it arrived.
+/// Returns, by request, the arrival time of the proxy's last attempt.
 fn last_attempts(proxy_run: &ProxyRun<'_>) -> BTreeMap<u64, u64> {
     let mut last: BTreeMap<u64, u64> = BTreeMap::new();
     for attempt in &proxy_run.attempts {
@@ -69,14 +71,15 @@
     last
 }
 
-/// Whether a client got a server's response to its request: one that came too late bound no key.
+/// Whether the client received a server's response to its request. A response that arrived too late for the
+/// client does not bind a key.
 fn client_was_served(run: &Run<'_>, request: u64) -> bool {
     let history = run.requests.get(&request);
     history.is_some_and(|h| h.responses.iter().any(|r| r.value == FinalResponse::Served))
 }
 
-/// The newest build that the proxy knew of at a moment, if it was live and nothing had changed within the
-/// slack.
+/// Returns the status of the newest build that the proxy knew at `at`, if the build was live and neither
+/// build nor phase had changed within the observation slack.
 fn settled_newest(proxy_run: &ProxyRun<'_>, at: u64) -> Option<ReleaseNotice> {
     let newest = proxy_run.last_notice(at).filter(is_live)?;
     let before = proxy_run.last_notice(at.saturating_sub(proxy_run.rules.observation_slack))?;
@@ -84,22 +87,24 @@
     unchanged.then_some(newest)
 }
 
+/// Whether a build takes traffic: it is on trial or released.
 fn is_live(notice: &ReleaseNotice) -> bool {
     matches!(notice.phase, Phase::Trial | Phase::Released)
 }
 
-/// Whether an answer keeps its key from builds before the newest at a moment.
+/// Whether an answer forbids sending its key to builds older than the newest one at `at`.
 fn binds(proxy_run: &ProxyRun<'_>, answer: &KeyAnswer, newest: &ReleaseNotice, at: u64) -> bool {
     let incarnation_start = proxy_run.run.incarnation_start(proxy_run.proxy, at);
-    // The client left or the answer was not passed on in the moment before: within the slack.
+    // An answer within the observation slack does not bind: the client may have left before it, or the proxy
+    // may not have passed it on yet.
     answer.build == newest.build
         && answer.at >= incarnation_start
         && answer.at + proxy_run.rules.observation_slack < at
         && was_live(proxy_run.notices, answer)
 }
 
-/// Whether a build was live by the release status when it answered.
+/// Whether the build that answered was live at that time according to the proxy's release status.
 fn was_live(notices: &[ReleaseNotice], answer: &KeyAnswer) -> bool {
-    let before = notices.partition_point(|notice| notice.at <= answer.at);
-    notices[..before].last().is_some_and(|notice| notice.build == answer.build && is_live(notice))
+    let received_count = notices.partition_point(|notice| notice.at <= answer.at);
+    notices[..received_count].last().is_some_and(|notice| notice.build == answer.build && is_live(notice))
 }
--- a/crates/invariants/src/slow_start.rs
+++ b/crates/invariants/src/slow_start.rs
@@ -1,22 +1,23 @@
-//! Rule 4: no server is overloaded within its slow start by all proxies together. Within any span of the
-//! stated length, the work sent to it stays under a multiple of what it can do in that span. A violation
-//! counts only where two thirds of the work came from proxies that had received its start.
+//! Rule 4: the proxies together do not overload a server during its slow start. In any span of the configured
+//! length, the work sent to the server stays below a multiple of the work that it can do in that span. An
+//! overload is a violation only if at least two thirds of the work came from proxies that had been informed
+//! of the server's start.
 
 use crate::run::{Run, Timed};
 use crate::{CheckReport, Rule, Rules, ServerStart};
 
-/// What chance may add, as a share of the allowed work.
+/// Tolerance for random variation, as a share of the allowed work.
 const CHANCE_TOLERANCE: f64 = 0.05;
 
-/// Work that reached a server within its slow start.
+/// Work that arrived at a server during its slow start.
 struct SentWork {
     at: u64,
     work: f64,
-    /// The sender had received this start.
+    /// Whether the sending proxy had been informed of this start.
     sender_informed: bool,
 }
 
-/// Checks every start of every server.
+/// Checks the slow start after every start of every server.
 pub(crate) fn check(rules: &Rules, run: &Run<'_>, report: &mut CheckReport) {
     for (&server, starts) in &run.server_starts {
         for (index, start) in starts.iter().enumerate() {
@@ -28,14 +29,15 @@
             report.count_examined(Rule::SlowStart);
             if let Some(overload) = first_overload(rules, start, &sent) {
                 let times = overload.times_capacity;
-                let description = format!("cold server {server} sent {times:.1} times what it can do");
+                let description =
+                    format!("cold server {server} was sent {times:.1} times the work that it can do");
                 report.add_violation(Rule::SlowStart, overload.at, description);
             }
         }
     }
 }
 
-/// The work that reached a server within the slow start of one of its starts.
+/// Returns the work that arrived at a server during the slow start that follows `start`.
 fn work_sent(
     rules: &Rules,
     run: &Run<'_>,
@@ -51,17 +53,18 @@
     let sent = attempts.map(|attempt| SentWork {
         at: attempt.at,
         work: attempt.arrival.work as f64,
-        sender_informed: informed(rules, run, attempt.arrival.proxy, server, start.at, attempt.at),
+        sender_informed: was_informed(rules, run, attempt.arrival.proxy, server, start.at, attempt.at),
     });
     sent.collect()
 }
 
-/// A span in which a server got more work than it can do.
+/// A span in which a server received more work than is allowed.
 struct Overload {
     at: u64,
     times_capacity: f64,
 }
 
+/// Returns the first span with more work than is allowed, most of it from informed proxies.
 fn first_overload(rules: &Rules, start: &Timed<ServerStart>, sent: &[SentWork]) -> Option<Overload> {
     let mut first = 0;
     for last in 0..sent.len() {
@@ -81,9 +84,10 @@
     None
 }
 
-/// The work that a server may be sent in the span that ends at a moment.
+/// Returns the work that a server may be sent in the span that ends at `end`.
 fn allowed_work(rules: &Rules, start: &Timed<ServerStart>, end: u64) -> f64 {
-    // The span reaches back to before the start where it must: there the server can do nothing.
+    // The span may begin before the server's start, when the server can do nothing. The mean of the capacity
+    // covers only the time since the start, and the work is allowed for the full length of the span.
     let from = end.saturating_sub(rules.overload_span).max(start.at);
     let mean_warm_fraction = (warm_fraction(start, from) + warm_fraction(start, end)) / 2.0;
     let span_seconds = rules.overload_span as f64 / 1e6;
@@ -91,15 +95,15 @@
     rules.overload_multiple * mean_warm_fraction * capacity * span_seconds * (1.0 + CHANCE_TOLERANCE)
 }
 
-/// The share of its capacity that a server has at a moment after its start.
+/// Returns the share of its capacity that a server has at a time after its start.
 fn warm_fraction(start: &Timed<ServerStart>, at: u64) -> f64 {
     let floor = start.value.slow_start_floor;
     let age = at.saturating_sub(start.at) as f64 / start.value.slow_start_span.max(1) as f64;
     (floor + (1.0 - floor) * age).min(1.0)
 }
 
-/// Whether a proxy had received a start before it sent at a moment.
-fn informed(rules: &Rules, run: &Run<'_>, proxy: u32, server: u64, start: u64, at: u64) -> bool {
+/// Whether a proxy that sent an attempt at `at` had been informed of the server's start by then.
+fn was_informed(rules: &Rules, run: &Run<'_>, proxy: u32, server: u64, start: u64, at: u64) -> bool {
     let mut notices = run.server_notices_until(proxy, server, at);
     notices.any(|notice| notice.started.is_some_and(|s| s + rules.observation_slack >= start))
 }
