--- a/crates/invariants/tests/record_file.rs
+++ b/crates/invariants/tests/record_file.rs
@@ -1,9 +1,10 @@
-//! The record file's format: its bytes are those of the files that earlier versions wrote.
+//! The record file's format stays compatible: the bytes are the same as in files that earlier versions wrote.
 
 use violetseam_invariants::record_file::{RecordFileError, read, write};
 use violetseam_invariants::*;
 
-/// Length and CRC-32 of the file that the version before the present names wrote of the same records.
+/// Length and CRC-32 of the file that an earlier version, with other type and field names, wrote for the same
+/// records.
 const EARLIER_FILE_LENGTH: usize = 538;
 const EARLIER_FILE_CHECKSUM: u32 = 0x63c5_017b;
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// Every kind of event with every value of its enums.
+/// Returns every kind of event, with every value of the enums in it.
 fn events() -> Vec<ObservedEvent> {
     let arrival = AttemptArrival {
         attempt: 7,
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn the_bytes_are_those_of_earlier_files() {
+fn a_written_file_has_the_same_bytes_as_one_of_an_earlier_version() {
     let records: Vec<EventRecord> = events()
         .into_iter()
         .enumerate()
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn each_kind_of_damage_has_its_error() {
+fn each_kind_of_damage_is_reported_with_its_own_error() {
     let mut file = Vec::new();
     write(&mut file, &rules(), &[]).unwrap();
     let magic_bytes = 5;
--- a/crates/invariants/tests/violations.rs
+++ b/crates/invariants/tests/violations.rs
@@ -1,4 +1,5 @@
-//! The checker can fail: a sound run passes, and each violation put into one is reported under its rule.
+//! A run without violations passes the checker, and each violation that is added to such a run is reported
+//! under its rule.
 
 use violetseam_invariants::record_file::{read, write};
 use violetseam_invariants::*;
@@ -32,7 +33,8 @@
     }
 }
 
-/// A run under construction: requests of one proxy, told of servers 1 (build 1) and 2 (build 2, on trial).
+/// Builds the records of a run with one proxy, which has been sent servers 1 (build 1) and 2 (build 2, on
+/// trial).
 struct RunBuilder {
     records: Vec<EventRecord>,
     last_id: u64,
@@ -105,7 +107,7 @@
         self.record(at, ObservedEvent::ResponseReceived { request, response });
     }
 
-    /// A request served at once by the earlier build.
+    /// Records a request that the earlier build serves at once.
     fn serve_request(&mut self, at: u64, class: usize) {
         let id = self.send_request(at, class);
         self.attempt(at + MS, id, 1, class, 0, AttemptOutcome::Ok);
@@ -124,6 +126,7 @@
     }
 }
 
+/// Returns a run without violations in which the earlier build serves all requests.
 fn busy_run() -> RunBuilder {
     let mut run = RunBuilder::new();
     for n in 0..200 {
@@ -134,7 +137,7 @@
 }
 
 #[test]
-fn a_sound_run_passes_and_every_rule_examined_something() {
+fn a_run_without_violations_passes_and_every_rule_examines_something() {
     let mut run = busy_run();
     let id = run.send_request(S, 0);
     run.attempt(S + MS, id, 2, 0, 0, AttemptOutcome::Ok);
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn rule_1_responses_missing_late_twice_or_followed() {
+fn rule_1_reports_missing_late_and_second_responses_and_attempts_after_a_response() {
     let mut run = busy_run();
     run.send_request(S, 0);
     run.assert_violation(Rule::FinalResponse, "got no answer");
@@ -171,14 +174,14 @@
     let id = run.send_request(S, 0);
     run.respond(S + 10 * MS, id, FinalResponse::ConnectionClosed);
     run.assert_violation(Rule::FinalResponse, "without an answer");
-    // What a killed proxy held, and a client that left, excuse it.
+    // A proxy that is killed owes no response to its requests in flight.
     run.record(S + 5 * MS, ObservedEvent::ProxyKilled { proxy: 0 });
     run.send_status(S + 6 * MS, 1, ServerStatus::Ready);
     assert!(check(&rules(), &run.records).violations.iter().all(|v| v.rule != Rule::FinalResponse));
 }
 
 #[test]
-fn rule_2_repeats_not_idempotent_outside_the_group_past_the_window_together_or_rejected() {
+fn rule_2_reports_repeats_that_may_take_effect_twice() {
     let mut run = busy_run();
     let id = run.send_request(S, 2);
     run.attempt(S + MS, id, 1, 2, 0, AttemptOutcome::Error);
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn rule_3_sends_after_a_drain_that_the_proxy_knows_or_should_know() {
+fn rule_3_reports_attempts_after_a_drain_that_the_proxy_knows_or_should_know() {
     let mut run = busy_run();
     run.send_status(11 * S, 1, ServerStatus::Draining);
     run.serve_request(12 * S, 0);
@@ -231,13 +234,13 @@
     run.assert_no_violation_before(13 * S);
     run.assert_violation(Rule::Draining, "sent to server 1");
 
-    // The subscription was lost, nothing was asked since: what was listed counts as told in time.
+    // The watch ended and the proxy has not called since, so it should have known the listed drain.
     let mut run = busy_run();
     run.record(500 * MS, ObservedEvent::EndpointListCalled { proxy: 0, call: EndpointListCall::WatchEnded });
     run.record(S, ObservedEvent::ServerListed { server: 1, status: ServerStatus::Draining });
     run.assert_violation(Rule::Draining, "sent to server 1");
 
-    // The same with the subscription alive but the line not told yet: nothing to be blamed for.
+    // While the watch is open, a drain that was not sent to the proxy yet is not the proxy's fault.
     let mut run = busy_run();
     run.record(S, ObservedEvent::ServerListed { server: 1, status: ServerStatus::Draining });
     run.assert_no_violation();
@@ -252,8 +255,9 @@
 }
 
 #[test]
-fn rule_4_a_server_in_slow_start_is_overloaded() {
-    // Cold from 0.3 of two cores: about 2.6 s of work in the first three seconds of its life, so 7.8 may go.
+fn rule_4_reports_the_overload_of_a_server_in_slow_start() {
+    // The server starts at 0.3 of its two cores. It can do about 2.6 s of work in its first three seconds, so
+    // 7.8 s of work may be sent.
     let burst = |requests: u64, informed: bool| {
         let mut run = RunBuilder { records: Vec::new(), last_id: 0 };
         let start = ServerStart { capacity: 2.0 * S as f64, slow_start_floor: 0.3, slow_start_span: 4 * S };
@@ -273,7 +277,7 @@
     burst(250, false).assert_no_violation();
 
     let mut run = burst(250, true);
-    // Half as much from a second proxy that was told as well: together they push it over.
+    // The work comes from two proxies, both informed of the start, which overload the server only together.
     run = RunBuilder { records: run.records.into_iter().take(2 + 4 * 90).collect(), last_id: 10_000 };
     run.record(
         100 * MS,
@@ -299,8 +303,9 @@
 }
 
 #[test]
-fn rule_5_caps_idempotent_only_stages_and_sticky_keys() {
-    // 20 requests in the first second: two and a tenth of them may go to the trial build.
+fn rule_5_reports_violations_of_caps_idempotent_only_stages_and_sticky_keys() {
+    // With 20 requests in the first second, two attempts plus a tenth of the requests may go to the build on
+    // trial.
     let exposed = |attempts: u64| {
         let mut run = RunBuilder::new();
         for n in 0..20 {
@@ -316,7 +321,7 @@
     exposed(4).assert_no_violation();
     exposed(9).assert_violation(Rule::Exposure, "attempts at build 2 on trial");
 
-    // The cap falls to nothing: after the grace not one may go.
+    // When the cap falls to 0, no attempt may go to the build after the grace.
     let mut run = busy_run();
     run.send_release_status(2 * S, 0, Phase::RollingBack, 0.0);
     let id = run.send_request(5 * S, 0);
@@ -344,8 +349,8 @@
     keyed(Phase::Trial).assert_violation(Rule::Exposure, "its key was answered by a newer one");
     keyed(Phase::RollingBack).assert_no_violation();
 
-    // Seen in a scenario: the new build's answer and the proxy's cancel crossed, and the earlier build's
-    // answer was the one that the client got. Nothing was bound by an answer that nobody passed on.
+    // As happened in a scenario, the new build's answer crossed the proxy's cancellation, and the client got
+    // the earlier build's answer. An answer that was not passed on does not bind its key.
     let mut crossed = busy_run();
     let first = crossed.send_request(S, 0);
     crossed.attempt(S + MS, first, 2, 0, 77, AttemptOutcome::Ok);
@@ -358,8 +363,9 @@
 }
 
 #[test]
-fn retries_of_all_proxies_together_past_the_fleets_limit() {
-    // Ten a second and a burst of one second: 10.3 may come at once, the slack of 30 ms included.
+fn fleet_limits_count_the_retries_of_all_proxies_together() {
+    // The limit is ten a second with a burst of one second: 10.3 may arrive at once, the slack of 30 ms
+    // included.
     let run_with = |requests: u64, apart: u64| {
         let mut run = busy_run();
         for n in 0..requests {
@@ -381,7 +387,7 @@
         (within.fleet_limits.len(), within.fleet_limits[0].attempts, within.fleet_limits[0].exceeded),
         (1, 10, 0)
     );
-    // No proxy sent more than four of these.
+    // The limit is exceeded although no single proxy sent more than four of the retries.
     let over = run_with(11, 0);
     assert!(
         !over.all_hold()
@@ -391,13 +397,13 @@
         over.fleet_limits
     );
     assert!(over.violations.is_empty(), "{:?}", over.violations);
-    // Faster than the budget for long is found as well as a burst.
+    // A rate that exceeds the limit for a long time is reported as well as a burst.
     assert!(run_with(40, 100 * MS).all_hold());
     assert!(run_with(60, 80 * MS).fleet_limits[0].exceeded > 0);
 }
 
 #[test]
-fn a_paused_proxy_owes_its_responses_once_it_resumes_and_receives_then_what_it_was_sent() {
+fn a_paused_proxy_responds_and_receives_its_messages_once_it_resumes() {
     let run_with = |resumed: u64, answered: u64| {
         let mut run = busy_run();
         let id = run.send_request(S, 0);
@@ -409,7 +415,7 @@
     };
     run_with(4 * S, 4_500 * MS).assert_no_violation();
     run_with(4 * S, 5_500 * MS).assert_violation(Rule::FinalResponse, "after its deadline");
-    // Told of a drain while it stood: the grace counts from when it went on.
+    // A drain is sent while the proxy is paused: the grace begins when the proxy resumes.
     let mut run = run_with(4 * S, 4_500 * MS);
     run.send_status(S + 500 * MS, 1, ServerStatus::Draining);
     run.serve_request(5 * S, 0);
@@ -418,7 +424,7 @@
 }
 
 #[test]
-fn files_read_back_as_written_and_damaged_ones_are_rejected() {
+fn files_are_read_back_as_written_and_damaged_files_are_rejected() {
     let run = busy_run();
     let mut file = Vec::new();
     write(&mut file, &rules(), &run.records).unwrap();
