--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,19 +1,19 @@
-//! A scenario in simulated time, deterministic: the same scenario and seed give the same outcome, event by
-//! event.
+//! Deterministic simulation of a scenario in simulated time: the same scenario and seed give the same events
+//! and the same outcome.
 //!
-//! What decides is the product's own: each proxy is its [`violetseam_proxy::engine::Engine`] round the
-//! decision module, releases are the controller's state machine over the scenario's plans. Modelled are the
-//! servers, the endpoint list and the traffic (`violetseam-simulated-site`, the very models that scenarios
-//! over sockets use), the network between them, and the clients. The rules are checked from what crossed
-//! between the models, by the checker that scenarios over sockets use.
+//! The decisions are made by the production code: each proxy runs [`violetseam_proxy::engine::Engine`] with
+//! the decision module, and releases run the controller's state machine with the scenario's plans. The
+//! servers, the endpoint list and the traffic are modelled by `violetseam-simulated-site`, with the models
+//! that scenarios over sockets use; this package models the network and the clients. The rules are checked
+//! from the messages between the models, with the checker that scenarios over sockets use.
 //!
-//! - `event_queue`: what happens next
-//! - `cluster`: servers in their places, the endpoint list, attempts in flight
-//! - `simulation`: the event loop; clients, proxies, discovery and the release service
-//! - `outcome`: what came of a scenario
+//! - `event_queue`: the events that are scheduled
+//! - `cluster`: the servers in their places, the endpoint list and the attempts in flight
+//! - `simulation`: the event loop, with clients, proxies, discovery and the release service
+//! - `outcome`: the results of a scenario
 //!
-//! Some kinds of faults are not simulated yet, and refused: see [`unsupported_faults`]. Everything here is
-//! simulated.
+//! Scenarios with faults that cannot be simulated yet are rejected: see [`unsupported_faults`]. No sockets,
+//! files or real clocks are involved.
 
 mod client_try;
 mod cluster;
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -1,36 +1,36 @@
-//! What came of a scenario.
+//! The results of a simulated scenario.
 
 use hdrhistogram::{CreationError, Histogram};
 use violetseam_invariants::{CheckReport, Rule};
 
-/// The longest response time that the percentiles distinguish, in microseconds.
+/// The longest response time in the histogram, in microseconds. Longer ones count as this long.
 const MAX_RESPONSE_TIME: u64 = 60_000_000;
-/// Significant decimal digits of response times.
+/// The number of significant decimal digits of response times in the histogram.
 const RESPONSE_TIME_DIGITS: u8 = 3;
 
-/// What became of a build. Times are microseconds of the scenario.
+/// The result of a build's release. Times are in microseconds since the start of the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BuildOutcome {
-    /// The build.
+    /// The number of the build.
     pub build: u16,
-    /// Whether it has a defect.
+    /// Whether the build has a defect.
     pub defective: bool,
-    /// When its first stage began.
+    /// When the first stage began.
     pub began_at: u64,
-    /// When it was released.
+    /// When the build was released, if it was.
     pub released_at: Option<u64>,
-    /// When its rollback began.
+    /// When the rollback began, if there was one.
     pub rolled_back_at: Option<u64>,
 }
 
-/// Clients' tries by how they ended.
+/// Counts of clients' tries by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TryCounts {
-    /// Served by a server.
+    /// Tries that a server served.
     pub served: u64,
-    /// Rejected by a proxy.
+    /// Tries that a proxy rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Tries that failed.
     pub failed: u64,
 }
 
@@ -45,32 +45,32 @@
     pub p99: u64,
 }
 
-/// What came of a scenario.
+/// The results of a simulated scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Clients' requests.
+    /// The number of clients' requests.
     pub requests: u64,
-    /// Requests that were served within their latency objective.
+    /// The number of requests that were served within their latency objective.
     pub served_in_time: u64,
-    /// The weight of what was served over the weight of all requests, 0 to 1.
+    /// The weight earned by served requests as a share of the weight of all requests, 0 to 1.
     pub served_weight_share: f64,
-    /// Clients' tries.
+    /// Counts of clients' tries.
     pub tries: TryCounts,
     /// Response times of served tries.
     pub latency: LatencyPercentiles,
-    /// What became of the builds, in the order in which they came.
+    /// The result of each build, in the order of their releases.
     pub builds: Vec<BuildOutcome>,
-    /// Violations, by [`Rule::index`].
+    /// The number of violations of each rule, by [`Rule::index`].
     pub violations: [u64; Rule::COUNT],
-    /// How much each rule examined, by [`Rule::index`].
+    /// The number of items that each rule's check examined, by [`Rule::index`].
     pub examined: [u64; Rule::COUNT],
-    /// Events of the simulation.
+    /// The number of simulated events.
     pub events: u64,
 }
 
-/// Collects the outcome while a scenario runs.
+/// Collects the outcome during a simulation.
 pub struct OutcomeCollector {
-    /// What is known so far.
+    /// The outcome so far.
     pub outcome: Outcome,
     response_times: Histogram<u64>,
     served_weight: f64,
@@ -78,10 +78,10 @@
 }
 
 impl OutcomeCollector {
-    /// Starts with nothing.
+    /// Returns a collector with an empty outcome.
     ///
     /// # Errors
-    /// If the histogram's bounds are not valid.
+    /// Returns an error if the bounds of the histogram are not valid.
     pub fn new() -> Result<Self, CreationError> {
         Ok(OutcomeCollector {
             outcome: Outcome::default(),
@@ -91,23 +91,23 @@
         })
     }
 
-    /// Counts a request of a priority weight.
+    /// Counts a request with its priority weight.
     pub fn add_request(&mut self, priority_weight: f64) {
         self.outcome.requests += 1;
         self.requested_weight += priority_weight;
     }
 
-    /// Counts the weight that a served request earned.
+    /// Adds the weight that a served request earned.
     pub fn add_served_weight(&mut self, weight: f64) {
         self.served_weight += weight;
     }
 
-    /// Counts a served try's response time, in microseconds.
+    /// Records the response time of a served try, in microseconds.
     pub fn add_response_time(&mut self, micros: u64) {
         self.response_times.saturating_record(micros.max(1));
     }
 
-    /// The outcome, with what the checker found.
+    /// Returns the outcome, completed with the checker's report.
     pub fn finish(self, report: &CheckReport) -> Outcome {
         let percentile = |quantile| self.response_times.value_at_quantile(quantile);
         let latency =
