--- a/crates/emulator/src/error.rs
+++ b/crates/emulator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario cannot be simulated.
+//! Errors of a simulation.
 
 use violetseam_plan::ScriptError;
 use violetseam_simulated_site::scenario::{FaultKind, Scenario};
@@ -6,39 +6,39 @@
 /// Why a scenario cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// It has faults that are not simulated yet.
+    /// The scenario has faults that cannot be simulated yet.
     #[error("not played in simulated time yet: {}", kinds.join(", "))]
     UnsupportedFaults {
-        /// Their kinds, by name.
+        /// The names of their kinds.
         kinds: Vec<String>,
     },
-    /// The settings that a proxy would run by cannot be read.
-    #[error("settings of proxy {proxy}: {source}")]
+    /// The settings script of a proxy cannot be read.
+    #[error("cannot read the settings of proxy {proxy}: {source}")]
     Settings {
         /// The proxy's position.
         proxy: usize,
-        /// What is wrong with them.
+        /// The error in the script.
         source: ScriptError,
     },
     /// The plan of a release cannot be read.
-    #[error("plan of release {release}: {}", faults_text(faults))]
+    #[error("cannot read the plan of release {release}: {}", join_errors(errors))]
     Plan {
         /// The release's index.
         release: usize,
-        /// What is wrong with it.
-        faults: Vec<ScriptError>,
+        /// The errors in the plan.
+        errors: Vec<ScriptError>,
     },
-    /// The histogram of response times cannot be made.
-    #[error("histogram of response times: {0}")]
+    /// The histogram of response times cannot be created.
+    #[error("cannot create the histogram of response times: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
-fn faults_text(faults: &[ScriptError]) -> String {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    lines.join("; ")
+fn join_errors(errors: &[ScriptError]) -> String {
+    let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    messages.join("; ")
 }
 
-/// Kinds of faults in a scenario that are not simulated yet, by name.
+/// Returns the names of the kinds of faults in a scenario that cannot be simulated yet, sorted.
 pub fn unsupported_faults(scenario: &Scenario) -> Vec<String> {
     let unsupported = scenario.faults.iter().map(|fault| fault.kind).filter(|kind| !is_supported(*kind));
     let mut names: Vec<String> = unsupported.map(|kind| format!("{kind:?}")).collect();
--- a/crates/emulator/src/simulation/release_service.rs
+++ b/crates/emulator/src/simulation/release_service.rs
@@ -1,4 +1,5 @@
-//! The release service: the controller's state machine, the platform that moves servers, and votes.
+//! The release service: the controller's state machine, the platform that starts and drains servers, and the
+//! proxies' votes.
 
 use super::{Simulation, TICK_INTERVAL, WARM_UP};
 use crate::error::SimulationError;
@@ -13,12 +14,12 @@
 };
 use violetseam_simulated_site::scenario::{FaultKind, Scenario};
 
-/// The wall clock's time at the start, UTC.
+/// The wall-clock time at the start of the simulation, in UTC.
 const START_TIME: &str = "2026-12-01T08:00";
-/// How long a release that was rejected waits before it is offered again, in microseconds.
+/// The delay before a rejected release is offered again, in microseconds.
 const OFFER_RETRY_INTERVAL: u64 = 10 * TICK_INTERVAL;
 
-/// An announcement and since when it stands.
+/// An announcement and the time at which it was made.
 #[derive(Clone, Copy)]
 struct TimedAnnouncement {
     at: u64,
@@ -30,9 +31,9 @@
     release: Release,
     platform: Platform,
     vote_rate_limit: VoteRateLimit,
-    /// All announcements, in the order of time.
+    /// All announcements so far, in the order of time.
     announcements: Vec<TimedAnnouncement>,
-    /// The wall clock at the start, in microseconds.
+    /// The wall-clock time at the start of the simulation, in microseconds since 1970 UTC.
     wall_clock_start: u64,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Starts the controller with what the platform runs, and returns its first announcement.
+    /// Starts the controller, reports the platform's places to it, and returns its first announcement.
     pub fn start(&mut self) -> Announcement {
         let now = self.clocks(0);
         self.release.on_event(now, &Event::Started);
@@ -60,19 +61,21 @@
         self.release.announcement()
     }
 
+    /// Returns the controller's wall and monotonic clocks at a simulated time.
     fn clocks(&self, now: u64) -> Now {
         Now { wall: self.wall_clock_start + now, steady: now }
     }
 
-    /// The announcement that stood at a moment.
+    /// Returns the announcement that was current at a time, or the first one for a time before it.
     fn announcement_at(&self, at: u64) -> Option<Announcement> {
-        let standing = self.announcements.iter().rev().find(|timed| timed.at <= at);
-        standing.or(self.announcements.first()).map(|timed| timed.announcement)
+        let current = self.announcements.iter().rev().find(|timed| timed.at <= at);
+        current.or(self.announcements.first()).map(|timed| timed.announcement)
     }
 }
 
 impl Simulation {
-    /// The platform moves on, and the controller looks at the time.
+    /// Advances the platform, gives the controller a tick, and has the platform run the builds that the
+    /// controller desires.
     pub(super) fn on_controller_tick(&mut self) {
         let now = self.cluster.now;
         for PlaceReport { place, build, state } in self.release_service.platform.advance(now) {
@@ -97,7 +100,8 @@
         self.cluster.queue.schedule(now + TICK_INTERVAL, SimulationEvent::ControllerTick);
     }
 
-    /// Gives the controller an event. What it announces reaches the proxies as late as the scenario says.
+    /// Applies an event to the controller. A new announcement reaches the proxies after the scenario's status
+    /// delay.
     fn apply_release_event(&mut self, event: &Event) -> Reply {
         let at = self.cluster.now;
         let service = &mut self.release_service;
@@ -117,12 +121,12 @@
         reply
     }
 
-    /// Notes what an announcement says of its build.
-    fn collect_build_outcome(&mut self, announcement: Announcement, build_before: u16) {
+    /// Records the start, release or rollback of a build that an announcement shows.
+    fn collect_build_outcome(&mut self, announcement: Announcement, previous_build: u16) {
         let build = announcement.build;
         let scenario_time = self.cluster.now.saturating_sub(WARM_UP);
         let builds = &mut self.collector.outcome.builds;
-        if build != build_before {
+        if build != previous_build {
             builds.push(BuildOutcome {
                 build,
                 defective: self.cluster.build(build).is_defective(),
@@ -144,26 +148,28 @@
         }
     }
 
-    /// How late proxies get the release status.
+    /// Returns the delay with which proxies receive the release status.
     fn status_delay(&self) -> u64 {
         let fault_delay = self.cluster.fault_delay(FaultKind::ReleaseServiceDelay);
         self.cluster.scenario.rollout.status_delay + fault_delay
     }
 
-    /// A vote reaches the controller.
+    /// Handles a proxy's vote that reaches the controller, and schedules the reply.
     pub(super) fn on_vote(&mut self, vote: Vote) {
         let now = self.cluster.now;
         let proxy = vote.proxy as usize;
         let arrives_at = now + self.cluster.scenario.rollout.vote_latency / 2;
         let outcome = self.count_vote(vote);
-        // As late as every status: a reply does not overtake the stream.
-        let seen_at = now.saturating_sub(self.status_delay());
-        let announcement = self.release_service.announcement_at(seen_at);
+        // The status in a reply is as old as the one on the stream, so that a reply does not overtake the
+        // stream.
+        let status_time = now.saturating_sub(self.status_delay());
+        let announcement = self.release_service.announcement_at(status_time);
         let status = announcement.filter(|_| outcome == decisions::Outcome::Ok).map(release_status);
         let event = SimulationEvent::VoteReply { proxy, outcome, status };
         self.cluster.queue.schedule(arrives_at, event);
     }
 
+    /// Applies a vote, unless a fault or the rate limit prevents it, and returns how the proxy's call ends.
     fn count_vote(&mut self, vote: Vote) -> decisions::Outcome {
         if self.cluster.active_fault(FaultKind::ReleaseServiceErrors).is_some() {
             return decisions::Outcome::Error;
@@ -178,12 +184,13 @@
         }
     }
 
-    /// A release is offered, and again later if it is rejected. A release on trial is sent back for it.
+    /// Offers a release. If it is rejected because another release is on trial, that release is ordered back.
+    /// A rejected release is offered again later.
     pub(super) fn on_release_offer(&mut self, release: usize) -> Result<(), SimulationError> {
         let now = self.release_service.clocks(self.cluster.now);
         let script = violetseam_scenarios::release_plan::script(&self.cluster.scenario, release);
         let plan = violetseam_plan::read_text("day", &script, &[], now.wall)
-            .map_err(|faults| SimulationError::Plan { release, faults })?;
+            .map_err(|errors| SimulationError::Plan { release, errors })?;
         let reply = self.apply_release_event(&Event::Offer(Box::new(plan)));
         let Reply::Rejected(reason) = reply else { return Ok(()) };
         if reason.contains("on trial") {
@@ -194,14 +201,14 @@
         Ok(())
     }
 
-    /// The release status reaches a proxy.
+    /// Handles the release status that reaches a proxy.
     pub(super) fn on_release_status(&mut self, proxy: usize, status: decisions::ReleaseStatus) {
         self.observe_release_status(proxy, status);
         self.proxies[proxy].engine.on_release_status(self.cluster.now, status);
         self.run_engine_actions(proxy);
     }
 
-    /// The controller's reply to a vote reaches its proxy.
+    /// Handles the controller's reply to a vote that reaches the proxy.
     pub(super) fn on_vote_reply(
         &mut self,
         proxy: usize,
@@ -215,6 +222,7 @@
         self.run_engine_actions(proxy);
     }
 
+    /// Records for the invariant checker that a proxy received the release status.
     fn observe_release_status(&mut self, proxy: usize, status: decisions::ReleaseStatus) {
         let phase = match status.phase {
             decisions::Phase::Trial => ObservedPhase::Trial,
@@ -232,7 +240,7 @@
     }
 }
 
-/// An announcement as proxies get it.
+/// Converts an announcement to the release status that proxies receive.
 pub(super) fn release_status(announcement: Announcement) -> decisions::ReleaseStatus {
     let phase = match announcement.phase {
         Phase::Trial => decisions::Phase::Trial,
