--- a/crates/emulator/src/cluster/attempts.rs
+++ b/crates/emulator/src/cluster/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to servers, at servers and on their way back.
+//! Attempts: their way to a server, their processing there, and the way of the reply.
 
 use super::{Cluster, NETWORK_LATENCY};
 use crate::client_try::ClientTry;
@@ -6,38 +6,38 @@
 use violetseam_invariants::{AttemptArrival, AttemptEnd, AttemptOutcome, ObservedEvent};
 use violetseam_simulated_site::model::server::{Reply, ServerRequest};
 
-/// One attempt.
+/// An attempt of a proxy to have a request served.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     /// The position of the proxy that sent it.
     pub proxy: usize,
-    /// The proxy's number of the request.
+    /// The request's number at that proxy.
     pub request: u64,
-    /// Its index among the request's attempts.
+    /// The index among the request's attempts.
     pub index: usize,
-    /// The server.
+    /// The server that the attempt is sent to.
     pub server: u64,
     /// The request's class.
     pub class: usize,
-    /// The request's key; 0: none.
+    /// The request's key; 0 if it has none.
     pub key: u64,
     /// The request's work, in microseconds of a standard core.
     pub work: u64,
-    /// The client's try that it is for.
+    /// The client's try that the attempt serves.
     pub client_try: ClientTry,
-    /// Whether it has reached its server.
+    /// Whether the attempt has reached its server.
     pub arrived: bool,
 }
 
 impl Attempt {
-    /// Whether it is the attempt that a proxy names so.
-    pub fn is(&self, proxy: usize, request: u64, index: usize) -> bool {
+    /// Whether this is the attempt that a proxy identifies by its numbers of request and attempt.
+    pub fn matches(&self, proxy: usize, request: u64, index: usize) -> bool {
         self.proxy == proxy && self.request == request && self.index == index
     }
 }
 
 impl Cluster {
-    /// An attempt leaves its proxy.
+    /// Sends an attempt from its proxy to its server.
     pub fn send_attempt(&mut self, attempt: Attempt) {
         let number = self.next_attempt;
         self.next_attempt += 1;
@@ -46,7 +46,7 @@
         self.queue.schedule(arrives_at, SimulationEvent::AttemptArrival { attempt: number });
     }
 
-    /// An attempt reaches its server.
+    /// Handles an attempt that reaches its server.
     pub fn on_attempt_arrival(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         let server = self.servers.get(&attempt.server);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A server takes a request.
+    /// Has a server accept a request, and schedules its reply.
     fn accept(&mut self, number: u64, attempt: &Attempt) {
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         let class = &self.scenario.classes[attempt.class];
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A server replies to the requests that are complete.
+    /// Sends a server's replies to the requests that it has completed.
     pub fn on_server_completion(&mut self, number: u64) {
         let Some(server) = self.servers.get_mut(&number).filter(|server| server.running) else { return };
         let mut completed = Vec::new();
@@ -131,7 +131,7 @@
         self.queue.schedule(arrives_at, SimulationEvent::ReplyArrival { attempt, reply });
     }
 
-    /// A server notices that a proxy cancelled an attempt.
+    /// Handles a proxy's cancellation of an attempt that reaches the server.
     pub fn on_cancel_arrival(&mut self, number: u64) {
         let Some(attempt) = self.attempts.remove(&number).filter(|attempt| attempt.arrived) else { return };
         if let Some(server) = self.servers.get_mut(&attempt.server) {
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events to come, by their moment, and in the order in which they were scheduled within one.
+//! The queue of scheduled events. Events at the same time occur in the order in which they were scheduled.
 
 use crate::client_try::ClientTry;
 use std::collections::BTreeMap;
@@ -6,19 +6,19 @@
 use violetseam_release::Vote;
 use violetseam_simulated_site::model::server::Reply;
 
-/// How much of the endpoint list a proxy gets.
+/// The part of the endpoint list that is sent to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// The complete list.
     Full,
-    /// What has changed since the version that the proxy has.
+    /// The changes since the version that the proxy has.
     Changes,
 }
 
-/// Something that happens. Proxies are named by their position, attempts by their number.
+/// A simulated event. Proxies are identified by their position and attempts by their number.
 #[derive(Clone, Debug)]
 pub enum SimulationEvent {
-    /// The next request is drawn.
+    /// The next request is drawn from the traffic model.
     RequestArrival,
     /// A client sends a try to a proxy.
     ClientTry(ClientTry),
@@ -32,40 +32,40 @@
         /// The server.
         server: u64,
     },
-    /// A server's reply reaches its proxy.
+    /// A server's reply reaches the proxy.
     ReplyArrival {
         /// The attempt.
         attempt: u64,
         /// The reply.
         reply: Reply,
     },
-    /// A proxy notices that its connection was refused or lost.
+    /// A proxy notices that the connection of an attempt was refused or lost.
     ConnectionLost {
         /// The attempt.
         attempt: u64,
     },
-    /// A server notices that a proxy cancelled an attempt.
+    /// A proxy's cancellation of an attempt reaches the server.
     CancelArrival {
         /// The attempt.
         attempt: u64,
     },
-    /// A proxy's deadline is due.
+    /// A deadline of a proxy's engine is due.
     ProxyDeadline {
         /// The proxy.
         proxy: usize,
     },
-    /// A proxy gets the release status.
+    /// The release status reaches a proxy.
     ReleaseStatus {
         /// The proxy.
         proxy: usize,
         /// The status.
         status: ReleaseStatus,
     },
-    /// A proxy gets the endpoint list.
+    /// The endpoint list reaches a proxy.
     EndpointList {
         /// The proxy.
         proxy: usize,
-        /// How much of it.
+        /// The part of the list.
         scope: ListScope,
     },
     /// A proxy's vote reaches the controller.
@@ -74,49 +74,49 @@
     VoteReply {
         /// The proxy.
         proxy: usize,
-        /// How the vote ended.
+        /// How the call with the vote ended.
         outcome: Outcome,
-        /// The release status that the reply carries.
+        /// The release status in the reply, if there is one.
         status: Option<ReleaseStatus>,
     },
-    /// A gossip message arrives.
+    /// A gossip message reaches a proxy.
     Gossip {
         /// The proxy that sent it.
         from: usize,
-        /// The proxy that gets it.
+        /// The proxy that receives it.
         to: usize,
-        /// The message.
+        /// The encoded message.
         payload: Vec<u8>,
     },
     /// Changes of the endpoint list become visible.
     EndpointListChange,
-    /// The controller and the platform look at the time.
+    /// The platform advances and the controller gets a tick.
     ControllerTick,
-    /// A release is offered.
+    /// A release is offered to the controller.
     ReleaseOffer {
         /// The release's index in the scenario.
         release: usize,
     },
-    /// Faults begin, go on and end.
+    /// Faults are applied to the servers.
     FaultTick,
 }
 
-/// The events to come.
+/// The scheduled events.
 #[derive(Debug, Default)]
 pub struct EventQueue {
-    /// By moment and sequence number.
+    /// By time and sequence number.
     events: BTreeMap<(u64, u64), SimulationEvent>,
     last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Schedules an event for a moment, after those that are scheduled for it already.
+    /// Schedules an event. It occurs after all events that are already scheduled for the same time.
     pub fn schedule(&mut self, at: u64, event: SimulationEvent) {
         self.last_sequence += 1;
         self.events.insert((at, self.last_sequence), event);
     }
 
-    /// Takes the next event and its moment.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(u64, SimulationEvent)> {
         self.events.pop_first().map(|((at, _), event)| (at, event))
     }
--- a/crates/emulator/src/simulation/proxies.rs
+++ b/crates/emulator/src/simulation/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: what reaches their engines, and what their engines order.
+//! Proxies: the input of their engines, and the actions that their engines order.
 
 use super::{ListScope, Simulation};
 use crate::client_try::ClientTry;
@@ -12,17 +12,17 @@
 use violetseam_simulated_site::scenario::FaultKind;
 use violetseam_site_protocol::endpoint_list::EndpointList;
 
-/// One proxy.
+/// A proxy's engine, with the state that the driver keeps for it.
 pub(super) struct SimulatedProxy {
     pub engine: Engine,
     pub endpoint_list: EndpointList,
-    /// The version of the endpoint list that it was sent last.
+    /// The version of the endpoint list that was last sent to the proxy.
     pub list_version: Option<u64>,
-    /// Whether it watches the endpoint list.
+    /// Whether the proxy watches the endpoint list.
     pub watching: bool,
-    /// By its own number of a request: the client's try.
+    /// The clients' tries, by the numbers that the proxy gave to their requests.
     pub client_tries: HashMap<u64, ClientTry>,
-    /// The earliest deadline that is scheduled.
+    /// The earliest time for which a `ProxyDeadline` event is scheduled; `u64::MAX` if there is none.
     scheduled_deadline: u64,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Simulation {
-    /// Performs what a proxy's engine ordered, and schedules its next deadline.
+    /// Performs the actions that a proxy's engine has ordered, and schedules its next deadline.
     pub(super) fn run_engine_actions(&mut self, proxy: usize) {
         while let Some(action) = self.proxies[proxy].engine.next_action() {
             self.perform(proxy, action);
@@ -75,7 +75,8 @@
                 self.cluster.queue.schedule(arrives_at, SimulationEvent::Vote(vote));
             }
             EngineAction::Gossip { to, payload } => self.send_gossip(proxy, to, &payload),
-            // The simulated settings name no budget of the fleet yet.
+            // The simulated settings do not configure fleet-wide budgets yet, so there are no budget messages
+            // to send. Log lines are discarded.
             EngineAction::BudgetMessage { .. } | EngineAction::Log(_) => {}
         }
     }
@@ -99,14 +100,14 @@
 
     fn cancel_attempt(&mut self, proxy: usize, request: u64, index: usize) {
         let mut attempts = self.cluster.attempts.iter();
-        let cancelled = attempts.find(|(_, attempt)| attempt.is(proxy, request, index));
+        let cancelled = attempts.find(|(_, attempt)| attempt.matches(proxy, request, index));
         if let Some((&attempt, _)) = cancelled {
             let arrives_at = self.cluster.now + NETWORK_LATENCY;
             self.cluster.queue.schedule(arrives_at, SimulationEvent::CancelArrival { attempt });
         }
     }
 
-    /// A proxy answers a request itself.
+    /// Passes a proxy's own response to the client.
     fn respond(&mut self, proxy: usize, request: u64, response: &LocalResponse) {
         let Some(client_try) = self.proxies[proxy].client_tries.get(&request).copied() else { return };
         match response {
@@ -121,7 +122,7 @@
         self.cluster.queue.schedule(arrives_at, event);
     }
 
-    /// Sends a gossip message to one peer, or to all if none is named.
+    /// Sends a gossip message to one peer, or to all peers if `to` is `None`.
     fn send_gossip(&mut self, from: usize, to: Option<usize>, payload: &[u8]) {
         if self.cluster.active_fault(FaultKind::GossipOutage).is_some() {
             return;
@@ -146,7 +147,7 @@
         self.run_engine_actions(to);
     }
 
-    /// A server's reply reaches the proxy.
+    /// Handles a server's reply that reaches the proxy.
     pub(super) fn on_reply(&mut self, attempt: u64, reply: Reply) {
         let outcome = match reply {
             Reply::Ok { .. } => decisions::Outcome::Ok,
@@ -156,14 +157,15 @@
         self.end_attempt(attempt, outcome);
     }
 
-    /// A proxy notices that its connection was refused or lost.
+    /// Handles the loss or refusal of an attempt's connection that the proxy notices.
     pub(super) fn on_connection_lost(&mut self, attempt: u64) {
         let arrived = self.cluster.attempts.get(&attempt).is_some_and(|attempt| attempt.arrived);
         let outcome = if arrived { decisions::Outcome::Reset } else { decisions::Outcome::ConnectFailed };
         self.end_attempt(attempt, outcome);
     }
 
-    /// An attempt's end reaches its proxy, if that still waits for it.
+    /// Reports the end of an attempt to its proxy, unless a cancellation has reached the server before. The
+    /// client is served if the engine accepts the response.
     fn end_attempt(&mut self, number: u64, outcome: decisions::Outcome) {
         let Some(attempt) = self.cluster.attempts.remove(&number) else { return };
         let proxy = &mut self.proxies[attempt.proxy];
