--- a/crates/emulator/src/cluster/faults.rs
+++ b/crates/emulator/src/cluster/faults.rs
@@ -1,17 +1,18 @@
-//! Faults that strike servers.
+//! Faults of servers.
 
 use super::Cluster;
 use std::collections::BTreeSet;
 use violetseam_simulated_site::scenario::{Fault, FaultKind};
 use violetseam_site_protocol::endpoint_list::EndpointState;
 
-/// What is left of earlier attempts in the newest build's share from one tick to the next.
+/// The factor by which the counts of recent attempts decay at each tick.
 const DECAY_PER_TICK: f64 = 0.98;
 
-/// Recent attempts, for builds that slow all servers down.
+/// Decaying counts of recent attempts. They give the newest build's share of the traffic, on which the effect
+/// of a build that slows all servers down depends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewestBuildTraffic {
-    /// At the newest build.
+    /// Attempts to the newest build.
     newest: f64,
     total: f64,
 }
@@ -34,13 +35,13 @@
 
     fn decay(&mut self) {
         self.newest *= DECAY_PER_TICK;
-        // The total never falls to zero.
+        // The added 0.01 keeps the total above zero.
         self.total = self.total * DECAY_PER_TICK + 0.01;
     }
 }
 
 impl Cluster {
-    /// Applies the faults that are active now to each server.
+    /// Applies the active faults to all servers, and restarts servers whose crash is over.
     pub fn apply_faults(&mut self) {
         let now = self.now;
         let traffic_share = self.newest_build_traffic.share();
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -1,5 +1,4 @@
-//! The modelled servers in their places, the endpoint list that discovery has of them, and attempts in
-//! flight.
+//! The modelled servers in their places, the discovery service's endpoint list, and the attempts in flight.
 
 mod attempts;
 mod faults;
@@ -19,33 +18,34 @@
 use faults::NewestBuildTraffic;
 use servers::SimulatedServer;
 
-/// From a proxy to a server, one way, in microseconds.
+/// The one-way delay of messages between proxies, servers and the discovery service, in microseconds.
 pub const NETWORK_LATENCY: u64 = 250;
 
-/// Servers, endpoint list and attempts, and the clock and the random source of the run.
+/// The servers, the endpoint list and the attempts, with the clock, the event queue and the random source of
+/// the simulation.
 pub struct Cluster {
-    /// The scenario, its times counted from the start of the run.
+    /// The scenario, with times counted from the start of the simulation.
     pub scenario: Scenario,
-    /// The run's one source of chance.
+    /// The random source for the behaviour of servers and clients.
     pub random: RandomSource,
-    /// Microseconds since the start of the run.
+    /// The current time, in microseconds since the start of the simulation.
     pub now: u64,
-    /// The events to come.
+    /// The scheduled events.
     pub queue: EventQueue,
     /// The endpoint list.
     pub endpoints: EndpointRegistry,
-    /// The number of the server that starts next.
+    /// The number that the next server to start gets.
     pub next_server: u64,
-    /// Attempts that are not over for their proxy, by number.
+    /// The attempts whose reply, loss or cancellation has not arrived yet, by number.
     pub attempts: BTreeMap<u64, Attempt>,
-    /// The newest build that the controller announced.
+    /// The newest build that the controller has announced.
     pub newest_build: u16,
-    /// What was observed, for the checker of the rules.
+    /// The records for the invariant checker.
     pub records: Vec<EventRecord>,
     servers: BTreeMap<u64, SimulatedServer>,
-    /// By place and build.
+    /// The number of the server in each place, by place and build.
     server_in_place: BTreeMap<(u32, u16), u64>,
-    /// By place: how many servers have stood there.
+    /// By place: how many servers have been started there.
     generations: Vec<usize>,
     next_attempt: u64,
     dedup_caches: DedupCaches,
@@ -53,7 +53,7 @@
 }
 
 impl Cluster {
-    /// A cluster with a warm server of the first build in each place.
+    /// Returns a cluster that has a warm server of the first build in each place.
     pub fn new(scenario: Scenario, random: RandomSource) -> Cluster {
         let places = scenario.servers.len();
         let first_build = scenario.rollout.first_build;
@@ -80,28 +80,29 @@
         cluster
     }
 
-    /// Records an event for the checker.
+    /// Records an event for the invariant checker.
     pub fn observe(&mut self, event: ObservedEvent) {
         self.records.push(EventRecord { at: self.now, event });
     }
 
-    /// A fault of this kind that is active.
+    /// Returns the first active fault of a kind.
     pub fn active_fault(&self, kind: FaultKind) -> Option<&Fault> {
         self.scenario.active_faults(self.now).find(|fault| fault.kind == kind)
     }
 
-    /// How much later things happen because of a fault of this kind, whose magnitude is in seconds.
+    /// Returns the delay in microseconds that an active fault of a kind causes. The fault's magnitude is
+    /// taken as seconds.
     pub fn fault_delay(&self, kind: FaultKind) -> u64 {
         self.active_fault(kind).map_or(0, |fault| (fault.magnitude * 1e6) as u64)
     }
 
-    /// The build with a number.
+    /// Returns the model of a build by its number.
     pub fn build(&self, number: u16) -> Build {
         Build::in_scenario(&self.scenario, number)
     }
 }
 
-/// A server's state as the checker knows it.
+/// Converts a server's state on the endpoint list to the invariant checker's status.
 pub fn server_status(state: EndpointState) -> ServerStatus {
     match state {
         EndpointState::Ready => ServerStatus::Ready,
--- a/crates/emulator/src/cluster/servers.rs
+++ b/crates/emulator/src/cluster/servers.rs
@@ -1,4 +1,4 @@
-//! Servers start, drain, end and come back, and discovery hears of it.
+//! Starts, drains, stops and restarts servers, and updates the endpoint list accordingly.
 
 use super::{Cluster, NETWORK_LATENCY};
 use crate::event_queue::SimulationEvent;
@@ -8,24 +8,24 @@
 use violetseam_simulated_site::scenario::FaultKind;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
 
-/// A server in a place.
+/// A server that runs a build in a place.
 pub(super) struct SimulatedServer {
     pub model: Server,
     pub draining: bool,
-    /// Its index, by which faults name it.
+    /// The server as a target of faults, identified by its index.
     pub fault_target: FaultTarget,
     pub running: bool,
 }
 
 impl Cluster {
-    /// A server starts in a place; discovery lists it a while later.
+    /// Starts a cold server in a place. Discovery lists it after the startup delay.
     pub fn start_server(&mut self, place: u32, build: u16) {
         let server = self.add_server(place, build, false);
         self.observe_start(server);
         self.list_server(self.now + self.scenario.discovery.startup_delay, server, EndpointState::Ready);
     }
 
-    /// A server has been running in a place for long and is listed.
+    /// Adds a warm server to a place. Discovery lists it at once.
     pub(super) fn start_warm_server(&mut self, place: u32, build: u16) {
         let server = self.add_server(place, build, true);
         self.list_server(self.now, server, EndpointState::Ready);
@@ -56,7 +56,7 @@
         self.observe(ObservedEvent::ServerStarted { server, start });
     }
 
-    /// A server drains; it ends later.
+    /// Marks a server as draining. It keeps running until it is ended.
     pub fn drain_server(&mut self, place: u32, build: u16) {
         let Some(number) = self.server_in_place.get(&(place, build)).copied() else { return };
         if let Some(server) = self.servers.get_mut(&number) {
@@ -65,7 +65,7 @@
         self.list_server(self.now + self.scenario.discovery.drain_delay, number, EndpointState::Draining);
     }
 
-    /// A server ends.
+    /// Ends a server and removes it.
     pub fn end_server(&mut self, place: u32, build: u16) {
         let Some(server) = self.server_in_place.remove(&(place, build)) else { return };
         self.list_server(self.now + self.scenario.discovery.drain_delay, server, EndpointState::Gone);
@@ -73,7 +73,7 @@
         self.servers.remove(&server);
     }
 
-    /// All attempts at a server are lost, and their proxies notice at once.
+    /// Ends all attempts at a server as lost. Their proxies notice it one network latency later.
     pub(super) fn lose_attempts(&mut self, server: u64) {
         let at_server = self.attempts.iter().filter(|(_, a)| a.server == server && a.arrived);
         let lost: Vec<u64> = at_server.map(|(number, _)| *number).collect();
@@ -84,14 +84,14 @@
         }
     }
 
-    /// The endpoint list shows a server in a state from a moment on.
+    /// Schedules the endpoint list to show a server in a state from `at` on, later if discovery is delayed.
     pub(super) fn list_server(&mut self, at: u64, number: u64, state: EndpointState) {
         let Some(server) = self.servers.get(&number) else { return };
         let visible_at = at + self.fault_delay(FaultKind::DiscoveryDelay);
         let octets = number.to_be_bytes();
         let endpoint = Endpoint {
             id: number,
-            // Nobody connects to it; it only has to be an address.
+            // No proxy connects to this address. The field only needs a valid value.
             addr: SocketAddr::from(([127, octets[5], octets[6], octets[7]], 1)),
             build: server.model.build.number,
             state,
@@ -105,7 +105,7 @@
         self.queue.schedule(visible_at, SimulationEvent::EndpointListChange);
     }
 
-    /// A server that crashed runs again, and starts slowly.
+    /// Restarts a server that had crashed. It begins with a slow start.
     pub(super) fn restart_server(&mut self, number: u64) {
         let Some(server) = self.servers.get_mut(&number) else { return };
         let spec = server.model.spec.clone();
