--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they draw requests, pick a proxy for each try, and retry what is harmless to repeat.
+//! Clients: they send requests, choose a proxy for each try, and retry requests that are harmless to repeat.
 
 use super::{Simulation, WARM_UP};
 use crate::client_try::ClientTry;
@@ -10,18 +10,18 @@
 use violetseam_simulated_site::model::traffic::{ClientRequest, TrafficGenerator};
 use violetseam_simulated_site::scenario::{Idempotency, Scenario};
 
-/// A client's request without a final result.
+/// A client's request that has neither been served nor given up.
 pub(super) struct PendingRequest {
     pub request: ClientRequest,
     retries_left: u32,
-    /// When its last try was sent.
+    /// When the last try was sent.
     sent_at: u64,
 }
 
-/// The clients' requests.
+/// The traffic model and the clients' pending requests.
 pub(super) struct ClientRequests {
     traffic: TrafficGenerator,
-    /// By number.
+    /// The pending requests, by number.
     pub pending: HashMap<u64, PendingRequest>,
     next_number: u64,
 }
@@ -31,6 +31,7 @@
         ClientRequests { traffic: TrafficGenerator::new(scenario), pending: HashMap::new(), next_number: 1 }
     }
 
+    /// Draws the next request from the traffic model and returns it with its number.
     fn draw(&mut self, retries: u32) -> Option<(u64, ClientRequest)> {
         let request = self.traffic.next()?;
         let number = self.next_number;
@@ -41,7 +42,7 @@
 }
 
 impl Simulation {
-    /// Draws the next request.
+    /// Draws the next request, and schedules its first try and the draw after it.
     pub(super) fn on_request_arrival(&mut self) {
         let scenario = &self.cluster.scenario;
         let Some((number, request)) = self.clients.draw(scenario.clients.retries) else { return };
@@ -51,7 +52,7 @@
         self.cluster.queue.schedule(at, SimulationEvent::RequestArrival);
     }
 
-    /// A client sends a try to a proxy.
+    /// Sends a client's try to a randomly chosen proxy.
     pub(super) fn on_client_try(&mut self, client_try: ClientTry) {
         let now = self.cluster.now;
         let proxy = self.pick_proxy();
@@ -79,20 +80,20 @@
         self.run_engine_actions(proxy);
     }
 
-    /// Draws a proxy by the proxies' weights.
+    /// Chooses a random proxy, with probabilities in proportion to the proxies' weights.
     fn pick_proxy(&mut self) -> usize {
         let weights: Vec<f64> = self.cluster.scenario.proxies.iter().map(|proxy| proxy.weight).collect();
-        let mut point = self.cluster.random.random::<f64>() * weights.iter().sum::<f64>();
+        let mut remaining = self.cluster.random.random::<f64>() * weights.iter().sum::<f64>();
         for (proxy, weight) in weights.iter().enumerate() {
-            point -= weight;
-            if point < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return proxy;
             }
         }
         weights.len() - 1
     }
 
-    /// A server's response reaches the client.
+    /// Handles a server's response that reaches the client.
     pub(super) fn on_served(&mut self, client_try: ClientTry) {
         let request = client_try.observed_request();
         let response = FinalResponse::Served;
@@ -110,7 +111,8 @@
         }
     }
 
-    /// A proxy rejects a try: it did not run, or repeating it is harmless.
+    /// Handles a proxy's rejection of a try. The try did not run, or it is harmless to repeat, so the client
+    /// may retry.
     pub(super) fn on_rejected(&mut self, client_try: ClientTry, retry_after: u64) {
         let request = client_try.observed_request();
         let response = FinalResponse::Rejected;
@@ -119,22 +121,24 @@
         self.retry_or_give_up(client_try, true, retry_after);
     }
 
-    /// A try fails.
+    /// Handles a failed try.
     pub(super) fn on_failed(&mut self, client_try: ClientTry) {
         let request = client_try.observed_request();
         let response = FinalResponse::Failed;
         self.cluster.observe(ObservedEvent::ResponseReceived { request, response });
         self.collector.outcome.tries.failed += 1;
         let Some(pending) = self.clients.pending.get(&client_try.request) else { return };
-        // It may have run: only an idempotent request is tried again.
+        // The try may have run, so the client retries only idempotent requests.
         let class = &self.cluster.scenario.classes[pending.request.class];
-        let harmless = class.idempotency == Idempotency::Idempotent;
-        self.retry_or_give_up(client_try, harmless, 0);
+        let repeat_is_harmless = class.idempotency == Idempotency::Idempotent;
+        self.retry_or_give_up(client_try, repeat_is_harmless, 0);
     }
 
-    fn retry_or_give_up(&mut self, client_try: ClientTry, harmless: bool, retry_after: u64) {
+    /// Schedules the client's next try if retries are left and a repeat is harmless. Otherwise gives the
+    /// request up.
+    fn retry_or_give_up(&mut self, client_try: ClientTry, repeat_is_harmless: bool, retry_after: u64) {
         let Some(pending) = self.clients.pending.get_mut(&client_try.request) else { return };
-        if pending.retries_left == 0 || !harmless {
+        if pending.retries_left == 0 || !repeat_is_harmless {
             self.clients.pending.remove(&client_try.request);
             return;
         }
--- a/crates/emulator/src/simulation/discovery.rs
+++ b/crates/emulator/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service: it lists servers and sends the list to proxies.
+//! The discovery service, which sends the endpoint list and its changes to the proxies.
 
 use super::{ListScope, Simulation};
 use crate::cluster::{NETWORK_LATENCY, server_status};
@@ -8,7 +8,7 @@
 use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind};
 
 impl Simulation {
-    /// Changes of the list become visible, and go to the proxies that watch it.
+    /// Applies the changes of the list that are due, and sends them to the proxies that watch it.
     pub(super) fn on_endpoint_list_change(&mut self) {
         let now = self.cluster.now;
         let changes = self.cluster.endpoints.apply_due(now);
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Sends the list, or what has changed, to a proxy.
+    /// Sends the complete list, or the changes since the proxy's version, to a proxy. Sends nothing if there
+    /// are no changes.
     pub(super) fn send_endpoint_list(&mut self, proxy: usize, scope: ListScope) {
         let now = self.cluster.now;
         let version = self.proxies[proxy].list_version;
@@ -48,7 +49,7 @@
         self.run_engine_actions(proxy);
     }
 
-    /// Records for the checker what a list says of each server.
+    /// Records for the invariant checker the status of each server that an update tells a proxy.
     fn observe_sent_statuses(&mut self, position: usize, update: &ListUpdate) {
         let proxy = position as u32;
         for endpoint in &update.servers {
@@ -58,7 +59,7 @@
             self.cluster.observe(ObservedEvent::ServerStatusSent { proxy, server, status, started });
         }
         if update.kind == UpdateKind::Full {
-            // A server that is absent from the complete list is removed.
+            // A server that is missing from the complete list counts as removed.
             let present: Vec<u64> = update.servers.iter().map(|endpoint| endpoint.id).collect();
             for server in (1..self.cluster.next_server).filter(|server| !present.contains(server)) {
                 let status = ServerStatus::Removed;
@@ -72,7 +73,8 @@
         }
     }
 
-    /// A list that does not apply is fetched again, as the driver does.
+    /// Applies an update to the proxy's list. If it does not apply, the engine gets a failure and fetches the
+    /// list again, as with the real driver.
     fn apply_update(&mut self, proxy: usize, update: &ListUpdate) {
         let now = self.cluster.now;
         let proxy = &mut self.proxies[proxy];
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: the engines' actions become events, events become the engines' input.
+//! The event loop: events are passed to the proxies' engines, whose actions become further events.
 
 mod clients;
 mod discovery;
@@ -20,16 +20,17 @@
 use violetseam_simulated_site::network::AddressPlan;
 use violetseam_simulated_site::scenario::Scenario;
 
-/// From the start to the first request, in microseconds; as in scenarios over sockets.
+/// The time from the start of the simulation to the first request, in microseconds. It is the same as in
+/// scenarios over sockets.
 const WARM_UP: u64 = 2_000_000;
-/// Between two ticks of controller, platform and faults, in microseconds.
+/// The interval of the ticks of controller, platform and faults, in microseconds.
 const TICK_INTERVAL: u64 = 20_000;
-/// After the last request, until nothing is left, in microseconds.
+/// The time after the last request in which requests in flight can end, in microseconds.
 const COOL_DOWN: u64 = 5_000_000;
-/// How far observed times may be off, in microseconds.
+/// The observation slack that the rules are checked with, in microseconds.
 const OBSERVATION_SLACK: u64 = 1_000;
 
-/// Simulates a scenario.
+/// Simulates a scenario and returns its outcome.
 ///
 /// # Errors
 /// [`SimulationError`] if the scenario's settings or plans cannot be read, or if it has faults that are not
@@ -45,7 +46,7 @@
     Ok(simulation.finish())
 }
 
-/// The scenario with its times counted from the start of the warm-up.
+/// Returns the scenario with its times counted from the start of the warm-up.
 fn after_warm_up(scenario: &Scenario) -> Scenario {
     let mut scenario = scenario.clone();
     for fault in &mut scenario.faults {
@@ -57,7 +58,7 @@
     scenario
 }
 
-/// A run of a scenario.
+/// The state of a simulation.
 struct Simulation {
     cluster: Cluster,
     proxies: Vec<SimulatedProxy>,
@@ -68,7 +69,8 @@
 
 impl Simulation {
     fn new(scenario: Scenario) -> Result<Self, SimulationError> {
-        // Random streams of their own, so that one more draw in one leaves the others as they were.
+        // Proxies and cluster have separate random streams, so that an additional draw from one does not
+        // change the other.
         let seed = scenario.seed;
         let stream = |n: u64| RandomSource::seed_from_u64(seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
         Ok(Simulation {
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Processes all events up to `end`.
     fn run_until(&mut self, end: u64) -> Result<(), SimulationError> {
         while let Some((at, event)) = self.cluster.queue.pop() {
             if at > end {
@@ -145,7 +148,7 @@
         Ok(())
     }
 
-    /// Checks the rules and completes the outcome.
+    /// Checks the rules and returns the complete outcome.
     fn finish(self) -> Outcome {
         let rules = self.cluster.scenario.rules(OBSERVATION_SLACK);
         let report = violetseam_invariants::check(&rules, &self.cluster.records);
@@ -153,12 +156,12 @@
     }
 }
 
-/// The proxies, each with the settings of its position.
+/// Starts the proxies, each with the settings for its position.
 fn start_proxies(
     scenario: &Scenario,
     seeds: &mut RandomSource,
 ) -> Result<Vec<SimulatedProxy>, SimulationError> {
-    // No files are opened in simulated time.
+    // The simulation opens no files, so this path is never used.
     let state_dir = Path::new("/nonexistent");
     let script =
         violetseam_scenarios::proxy_settings::script(scenario, AddressPlan::of_process(0), state_dir);
