--- a/crates/plan-simulation/src/player.rs
+++ b/crates/plan-simulation/src/simulator.rs
@@ -1,4 +1,4 @@
-//! Plays a script against the controller's decisions.
+//! Runs a script against the controller's state machine.
 
 mod scripted;
 mod voters;
@@ -12,45 +12,47 @@
 use violetseam_release::{Announcement, Event, EventOutcome, Now, PlaceState, Release, Reply, VoteRateLimit};
 use voters::VoterSchedule;
 
-/// The most turns of a simulation, so that every one ends.
-const MAX_TURNS: usize = 2_000_000;
-/// How long a simulation goes on past the plan's longest, so that a rollback is seen to its end: an hour, in
-/// microseconds.
+/// The most iterations of a simulation, so that every simulation ends.
+const MAX_ITERATIONS: usize = 2_000_000;
+/// How long a simulation continues after the longest duration that the plan permits, so that it covers a
+/// rollback at that time completely: an hour, in microseconds.
 const ROLLBACK_MARGIN: Micros = 3_600_000_000;
 
-/// Plays a script; `observer` is called with every event and the decisions on it.
+/// Simulates the release of a plan under a script. `observer` is called after every event, with the
+/// decisions on it.
 pub fn simulate(plan: &Plan, script: &Script, observer: &mut dyn FnMut(&Step)) -> SimulationRun {
-    let mut player = Player::new(plan, script, observer);
-    player.play();
-    player.run.final_status = player.release.describe();
-    player.run
+    let mut simulator = Simulator::new(plan, script, observer);
+    simulator.run_to_end();
+    simulator.run.final_status = simulator.release.describe();
+    simulator.run
 }
 
-struct Player<'a> {
+struct Simulator<'a> {
     plan: &'a Plan,
     script: &'a Script,
     release: Release,
-    /// A copy that gets the persisted events alone: what a controller that was down resumes with.
+    /// A copy that gets only the persisted events. It is the state with which a controller resumes after an
+    /// outage.
     persisted_release: Release,
     platform: Platform,
     vote_rate_limit: VoteRateLimit,
     voters: Vec<VoterSchedule<'a>>,
-    /// The scripted events to come, in order.
+    /// The scripted events that have not occurred yet, in the order of time.
     scripted_events: VecDeque<ScheduledEvent<'a>>,
-    /// Microseconds from the offer.
+    /// The time since the offer, in microseconds.
     elapsed: Micros,
-    /// How far the controller's wall clock is ahead of the true one, in microseconds.
+    /// How far the controller's wall clock is ahead of the true time, in microseconds.
     wall_clock_offset: i64,
-    /// When the release is to be told the time next; none: no need.
+    /// When the release needs the next tick; `None` if it waits for no time to pass.
     next_tick: Option<Micros>,
     run: SimulationRun,
     observer: &'a mut dyn FnMut(&Step),
 }
 
-impl<'a> Player<'a> {
+impl<'a> Simulator<'a> {
     fn new(plan: &'a Plan, script: &'a Script, observer: &'a mut dyn FnMut(&Step)) -> Self {
         let Script { initial_build, start_duration, drain_duration, .. } = *script;
-        Player {
+        Simulator {
             plan,
             script,
             release: Release::new(initial_build),
@@ -67,22 +69,23 @@
         }
     }
 
-    fn play(&mut self) {
+    /// Runs the simulation until the release is over or the end time is reached.
+    fn run_to_end(&mut self) {
         if !self.offer_build() {
             return;
         }
         let end = self.script.end.unwrap_or(self.plan.longest + ROLLBACK_MARGIN);
-        for _ in 0..MAX_TURNS {
-            let Some(next) = self.next_event().filter(|next| *next <= end) else { break };
+        for _ in 0..MAX_ITERATIONS {
+            let Some(next) = self.next_event_time().filter(|next| *next <= end) else { break };
             self.elapsed = self.elapsed.max(next);
-            self.play_turn();
+            self.process_due_events();
             if self.is_over() {
                 break;
             }
         }
     }
 
-    /// Starts the controller and offers the build; false if the offer is rejected.
+    /// Starts the controller and offers the build. Returns false if the offer is rejected.
     fn offer_build(&mut self) -> bool {
         self.apply(Event::Started);
         let reports = self.platform.reports();
@@ -99,34 +102,35 @@
         }
     }
 
-    /// When something happens next.
-    fn next_event(&self) -> Option<Micros> {
+    /// Returns the time of the next tick, vote, scripted event or transition of the platform.
+    fn next_event_time(&self) -> Option<Micros> {
         let next_vote = self.voters.iter().filter_map(|schedule| schedule.next_vote).min();
         let next_scripted = self.scripted_events.front().map(|scheduled| scheduled.at);
         let next_transition = self.platform.next_transition();
         [self.next_tick, next_vote, next_scripted, next_transition].into_iter().flatten().min()
     }
 
-    /// All that happens at one moment.
-    fn play_turn(&mut self) {
+    /// Processes everything that is due now, with a tick of the release after the other events.
+    fn process_due_events(&mut self) {
         let reports = self.platform.advance(self.elapsed);
         self.report_places(reports);
         while let Some(event) = self.take_scripted_event() {
-            self.play_scripted_event(event);
+            self.apply_scripted_event(event);
         }
         self.cast_votes();
         let announcement = self.release.announcement();
         self.apply(Event::Tick);
         if self.release.announcement() != announcement {
-            self.hasten_votes();
+            self.bring_votes_forward();
         }
         self.reconcile_platform();
         self.next_tick = self.release.next_due().map(|span| self.elapsed + span.max(1));
     }
 
+    /// Whether the release of the plan's build has ended and the platform has completed its transitions.
     fn is_over(&self) -> bool {
-        let is_of_plan = self.release.announcement().build == self.plan.build;
-        is_of_plan && self.release.is_settled() && self.platform.next_transition().is_none()
+        let is_plan_build = self.release.announcement().build == self.plan.build;
+        is_plan_build && self.release.is_settled() && self.platform.next_transition().is_none()
     }
 
     fn now(&self) -> Now {
@@ -138,7 +142,7 @@
         self.run.timeline.push(TimelineEntry { at: self.elapsed, text: text.into() });
     }
 
-    /// Gives the release an event, and records what comes of it.
+    /// Applies an event to the release, and records the result.
     fn apply(&mut self, event: Event) -> Reply {
         let now = self.now();
         let before = self.release.announcement();
@@ -166,6 +170,7 @@
         }
     }
 
+    /// Reports the state of places to the release, and records how many places run the new build.
     fn report_places(&mut self, reports: Vec<PlaceReport>) {
         for PlaceReport { place, build, state } in reports {
             self.apply(Event::Place { place, build, state });
@@ -178,7 +183,8 @@
         }
     }
 
-    /// The platform starts and drains what the release desires, and reports it.
+    /// Has the platform start and drain builds as the release desires, and reports the changes to the
+    /// release.
     fn reconcile_platform(&mut self) {
         let desired = self.release.desired_builds();
         if !desired.is_empty() {
--- a/crates/plan-simulation/src/player/scripted.rs
+++ b/crates/plan-simulation/src/simulator/scripted.rs
@@ -1,13 +1,13 @@
-//! Scripted events other than votes.
+//! The scripted events other than votes.
 
-use super::Player;
+use super::Simulator;
 use crate::script::{Approval, ClockStep, ControllerOutage, OperatorOrder, PlaceLoss, Script};
 use std::collections::VecDeque;
 use violetseam_plan::{Micros, Power};
 use violetseam_release::{Event, Order, Reply};
 use violetseam_starlark_config::ScriptDuration;
 
-/// Something scripted.
+/// A scripted event.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ScriptedEvent<'a> {
     Approve(&'a Approval),
@@ -31,14 +31,15 @@
     }
 }
 
-/// Something scripted and its moment, in microseconds from the offer.
+/// A scripted event and its time, in microseconds since the offer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScheduledEvent<'a> {
     pub at: Micros,
     pub event: ScriptedEvent<'a>,
 }
 
-/// Everything scripted but votes, by time; at one moment in the order of the kinds here, then of the script.
+/// Returns all scripted events but votes in the order of time. Events at the same time are in the order of
+/// their kinds below, and within a kind in the order of the script.
 pub(super) fn schedule(script: &Script) -> VecDeque<ScheduledEvent<'_>> {
     let mut events: Vec<ScriptedEvent<'_>> = Vec::new();
     events.extend(script.approvals.iter().map(ScriptedEvent::Approve));
@@ -51,15 +52,15 @@
     events.into_iter().map(|event| ScheduledEvent { at: event.at(), event }).collect()
 }
 
-/// Whether a rejection goes into the timeline.
+/// Whether a rejection is added to the timeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rejections {
     Logged,
     Ignored,
 }
 
-impl<'a> Player<'a> {
-    /// The next scripted event whose moment has come.
+impl<'a> Simulator<'a> {
+    /// Removes and returns the next scripted event, if it is due.
     pub(super) fn take_scripted_event(&mut self) -> Option<ScriptedEvent<'a>> {
         let is_due = self.scripted_events.front().is_some_and(|scheduled| scheduled.at <= self.elapsed);
         if !is_due {
@@ -68,25 +69,29 @@
         self.scripted_events.pop_front().map(|scheduled| scheduled.event)
     }
 
-    pub(super) fn play_scripted_event(&mut self, event: ScriptedEvent<'_>) {
+    pub(super) fn apply_scripted_event(&mut self, event: ScriptedEvent<'_>) {
         match event {
             ScriptedEvent::Approve(approval) => self.approve(approval),
             ScriptedEvent::WithdrawApproval(approval) => self.withdraw_approval(approval),
             ScriptedEvent::Order(order) => self.order(order),
             ScriptedEvent::LosePlace(loss) => self.lose_place(loss),
             ScriptedEvent::SetClock(step) => self.set_clock(step),
-            ScriptedEvent::ControllerOutage(outage) => self.stop_controller(outage),
+            ScriptedEvent::ControllerOutage(outage) => self.simulate_outage(outage),
         }
     }
 
     fn approve(&mut self, Approval { who, wave, .. }: &Approval) {
         let event = Event::Sign { who: who.clone(), wave: wave.clone() };
-        self.act(&format!("{who} approves wave {wave:?}"), event, Rejections::Logged);
+        self.apply_and_log(&format!("{who} approves wave {wave:?}"), event, Rejections::Logged);
     }
 
     fn withdraw_approval(&mut self, Approval { who, wave, .. }: &Approval) {
         let event = Event::Unsign { who: who.clone(), wave: wave.clone() };
-        self.act(&format!("{who} takes the approval of wave {wave:?} back"), event, Rejections::Logged);
+        self.apply_and_log(
+            &format!("{who} takes the approval of wave {wave:?} back"),
+            event,
+            Rejections::Logged,
+        );
     }
 
     fn order(&mut self, scripted: &OperatorOrder) {
@@ -101,11 +106,12 @@
         let who = scripted.who.clone();
         let description = format!("{who} orders {}", format!("{:?}", scripted.what).to_lowercase());
         let rejections = if scripted.ignores_rejection { Rejections::Ignored } else { Rejections::Logged };
-        self.act(&description, Event::Order { who, order }, rejections);
+        self.apply_and_log(&description, Event::Order { who, order }, rejections);
     }
 
-    /// A person's act: the release gets it, and the timeline says what came of it.
-    fn act(&mut self, description: &str, event: Event, rejections: Rejections) {
+    /// Applies a person's action to the release, and adds it to the timeline. A rejected action is added with
+    /// the reason, unless rejections are ignored. An obsolete one is not added.
+    fn apply_and_log(&mut self, description: &str, event: Event, rejections: Rejections) {
         match self.apply(event) {
             Reply::Accepted => self.log(description),
             Reply::Obsolete(_) => {}
@@ -126,8 +132,8 @@
         self.log("the controller's clock is set");
     }
 
-    /// The controller is down for a while, and resumes with what it had persisted.
-    fn stop_controller(&mut self, outage: &ControllerOutage) {
+    /// Advances the clock over an outage of the controller, which then resumes with its persisted state.
+    fn simulate_outage(&mut self, outage: &ControllerOutage) {
         self.log("no controller runs");
         self.elapsed += outage.duration.as_micros();
         self.release = self.persisted_release.clone();
--- a/crates/plan-simulation/src/player/voters.rs
+++ b/crates/plan-simulation/src/simulator/voters.rs
@@ -1,15 +1,15 @@
-//! Groups of proxies that vote.
+//! The votes of groups of proxies.
 
-use super::Player;
+use super::Simulator;
 use crate::script::VoterGroup;
 use violetseam_plan::Micros;
 use violetseam_release::{Announcement, Event, Phase, Verdict, Vote};
 
-/// A group of proxies, and when it votes next.
+/// A group of proxies and the time of its next votes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VoterSchedule<'a> {
     group: &'a VoterGroup,
-    /// Microseconds from the offer; none: never again.
+    /// In microseconds since the offer; `None` if the group votes no more.
     pub next_vote: Option<Micros>,
 }
 
@@ -19,8 +19,8 @@
     }
 }
 
-impl Player<'_> {
-    /// The groups whose moment has come vote.
+impl Simulator<'_> {
+    /// Casts the votes of the groups that are due.
     pub(super) fn cast_votes(&mut self) {
         for index in 0..self.voters.len() {
             let VoterSchedule { group, next_vote } = self.voters[index];
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Casts one vote for each proxy of a group, as far as the rate limit permits.
     fn cast_group_votes(&mut self, group: &VoterGroup) {
         let announcement = self.release.announcement();
         if !self.votes_on(group, announcement) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether a group votes on what is announced; on a released build there are only votes to roll it back.
+    /// Whether a group votes on an announcement. On a released build, only votes to roll it back are cast.
     fn votes_on(&self, group: &VoterGroup, announcement: Announcement) -> bool {
         let is_its_stage = group.stage.is_none_or(|stage| stage == announcement.stage);
         if !is_its_stage || announcement.build != self.plan.build {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// After a new announcement the groups vote on it at once, not in their old rhythm.
-    pub(super) fn hasten_votes(&mut self) {
+    /// After a new announcement, brings each group's next votes forward to at most one interval from now.
+    pub(super) fn bring_votes_forward(&mut self) {
         for schedule in &mut self.voters {
             let has_begun = schedule.group.at.as_micros() <= self.elapsed;
             if let Some(next_vote) = schedule.next_vote.filter(|_| has_begun) {
