--- a/crates/plan-simulation/src/script/defaults.rs
+++ b/crates/plan-simulation/src/script/defaults.rs
@@ -1,4 +1,4 @@
-//! The script that a plan is simulated with if none is given.
+//! The script with which a plan is simulated if none is given.
 
 use super::sections::DEFAULT_TRANSITION;
 use super::{Approval, OperatorOrder, Script, VoterGroup};
@@ -6,19 +6,19 @@
 use violetseam_release::Verdict;
 use violetseam_starlark_config::ScriptDuration;
 
-/// When everybody approves.
+/// The time at which all approvals are given.
 const APPROVAL_TIME: ScriptDuration = ScriptDuration::from_millis(1);
-/// The shortest interval of the proxies' votes, in microseconds.
+/// The shortest interval between a proxy's votes, in microseconds.
 const MIN_VOTE_INTERVAL_MICROS: Micros = 1_000;
-/// Votes are repeated so often within their time to live.
+/// How often a vote is repeated within its time to live.
 const VOTES_PER_TTL: u64 = 3;
-/// The interval at which holds are ended, in microseconds.
+/// The interval between the orders that end holds, in microseconds.
 const RESUME_INTERVAL_MICROS: Micros = 60_000_000;
-/// The most attempts to end a hold.
+/// The most orders to end each hold.
 const MAX_RESUME_ORDERS: u64 = 10_000;
 
-/// A script in which all goes well: everybody who is asked approves at once, all proxies vote 'on', and
-/// whoever may end a hold does so within a minute. `start` is in microseconds since 1970 UTC.
+/// Returns a script in which the release succeeds: everyone who is asked approves at once, all proxies vote
+/// 'on', and a person who may end a hold does so within a minute. `start` is in microseconds since 1970 UTC.
 pub fn default_script(plan: &Plan, start: Micros, initial_build: u16) -> Script {
     Script {
         start,
@@ -56,7 +56,7 @@
     approvals
 }
 
-/// Once a minute until the end, so that a hold is ended a minute after it is reached at the latest.
+/// Returns orders to resume once a minute until the end, so that each hold ends within a minute.
 fn resume_orders(plan: &Plan) -> Vec<OperatorOrder> {
     let count = (plan.longest / RESUME_INTERVAL_MICROS).min(MAX_RESUME_ORDERS);
     let mut orders = Vec::new();
--- a/crates/plan-simulation/src/script/mod.rs
+++ b/crates/plan-simulation/src/script/mod.rs
@@ -1,5 +1,5 @@
-//! What people, proxies, places and clocks do in a simulation, as a Starlark script. Times count from the
-//! offer.
+//! The script of a simulation: what people, proxies, places and clocks do, written in Starlark. Times count
+//! from the offer.
 
 mod defaults;
 mod sections;
@@ -18,52 +18,54 @@
     functions: start, votes, sign, unsign, order, lose, clock, away, end
 }
 
-/// The shortest interval of a group's votes.
+/// The shortest interval between a group's votes.
 const MIN_VOTE_INTERVAL: ScriptDuration = ScriptDuration::from_millis(1);
 
-/// A simulation's script.
+/// The script of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    /// When it begins, in microseconds since 1970 UTC.
+    /// The wall-clock time of the offer, in microseconds since 1970 UTC.
     pub start: Micros,
-    /// The build that runs everywhere at the start.
+    /// The build that all places run at the start.
     pub initial_build: u16,
     /// How long a place takes to start a build, in microseconds.
     pub start_duration: Micros,
     /// How long a place takes to drain a build, in microseconds.
     pub drain_duration: Micros,
-    /// Proxies that vote.
+    /// The groups of proxies that vote.
     pub voters: Vec<VoterGroup>,
-    /// Approvals given.
+    /// The approvals.
     pub approvals: Vec<Approval>,
-    /// Approvals withdrawn.
+    /// The withdrawals of approvals.
     pub withdrawn_approvals: Vec<Approval>,
-    /// Operators' orders.
+    /// The operators' orders.
     pub orders: Vec<OperatorOrder>,
-    /// Places lost.
+    /// The losses of places.
     pub place_losses: Vec<PlaceLoss>,
-    /// Settings of the wall clock.
+    /// The steps of the controller's wall clock.
     pub clock_steps: Vec<ClockStep>,
-    /// Times without a controller.
+    /// The periods in which no controller runs.
     pub outages: Vec<ControllerOutage>,
-    /// The end, in microseconds from the offer; none: a little past the plan's longest.
+    /// The end in microseconds since the offer. If it is `None`, the simulation ends an hour after the
+    /// longest duration that the plan permits.
     pub end: Option<Micros>,
 }
 
-/// Reads a script from a file. `options` are the names and values that `option(...)` returns.
+/// Reads a script from a file. `options` holds the names of options and the values that `option(...)` returns
+/// for them.
 ///
 /// # Errors
 ///
-/// The first [`ScriptError`] of the script with its place, or that the file cannot be read.
+/// Returns the first [`ScriptError`] of the script with its location, or the error of reading the file.
 pub fn read_file(path: &Path, options: &[(String, String)]) -> Result<Script, ScriptError> {
     read(&path.display().to_string(), evaluate_file(path, options, functions)?)
 }
 
-/// Reads a script from a text, which can load no files.
+/// Reads a script from a text. The text cannot load files.
 ///
 /// # Errors
 ///
-/// The first [`ScriptError`] of the text with its place.
+/// Returns the first [`ScriptError`] of the text with its location.
 pub fn read_text(name: &str, text: &str) -> Result<Script, ScriptError> {
     read(name, evaluate(name, text.to_owned(), None, &[], functions)?)
 }
@@ -72,11 +74,11 @@
     let Sections { mut script, starts, ends } = collect(calls)?;
     let start = required_section(name, "start", &starts)?;
     if script.voters.iter().any(|voters| voters.every < MIN_VOTE_INTERVAL) {
-        return Err(ScriptError::invalid(name, "votes come every millisecond at most"));
+        return Err(ScriptError::invalid(name, "votes: every must be a millisecond at least"));
     }
     let StartSection { at, zone, build, boot, drain } = &start.value;
     let Some(start_moment) = moment_of(at, zone) else {
-        return start.reject("start: at is YYYY-MM-DDTHH:MM, zone the IANA name of a time zone");
+        return start.reject("start: at must be YYYY-MM-DDTHH:MM, and zone the IANA name of a time zone");
     };
     script.start = start_moment;
     script.initial_build = *build;
@@ -86,10 +88,10 @@
     Ok(script)
 }
 
-/// The calls of a script, collected by section.
+/// The calls of a script, grouped by section.
 #[derive(Default)]
 struct Sections {
-    /// The events; start and end are not in it yet.
+    /// The script without its start and end, which are read from the sections below.
     script: Script,
     starts: Vec<Located<StartSection>>,
     ends: Vec<Located<EndSection>>,
--- a/crates/plan-simulation/src/script/sections.rs
+++ b/crates/plan-simulation/src/script/sections.rs
@@ -1,73 +1,74 @@
-//! The sections of a simulation's script. Fields have the names that scripts use; `at` counts from the offer.
+//! The sections of a simulation's script. The fields have the names that scripts use. `at` counts from the
+//! offer.
 
 use serde::Deserialize;
 use violetseam_plan::Power;
 use violetseam_release::Verdict;
 use violetseam_starlark_config::ScriptDuration;
 
-/// How long a place takes to start or drain a build if the script does not say.
+/// How long a place takes to start or drain a build if the script does not set it.
 pub(super) const DEFAULT_TRANSITION: ScriptDuration = ScriptDuration::from_secs(10);
 
-/// `start(...)`: when a simulation begins, and with what.
+/// `start(...)`: the wall-clock time of the offer, and the state of the places at that time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StartSection {
-    /// The moment, by the clocks of the zone: `2026-12-01T08:00`.
+    /// The local time in the zone, for example `2026-12-01T08:00`.
     pub at: String,
-    /// IANA name.
+    /// The IANA name of the time zone.
     #[serde(default = "utc")]
     pub zone: String,
-    /// The build that runs everywhere.
+    /// The build that all places run.
     pub build: u16,
     /// How long a place takes to start a build.
     #[serde(default = "default_transition")]
     pub boot: ScriptDuration,
-    /// How long a place takes to drain.
+    /// How long a place takes to drain a build.
     #[serde(default = "default_transition")]
     pub drain: ScriptDuration,
 }
 
-/// `end(...)`: the simulation ends.
+/// `end(...)`: limits the length of the simulation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct EndSection {
-    /// When, at the latest.
+    /// When the simulation ends at the latest.
     pub at: ScriptDuration,
 }
 
-/// `votes(...)`: proxies that vote on whatever stage is announced to them, again and again.
+/// `votes(...)`: a group of proxies that vote repeatedly on the announced stage.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VoterGroup {
-    /// From when on.
+    /// When they begin to vote.
     #[serde(default)]
     pub at: ScriptDuration,
-    /// Until when; to the end if not given.
+    /// When they stop voting; they vote to the end if it is not given.
     #[serde(default)]
     pub until: Option<ScriptDuration>,
-    /// How many proxies, from number `first` on.
+    /// The number of proxies in the group, whose numbers begin with `first`.
     pub proxies: u32,
-    /// The first one's number.
+    /// The number of the first proxy.
     #[serde(default)]
     pub first: u32,
-    /// What they vote.
+    /// The verdict that they vote for.
     pub verdict: Verdict,
-    /// In this stage only.
+    /// The only stage in which they vote; they vote in all stages if it is not given.
     #[serde(default)]
     pub stage: Option<u8>,
-    /// The delay after each announcement, and between votes.
+    /// The longest delay after an announcement, and the interval between votes.
     pub every: ScriptDuration,
 }
 
-/// `sign(...)` and `unsign(...)`: somebody approves a wave, or withdraws the approval.
+/// `sign(...)` and `unsign(...)`: a person approves a wave, or withdraws the approval.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Approval {
-    /// When.
+    /// When the person does so.
     pub at: ScriptDuration,
-    /// Who.
+    /// The name of the person.
     pub who: String,
-    /// Which wave.
+    /// The name of the wave.
     pub wave: String,
 }
 
@@ -75,16 +76,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorOrder {
-    /// When.
+    /// When the order is given.
     pub at: ScriptDuration,
-    /// Who.
+    /// The name of the operator.
     pub who: String,
-    /// What.
+    /// The order.
     pub what: Power,
-    /// For how long, of a hold.
+    /// The duration of a hold.
     #[serde(default, rename = "for")]
     pub duration: Option<ScriptDuration>,
-    /// The order is repeated until it has an effect: rejections stay out of the timeline.
+    /// Whether rejections stay out of the timeline. This is set for orders that are repeated until one has an
+    /// effect.
     #[serde(skip)]
     pub ignores_rejection: bool,
 }
@@ -93,11 +95,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlaceLoss {
-    /// When.
+    /// When the place is lost.
     pub at: ScriptDuration,
-    /// Which.
+    /// The number of the place.
     pub place: u32,
-    /// For how long.
+    /// How long the place is lost.
     #[serde(rename = "for")]
     pub duration: ScriptDuration,
 }
@@ -106,23 +108,23 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockStep {
-    /// When.
+    /// When the clock is set.
     pub at: ScriptDuration,
-    /// Ahead by so much.
+    /// How far the clock is set ahead.
     #[serde(default)]
     pub ahead: ScriptDuration,
-    /// Back by so much.
+    /// How far the clock is set back.
     #[serde(default)]
     pub back: ScriptDuration,
 }
 
-/// `away(...)`: no controller runs.
+/// `away(...)`: no controller runs for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerOutage {
-    /// From when on.
+    /// When the controller stops.
     pub at: ScriptDuration,
-    /// For how long.
+    /// How long no controller runs.
     #[serde(rename = "for")]
     pub duration: ScriptDuration,
 }
