--- a/crates/plan-simulation/src/chart.rs
+++ b/crates/plan-simulation/src/chart.rs
@@ -1,6 +1,6 @@
-//! A chart of a simulation: the share of places that run the new build, and the cap, over time.
+//! Draws a chart of a simulation: the share of places that run the new build, and the cap, over time.
 //!
-//! `plotters` with its SVG backend draws axes and scales, and needs no fonts to write text.
+//! The `plotters` library draws axes and scales. Its SVG backend needs no font files to write text.
 
 use crate::run::SimulationRun;
 use plotters::coord::types::RangedCoordf64;
@@ -9,7 +9,7 @@
 use violetseam_plan::{Micros, Plan};
 use violetseam_release::Phase;
 
-/// Width and height in pixels.
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (900, 420);
 const CAPTION_FONT_SIZE: i32 = 18;
 const MARGIN: i32 = 12;
@@ -18,13 +18,13 @@
 const LINE_WIDTH: u32 = 2;
 const LEGEND_LINE_LENGTH: i32 = 18;
 const LEGEND_OPACITY: f64 = 0.8;
-/// The top of the axis of shares, a little over the whole.
+/// The upper end of the axis of shares. It is slightly above 1, so that a line at 1 is visible.
 const MAX_SHARE: f64 = 1.05;
-/// The end of the time axis, as a multiple of the last entry's time.
+/// The end of the time axis, as a multiple of the time of the last timeline entry.
 const TIME_AXIS_MULTIPLE: f64 = 1.02;
 const MICROS_PER_MINUTE: f64 = 60e6;
 
-/// The chart cannot be drawn.
+/// The error of the drawing library when the chart cannot be drawn.
 #[derive(Debug, Error)]
 #[error("the chart cannot be drawn: {source}")]
 pub struct ChartError {
@@ -35,10 +35,10 @@
 type Chart<'chart, 'text> =
     ChartContext<'chart, SVGBackend<'text>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A point of a line: minutes from the offer, and a share.
+/// A point of a line: the minutes since the offer and a share.
 type Point = (f64, f64);
 
-/// Draws the chart; an SVG document.
+/// Draws the chart and returns it as an SVG document.
 ///
 /// # Errors
 ///
@@ -104,7 +104,7 @@
     step_line(std::iter::once((0.0, 0.0)).chain(caps), end)
 }
 
-/// The corners of a line through values that hold until the next one.
+/// Returns the corners of a step line, in which each value holds until the next one.
 fn step_line(values: impl Iterator<Item = Point>, end: f64) -> Vec<Point> {
     let mut corners: Vec<Point> = Vec::new();
     for (at, value) in values {
--- a/crates/plan-simulation/src/platform.rs
+++ b/crates/plan-simulation/src/platform.rs
@@ -1,22 +1,22 @@
-//! A simulated platform that starts and drains what the controller wants, each in a fixed time. Places can be
-//! lost for a while.
+//! A simulated platform that starts and drains builds as the controller desires, each in a fixed time. Places
+//! can be lost for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetseam_plan::Micros;
 use violetseam_release::PlaceState;
 
-/// What the platform reports about a build in a place.
+/// The platform's report on a build in a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlaceReport {
-    /// The place's number.
+    /// The number of the place.
     pub place: u32,
-    /// The build.
+    /// The number of the build.
     pub build: u16,
-    /// What the build does there.
+    /// The state of the build in the place.
     pub state: PlaceState,
 }
 
-/// A build in a place.
+/// Identifies a build in a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InstanceId {
     place: u32,
@@ -32,34 +32,36 @@
 #[derive(Clone, Copy, Debug)]
 struct Instance {
     state: PlaceState,
-    /// When it has started or drained; none while it runs.
+    /// When the build will have started or drained; `None` while it runs.
     completes_at: Option<Micros>,
 }
 
-/// The platform. Times are microseconds on the simulation's clock.
+/// The simulated platform. Times are in microseconds on the simulation's clock.
 #[derive(Clone, Debug)]
 pub struct Platform {
     start_duration: Micros,
     drain_duration: Micros,
     instances: BTreeMap<InstanceId, Instance>,
-    /// Lost places, with the moments at which they are back.
+    /// The lost places and the times at which they come back.
     lost_until: BTreeMap<u32, Micros>,
 }
 
 impl Platform {
-    /// All places run one build. A build takes `start_duration` to start and `drain_duration` to drain.
+    /// Returns a platform on which all places run one build. A build takes `start_duration` to start and
+    /// `drain_duration` to drain.
     pub fn new(places: u32, build: u16, start_duration: Micros, drain_duration: Micros) -> Self {
         let running = Instance { state: PlaceState::Running, completes_at: None };
         let instances = (0..places).map(|place| (InstanceId { place, build }, running)).collect();
         Platform { start_duration, drain_duration, instances, lost_until: BTreeMap::new() }
     }
 
-    /// What there is in each place.
+    /// Returns reports on all builds in all places.
     pub fn reports(&self) -> Vec<PlaceReport> {
         self.instances.iter().map(|(id, instance)| id.report(instance.state)).collect()
     }
 
-    /// Starts what is desired and missing, and drains what is there and not desired; reports the changes.
+    /// Starts the desired builds that are missing and drains the builds that are not desired. Returns reports
+    /// on the changes.
     pub fn reconcile(&mut self, now: Micros, desired: &BTreeSet<(u32, u16)>) -> Vec<PlaceReport> {
         let mut reports = self.start_missing(now, desired);
         reports.extend(self.drain_undesired(now, desired));
@@ -92,7 +94,8 @@
         reports
     }
 
-    /// Loses a place, with all that it runs, until a moment; reports what is gone.
+    /// Loses a place and everything that it runs until a given time. Returns reports on the builds that are
+    /// gone.
     pub fn lose_place(&mut self, place: u32, until: Micros) -> Vec<PlaceReport> {
         self.lost_until.insert(place, until);
         let lost: Vec<InstanceId> = self.instances.keys().filter(|id| id.place == place).copied().collect();
@@ -102,13 +105,13 @@
         lost.into_iter().map(|id| id.report(PlaceState::Gone)).collect()
     }
 
-    /// When something starts, is drained or comes back next.
+    /// Returns when the next build has started or drained, or the next lost place comes back.
     pub fn next_transition(&self) -> Option<Micros> {
         let completions = self.instances.values().filter_map(|instance| instance.completes_at);
         completions.chain(self.lost_until.values().copied()).min()
     }
 
-    /// Completes what has started or drained by now; reports the changes.
+    /// Completes the starts and drains that are due by now. Returns reports on the changes.
     pub fn advance(&mut self, now: Micros) -> Vec<PlaceReport> {
         self.lost_until.retain(|_, until| *until > now);
         let is_complete = |instance: &Instance| instance.completes_at.is_some_and(|at| at <= now);
--- a/crates/plan-simulation/src/run.rs
+++ b/crates/plan-simulation/src/run.rs
@@ -1,55 +1,55 @@
-//! What a simulation gives. Times are microseconds from the offer.
+//! The results of a simulation. Times are in microseconds since the offer.
 
 use std::collections::BTreeSet;
 use violetseam_plan::Micros;
 use violetseam_release::{Announcement, Event, Now, Reply};
 
-/// A line of the timeline.
+/// An entry of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimelineEntry {
-    /// When.
+    /// When it happened.
     pub at: Micros,
     /// What happened.
     pub text: String,
 }
 
-/// A value with the moment from which it held.
+/// A value and the time at which it took effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample<T> {
-    /// From when on.
+    /// When the value took effect.
     pub at: Micros,
     /// The value.
     pub value: T,
 }
 
-/// One event as it was played, with the release before and after it; for those who check decisions.
+/// One event and the release's decisions on it, for checks of the decisions.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When.
+    /// The controller's clocks at the event.
     pub now: Now,
-    /// What happened.
+    /// The event.
     pub event: Event,
     /// The release's reply.
     pub reply: Reply,
-    /// Whether the event must be persisted.
+    /// Whether the controller must persist the event.
     pub must_persist: bool,
     /// The announcement before the event.
     pub before: Announcement,
-    /// The announcement after it.
+    /// The announcement after the event.
     pub after: Announcement,
-    /// Which places are to run which builds, after it.
+    /// The builds that each place should run after the event, as pairs of place and build.
     pub desired_builds: BTreeSet<(u32, u16)>,
 }
 
-/// What a simulation gave.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationRun {
-    /// The timeline.
+    /// What happened, in the order of time.
     pub timeline: Vec<TimelineEntry>,
-    /// The announcements.
+    /// The announcements, in the order of time.
     pub announcements: Vec<Sample<Announcement>>,
-    /// How many places ran the new build.
+    /// The number of places that ran the new build, in the order of time.
     pub running_places: Vec<Sample<usize>>,
-    /// How the controller describes the release at the end.
+    /// The controller's description of the release at the end.
     pub final_status: String,
 }
