--- a/crates/plan-simulation/tests/random.rs
+++ b/crates/plan-simulation/tests/random.rs
@@ -1,7 +1,8 @@
-//! Random plans under random scripts: every decision is checked against the plan by an independent check.
+//! Simulates random plans under random scripts, and checks every decision against the plan with an
+//! independent checker.
 //!
-//! The short run is part of the tests; the long one is measured: `cargo test --release -p
-//! violetseam-plan-simulation --test random -- --ignored --nocapture`.
+//! A short run is part of the tests. The long run, whose figures are published, is started with `cargo test
+//! --release -p violetseam-plan-simulation --test random -- --ignored --nocapture`.
 
 mod common;
 
@@ -14,7 +15,7 @@
 use violetseam_plan_simulation::simulate;
 use violetseam_release::Release;
 
-/// A plan's text; now and then with a contradiction in it.
+/// Returns the script of a random plan, which sometimes contains a contradiction.
 fn plan_text(rng: &mut Pcg64) -> String {
     let mut text = String::new();
     let proxies = rng.random_range(1..9);
@@ -73,10 +74,10 @@
         let cap = f64::from(n + 1) / f64::from(waves) * if rng.random::<f64>() < 0.03 { 1.2 } else { 1.0 };
         let name = if rng.random::<f64>() < 0.02 { 0 } else { n };
         let gate = ["any", "share", "timer"][rng.random_range(0..3)];
-        let close = ["hold", "finish", "back"][rng.random_range(0..3)];
+        let on_close = ["hold", "finish", "back"][rng.random_range(0..3)];
         let _ = writeln!(
             text,
-            "wave(name = \"w{name}\", share = {share:.3}, cap = {cap:.4}, soak = \"{}s\", gate = \"{gate}\", votes = {:.2}, on_close = \"{close}\")",
+            "wave(name = \"w{name}\", share = {share:.3}, cap = {cap:.4}, soak = \"{}s\", gate = \"{gate}\", votes = {:.2}, on_close = \"{on_close}\")",
             rng.random_range(0..400),
             rng.random_range(0.05..1.02)
         );
@@ -115,7 +116,7 @@
     }
 }
 
-/// Around the start of the simulation, so that windows open and close within it.
+/// Writes a window around the start of the simulation, so that it opens or closes during the simulation.
 fn write_window(text: &mut String, rng: &mut Pcg64) {
     let zone = ["UTC", "Africa/Nairobi", "Asia/Kolkata", "Europe/London"][rng.random_range(0..4)];
     let ahead = match zone {
@@ -147,7 +148,7 @@
     }
 }
 
-/// A script's text for a plan.
+/// Returns the text of a random simulation script for a plan.
 fn script_text(rng: &mut Pcg64, plan: &Plan) -> String {
     let mut text =
         String::from("start(at = \"2026-12-01T08:00\", build = 1, boot = \"7s\", drain = \"5s\")\n");
@@ -162,7 +163,7 @@
     text
 }
 
-/// A moment within the plan's longest.
+/// Returns a random time within the longest duration that the plan permits.
 fn moment_within(rng: &mut Pcg64, plan: &Plan) -> String {
     let minutes = (plan.longest / MINUTE) as i32;
     format!("{}s", rng.random_range(0..minutes * 60))
@@ -214,7 +215,7 @@
     );
 }
 
-/// Now and then a lost place, a clock that is set, a controller that is down.
+/// Sometimes writes the loss of a place, a clock step or an outage of the controller.
 fn write_disturbances(text: &mut String, rng: &mut Pcg64, plan: &Plan) {
     if rng.random::<f64>() < 0.3 {
         let _ = writeln!(
@@ -236,8 +237,8 @@
     }
 }
 
-/// The kind of a contradiction, from its words.
-fn kind(fault: &str) -> &'static str {
+/// Returns the kind of an error in a plan, recognized by words of its message.
+fn error_kind(message: &str) -> &'static str {
     let kinds = [
         ("shrinks", "shares that shrink"),
         ("of this name", "two waves with one name"),
@@ -260,53 +261,54 @@
         ("share is over 0", "no share"),
         ("no wave \"", "hold or sign-off of no wave"),
     ];
-    kinds.iter().find(|k| fault.contains(k.0)).map_or("other", |k| k.1)
+    kinds.iter().find(|entry| message.contains(entry.0)).map_or("other", |entry| entry.1)
 }
 
-/// Counts over all plans of a run.
+/// Totals over all plans of a run.
 #[derive(Default)]
 struct RunCounts {
     simulated: usize,
     events: usize,
     transitions: usize,
-    /// Faults of rejected plans by kind.
-    faults: BTreeMap<&'static str, usize>,
+    /// The errors of rejected plans, by kind.
+    plan_errors: BTreeMap<&'static str, usize>,
     outcomes: BTreeMap<String, usize>,
 }
 
 impl RunCounts {
-    fn add_faults(&mut self, faults: Vec<ScriptError>) {
-        for fault in faults {
-            let text = fault.to_string();
-            if kind(&text) == "other" {
+    fn add_plan_errors(&mut self, errors: Vec<ScriptError>) {
+        for error in errors {
+            let text = error.to_string();
+            if error_kind(&text) == "other" {
                 eprintln!("{text}");
             }
-            *self.faults.entry(kind(&text)).or_default() += 1;
+            *self.plan_errors.entry(error_kind(&text)).or_default() += 1;
         }
     }
 }
 
-fn run(seed: u64, wanted: usize) -> RunCounts {
+fn simulate_random_plans(seed: u64, plan_count: usize) -> RunCounts {
     let mut rng = Pcg64::seed_from_u64(seed);
     let start = moment_of("2026-12-01T08:00", "UTC").unwrap();
     let mut counts = RunCounts::default();
-    while counts.simulated < wanted {
+    while counts.simulated < plan_count {
         let text = plan_text(&mut rng);
         match read_text("random", &text, &[], start) {
             Ok(plan) => check_simulation(&mut counts, &mut rng, &plan, &text),
-            Err(faults) => counts.add_faults(faults),
+            Err(errors) => counts.add_plan_errors(errors),
         }
     }
     counts
 }
 
-/// Simulates a plan under a random script, and checks every step.
+/// Simulates a plan under a random script, and checks the decisions on every event.
 fn check_simulation(counts: &mut RunCounts, rng: &mut Pcg64, plan: &Plan, plan_text: &str) {
     let script_text = script_text(rng, plan);
     let script = violetseam_plan_simulation::read_text("script", &script_text)
         .unwrap_or_else(|error| panic!("{error}\n{script_text}"));
     let mut checker = DecisionChecker::new(plan);
-    // What a restarted controller would know: given only the persisted events, it must come to the same.
+    // A restarted controller knows only the persisted events. From them alone it must reach the same
+    // announcements.
     let mut restarted = Release::new(1);
     let run = simulate(plan, &script, &mut |step| {
         counts.events += 1;
@@ -335,23 +337,24 @@
 
 #[test]
 fn every_decision_on_random_plans_follows_the_plan() {
-    let counts = run(11, 120);
-    // The draw must be able to fail: all ends and several kinds of contradiction occur.
+    let counts = simulate_random_plans(11, 120);
+    // The random plans must cover the ends of releases and several kinds of errors. Otherwise the checks
+    // above could pass without having checked them.
     for outcome in ["released", "back: votes", "back: too long", "back: window"] {
         assert!(counts.outcomes.contains_key(outcome), "{outcome} never: {:?}", counts.outcomes);
     }
     assert!(
-        counts.transitions > 300 && counts.faults.len() >= 5,
+        counts.transitions > 300 && counts.plan_errors.len() >= 5,
         "{} {:?}",
         counts.transitions,
-        counts.faults
+        counts.plan_errors
     );
-    assert!(!counts.faults.contains_key("other"), "{:?}", counts.faults);
+    assert!(!counts.plan_errors.contains_key("other"), "{:?}", counts.plan_errors);
 }
 
-/// The check must be able to fail: against another plan than the one that is simulated, it does.
+/// The checker must be able to fail. It fails when it checks against a stricter plan than the simulated one.
 #[test]
-fn a_check_against_a_stricter_plan_fails() {
+fn the_checker_fails_against_a_stricter_plan_than_the_simulated_one() {
     let start = moment_of("2026-12-01T08:00", "UTC").unwrap();
     let text = "plan(name = \"r\", build = 7, longest = \"60m\")\n\
         fleet(proxies = 4, places = 4, vote_ttl = \"30s\", stage_caps = [0.5, 1.0])\n\
@@ -359,7 +362,7 @@
         wave(name = \"b\", share = 1.0, cap = 1.0, soak = \"60s\", gate = \"share\", votes = 0.5)\n";
     let plan = read_text("r", text, &[], start).unwrap();
     let script = violetseam_plan_simulation::default_script(&plan, start, 1);
-    let objects = |stricter: &dyn Fn(&mut Plan)| {
+    let check_fails = |stricter: &dyn Fn(&mut Plan)| {
         let mut other = plan.clone();
         stricter(&mut other);
         let mut checker = DecisionChecker::new(&other);
@@ -368,34 +371,34 @@
         }))
         .is_err()
     };
-    assert!(!objects(&|_| {}), "the very plan is objected to");
-    assert!(objects(&|p| p.waves[0].soak += 60 * S), "a soak cut short");
-    assert!(objects(&|p| p.fleet.proxies = 400), "votes short of the share");
-    assert!(objects(&|p| p.waves[1].cap = 0.9), "a cap too high");
+    assert!(!check_fails(&|_| {}), "the checker fails against the simulated plan itself");
+    assert!(check_fails(&|p| p.waves[0].soak += 60 * S), "a soak that is too short passes");
+    assert!(check_fails(&|p| p.fleet.proxies = 400), "too few votes pass");
+    assert!(check_fails(&|p| p.waves[1].cap = 0.9), "a cap that is too high passes");
     assert!(
-        objects(&|p| p.calendar.freezes.push(violetseam_plan::Freeze {
+        check_fails(&|p| p.calendar.freezes.push(violetseam_plan::Freeze {
             start: start + 30 * S,
             end: start + 3_600 * S,
             reason: String::new()
         })),
-        "a freeze passed over"
+        "a wave that begins during a freeze passes"
     );
-    let sign = |p: &mut Plan| {
+    let add_sign_off = |p: &mut Plan| {
         let (wave, by) = ("b".to_owned(), vec!["qa".to_owned()]);
         p.sign_offs.push(violetseam_plan::SignOff { wave, by, count: 1, within: 3_600 * S });
     };
-    assert!(objects(&sign), "an approval passed over");
+    assert!(check_fails(&add_sign_off), "a wave without its approval passes");
 }
 
 #[test]
 #[ignore = "minutes; measured in docs/measurements/plans.md"]
 fn thousands_of_random_plans() {
-    let counts = run(2_026, 3_000);
+    let counts = simulate_random_plans(2_026, 3_000);
     println!(
-        "{} plans played, {} events, {} changes of news",
+        "{} plans simulated, {} events, {} changes of the announcement",
         counts.simulated, counts.events, counts.transitions
     );
     println!("outcomes: {:#?}", counts.outcomes);
-    println!("refused: {:#?}", counts.faults);
-    assert!(!counts.faults.contains_key("other"));
+    println!("errors of rejected plans: {:#?}", counts.plan_errors);
+    assert!(!counts.plan_errors.contains_key("other"));
 }
