--- a/crates/invariants/src/record_file.rs
+++ b/crates/invariants/src/record_file.rs
@@ -27,19 +27,19 @@
     WrongMagic,
     /// The file ends after its first bytes, without a frame for the rules.
     #[error("the record file ends before the frame with the rules")]
-    NoRules,
+    MissingRules,
     /// The file ends within a frame's head.
     #[error("the record file is truncated within a frame's head")]
-    CutInFrameHead,
+    TruncatedFrameHead,
     /// The file ends within a frame's body.
     #[error("the record file is truncated within a frame's body")]
-    CutInFrame,
+    TruncatedFrameBody,
     /// A frame's length exceeds the largest that is read.
     #[error("a frame past the bound")]
     FrameTooLong,
     /// A frame's body does not match its checksum.
     #[error("a frame's body does not match its CRC-32 checksum")]
-    WrongChecksum,
+    ChecksumMismatch,
     /// A frame's body cannot be decoded as the rules or an event record.
     #[error("a frame's body cannot be decoded: {0}")]
     Undecodable(#[source] postcard::Error),
@@ -72,7 +72,7 @@
     input.read_to_end(&mut bytes).map_err(RecordFileError::Read)?;
     let rest = bytes.strip_prefix(&MAGIC[..]).ok_or(RecordFileError::WrongMagic)?;
     let mut frames = Frames { rest };
-    let rules = decode(frames.next_body()?.ok_or(RecordFileError::NoRules)?)?;
+    let rules = decode(frames.next_body()?.ok_or(RecordFileError::MissingRules)?)?;
     let mut records = Vec::new();
     while let Some(body) = frames.next_body()? {
         records.push(decode(body)?);
@@ -96,15 +96,15 @@
             return Ok(None);
         }
         let (head, tail) =
-            self.rest.split_at_checked(FRAME_HEAD_BYTES).ok_or(RecordFileError::CutInFrameHead)?;
+            self.rest.split_at_checked(FRAME_HEAD_BYTES).ok_or(RecordFileError::TruncatedFrameHead)?;
         let length = little_endian_u32(head, 0) as usize;
         let checksum = little_endian_u32(head, 4);
         if length > MAX_FRAME_BYTES {
             return Err(RecordFileError::FrameTooLong);
         }
-        let (body, rest) = tail.split_at_checked(length).ok_or(RecordFileError::CutInFrame)?;
+        let (body, rest) = tail.split_at_checked(length).ok_or(RecordFileError::TruncatedFrameBody)?;
         if crc32fast::hash(body) != checksum {
-            return Err(RecordFileError::WrongChecksum);
+            return Err(RecordFileError::ChecksumMismatch);
         }
         self.rest = rest;
         Ok(Some(body))
--- a/crates/invariants/tests/record_file.rs
+++ b/crates/invariants/tests/record_file.rs
@@ -119,12 +119,12 @@
     let magic_bytes = 5;
     let error_of = |bytes: &[u8]| read(&mut &bytes[..]).unwrap_err();
     assert!(matches!(error_of(b"else"), RecordFileError::WrongMagic));
-    assert!(matches!(error_of(&file[..magic_bytes]), RecordFileError::NoRules));
-    assert!(matches!(error_of(&file[..magic_bytes + 1]), RecordFileError::CutInFrameHead));
-    assert!(matches!(error_of(&file[..file.len() - 1]), RecordFileError::CutInFrame));
+    assert!(matches!(error_of(&file[..magic_bytes]), RecordFileError::MissingRules));
+    assert!(matches!(error_of(&file[..magic_bytes + 1]), RecordFileError::TruncatedFrameHead));
+    assert!(matches!(error_of(&file[..file.len() - 1]), RecordFileError::TruncatedFrameBody));
     let mut wrong_byte = file.clone();
     *wrong_byte.last_mut().unwrap() ^= 1;
-    assert!(matches!(error_of(&wrong_byte), RecordFileError::WrongChecksum));
+    assert!(matches!(error_of(&wrong_byte), RecordFileError::ChecksumMismatch));
     let mut too_long = file.clone();
     too_long[magic_bytes..magic_bytes + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     assert!(matches!(error_of(&too_long), RecordFileError::FrameTooLong));
--- a/crates/invariants/tests/violations.rs
+++ b/crates/invariants/tests/violations.rs
@@ -4,7 +4,9 @@
 use violetseam_invariants::record_file::{read, write};
 use violetseam_invariants::*;
 
+/// A millisecond in microseconds.
 const MS: u64 = 1_000;
+/// A second in microseconds.
 const S: u64 = 1_000_000;
 
 fn rules() -> Rules {
