--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -46,7 +46,8 @@
     /// The number of the server in each place, by place and build.
     server_in_place: BTreeMap<(u32, u16), u64>,
     /// By place: how many servers have been started there.
-    generations: Vec<usize>,
+    servers_started: Vec<usize>,
+    /// The number that the next attempt gets.
     next_attempt: u64,
     dedup_caches: DedupCaches,
     newest_build_traffic: NewestBuildTraffic,
@@ -69,7 +70,7 @@
             records: Vec::new(),
             servers: BTreeMap::new(),
             server_in_place: BTreeMap::new(),
-            generations: vec![0; places],
+            servers_started: vec![0; places],
             next_attempt: 1,
             dedup_caches: DedupCaches::default(),
             newest_build_traffic: NewestBuildTraffic::default(),
--- a/crates/emulator/src/cluster/servers.rs
+++ b/crates/emulator/src/cluster/servers.rs
@@ -31,12 +31,14 @@
         self.list_server(self.now, server, EndpointState::Ready);
     }
 
+    /// Adds a server to a place and returns its number. The first server in a place has the place as its
+    /// index. The index of each later one there is higher by the number of places.
     fn add_server(&mut self, place: u32, build: u16, warm: bool) -> u64 {
         let server = self.next_server;
         self.next_server += 1;
-        let generation = &mut self.generations[place as usize];
-        let index = place as usize + self.scenario.servers.len() * *generation;
-        *generation += 1;
+        let started_before = &mut self.servers_started[place as usize];
+        let index = place as usize + self.scenario.servers.len() * *started_before;
+        *started_before += 1;
         let spec = self.scenario.server_spec(index).clone();
         let model = Server::start(spec, self.build(build), self.now, warm);
         let fault_target = FaultTarget { index, next_pause: 0 };
@@ -46,6 +48,7 @@
         server
     }
 
+    /// Records a server's start for the invariant checker.
     fn observe_start(&mut self, server: u64) {
         let Some(started) = self.servers.get(&server) else { return };
         let start = ServerStart {
--- a/crates/plan-simulation/src/simulator.rs
+++ b/crates/plan-simulation/src/simulator.rs
@@ -27,6 +27,7 @@
     simulator.run
 }
 
+/// The state of a simulation.
 struct Simulator<'a> {
     plan: &'a Plan,
     script: &'a Script,
