--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use violetseam_proxy::driver::{Options, Recording, Summary, inherit, serve_operated};
+use violetseam_proxy::driver::{Options, Recording, Summary, inherit, serve_with_operators};
 use violetseam_recorder::RecordingLimits;
 use violetseam_settings::read_file;
 
@@ -67,9 +67,9 @@
     fn from(name: SabotageName) -> Self {
         match name {
             SabotageName::DoubleSend => Self::DoubleSend,
-            SabotageName::LateAnswer => Self::LateAnswer,
+            SabotageName::LateAnswer => Self::LateResponse,
             SabotageName::IgnoreDrains => Self::IgnoreDrains,
-            SabotageName::Spendthrift => Self::Spendthrift,
+            SabotageName::Spendthrift => Self::IgnoreBudgets,
         }
     }
 }
@@ -79,7 +79,7 @@
         let limits = RecordingLimits { max_total_bytes: self.record_most, ..RecordingLimits::default() };
         Options {
             record: self.record.clone().map(|path| Recording { path, limits }),
-            time_module: self.time_module,
+            measure_module_time: self.time_module,
             stop_after: self.stop_after.map(Duration::from_secs),
             stop: None,
             #[cfg(feature = "sabotage")]
@@ -105,7 +105,7 @@
         (true, None) => bail!("--takeover needs a control socket in the settings"),
     };
     let operators = operators::operators(args, file, &settings, set_log)?;
-    let summary = serve_operated(settings, args.options(), operators, inherited, |addresses| {
+    let summary = serve_with_operators(settings, args.options(), operators, inherited, |addresses| {
         for address in addresses {
             println!("{name} takes clients on {address}");
         }
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -9,7 +9,7 @@
 use violetseam::interface::{Outcome, RequestId};
 use violetseam_site_protocol::peer_datagram::PayloadKind;
 
-/// How long the sabotage [`Sabotage::LateAnswer`] delays a response, so that it misses its deadline.
+/// How long the sabotage [`Sabotage::LateResponse`] delays a response, so that it misses its deadline.
 #[cfg(feature = "sabotage")]
 const RESPONSE_DELAY: Micros = 2_000_000;
 
@@ -58,15 +58,15 @@
             }
             EngineAction::Log(text) => {
                 tracing::info!(target: "verdict", "{text}");
-                self.last_finding = Some(text);
+                self.last_analysis_line = Some(text);
             }
         }
     }
 
-    /// Sends a final response that the proxy itself generates; the sabotage `LateAnswer` delays it.
+    /// Sends a final response that the proxy itself generates; the sabotage `LateResponse` delays it.
     fn respond(&mut self, request: RequestId, response: LocalResponse) {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(Sabotage::LateAnswer) {
+        if self.sabotage == Some(Sabotage::LateResponse) {
             return self.delay_response(self.now() + RESPONSE_DELAY, request, response);
         }
         self.send_local_response(request, response);
--- a/crates/proxy/src/driver/clients/bodies.rs
+++ b/crates/proxy/src/driver/clients/bodies.rs
@@ -17,7 +17,7 @@
             ClientState::ReceivingBody(pending) => {
                 match pending.purpose {
                     RequestPurpose::RespondWithError { .. } => return,
-                    RequestPurpose::AnswerReport if pending.body.len() > answer_report::MAX_BODY_BYTES => {
+                    RequestPurpose::ResponseReport if pending.body.len() > answer_report::MAX_BODY_BYTES => {
                         return;
                     }
                     _ => pending.body.extend_from_slice(&bytes),
@@ -42,7 +42,7 @@
         match &client.state {
             ClientState::ReceivingBody(pending) => match pending.purpose {
                 RequestPurpose::Route { .. } => self.submit_request(key, true),
-                RequestPurpose::AnswerReport => self.on_answer_report(key),
+                RequestPurpose::ResponseReport => self.on_response_report(key),
                 RequestPurpose::RespondWithError { status, reason } => {
                     self.respond_with_error(key, status, reason);
                 }
--- a/crates/proxy/src/driver/clients/connections.rs
+++ b/crates/proxy/src/driver/clients/connections.rs
@@ -60,7 +60,7 @@
     /// Closes a connection without reporting it to the engine.
     pub(in super::super) fn close_client(&mut self, key: usize) {
         if let Some(client) = self.clients.try_remove(key) {
-            client.socket.remove(&self.handle);
+            client.socket.remove(&self.loop_handle);
         }
     }
 
@@ -88,11 +88,11 @@
 
     /// Reads from the connection once, and handles what was read.
     pub(super) fn read_client(&mut self, key: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         if let Some(client) = self.clients.get_mut(key) {
-            match client.socket.read(&mut scratch) {
+            match client.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(length) => {
-                    client.http.feed(&scratch[..length]);
+                    client.http.feed(&read_buffer[..length]);
                     self.process_client_events(key);
                 }
                 ReadOutcome::WouldBlock => {}
@@ -100,7 +100,7 @@
                 ReadOutcome::Failed => self.on_client_lost(key),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
         self.rearm_client(key);
     }
 
@@ -162,7 +162,7 @@
         // that owns the connection after it.
         let wants_read =
             !client.is_half_closed && !is_body_backpressured && !is_over_buffer_limit && !is_handing_over;
-        client.socket.set_read_interest(&self.handle, wants_read);
+        client.socket.set_read_interest(&self.loop_handle, wants_read);
     }
 
     /// Sets the time-out of the connection's present state.
--- a/crates/proxy/src/driver/clients/listeners.rs
+++ b/crates/proxy/src/driver/clients/listeners.rs
@@ -41,7 +41,7 @@
         let on_ready = |listener: &TcpListener, proxy: &mut Proxy| {
             proxy.accept_clients(listener);
         };
-        self.listeners.push(Listener::register(&self.handle, listener, on_ready)?);
+        self.listeners.push(Listener::register(&self.loop_handle, listener, on_ready)?);
         Ok(())
     }
 
@@ -73,7 +73,7 @@
     /// Starts or stops accepting connections on all listeners.
     pub(in super::super) fn set_accepting(&mut self, is_accepting: bool) {
         for listener in &self.listeners {
-            listener.set_accepting(&self.handle, is_accepting);
+            listener.set_accepting(&self.loop_handle, is_accepting);
         }
     }
 
@@ -128,7 +128,7 @@
     /// Closes the listeners.
     pub(in super::super) fn stop_listening(&mut self) {
         for listener in self.listeners.drain(..) {
-            listener.remove(&self.handle);
+            listener.remove(&self.loop_handle);
         }
     }
 
@@ -142,7 +142,7 @@
         let entry = self.clients.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_client_ready(key, readiness);
-        let socket = Socket::register(&self.handle, stream, Interest::READ, on_ready)?;
+        let socket = Socket::register(&self.loop_handle, stream, Interest::READ, on_ready)?;
         let kind = TimerKind::Client(ConnectionId { key, generation });
         entry.insert(Client {
             generation,
--- a/crates/proxy/src/driver/clients/mod.rs
+++ b/crates/proxy/src/driver/clients/mod.rs
@@ -66,7 +66,7 @@
     /// The request is routed to a server, as a request of this class.
     Route { class: usize },
     /// The request reports that an earlier response was wrong.
-    AnswerReport,
+    ResponseReport,
     /// The proxy itself sends this response once the request is complete.
     RespondWithError { status: StatusCode, reason: &'static str },
 }
--- a/crates/proxy/src/driver/clients/requests.rs
+++ b/crates/proxy/src/driver/clients/requests.rs
@@ -41,7 +41,7 @@
         let path = head.target.split(['?', '#']).next().unwrap_or("");
         if path == settings.connections.wrong_answer_path {
             return match head.method {
-                Method::POST => RequestPurpose::AnswerReport,
+                Method::POST => RequestPurpose::ResponseReport,
                 _ => RequestPurpose::RespondWithError {
                     status: StatusCode::METHOD_NOT_ALLOWED,
                     reason: "reports are posted",
@@ -93,7 +93,7 @@
     }
 
     /// Handles a client's report that a response was wrong.
-    pub(super) fn on_answer_report(&mut self, key: usize) {
+    pub(super) fn on_response_report(&mut self, key: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
         let Some(pending) = client.take_pending_request() else { return };
--- a/crates/proxy/src/driver/clients/responses.rs
+++ b/crates/proxy/src/driver/clients/responses.rs
@@ -30,7 +30,7 @@
         body: &str,
         extra_fields: &[(HeaderName, &[u8])],
     ) {
-        let close = self.is_leaving();
+        let close = self.is_draining_or_handing_over();
         let Some(client) = self.clients.get_mut(key) else { return };
         let mut fields = vec![(VIA, self.via.as_bytes())];
         if !body.is_empty() {
@@ -85,7 +85,7 @@
     ) -> Option<usize> {
         let key = self.waiting_client(id)?;
         let response_id_text = answer_report::write_id(response_id);
-        let close = self.is_leaving();
+        let close = self.is_draining_or_handing_over();
         let client = self.clients.get_mut(key)?;
         let fields = [
             (VIA, self.via.as_bytes()),
--- a/crates/proxy/src/driver/configuration/exchange.rs
+++ b/crates/proxy/src/driver/configuration/exchange.rs
@@ -50,10 +50,10 @@
             ExchangePurpose::Watch => HttpRequest::get(subscription.publisher, path),
             ExchangePurpose::Report => HttpRequest::post(subscription.publisher, path, body),
         };
-        let stream = connect(request.to).ok()?;
+        let stream = connect(request.address).ok()?;
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_publisher_ready(id, readiness);
-        let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let http = request.queue(&mut socket);
+        let mut socket = Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready).ok()?;
+        let http = request.write_to(&mut socket);
         let lines = LineReader::new(max_line_bytes(purpose));
         *subscription.exchange(purpose) = Some(Exchange { id, socket, http, lines, reads_body: false });
         Some(id)
@@ -63,7 +63,7 @@
     pub(super) fn close_exchange(&mut self, purpose: ExchangePurpose) {
         let subscription = self.subscription.as_mut();
         if let Some(exchange) = subscription.and_then(|subscription| subscription.exchange(purpose).take()) {
-            exchange.socket.remove(&self.handle);
+            exchange.socket.remove(&self.loop_handle);
         }
     }
 
@@ -92,23 +92,23 @@
             return Err(error);
         }
         exchange.socket.flush()?;
-        exchange.socket.set_read_interest(&self.handle, true);
+        exchange.socket.set_read_interest(&self.loop_handle, true);
         Ok(())
     }
 
     fn read_publisher(&mut self, id: ExchangeId) {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         while let Some(exchange) = self.open_exchange(id) {
-            match exchange.socket.read(&mut scratch) {
+            match exchange.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(count) => {
-                    exchange.http.feed(&scratch[..count]);
+                    exchange.http.feed(&read_buffer[..count]);
                     self.process_publisher_events(id);
                 }
                 ReadOutcome::WouldBlock => break,
                 ReadOutcome::Closed | ReadOutcome::Failed => self.exchange_ended(id.purpose),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     fn process_publisher_events(&mut self, id: ExchangeId) {
--- a/crates/proxy/src/driver/configuration/mod.rs
+++ b/crates/proxy/src/driver/configuration/mod.rs
@@ -97,7 +97,7 @@
             routes.replace(configuration);
         }
         let now = self.now();
-        let seed = self.draw();
+        let seed = self.random_u64();
         let name = format!("{}-{position}", settings.fleet_name);
         self.subscription = Some(Box::new(Subscription {
             publisher,
@@ -134,7 +134,7 @@
     }
 
     /// The subscription is the successor's now: it begins with what was stored and what it receives.
-    pub(super) fn leave_publisher(&mut self) {
+    pub(super) fn end_subscription(&mut self) {
         self.close_exchange(ExchangePurpose::Watch);
         self.close_exchange(ExchangePurpose::Report);
     }
--- a/crates/proxy/src/driver/configuration/storage.rs
+++ b/crates/proxy/src/driver/configuration/storage.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Whether the store is to be given the complete configuration: it missed changes, or was just opened again.
+    /// Whether the complete configuration must be stored, because the store missed changes or was just opened
+    /// again.
     fn take_needs_snapshot(&mut self, now: Micros) -> bool {
         match &self.store {
             Some(store) => store.take_is_behind(),
@@ -104,7 +105,7 @@
     }
 
     /// Gives the store what it missed, and opens it again after a take-over that failed.
-    pub(in super::super) fn store_upkeep(&mut self) {
+    pub(in super::super) fn maintain_store(&mut self) {
         if self.is_handing_over() || self.has_handed_over() {
             return;
         }
--- a/crates/proxy/src/driver/drain.rs
+++ b/crates/proxy/src/driver/drain.rs
@@ -67,7 +67,7 @@
     }
 
     /// Cancels an operator's drain: the proxy accepts connections again.
-    pub(super) fn stop_drain(&mut self) -> Result<(), UndrainError> {
+    pub(super) fn cancel_drain(&mut self) -> Result<(), UndrainError> {
         if self.lifecycle.is_shutting_down() {
             return Err(UndrainError::Ending);
         }
--- a/crates/proxy/src/driver/event_loop.rs
+++ b/crates/proxy/src/driver/event_loop.rs
@@ -30,7 +30,7 @@
     options: Options,
     ready: impl FnOnce(&[SocketAddr]),
 ) -> std::io::Result<Summary> {
-    serve_operated(settings, options, None, None, ready)
+    serve_with_operators(settings, options, None, None, ready)
 }
 
 /// Serves like [`serve`], with control sockets for `operators` if they are given. If `inherited` is given,
@@ -40,7 +40,7 @@
 ///
 /// Returns an error in the cases of [`serve`], if the control sockets cannot be opened, or if the old process
 /// does not complete the hand-over.
-pub fn serve_operated(
+pub fn serve_with_operators(
     settings: ProxySettings,
     options: Options,
     operators: Option<Operators>,
@@ -86,7 +86,7 @@
     }
 
     fn receive_signals(&mut self, signals: Signals) -> std::io::Result<()> {
-        self.handle
+        self.loop_handle
             .insert_source(signals, |event, (), proxy| match event.signal() {
                 Signal::SIGHUP => proxy.reload_on_signal(),
                 _ => proxy.shut_down(),
@@ -185,7 +185,7 @@
     /// process at this position held.
     fn join_fleet_quotas(&mut self) {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(Sabotage::Spendthrift) {
+        if self.sabotage == Some(Sabotage::IgnoreBudgets) {
             return;
         }
         let Some(plan) = self.settings.retry_quotas.clone() else { return };
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -35,7 +35,7 @@
 mod takeover;
 mod timers;
 
-pub use event_loop::{serve, serve_operated};
+pub use event_loop::{serve, serve_with_operators};
 pub use operators::{
     DaemonError, Operators, Reload, Reloaded, Reopen, Reopened, SetLog, StateWriter, StateWriterError,
 };
@@ -70,7 +70,7 @@
 use violetseam_settings::ProxySettings;
 
 /// The size of the buffer for one read from a socket.
-const READ_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Identifies a connection by its key in the slab of its kind. Slab keys are reused; the generation
 /// distinguishes the connection from earlier ones that had the same key.
@@ -83,10 +83,10 @@
 /// One proxy, which runs on one event loop.
 pub struct Proxy {
     /// The control sockets, if this proxy runs in a daemon that operators control.
-    control: Option<ControlServer>,
+    control_server: Option<ControlServer>,
     settings: Rc<ProxySettings>,
     engine: Engine,
-    handle: LoopHandle<'static, Proxy>,
+    loop_handle: LoopHandle<'static, Proxy>,
     clock: Clock,
     hand_over: HandOver,
     listeners: Vec<Listener>,
@@ -108,7 +108,7 @@
     /// The limits on the head and the body of a message.
     head_limits: HeadLimits,
     /// The read buffer, shared by all connections.
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
     rng: rand_pcg::Pcg64,
     /// The generation of the connection that was opened last.
     generation: u64,
@@ -126,9 +126,9 @@
     /// The latest vote, in the form that operators read.
     last_vote: Option<String>,
     /// The latest log line of the canary analysis, in the form that operators read.
-    last_finding: Option<String>,
+    last_analysis_line: Option<String>,
     /// When the latest datagram of each peer was received, by the peer's position in the fleet.
-    peers_heard_at: BTreeMap<usize, Micros>,
+    peer_last_received_at: BTreeMap<usize, Micros>,
     attempts_by_build: AttemptsByBuild,
     #[cfg(feature = "sabotage")]
     sabotage: Option<Sabotage>,
@@ -138,7 +138,7 @@
     fn new(
         settings: ProxySettings,
         options: &Options,
-        handle: LoopHandle<'static, Proxy>,
+        loop_handle: LoopHandle<'static, Proxy>,
         inherited: Option<&Inherited>,
     ) -> std::io::Result<Self> {
         let mut rng: rand_pcg::Pcg64 = match settings.seed {
@@ -148,9 +148,9 @@
         let seed = settings.seed.unwrap_or_else(|| rng.next_u64());
         let engine = new_engine(&settings, options, seed, inherited)?;
         Ok(Proxy {
-            control: None,
+            control_server: None,
             engine,
-            handle,
+            loop_handle,
             clock: Clock::start(inherited),
             hand_over: HandOver::default(),
             listeners: Vec::new(),
@@ -165,7 +165,7 @@
             peer_socket: None,
             via: format!("1.1 {}-{}", settings.fleet_name, settings.decisions.position),
             head_limits: head_limits(&settings),
-            scratch: vec![0; READ_BYTES],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             rng,
             generation: 0,
             lifecycle: Lifecycle::default(),
@@ -175,8 +175,8 @@
             is_running_actions: false,
             had_socket_events: false,
             last_vote: None,
-            last_finding: None,
-            peers_heard_at: BTreeMap::new(),
+            last_analysis_line: None,
+            peer_last_received_at: BTreeMap::new(),
             attempts_by_build: AttemptsByBuild::default(),
             #[cfg(feature = "sabotage")]
             sabotage: options.sabotage,
@@ -191,7 +191,7 @@
 
     /// Whether each response closes its connection, because this process accepts no connections any more or
     /// is about to stop accepting them.
-    fn is_leaving(&self) -> bool {
+    fn is_draining_or_handing_over(&self) -> bool {
         self.lifecycle.is_draining() || self.is_handing_over()
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Returns a random number, used as the identity of a response or to randomize a waiting time.
-    fn draw(&mut self) -> u64 {
+    fn random_u64(&mut self) -> u64 {
         self.rng.random()
     }
 }
@@ -220,7 +220,7 @@
         Some(inherited) => Engine::with_module(settings.decisions.clone(), inherited.module.clone()),
         None => Engine::new(settings.decisions.clone(), seed, recorder),
     };
-    if options.time_module {
+    if options.measure_module_time {
         engine.measure_module_time();
     }
     Ok(engine)
--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -49,7 +49,7 @@
     /// A pause that outlived the process before binds this one from its first event on.
     pub(in super::super) fn restore_pause(&mut self) {
         let now = self.now();
-        if self.control.as_ref().is_some_and(|control| control.command_log.pause().is_some()) {
+        if self.control_server.as_ref().is_some_and(|control| control.command_log.pause().is_some()) {
             tracing::warn!("a pause from before this start stands");
             self.engine.on_operator_command(now, OperatorCommand::Pause);
         }
@@ -57,7 +57,7 @@
 
     /// Queues a command, or refuses it where too many wait.
     pub(super) fn queue_command(&mut self, queued: QueuedCommand) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         if control.queue.len() >= MAX_QUEUED_COMMANDS {
             return self.reject_command(queued.connection.key, "too many commands wait");
         }
@@ -71,7 +71,7 @@
     }
 
     fn daemon_context(&self) -> DaemonContext {
-        let boot = self.control.as_ref().map_or(0, |control| control.boot);
+        let boot = self.control_server.as_ref().map_or(0, |control| control.boot);
         DaemonContext {
             boot,
             release: self
@@ -84,7 +84,8 @@
     /// Decides on the next command and has it stored, unless one is being stored: commands have one order.
     fn start_next_command(&mut self) {
         let context = self.daemon_context();
-        let Some(control) = self.control.as_mut().filter(|control| control.in_progress.is_none()) else {
+        let Some(control) = self.control_server.as_mut().filter(|control| control.in_progress.is_none())
+        else {
             return;
         };
         let Some(queued) = control.queue.pop_front() else { return };
@@ -106,7 +107,7 @@
 
     /// A command is stored, and now in force; or it is not stored, refused, and nothing has changed.
     pub(super) fn on_persisted(&mut self, persisted: PersistResult) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         let Some(in_progress) = control.in_progress.take() else { return };
         let CommandInProgress { queued, log_after, reply, change } = in_progress;
         let reply = match persisted.result {
@@ -118,7 +119,7 @@
         };
         let Command { id, issuer, action, .. } = &queued.command;
         tracing::info!(target: "operator", id, issuer, act = action.name(), ?reply, "command");
-        if self.control.as_ref().is_some_and(|control| control.is_open(queued.connection)) {
+        if self.control_server.as_ref().is_some_and(|control| control.is_open(queued.connection)) {
             self.send_response(queued.connection.key, &Response::Command(reply));
         }
         self.start_next_command();
@@ -132,9 +133,9 @@
             Change::Resume => self.engine.on_operator_command(now, OperatorCommand::Resume),
             Change::RollBack => self.engine.on_operator_command(now, OperatorCommand::RollBack),
             Change::Drain => self.start_drain(),
-            Change::Undrain => self.stop_drain()?,
+            Change::Undrain => self.cancel_drain()?,
             Change::LogLevel(filter) => {
-                if let Some(control) = &mut self.control {
+                if let Some(control) = &mut self.control_server {
                     (control.set_log)(&filter).map_err(ApplyError::SetLog)?;
                 }
             }
@@ -145,9 +146,10 @@
 
     /// Ends a pause that has expired, publishes a control socket that could not be published before, and logs
     /// the connections that were rejected.
-    pub(in super::super) fn control_upkeep(&mut self) {
+    pub(in super::super) fn maintain_control(&mut self) {
         let context = self.daemon_context();
-        let Some(control) = self.control.as_mut().filter(|control| control.in_progress.is_none()) else {
+        let Some(control) = self.control_server.as_mut().filter(|control| control.in_progress.is_none())
+        else {
             return;
         };
         if control.rejected_connections > 0 {
@@ -159,7 +161,7 @@
         {
             tracing::error!("the control socket cannot be moved to its path: {error}");
         }
-        let Some(control) = self.control.as_mut() else { return };
+        let Some(control) = self.control_server.as_mut() else { return };
         if control.command_log.expire(wall_clock(), context).is_some() {
             // Stored with the next command; until then a restart finds the pause expired, too.
             tracing::info!(target: "operator", "the pause has ended");
--- a/crates/proxy/src/driver/operators/connections.rs
+++ b/crates/proxy/src/driver/operators/connections.rs
@@ -71,11 +71,13 @@
     ) {
         let generation = self.next_generation();
         let now = self.now();
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         let entry = control.connections.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_operator(key, readiness);
-        let Ok(stream) = OperatorStream::register(&self.handle, transport, tls, on_ready) else { return };
+        let Ok(stream) = OperatorStream::register(&self.loop_handle, transport, tls, on_ready) else {
+            return;
+        };
         entry.insert(Connection { generation, stream, input: Vec::new(), last_read_at: now });
         self.timers.set(now + timeout, TimerKind::Operator(ConnectionId { key, generation }));
     }
@@ -83,7 +85,7 @@
     /// A connection's time-out may have expired.
     pub(in super::super) fn operator_timeout(&mut self, id: ConnectionId) {
         let now = self.now();
-        let Some(control) = &self.control else { return };
+        let Some(control) = &self.control_server else { return };
         let Some(connection) = control.connections.get(id.key).filter(|_| control.is_open(id)) else {
             return;
         };
@@ -99,27 +101,27 @@
 
     /// Closes a connection.
     pub(in super::super) fn close_operator(&mut self, key: usize) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         if let Some(connection) = control.connections.try_remove(key) {
-            connection.stream.remove(&self.handle);
+            connection.stream.remove(&self.loop_handle);
         }
     }
 
     /// The operator's connection at this place, if it is a local one.
     pub(in super::super) fn operator_connection(&self, key: usize) -> Option<ConnectionId> {
-        let connection = self.control.as_ref()?.connections.get(key)?;
+        let connection = self.control_server.as_ref()?.connections.get(key)?;
         connection.is_local().then_some(ConnectionId { key, generation: connection.generation })
     }
 
     /// The stream of an operator's local connection, if that is still open.
     pub(in super::super) fn operator_stream(&self, id: ConnectionId) -> Option<&UnixStream> {
-        let connection = self.control.as_ref()?.connections.get(id.key)?;
+        let connection = self.control_server.as_ref()?.connections.get(id.key)?;
         connection.stream.unix_stream().filter(|_| connection.generation == id.generation)
     }
 
     /// A connection is ready to be read or written.
     fn on_operator(&mut self, key: usize, readiness: Readiness) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
         if readiness.writable && connection.stream.flush().is_err() {
             return self.close_operator(key);
@@ -135,10 +137,10 @@
     /// Reads once; breaks off where the input is no operator's request.
     fn read_operator(&mut self, key: usize) -> ControlFlow<()> {
         let now = self.now();
-        let connection = self.control.as_mut().and_then(|control| control.connections.get_mut(key));
+        let connection = self.control_server.as_mut().and_then(|control| control.connections.get_mut(key));
         let Some(connection) = connection else { return ControlFlow::Break(()) };
         let id = ConnectionId { key, generation: connection.generation };
-        let is_successor = self.hand_over.is_to(id);
+        let is_successor = self.hand_over.is_successor(id);
         match connection.stream.read(&mut connection.input) {
             ReadOutcome::Bytes(_) if is_successor => {
                 let bytes = std::mem::take(&mut connection.input);
@@ -152,7 +154,7 @@
             ReadOutcome::Closed | ReadOutcome::Failed => {
                 self.close_operator(key);
                 if is_successor {
-                    self.abort_hand_over(&HandOverError::SuccessorGone);
+                    self.abort_hand_over(&HandOverError::SuccessorDisconnected);
                 }
                 self.run_engine_actions();
                 ControlFlow::Break(())
--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -65,9 +65,9 @@
     /// The state at this moment: all of it from one turn of the event loop.
     pub(super) fn daemon_state(&self) -> DaemonState {
         let now = self.now();
-        let control = self.control.as_ref();
+        let control = self.control_server.as_ref();
         let pause = control.and_then(|control| control.command_log.pause());
-        let recent_peers = self.peers_heard_at.values().filter(|at| **at + RECENT_PEER_SPAN > now);
+        let recent_peers = self.peer_last_received_at.values().filter(|at| **at + RECENT_PEER_SPAN > now);
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
@@ -76,7 +76,7 @@
             release: self.engine.release().map(release_state),
             attempts: self.attempts_by_build.total().into_iter().map(BuildAttempts::from).collect(),
             vote: self.last_vote.clone(),
-            finding: self.last_finding.clone(),
+            finding: self.last_analysis_line.clone(),
             pause: pause.map(|pause| PauseState { until_us: pause.until_us, issuer: pause.issuer.clone() }),
             counts: self.request_counts(),
             connections: ConnectionCounts {
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -48,7 +48,7 @@
         let (persisted, results) = channel();
         let to_state_writer = Some(spawn_state_writer(state_writer, persisted.clone())?);
         self.receive_persist_results(results)?;
-        self.control = Some(ControlServer {
+        self.control_server = Some(ControlServer {
             path,
             unpublished_path: Some(unpublished_path),
             tls_listener,
@@ -75,7 +75,7 @@
         std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
         listener.set_nonblocking(true)?;
         let source = Generic::new(Rc::new(listener), Interest::READ, Mode::Level);
-        self.handle
+        self.loop_handle
             .insert_source(source, |_, listener, proxy: &mut Proxy| {
                 proxy.accept_local_operators(listener);
                 Ok(PostAction::Continue)
@@ -94,13 +94,13 @@
                 .map_err(|error| Error::other(format!("control_tls: {addr}: {error}")))?,
         };
         listener.set_nonblocking(true)?;
-        Listener::register(&self.handle, listener, |listener, proxy: &mut Proxy| {
+        Listener::register(&self.loop_handle, listener, |listener, proxy: &mut Proxy| {
             proxy.accept_remote_operators(listener);
         })
     }
 
     fn receive_persist_results(&mut self, results: Channel<PersistResult>) -> Result<()> {
-        self.handle
+        self.loop_handle
             .insert_source(results, |event, (), proxy: &mut Proxy| {
                 if let Event::Msg(persisted) = event {
                     proxy.on_persisted(persisted);
@@ -113,7 +113,7 @@
 
     /// Lets operators find the control socket.
     pub(in super::super) fn publish_control(&mut self) -> Result<()> {
-        let Some(control) = &mut self.control else { return Ok(()) };
+        let Some(control) = &mut self.control_server else { return Ok(()) };
         if let Some(unpublished_path) = &control.unpublished_path {
             // Takes the place of one that a killed process left behind, or of the old process's in a
             // takeover; two daemons on one identity are kept apart by their lock.
@@ -125,23 +125,23 @@
 
     /// The listener for control over TCP.
     pub(in super::super) fn control_listener(&self) -> Option<&TcpListener> {
-        let tls_listener = self.control.as_ref()?.tls_listener.as_ref()?;
+        let tls_listener = self.control_server.as_ref()?.tls_listener.as_ref()?;
         Some(tls_listener.socket())
     }
 
     /// The control socket's path is the successor's now.
-    pub(in super::super) fn leave_control(&mut self) {
-        let Some(control) = &mut self.control else { return };
+    pub(in super::super) fn release_control_socket(&mut self) {
+        let Some(control) = &mut self.control_server else { return };
         control.path_handed_over = true;
         if let Some(tls_listener) = control.tls_listener.take() {
-            tls_listener.remove(&self.handle);
+            tls_listener.remove(&self.loop_handle);
         }
     }
 
     fn accept_local_operators(&mut self, listener: &UnixListener) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Ok((stream, _)) = listener.accept() else { return };
-            let Some(control) = &mut self.control else { return };
+            let Some(control) = &mut self.control_server else { return };
             let is_full = control.local_connections() >= MAX_CONNECTIONS;
             if is_full || stream.set_nonblocking(true).is_err() {
                 control.rejected_connections += 1;
@@ -155,7 +155,7 @@
     fn accept_remote_operators(&mut self, listener: &TcpListener) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Ok((stream, _)) = listener.accept() else { return };
-            let Some(control) = &mut self.control else { return };
+            let Some(control) = &mut self.control_server else { return };
             let Some(tls_config) = control.tls_config.clone() else { return };
             let is_full = control.remote_connections() >= MAX_CONNECTIONS;
             // Full: the connection that has been in its handshake for longest goes, so that a flood of them
--- a/crates/proxy/src/driver/operators/persistence.rs
+++ b/crates/proxy/src/driver/operators/persistence.rs
@@ -37,12 +37,12 @@
 impl Proxy {
     /// Whether a command is being stored at this moment.
     pub(in super::super) fn is_persisting(&self) -> bool {
-        self.control.as_ref().is_some_and(|control| control.in_progress.is_some())
+        self.control_server.as_ref().is_some_and(|control| control.in_progress.is_some())
     }
 
     /// Gives the store up, so that the process that takes over can open it.
     pub(in super::super) fn release_store(&mut self) {
-        if let Some(control) = &mut self.control {
+        if let Some(control) = &mut self.control_server {
             control.to_state_writer = None;
         }
     }
@@ -55,7 +55,7 @@
     }
 
     fn try_reopen_store(&mut self) -> Result<(), DaemonError> {
-        let Some(control) = &mut self.control else { return Ok(()) };
+        let Some(control) = &mut self.control_server else { return Ok(()) };
         let Reopened { boot, state, state_writer } = (control.reopen)()?;
         control.to_state_writer = Some(spawn_state_writer(state_writer, control.persisted.clone())?);
         control.boot = boot;
--- a/crates/proxy/src/driver/operators/reload.rs
+++ b/crates/proxy/src/driver/operators/reload.rs
@@ -28,7 +28,7 @@
     /// Reads the settings again. All of them or none: what the decisions run by, and what is bound, needs a
     /// new process and refuses the rest with it.
     pub(super) fn reload(&mut self) -> Result<(), ReloadError> {
-        let Some(control) = &mut self.control else { return Err(ReloadError::NoSettings) };
+        let Some(control) = &mut self.control_server else { return Err(ReloadError::NoSettings) };
         let Reloaded { settings, tls_config } = (control.reload)().map_err(ReloadError::Read)?;
         if let Some(setting) = first_fixed_change(&self.settings, &settings) {
             return Err(ReloadError::NeedsNewProcess { setting });
--- a/crates/proxy/src/driver/operators/requests.rs
+++ b/crates/proxy/src/driver/operators/requests.rs
@@ -13,14 +13,14 @@
     /// Handles all complete lines of a connection's input.
     pub(super) fn handle_requests(&mut self, key: usize) {
         loop {
-            let Some(control) = &mut self.control else { return };
+            let Some(control) = &mut self.control_server else { return };
             let Some(connection) = control.connections.get_mut(key) else { return };
             let Some(line) = connection.next_line() else {
                 if connection.input.len() > wire::MAX_LINE_BYTES {
                     self.send_response(key, &Response::Malformed { reason: "line too long".into() });
                     return self.close_operator(key);
                 }
-                return connection.stream.set_read_interest(&self.handle, true);
+                return connection.stream.set_read_interest(&self.loop_handle, true);
             };
             if self.handle_request(key, line.trim_ascii_end()).is_break() {
                 return;
@@ -30,7 +30,7 @@
 
     /// Handles one line; breaks off where the connection is a successor's from here on.
     fn handle_request(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
-        let Some(control) = &self.control else { return ControlFlow::Break(()) };
+        let Some(control) = &self.control_server else { return ControlFlow::Break(()) };
         let Some(connection) = control.connections.get(key) else { return ControlFlow::Break(()) };
         let request = match wire::parse_request(line) {
             Ok(request) => request,
@@ -68,13 +68,13 @@
 
     /// Sends a response; closes the connection of an operator that does not read.
     pub(super) fn send_response(&mut self, key: usize, response: &Response) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control_server else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
         let sent = connection.stream.send(&wire::encode_line(response));
         if sent.is_err() || connection.stream.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
             return self.close_operator(key);
         }
-        connection.stream.set_read_interest(&self.handle, true);
+        connection.stream.set_read_interest(&self.loop_handle, true);
     }
 }
 
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -11,7 +11,7 @@
 use violetseam_event_io::{ReadOutcome, Socket};
 
 /// The size of one read.
-const READ_BYTES: usize = 4_096;
+const READ_BUFFER_BYTES: usize = 4_096;
 
 /// The stream under an operator's connection.
 pub(super) enum Transport {
@@ -80,7 +80,7 @@
 
     /// Reads once and appends the operator's bytes to `input`.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> ReadOutcome {
-        let mut bytes = [0; READ_BYTES];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let outcome = self.socket.read(&mut bytes);
         let ReadOutcome::Bytes(n) = outcome else { return outcome };
         let Some(tls) = &mut self.tls else {
@@ -158,7 +158,7 @@
         if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
             return DecryptOutcome::Failed;
         }
-        let mut plain = [0; READ_BYTES];
+        let mut plain = [0; READ_BUFFER_BYTES];
         loop {
             match tls.reader().read(&mut plain) {
                 Ok(0) => return DecryptOutcome::CloseNotify,
--- a/crates/proxy/src/driver/options.rs
+++ b/crates/proxy/src/driver/options.rs
@@ -22,7 +22,7 @@
     /// Where every event and action is recorded; nothing is recorded if this is absent.
     pub record: Option<Recording>,
     /// Whether the time spent in the decision module is measured.
-    pub time_module: bool,
+    pub measure_module_time: bool,
     /// The time after which the proxy stops by itself.
     pub stop_after: Option<Duration>,
     /// The proxy drains and stops once this flag is set. It is for proxies that share a process with others,
@@ -42,11 +42,11 @@
     /// Every twentieth request is sent twice.
     DoubleSend,
     /// Final responses that the proxy itself generates are delayed until after the deadline.
-    LateAnswer,
+    LateResponse,
     /// Notices from discovery that a server drains are ignored.
     IgnoreDrains,
     /// The fleet's retry budgets are ignored.
-    Spendthrift,
+    IgnoreBudgets,
 }
 
 /// What a proxy did, as it reports it when it stops.
--- a/crates/proxy/src/driver/peers.rs
+++ b/crates/proxy/src/driver/peers.rs
@@ -37,7 +37,7 @@
         let socket = Rc::new(socket);
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
         let token = self
-            .handle
+            .loop_handle
             .insert_source(source, |_, socket, proxy: &mut Proxy| {
                 proxy.on_datagrams(socket);
                 Ok(PostAction::Continue)
@@ -80,7 +80,7 @@
             }
             return;
         }
-        self.peers_heard_at.insert(position, now);
+        self.peer_last_received_at.insert(position, now);
         match kind {
             PayloadKind::Gossip => self.engine.on_peer_message(now, position, payload),
             PayloadKind::QuotaLeases => self.engine.on_budget_message(now, position, payload),
@@ -91,7 +91,7 @@
     /// Closes this process's copy of the socket; the process that has taken over keeps its own.
     pub(super) fn close_peer_socket(&mut self) {
         if let Some(PeerSocket { token, .. }) = self.peer_socket.take() {
-            self.handle.remove(token);
+            self.loop_handle.remove(token);
         }
     }
 
--- a/crates/proxy/src/driver/servers/attempts.rs
+++ b/crates/proxy/src/driver/servers/attempts.rs
@@ -60,7 +60,7 @@
         let entry = self.servers.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_server_ready(key, readiness);
-        let socket = Socket::register(&self.handle, stream, Interest::WRITE, on_ready).ok()?;
+        let socket = Socket::register(&self.loop_handle, stream, Interest::WRITE, on_ready).ok()?;
         let kind = TimerKind::Server(ConnectionId { key, generation });
         entry.insert(Server {
             generation,
--- a/crates/proxy/src/driver/servers/connections.rs
+++ b/crates/proxy/src/driver/servers/connections.rs
@@ -29,7 +29,7 @@
         let Some(server) = self.servers.get_mut(key) else { return };
         let mut wants_read = true;
         let timeout = match &server.state {
-            ConnectionState::Connecting(_) => return server.socket.set_connect_interest(&self.handle),
+            ConnectionState::Connecting(_) => return server.socket.set_connect_interest(&self.loop_handle),
             ConnectionState::Busy(active) if active.response.is_streaming() => {
                 let client = self.in_flight.get(&active.id.request).map(InFlightRequest::client_key);
                 let client = client.and_then(|key| self.clients.get(key));
@@ -42,7 +42,7 @@
         server.timeout.set(timeout.map(|timeout| now + timeout));
         let id = ConnectionId { key, generation: server.generation };
         server.timeout.arm(&mut self.timers, TimerKind::Server(id));
-        server.socket.set_read_interest(&self.handle, wants_read);
+        server.socket.set_read_interest(&self.loop_handle, wants_read);
     }
 
     /// Handles the timer of a server connection. If the time-out has expired, an idle connection is closed,
@@ -66,7 +66,7 @@
     /// would otherwise be a second copy next to one that is still open.
     pub(super) fn close_server(&mut self, key: usize) {
         let Some(server) = self.servers.try_remove(key) else { return };
-        server.socket.close_now(&self.handle);
+        server.socket.close_now(&self.loop_handle);
         self.idle_servers.remove(&server.id, key);
     }
 
--- a/crates/proxy/src/driver/servers/responses.rs
+++ b/crates/proxy/src/driver/servers/responses.rs
@@ -12,11 +12,11 @@
 impl Proxy {
     /// Reads from the connection once, and handles what was read.
     pub(super) fn read_server(&mut self, key: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         if let Some(server) = self.servers.get_mut(key) {
-            match server.socket.read(&mut scratch) {
+            match server.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(length) => {
-                    server.http.feed(&scratch[..length]);
+                    server.http.feed(&read_buffer[..length]);
                     self.process_server_events(key);
                 }
                 ReadOutcome::WouldBlock => {}
@@ -27,7 +27,7 @@
                 ReadOutcome::Failed => self.on_server_lost(key),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     /// Handles the events that a server's input contains, until more input is needed for the next one.
@@ -130,7 +130,7 @@
             self.end_attempt(request, attempt, Outcome::Cancelled);
             return;
         }
-        let response_id = self.draw();
+        let response_id = self.random_u64();
         self.engine.record_delivered_answer(request, attempt, response_id);
         let framing = if head.framing == Framing::UntilClose { Framing::Chunked } else { head.framing };
         if let Some(in_flight) = self.in_flight.get_mut(&request) {
@@ -156,7 +156,7 @@
         self.pool_or_close(key, reusable && is_request_written);
         match active.response {
             ResponseState::Buffered { head, body } => {
-                let response_id = self.draw();
+                let response_id = self.random_u64();
                 self.engine.record_delivered_answer(request, attempt, response_id);
                 if self.end_attempt(request, attempt, Outcome::Ok) {
                     self.deliver_buffered_response(request, &head, &body, response_id);
--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -86,16 +86,16 @@
     /// Begins a call; none if no connection could be begun.
     pub(super) fn start_call(&mut self, call: &CallRequest<'_>) -> Option<usize> {
         let CallRequest { purpose, request, timeout } = call;
-        let stream = connect(request.to).ok()?;
+        let stream = connect(request.address).ok()?;
         let generation = self.next_generation();
         let entry = self.site_calls.in_flight.vacant_entry();
         let key = entry.key();
         let on_ready = move |readiness: Readiness, proxy: &mut Proxy| proxy.on_call_ready(key, readiness);
-        let mut socket = Socket::register(&self.handle, stream, Interest::BOTH, on_ready).ok()?;
-        let http = request.queue(&mut socket);
+        let mut socket = Socket::register(&self.loop_handle, stream, Interest::BOTH, on_ready).ok()?;
+        let http = request.write_to(&mut socket);
         entry.insert(Call::new(generation, *purpose, socket, http));
         if let Some(timeout) = timeout {
-            self.timers.set(self.now() + timeout, TimerKind::Call(ConnectionId { key, generation }));
+            self.timers.set(self.now() + timeout, TimerKind::SiteCall(ConnectionId { key, generation }));
         }
         Some(key)
     }
@@ -103,7 +103,7 @@
     /// Closes a call's connection without a report to anybody.
     pub(super) fn close_call(&mut self, key: usize) {
         if self.site_calls.in_flight.contains(key) {
-            self.site_calls.in_flight.remove(key).socket.remove(&self.handle);
+            self.site_calls.in_flight.remove(key).socket.remove(&self.loop_handle);
         }
     }
 
@@ -129,16 +129,16 @@
         }
         let written_bytes = call.socket.flush().map_err(|_| CallError::ConnectionLost)?;
         call.is_written |= written_bytes > 0;
-        call.socket.set_read_interest(&self.handle, true);
+        call.socket.set_read_interest(&self.loop_handle, true);
         Ok(())
     }
 
     fn read_call(&mut self, key: usize) {
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
         while let Some(call) = self.site_calls.in_flight.get_mut(key) {
-            match call.socket.read(&mut scratch) {
+            match call.socket.read(&mut read_buffer) {
                 ReadOutcome::Bytes(count) => {
-                    call.http.feed(&scratch[..count]);
+                    call.http.feed(&read_buffer[..count]);
                     self.process_call_events(key);
                 }
                 ReadOutcome::WouldBlock => break,
@@ -155,7 +155,7 @@
                 }
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
     fn process_call_events(&mut self, key: usize) {
@@ -226,7 +226,7 @@
         let max_silence = self.settings.release_idle_timeout.unwrap_or(0);
         let Some(call) = self.site_calls.get_mut(id) else { return };
         if std::mem::take(&mut call.received_since_check) {
-            self.timers.set(now + max_silence.max(MIN_STREAM_SPAN), TimerKind::Call(id));
+            self.timers.set(now + max_silence.max(MIN_STREAM_SPAN), TimerKind::SiteCall(id));
         } else {
             self.end_call(id.key, &CallError::Silent);
         }
--- a/crates/proxy/src/driver/site_calls/mod.rs
+++ b/crates/proxy/src/driver/site_calls/mod.rs
@@ -68,7 +68,7 @@
 
 impl Proxy {
     /// Ends the streams from discovery and the release service: they are a successor's now.
-    pub(super) fn leave_site(&mut self) {
+    pub(super) fn end_site_streams(&mut self) {
         let list_watch = self.site_calls.list_watch.take();
         let release_stream = self.site_calls.release_stream.take();
         for key in [list_watch, release_stream].into_iter().flatten() {
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -41,7 +41,7 @@
         self.site_calls.release_service_index = next_index % self.settings.release_services.len();
         // Drawn, as all proxies lose the release service together.
         let span = self.settings.release_reconnect_delay.max(MIN_STREAM_SPAN);
-        let wait = span / 2 + self.draw() % span;
+        let wait = span / 2 + self.random_u64() % span;
         self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
     }
 
--- a/crates/proxy/src/driver/takeover/new_process.rs
+++ b/crates/proxy/src/driver/takeover/new_process.rs
@@ -95,7 +95,7 @@
 }
 
 /// Asks the process at a control socket to hand over. Nothing is final before
-/// [`super::super::serve_operated`] has reported to the old process that all sockets are open.
+/// [`super::super::serve_with_operators`] has reported to the old process that all sockets are open.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/driver/takeover/old_process.rs
+++ b/crates/proxy/src/driver/takeover/old_process.rs
@@ -23,7 +23,7 @@
     UnexpectedMessage,
     /// The connection to the new process is closed.
     #[error("the connection to the new process is closed")]
-    SuccessorGone,
+    SuccessorDisconnected,
     /// The new process was not ready within [`HAND_OVER_TIMEOUT`].
     #[error("the new process was not ready within {HAND_OVER_TIMEOUT:?}")]
     TimedOut,
@@ -55,7 +55,7 @@
     }
 
     /// Whether `connection` is the control connection of the process that is taking over.
-    pub(in super::super) fn is_to(&self, connection: ConnectionId) -> bool {
+    pub(in super::super) fn is_successor(&self, connection: ConnectionId) -> bool {
         self.successor() == Some(connection)
     }
 }
@@ -98,7 +98,7 @@
     }
 
     fn send_offer(&mut self, connection: ConnectionId) -> std::io::Result<()> {
-        let seed = self.draw();
+        let seed = self.random_u64();
         let module = postcard::to_allocvec(&self.engine.successor(seed)).map_err(std::io::Error::other)?;
         let idle_client_keys = self.idle_client_keys();
         let line = self.offer_line(module.len(), idle_client_keys.len())?;
@@ -156,7 +156,7 @@
             None => false,
         };
         if !is_sent {
-            return self.abort_hand_over(&HandOverError::SuccessorGone);
+            return self.abort_hand_over(&HandOverError::SuccessorDisconnected);
         }
         tracing::info!(owed = self.engine.pending_responses(), "handed over to the new process");
         self.complete_hand_over();
@@ -164,9 +164,9 @@
 
     fn complete_hand_over(&mut self) {
         let previous = std::mem::replace(&mut self.hand_over, HandOver::Completed);
-        self.leave_control();
-        self.leave_site();
-        self.leave_publisher();
+        self.release_control_socket();
+        self.end_site_streams();
+        self.end_subscription();
         self.close_peer_socket();
         // Both processes have copies of these sockets, so closing the copies of this process ends no
         // connection. The other connections, which became idle after the offer, were marked to close with
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -20,8 +20,8 @@
     Client(ConnectionId),
     /// The time-out of a server connection's present state may have expired.
     Server(ConnectionId),
-    /// The time-out of a call may have expired.
-    Call(ConnectionId),
+    /// The time-out of a call to discovery or to the release service may have expired.
+    SiteCall(ConnectionId),
     /// A pause in accepting connections is over.
     ResumeAccepting,
     /// The stream from the release service must be opened again.
@@ -114,7 +114,7 @@
         match kind {
             TimerKind::Client(connection) => self.client_timeout(now, connection),
             TimerKind::Server(connection) => self.server_timeout(now, connection),
-            TimerKind::Call(connection) => self.call_timeout(connection),
+            TimerKind::SiteCall(connection) => self.call_timeout(connection),
             TimerKind::ResumeAccepting => self.resume_accepting(),
             TimerKind::ReleaseStream => self.open_release_stream(),
             TimerKind::Takeover(generation) => self.hand_over_timeout(generation),
@@ -134,8 +134,8 @@
 
     fn run_maintenance(&mut self, now: Micros) {
         self.schedule_maintenance(now);
-        self.control_upkeep();
-        self.store_upkeep();
+        self.maintain_control();
+        self.maintain_store();
         if let Some(recorder) = self.engine.recorder() {
             recorder.flush();
         }
