--- a/crates/proxy/src/driver/operators/commands.rs
+++ b/crates/proxy/src/driver/operators/commands.rs
@@ -1,4 +1,5 @@
-//! Commands, one after the other: decided on, stored, then applied and answered.
+//! Operators' commands. They are executed one after the other: each is decided on, stored, applied and
+//! answered.
 
 use super::super::{ConnectionId, Proxy};
 use super::persistence::{PersistRequest, PersistResult};
@@ -8,24 +9,24 @@
 use violetseam_operator_commands::wire::{Reply, Response};
 use violetseam_operator_commands::{Change, Command, CommandLog, DaemonContext, Decision, ReleaseStage};
 
-/// Commands that wait to be stored.
+/// How many commands may wait for the command that is being stored.
 const MAX_QUEUED_COMMANDS: usize = 256;
 
-/// A command that waits for its turn.
+/// A command that has been received and not yet executed.
 pub(super) struct QueuedCommand {
     pub(super) connection: ConnectionId,
     pub(super) command: Command,
 }
 
-/// A command that is being stored, with what follows from it.
+/// A command that is being stored, with what takes effect once it is stored.
 pub(super) struct CommandInProgress {
     queued: QueuedCommand,
-    log_after: CommandLog,
+    next_command_log: CommandLog,
     reply: Reply,
     change: Option<Change>,
 }
 
-/// Why a command that is stored could not be applied.
+/// Why a command that was stored could not be applied.
 #[derive(Debug, thiserror::Error)]
 enum ApplyError {
     #[error(transparent)]
@@ -36,7 +37,7 @@
     Reload(#[from] ReloadError),
 }
 
-/// Why a drain that an operator asked for could not be taken back.
+/// Why an operator's drain could not be cancelled.
 #[derive(Debug, thiserror::Error)]
 pub(in super::super) enum UndrainError {
     #[error("this daemon is on its way out")]
@@ -46,22 +47,22 @@
 }
 
 impl Proxy {
-    /// A pause that outlived the process before binds this one from its first event on.
+    /// Applies a pause that an earlier process stored, so that it binds this process from the start.
     pub(in super::super) fn restore_pause(&mut self) {
         let now = self.now();
         if self.control_server.as_ref().is_some_and(|control| control.command_log.pause().is_some()) {
-            tracing::warn!("a pause from before this start stands");
+            tracing::warn!("a pause that was set before this process started is still in force");
             self.engine.on_operator_command(now, OperatorCommand::Pause);
         }
     }
 
-    /// Queues a command, or refuses it where too many wait.
+    /// Queues a command, or rejects it if too many commands are queued.
     pub(super) fn queue_command(&mut self, queued: QueuedCommand) {
         let Some(control) = &mut self.control_server else { return };
-        if control.queue.len() >= MAX_QUEUED_COMMANDS {
+        if control.queued_commands.len() >= MAX_QUEUED_COMMANDS {
             return self.reject_command(queued.connection.key, "too many commands wait");
         }
-        control.queue.push_back(queued);
+        control.queued_commands.push_back(queued);
         self.start_next_command();
     }
 
@@ -81,38 +82,41 @@
         }
     }
 
-    /// Decides on the next command and has it stored, unless one is being stored: commands have one order.
+    /// Decides on the next queued command and requests that it be stored. Does nothing while a command is
+    /// being stored, so that commands are decided on and applied in one order.
     fn start_next_command(&mut self) {
         let context = self.daemon_context();
-        let Some(control) = self.control_server.as_mut().filter(|control| control.in_progress.is_none())
+        let Some(control) =
+            self.control_server.as_mut().filter(|control| control.command_in_progress.is_none())
         else {
             return;
         };
-        let Some(queued) = control.queue.pop_front() else { return };
+        let Some(queued) = control.queued_commands.pop_front() else { return };
         let now = wall_clock();
-        let mut log_after = control.command_log.clone();
-        let Decision { reply, change } = log_after.submit(now, context, &queued.command);
+        let mut next_command_log = control.command_log.clone();
+        let Decision { reply, change } = next_command_log.submit(now, context, &queued.command);
         let audit_line = audit_line(now, &queued.command, &reply);
-        let request = PersistRequest { state: log_after.persisted().clone(), audit_line };
+        let request = PersistRequest { state: next_command_log.persisted().clone(), audit_line };
         let is_sent = control
-            .to_state_writer
+            .persist_requests
             .as_ref()
-            .is_some_and(|to_state_writer| to_state_writer.send(request).is_ok());
+            .is_some_and(|persist_requests| persist_requests.send(request).is_ok());
         if !is_sent {
             let reason = "the state is with another process, or its keeper has failed";
             return self.reject_command(queued.connection.key, reason);
         }
-        control.in_progress = Some(CommandInProgress { queued, log_after, reply, change });
+        control.command_in_progress = Some(CommandInProgress { queued, next_command_log, reply, change });
     }
 
-    /// A command is stored, and now in force; or it is not stored, refused, and nothing has changed.
-    pub(super) fn on_persisted(&mut self, persisted: PersistResult) {
+    /// Handles the result of storing a command. A command that was stored is applied; one that could not be
+    /// stored is rejected and changes nothing.
+    pub(super) fn on_persisted(&mut self, persist_result: PersistResult) {
         let Some(control) = &mut self.control_server else { return };
-        let Some(in_progress) = control.in_progress.take() else { return };
-        let CommandInProgress { queued, log_after, reply, change } = in_progress;
-        let reply = match persisted.result {
+        let Some(completed) = control.command_in_progress.take() else { return };
+        let CommandInProgress { queued, next_command_log, reply, change } = completed;
+        let reply = match persist_result.result {
             Ok(()) => {
-                control.command_log = log_after;
+                control.command_log = next_command_log;
                 self.apply_change(change).map_or_else(rejected_reply, |()| reply)
             }
             Err(error) => Reply::Rejected { reason: format!("the daemon's state cannot be kept: {error}") },
@@ -144,27 +148,32 @@
         Ok(())
     }
 
-    /// Ends a pause that has expired, publishes a control socket that could not be published before, and logs
-    /// the connections that were rejected.
+    /// Ends a pause that has expired, tries again to publish a control socket that could not be published
+    /// before, and logs how many connections were rejected.
     pub(in super::super) fn maintain_control(&mut self) {
         let context = self.daemon_context();
-        let Some(control) = self.control_server.as_mut().filter(|control| control.in_progress.is_none())
+        let Some(control) =
+            self.control_server.as_mut().filter(|control| control.command_in_progress.is_none())
         else {
             return;
         };
         if control.rejected_connections > 0 {
-            tracing::warn!(connections = control.rejected_connections, "operators' connections turned away");
+            tracing::warn!(
+                connections = control.rejected_connections,
+                "operators' connections rejected: the limit is reached or they could not be set up"
+            );
             control.rejected_connections = 0;
         }
         if control.unpublished_path.is_some()
             && let Err(error) = self.publish_control()
         {
-            tracing::error!("the control socket cannot be moved to its path: {error}");
+            tracing::error!("the control socket could not be renamed to its path: {error}");
         }
         let Some(control) = self.control_server.as_mut() else { return };
         if control.command_log.expire(wall_clock(), context).is_some() {
-            // Stored with the next command; until then a restart finds the pause expired, too.
-            tracing::info!(target: "operator", "the pause has ended");
+            // The end of the pause is stored with the next command. Until then a process that restarts finds
+            // the pause in the store, but expired.
+            tracing::info!(target: "operator", "the pause has expired");
             let now = self.now();
             self.engine.on_operator_command(now, OperatorCommand::Resume);
         }
@@ -175,7 +184,7 @@
     Reply::Rejected { reason: error.to_string() }
 }
 
-/// A line of the audit log.
+/// Returns the line of the audit log for a command and its reply.
 fn audit_line(now: u64, command: &Command, reply: &Reply) -> String {
     let value = serde_json::json!({"at_us": now, "command": command, "reply": reply});
     value.to_string()
--- a/crates/proxy/src/driver/operators/daemon_state.rs
+++ b/crates/proxy/src/driver/operators/daemon_state.rs
@@ -1,4 +1,4 @@
-//! The state that operators read.
+//! Collects the state of the proxy that operators read.
 
 use super::super::Proxy;
 use std::collections::BTreeMap;
@@ -8,34 +8,34 @@
     BuildAttempts, ConnectionCounts, DaemonState, PauseState, QuotaState, ReleaseState, RequestCounts,
 };
 
-/// A peer counts as heard if a datagram of it arrived within this span.
+/// A peer is counted as reachable if a datagram from it was received within this span.
 const RECENT_PEER_SPAN: Micros = 10_000_000;
-/// The span over which attempts are counted by build.
+/// The length of the spans in which attempts are counted by build.
 const BUILD_COUNT_SPAN: Micros = 10_000_000;
 
-/// Attempts by build, in the present span and in the one before.
+/// The number of attempts by build, in the current span and in the previous one.
 #[derive(Debug, Default)]
 pub(in super::super) struct AttemptsByBuild {
-    present: BTreeMap<Build, u64>,
+    current: BTreeMap<Build, u64>,
     previous: BTreeMap<Build, u64>,
-    present_since: Micros,
+    current_since: Micros,
 }
 
 impl AttemptsByBuild {
     fn begin_span_if_due(&mut self, now: Micros) {
-        if now >= self.present_since + BUILD_COUNT_SPAN {
-            self.previous = std::mem::take(&mut self.present);
-            self.present_since = now;
+        if now >= self.current_since + BUILD_COUNT_SPAN {
+            self.previous = std::mem::take(&mut self.current);
+            self.current_since = now;
         }
     }
 
     fn count(&mut self, build: Build) {
-        *self.present.entry(build).or_default() += 1;
+        *self.current.entry(build).or_default() += 1;
     }
 
     fn total(&self) -> BTreeMap<Build, u64> {
         let mut total = self.previous.clone();
-        for (build, attempts) in &self.present {
+        for (build, attempts) in &self.current {
             *total.entry(*build).or_default() += attempts;
         }
         total
@@ -43,7 +43,7 @@
 }
 
 impl Proxy {
-    /// The name that operators know this proxy by.
+    /// Returns the name under which operators address this proxy.
     pub(super) fn own_name(&self) -> String {
         format!("{}-{}", self.settings.fleet_name, self.settings.decisions.position)
     }
@@ -53,7 +53,7 @@
         self.last_vote = Some(format!("{verdict} on build {build}, stage {stage}").to_lowercase());
     }
 
-    /// Counts an attempt for the state that operators read, by the build that its server is listed with.
+    /// Counts an attempt for the state that operators read, under the build of its server in the server list.
     pub(in super::super) fn count_attempt(&mut self, server: ServerId) {
         let now = self.now();
         self.attempts_by_build.begin_span_if_due(now);
@@ -62,12 +62,14 @@
         }
     }
 
-    /// The state at this moment: all of it from one turn of the event loop.
+    /// Returns the present state. All of it is collected in one iteration of the event loop, so it is
+    /// consistent.
     pub(super) fn daemon_state(&self) -> DaemonState {
         let now = self.now();
         let control = self.control_server.as_ref();
         let pause = control.and_then(|control| control.command_log.pause());
-        let recent_peers = self.peer_last_received_at.values().filter(|at| **at + RECENT_PEER_SPAN > now);
+        let recent_peers =
+            self.peer_last_received_at.values().filter(|received_at| **received_at + RECENT_PEER_SPAN > now);
         DaemonState {
             name: self.own_name(),
             boot: control.map_or(0, |control| control.boot),
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners for control: a Unix-domain socket, and TCP under mutual TLS.
+//! The control listeners: a Unix-domain socket, and TCP with mutual TLS.
 
 use super::super::Proxy;
 use super::connections::{HANDSHAKE_TIMEOUT, IDLE_TIMEOUT};
@@ -21,47 +21,50 @@
 use violetseam_event_io::Listener;
 use violetseam_operator_commands::CommandLog;
 
-/// Operators' connections at once, of each kind, so that a flood from the network leaves the local socket
-/// free; further ones are closed unread.
-const MAX_CONNECTIONS: usize = 64;
-/// Connections accepted in one turn, so that a flood of them leaves time for traffic.
-const MAX_ACCEPTS_PER_TURN: usize = 8;
-/// Who may open the control socket.
+/// How many operators' connections may be open over the local socket, and how many over TCP. The two are
+/// counted separately, so that a flood from the network does not block the local socket. Connections over the
+/// limit are closed without being read.
+const MAX_CONNECTIONS_PER_TRANSPORT: usize = 64;
+/// How many connections are accepted in one iteration of the event loop, so that a flood of them does not
+/// delay client requests.
+const MAX_ACCEPTS_PER_ITERATION: usize = 8;
+/// The mode of the control socket: only the owner may connect.
 const SOCKET_MODE: u32 = 0o600;
 
 impl Proxy {
-    /// Makes all that control needs; operators find it once it is published. In a takeover that is after the
-    /// old process has left: what can fail must fail before.
+    /// Opens the control listeners and starts the state writer. Operators can reach the control socket once
+    /// it is published. In a takeover that happens after the old process has stopped serving, so everything
+    /// that can fail is done here, before that.
     pub(in super::super) fn open_control(
         &mut self,
         operators: Operators,
         inherited: Option<TcpListener>,
     ) -> Result<()> {
-        let Operators { socket: path, tls_config, boot, state, state_writer, reload, set_log, reopen } =
+        let Operators { socket: socket_path, tls_config, boot, state, state_writer, reload, set_log, reopen } =
             operators;
-        let unpublished_path = unpublished(&path);
+        let unpublished_path = unpublished_path(&socket_path);
         self.listen_on_unix_socket(&unpublished_path)?;
         let tls_listener = match self.settings.control_tls.as_ref().map(|tls| tls.listen) {
             Some(addr) => Some(self.listen_on_tcp(addr, inherited)?),
             None => None,
         };
-        let (persisted, results) = channel();
-        let to_state_writer = Some(spawn_state_writer(state_writer, persisted.clone())?);
-        self.receive_persist_results(results)?;
+        let (persist_results, received_results) = channel();
+        let persist_requests = Some(spawn_state_writer(state_writer, persist_results.clone())?);
+        self.receive_persist_results(received_results)?;
         self.control_server = Some(ControlServer {
-            path,
+            socket_path,
             unpublished_path: Some(unpublished_path),
             tls_listener,
             tls_config,
             boot,
             command_log: CommandLog::new(state),
             connections: Slab::new(),
-            queue: VecDeque::new(),
-            in_progress: None,
-            to_state_writer,
-            persisted,
+            queued_commands: VecDeque::new(),
+            command_in_progress: None,
+            persist_requests,
+            persist_results,
             reopen,
-            path_handed_over: false,
+            is_path_handed_over: false,
             reload,
             set_log,
             rejected_connections: 0,
@@ -84,14 +87,16 @@
         Ok(())
     }
 
-    /// Listens on the old process's socket, if it is for this address; else on one of its own.
+    /// Listens on the socket inherited from the old process if that is bound to `addr`, and otherwise binds a
+    /// new one.
     fn listen_on_tcp(&mut self, addr: SocketAddr, inherited: Option<TcpListener>) -> Result<Listener> {
-        let is_for_addr =
-            |listener: &TcpListener| listener.local_addr().is_ok_and(|at| at == addr || addr.port() == 0);
-        let listener = match inherited.filter(is_for_addr) {
+        let listens_on_addr = |listener: &TcpListener| {
+            listener.local_addr().is_ok_and(|local_addr| local_addr == addr || addr.port() == 0)
+        };
+        let listener = match inherited.filter(listens_on_addr) {
             Some(listener) => listener,
             None => TcpListener::bind(addr)
-                .map_err(|error| Error::other(format!("control_tls: {addr}: {error}")))?,
+                .map_err(|error| Error::other(format!("control_tls: cannot listen on {addr}: {error}")))?,
         };
         listener.set_nonblocking(true)?;
         Listener::register(&self.loop_handle, listener, |listener, proxy: &mut Proxy| {
@@ -102,8 +107,8 @@
     fn receive_persist_results(&mut self, results: Channel<PersistResult>) -> Result<()> {
         self.loop_handle
             .insert_source(results, |event, (), proxy: &mut Proxy| {
-                if let Event::Msg(persisted) = event {
-                    proxy.on_persisted(persisted);
+                if let Event::Msg(persist_result) = event {
+                    proxy.on_persisted(persist_result);
                     proxy.run_engine_actions();
                 }
             })
@@ -111,58 +116,59 @@
         Ok(())
     }
 
-    /// Lets operators find the control socket.
+    /// Renames the control socket to its path, where operators can connect to it.
     pub(in super::super) fn publish_control(&mut self) -> Result<()> {
         let Some(control) = &mut self.control_server else { return Ok(()) };
         if let Some(unpublished_path) = &control.unpublished_path {
-            // Takes the place of one that a killed process left behind, or of the old process's in a
-            // takeover; two daemons on one identity are kept apart by their lock.
-            std::fs::rename(unpublished_path, &control.path)?;
+            // The rename replaces a socket that a killed process left behind or, in a takeover, the socket of
+            // the old process. It cannot replace the socket of another daemon with the same identity, because
+            // a lock prevents two such daemons from running.
+            std::fs::rename(unpublished_path, &control.socket_path)?;
             control.unpublished_path = None;
         }
         Ok(())
     }
 
-    /// The listener for control over TCP.
+    /// Returns the listener for control over TCP, if there is one.
     pub(in super::super) fn control_listener(&self) -> Option<&TcpListener> {
         let tls_listener = self.control_server.as_ref()?.tls_listener.as_ref()?;
         Some(tls_listener.socket())
     }
 
-    /// The control socket's path is the successor's now.
+    /// Leaves the control socket's path to the process that has taken over, and stops listening over TCP.
     pub(in super::super) fn release_control_socket(&mut self) {
         let Some(control) = &mut self.control_server else { return };
-        control.path_handed_over = true;
+        control.is_path_handed_over = true;
         if let Some(tls_listener) = control.tls_listener.take() {
             tls_listener.remove(&self.loop_handle);
         }
     }
 
     fn accept_local_operators(&mut self, listener: &UnixListener) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Ok((stream, _)) = listener.accept() else { return };
             let Some(control) = &mut self.control_server else { return };
-            let is_full = control.local_connections() >= MAX_CONNECTIONS;
+            let is_full = control.local_connection_count() >= MAX_CONNECTIONS_PER_TRANSPORT;
             if is_full || stream.set_nonblocking(true).is_err() {
                 control.rejected_connections += 1;
                 continue;
             }
-            self.add_operator(Transport::Unix(stream), None, IDLE_TIMEOUT);
+            self.add_operator_connection(Transport::Unix(stream), None, IDLE_TIMEOUT);
         }
     }
 
-    /// Accepts connections over TCP, of whose other side nothing is known yet.
+    /// Accepts connections over TCP. Their peers are not authenticated until the handshake is complete.
     fn accept_remote_operators(&mut self, listener: &TcpListener) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Ok((stream, _)) = listener.accept() else { return };
             let Some(control) = &mut self.control_server else { return };
             let Some(tls_config) = control.tls_config.clone() else { return };
-            let is_full = control.remote_connections() >= MAX_CONNECTIONS;
-            // Full: the connection that has been in its handshake for longest goes, so that a flood of them
-            // cannot keep an operator out for longer than a handshake takes.
+            let is_full = control.remote_connection_count() >= MAX_CONNECTIONS_PER_TRANSPORT;
+            // At the limit, the connection that has been in its handshake for the longest time is closed, so
+            // that a flood of connections cannot keep an operator out for longer than a handshake may take.
             let evicted = if is_full { control.oldest_handshake() } else { None };
-            let has_place = !is_full || evicted.is_some();
-            let Some(tls) = begin_handshake(&stream, tls_config).filter(|_| has_place) else {
+            let has_room = !is_full || evicted.is_some();
+            let Some(tls) = begin_handshake(&stream, tls_config).filter(|_| has_room) else {
                 control.rejected_connections += 1;
                 continue;
             };
@@ -170,16 +176,17 @@
                 control.rejected_connections += 1;
                 self.close_operator(key);
             }
-            self.add_operator(Transport::Tcp(stream), Some(Box::new(tls)), HANDSHAKE_TIMEOUT);
+            self.add_operator_connection(Transport::Tcp(stream), Some(Box::new(tls)), HANDSHAKE_TIMEOUT);
         }
     }
 }
 
-/// The socket is made under another name and moved, so that it is never there with a wider mode.
-fn unpublished(path: &Path) -> PathBuf {
-    let mut unpublished = path.to_owned().into_os_string();
-    unpublished.push(".new");
-    PathBuf::from(unpublished)
+/// Returns the path under which the socket is created. It is renamed once its mode is set, so that the socket
+/// is never reachable at its path with a wider mode.
+fn unpublished_path(path: &Path) -> PathBuf {
+    let mut unpublished_path = path.to_owned().into_os_string();
+    unpublished_path.push(".new");
+    PathBuf::from(unpublished_path)
 }
 
 fn begin_handshake(stream: &TcpStream, tls_config: Arc<ServerConfig>) -> Option<ServerConnection> {
--- a/crates/proxy/src/driver/operators/mod.rs
+++ b/crates/proxy/src/driver/operators/mod.rs
@@ -1,16 +1,16 @@
-//! The control sockets, local and TCP: operators' queries and commands.
+//! Operators' queries and commands, received on the control sockets (local and TCP).
 //!
-//! What a command leads to is decided in `violetseam-operator-commands`. A command is stored durably before
-//! it is applied and answered: the state writer works on a thread of its own, as a slow disk must not hold up
-//! traffic, and commands wait for each other meanwhile. A command that cannot be stored is rejected and
-//! changes nothing.
+//! `violetseam-operator-commands` decides on the effect of a command. A command is stored durably before it
+//! is applied and answered. The state writer runs on its own thread, because a slow disk must not delay
+//! client requests; while a command is being stored, later commands wait. A command that cannot be stored is
+//! rejected and changes nothing.
 //!
-//! - `listeners`: the control sockets, and accepting from them
-//! - `connections`, `stream`: operators' connections, in plain text or under TLS
-//! - `requests`: a request line and its response
-//! - `commands`, `persistence`: commands, and the thread that stores them
+//! - `listeners`: the control sockets, and how connections are accepted from them
+//! - `connections`, `stream`: operators' connections, without TLS over the local socket and with TLS over TCP
+//! - `requests`: request lines and their responses
+//! - `commands`, `persistence`: the execution of commands, and the thread that stores them
 //! - `daemon_state`: the state that operators read
-//! - `reload`: settings that are read again
+//! - `reload`: the reload of the settings
 
 pub(super) mod commands;
 mod connections;
@@ -34,92 +34,95 @@
 use violetseam_operator_commands::{CommandLog, PersistedState};
 use violetseam_settings::ProxySettings;
 
-/// An error of the daemon round this proxy.
+/// An error from the daemon that runs this proxy.
 pub type DaemonError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Why a [`StateWriter`] failed.
 pub type StateWriterError = DaemonError;
 
-/// Stores what must outlive the process. Called on a thread of its own.
+/// Stores the state that must outlive the process. It is called on its own thread.
 pub trait StateWriter: Send {
-    /// Stores the state and appends a line to the audit log; returns only when both would survive a crash.
+    /// Stores the state and appends a line to the audit log. Returns only when both would survive a crash.
     ///
     /// # Errors
-    /// If the state or the line could not be stored. Then neither is, or it is unknown whether they are.
+    ///
+    /// Returns an error if the state or the line could not be stored. Then neither is stored, or it is
+    /// unknown whether they are.
     fn write(&mut self, state: &PersistedState, audit_line: &str) -> Result<(), StateWriterError>;
 }
 
-/// What a reload may change while the proxy runs.
+/// What a reload replaces while the proxy runs.
 #[derive(Debug)]
 pub struct Reloaded {
-    /// The settings.
+    /// The settings that were read.
     pub settings: ProxySettings,
-    /// TLS for control over TCP; connections that are open go on with that which they began with.
+    /// The TLS configuration for control over TCP. Open connections keep the one that they started with.
     pub tls_config: Option<Arc<ServerConfig>>,
 }
 
-/// Reads the settings again.
+/// A function that reads the settings again.
 pub type Reload = Box<dyn FnMut() -> Result<Reloaded, DaemonError>>;
-/// Sets another log filter.
+/// A function that sets the log filter.
 pub type SetLog = Box<dyn FnMut(&str) -> Result<(), DaemonError>>;
 
-/// The store, opened again.
+/// A store that was opened again after a takeover that failed.
 pub struct Reopened {
-    /// The boot number, one more.
+    /// The boot number, which is one more than before.
     pub boot: u64,
-    /// What it holds.
+    /// The state in the store.
     pub state: PersistedState,
-    /// Stores what comes.
+    /// The writer that stores later states.
     pub state_writer: Box<dyn StateWriter>,
 }
 
-/// Opens the store again, after a takeover that failed halfway.
+/// A function that opens the store again after a takeover that failed.
 pub type Reopen = Box<dyn FnMut() -> Result<Reopened, DaemonError>>;
 
-/// What a daemon gives its proxy.
+/// What a daemon passes to its proxy, so that operators can control it.
 pub struct Operators {
-    /// Where the control socket is made, with mode 0600.
+    /// The path of the control socket, which is created with mode 0600.
     pub socket: PathBuf,
-    /// TLS for control over TCP, where the settings name an address for it.
+    /// The TLS configuration for control over TCP, if the settings name an address for it.
     pub tls_config: Option<Arc<ServerConfig>>,
-    /// The boot number.
+    /// The boot number, which increases each time the store is opened.
     pub boot: u64,
-    /// What outlived the process before.
+    /// The state that an earlier process stored.
     pub state: PersistedState,
-    /// Stores what must outlive this one.
+    /// The writer that stores the state that must outlive this process.
     pub state_writer: Box<dyn StateWriter>,
     /// Reads the settings again.
     pub reload: Reload,
-    /// Sets another log filter.
+    /// Sets the log filter.
     pub set_log: SetLog,
-    /// Opens the store again.
+    /// Opens the store again after a takeover that failed.
     pub reopen: Reopen,
 }
 
-/// Control of one proxy by its operators.
+/// The server side of the control sockets of one proxy.
 pub(super) struct ControlServer {
-    path: PathBuf,
-    /// Where the socket is until it is moved to its path.
+    socket_path: PathBuf,
+    /// The path of the socket until it is published, which means renamed to `socket_path`; `None` afterwards.
     unpublished_path: Option<PathBuf>,
-    /// For control over TCP.
+    /// The listener for control over TCP, if the settings name an address for it.
     tls_listener: Option<Listener>,
     tls_config: Option<Arc<ServerConfig>>,
     boot: u64,
     command_log: CommandLog,
     connections: Slab<Connection>,
-    queue: VecDeque<QueuedCommand>,
+    queued_commands: VecDeque<QueuedCommand>,
     /// The command that is being stored.
-    in_progress: Option<CommandInProgress>,
-    /// To the state writer's thread; none while the store is with a process that takes over.
-    to_state_writer: Option<std::sync::mpsc::Sender<PersistRequest>>,
-    /// From the state writer's thread.
-    persisted: Sender<PersistResult>,
+    command_in_progress: Option<CommandInProgress>,
+    /// The channel to the state writer's thread; `None` while a process that takes over has the store.
+    persist_requests: Option<std::sync::mpsc::Sender<PersistRequest>>,
+    /// The sending side of the channel on which the state writer's thread returns its results.
+    persist_results: Sender<PersistResult>,
     reopen: Reopen,
-    /// The path is another process's now.
-    path_handed_over: bool,
+    /// Whether a process that has taken over owns the socket at `socket_path`, which must then not be
+    /// removed.
+    is_path_handed_over: bool,
     reload: Reload,
     set_log: SetLog,
-    /// Connections that were closed unread, since that was last logged.
+    /// How many connections have been rejected since the last log line about them.
     rejected_connections: u64,
 }
 
@@ -127,13 +130,13 @@
     fn drop(&mut self) {
         if let Some(unpublished_path) = &self.unpublished_path {
             let _ = std::fs::remove_file(unpublished_path);
-        } else if !self.path_handed_over {
-            let _ = std::fs::remove_file(&self.path);
+        } else if !self.is_path_handed_over {
+            let _ = std::fs::remove_file(&self.socket_path);
         }
     }
 }
 
-/// Microseconds since 1970.
+/// Returns the wall clock's time in microseconds since 1970.
 pub(super) fn wall_clock() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     since.as_micros() as u64
--- a/crates/proxy/src/driver/operators/reload.rs
+++ b/crates/proxy/src/driver/operators/reload.rs
@@ -1,11 +1,11 @@
-//! Settings that are read again while the proxy runs.
+//! The reload of the settings while the proxy runs.
 
 use super::super::{Proxy, head_limits};
 use super::{DaemonError, Reloaded};
 use std::rc::Rc;
 use violetseam_settings::ProxySettings;
 
-/// Why the settings stay as they were.
+/// Why the settings were not reloaded.
 #[derive(Debug, thiserror::Error)]
 pub(in super::super) enum ReloadError {
     #[error("no settings to read again")]
@@ -17,20 +17,21 @@
 }
 
 impl Proxy {
-    /// Reads the settings again because of a signal.
+    /// Reloads the settings because the process received a signal.
     pub(in super::super) fn reload_on_signal(&mut self) {
         match self.reload() {
-            Ok(()) => tracing::info!("settings read again"),
-            Err(error) => tracing::error!("settings stay as they were: {error}"),
+            Ok(()) => tracing::info!("settings reloaded"),
+            Err(error) => tracing::error!("settings not reloaded, the previous ones stay in force: {error}"),
         }
     }
 
-    /// Reads the settings again. All of them or none: what the decisions run by, and what is bound, needs a
-    /// new process and refuses the rest with it.
+    /// Reads the settings again, and applies either all of them or none. Settings of the decision module and
+    /// addresses that are bound can change only in a new process; if one of them has changed, the whole
+    /// reload is rejected.
     pub(super) fn reload(&mut self) -> Result<(), ReloadError> {
         let Some(control) = &mut self.control_server else { return Err(ReloadError::NoSettings) };
         let Reloaded { settings, tls_config } = (control.reload)().map_err(ReloadError::Read)?;
-        if let Some(setting) = first_fixed_change(&self.settings, &settings) {
+        if let Some(setting) = first_unreloadable_change(&self.settings, &settings) {
             return Err(ReloadError::NeedsNewProcess { setting });
         }
         control.tls_config = tls_config;
@@ -40,8 +41,8 @@
     }
 }
 
-/// The first difference that only a new process can take up.
-fn first_fixed_change(old: &ProxySettings, new: &ProxySettings) -> Option<&'static str> {
+/// Returns the first setting that has changed and that only a new process can apply.
+fn first_unreloadable_change(old: &ProxySettings, new: &ProxySettings) -> Option<&'static str> {
     let control_addr = |settings: &ProxySettings| settings.control_tls.as_ref().map(|tls| tls.listen);
     let same_identity =
         old.fleet_name == new.fleet_name && old.site == new.site && old.class_names == new.class_names;
@@ -55,5 +56,5 @@
         ("budgets of the fleet", old.retry_quotas == new.retry_quotas),
         ("the address of control_tls", control_addr(old) == control_addr(new)),
     ];
-    checks.into_iter().find(|(_, same)| !same).map(|(setting, _)| setting)
+    checks.into_iter().find(|(_, is_unchanged)| !is_unchanged).map(|(setting, _)| setting)
 }
--- a/crates/proxy/src/driver/operators/requests.rs
+++ b/crates/proxy/src/driver/operators/requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: one JSON line each, and one line for its response.
+//! Operators' requests. A request is one JSON line, and so is its response.
 
 use super::super::{ConnectionId, Proxy};
 use super::commands::QueuedCommand;
@@ -6,16 +6,17 @@
 use violetseam_operator_commands::Command;
 use violetseam_operator_commands::wire::{self, Request, Response};
 
-/// A connection with more unwritten bytes than this is closed: its operator does not read.
+/// A connection with more unwritten bytes than this is closed, because its operator does not read the
+/// responses.
 const MAX_UNWRITTEN_BYTES: usize = 4 * wire::MAX_LINE_BYTES;
 
 impl Proxy {
-    /// Handles all complete lines of a connection's input.
+    /// Handles all complete lines in a connection's input.
     pub(super) fn handle_requests(&mut self, key: usize) {
         loop {
             let Some(control) = &mut self.control_server else { return };
             let Some(connection) = control.connections.get_mut(key) else { return };
-            let Some(line) = connection.next_line() else {
+            let Some(line) = connection.take_line() else {
                 if connection.input.len() > wire::MAX_LINE_BYTES {
                     self.send_response(key, &Response::Malformed { reason: "line too long".into() });
                     return self.close_operator(key);
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Handles one line; breaks off where the connection is a successor's from here on.
+    /// Handles one request line. Returns `Break` if no further line of the connection may be handled: the
+    /// connection is closed, or it requested a takeover.
     fn handle_request(&mut self, key: usize, line: &[u8]) -> ControlFlow<()> {
         let Some(control) = &self.control_server else { return ControlFlow::Break(()) };
         let Some(connection) = control.connections.get(key) else { return ControlFlow::Break(()) };
@@ -66,19 +68,20 @@
         ControlFlow::Continue(())
     }
 
-    /// Sends a response; closes the connection of an operator that does not read.
+    /// Sends a response. Closes the connection if the response cannot be sent, or if the operator does not
+    /// read.
     pub(super) fn send_response(&mut self, key: usize, response: &Response) {
         let Some(control) = &mut self.control_server else { return };
         let Some(connection) = control.connections.get_mut(key) else { return };
-        let sent = connection.stream.send(&wire::encode_line(response));
-        if sent.is_err() || connection.stream.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
+        let send_result = connection.stream.send(&wire::encode_line(response));
+        if send_result.is_err() || connection.stream.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
             return self.close_operator(key);
         }
         connection.stream.set_read_interest(&self.loop_handle, true);
     }
 }
 
-/// Over TCP the certificate names the issuer; the name in the command is added to it.
+/// Prefixes the command's issuer with the name in the certificate, which only connections over TCP have.
 fn add_certificate_holder(command: &mut Command, holder: Option<String>) {
     if let Some(holder) = holder.filter(|holder| *holder != command.issuer) {
         command.issuer = format!("{holder} as {}", command.issuer);
--- a/crates/proxy/src/driver/operators/stream.rs
+++ b/crates/proxy/src/driver/operators/stream.rs
@@ -1,5 +1,6 @@
-//! An operator's connection: a Unix-domain stream, or TCP under mutual TLS. The bytes that come out of it are
-//! an operator's; a peer that shows no trusted certificate gets no answer, its connection closes.
+//! The byte stream of an operator's connection: a Unix-domain stream, or TCP with mutual TLS. It returns only
+//! bytes from authenticated operators. The connection of a peer without a trusted certificate is closed
+//! without a response.
 
 use super::super::Proxy;
 use calloop::{Interest, LoopHandle, Readiness};
@@ -10,10 +11,10 @@
 use std::os::unix::net::UnixStream;
 use violetseam_event_io::{ReadOutcome, Socket};
 
-/// The size of one read.
+/// The size of the buffer for one read from the stream.
 const READ_BUFFER_BYTES: usize = 4_096;
 
-/// The stream under an operator's connection.
+/// The socket of an operator's connection.
 pub(super) enum Transport {
     Unix(UnixStream),
     Tcp(TcpStream),
@@ -50,7 +51,7 @@
     }
 }
 
-/// One connection, with its TLS state if it has any.
+/// The stream of one connection, with its TLS session if it uses TLS.
 pub(super) struct OperatorStream {
     socket: Socket<Transport>,
     tls: Option<Box<ServerConnection>>,
@@ -59,47 +60,48 @@
 impl OperatorStream {
     /// Registers a connection on the event loop.
     pub(super) fn register(
-        handle: &LoopHandle<'static, Proxy>,
+        loop_handle: &LoopHandle<'static, Proxy>,
         stream: Transport,
         tls: Option<Box<ServerConnection>>,
         on_ready: impl FnMut(Readiness, &mut Proxy) + 'static,
     ) -> std::io::Result<OperatorStream> {
-        Ok(OperatorStream { socket: Socket::register(handle, stream, Interest::READ, on_ready)?, tls })
+        Ok(OperatorStream { socket: Socket::register(loop_handle, stream, Interest::READ, on_ready)?, tls })
     }
 
-    /// Whether the TLS handshake is not complete, so that the peer is not authenticated yet.
+    /// Whether the TLS handshake is not complete yet, so that the peer is not authenticated.
     pub(super) fn is_handshaking(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
     }
 
-    /// The name in the peer's certificate; none over the local socket, whose mode says who can open it.
+    /// Returns the name in the peer's certificate. There is none over the local socket, where access is
+    /// controlled by the socket's mode.
     pub(super) fn certificate_holder(&self) -> Option<String> {
         let certs = self.tls.as_ref()?.peer_certificates()?;
         certs.first().map(|cert| violetseam_tls_config::holder(cert))
     }
 
-    /// Reads once and appends the operator's bytes to `input`.
+    /// Reads the socket once and appends the bytes, decrypted if the connection uses TLS, to `input`.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> ReadOutcome {
-        let mut bytes = [0; READ_BUFFER_BYTES];
-        let outcome = self.socket.read(&mut bytes);
-        let ReadOutcome::Bytes(n) = outcome else { return outcome };
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        let outcome = self.socket.read(&mut buffer);
+        let ReadOutcome::Bytes(length) = outcome else { return outcome };
         let Some(tls) = &mut self.tls else {
-            input.extend_from_slice(&bytes[..n]);
+            input.extend_from_slice(&buffer[..length]);
             return outcome;
         };
         let length_before = input.len();
-        let decrypted = decrypt(tls, &bytes[..n], input);
-        let read = input.len() - length_before;
-        match decrypted {
-            DecryptOutcome::Complete if self.flush().is_ok() => ReadOutcome::Bytes(read),
-            DecryptOutcome::CloseNotify if read > 0 => ReadOutcome::Bytes(read),
+        let decrypt_outcome = decrypt(tls, &buffer[..length], input);
+        let decrypted_bytes = input.len() - length_before;
+        match decrypt_outcome {
+            DecryptOutcome::Complete if self.flush().is_ok() => ReadOutcome::Bytes(decrypted_bytes),
+            DecryptOutcome::CloseNotify if decrypted_bytes > 0 => ReadOutcome::Bytes(decrypted_bytes),
             DecryptOutcome::CloseNotify => ReadOutcome::Closed,
-            // Nothing is flushed on an error: a peer without a trusted certificate gets no reason.
+            // On an error nothing is flushed, so that a peer without a trusted certificate is not told why.
             DecryptOutcome::Complete | DecryptOutcome::Failed => ReadOutcome::Failed,
         }
     }
 
-    /// Queues bytes and writes what the connection accepts.
+    /// Queues bytes, and writes as much as the socket accepts now.
     pub(super) fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         match &mut self.tls {
             Some(tls) => tls.writer().write_all(bytes)?,
@@ -108,7 +110,7 @@
         self.flush()
     }
 
-    /// Writes as much as the connection accepts now.
+    /// Writes as much of the queued bytes as the socket accepts now.
     pub(super) fn flush(&mut self) -> std::io::Result<()> {
         if let Some(tls) = &mut self.tls {
             while tls.wants_write() {
@@ -118,22 +120,22 @@
         self.socket.flush().map(|_| ())
     }
 
-    /// How many bytes have not been written yet.
+    /// Returns how many queued bytes have not been written yet.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.socket.unwritten_bytes()
     }
 
-    /// Sets whether the connection is to be read.
-    pub(super) fn set_read_interest(&self, handle: &LoopHandle<'static, Proxy>, readable: bool) {
-        self.socket.set_read_interest(handle, readable);
+    /// Sets whether the connection is polled for input.
+    pub(super) fn set_read_interest(&self, loop_handle: &LoopHandle<'static, Proxy>, readable: bool) {
+        self.socket.set_read_interest(loop_handle, readable);
     }
 
     /// Removes the connection from the event loop and closes it.
-    pub(super) fn remove(&self, handle: &LoopHandle<'static, Proxy>) {
-        self.socket.remove(handle);
+    pub(super) fn remove(&self, loop_handle: &LoopHandle<'static, Proxy>) {
+        self.socket.remove(loop_handle);
     }
 
-    /// The stream that sockets can be handed over on.
+    /// Returns the Unix-domain stream, over which descriptors can be handed over; `None` for TCP.
     pub(super) fn unix_stream(&self) -> Option<&UnixStream> {
         match self.socket.stream() {
             Transport::Unix(stream) => Some(stream),
@@ -142,28 +144,28 @@
     }
 }
 
-/// How the decryption of received bytes ended.
+/// The outcome of decrypting received bytes.
 enum DecryptOutcome {
-    /// All are decrypted.
+    /// All bytes were decrypted.
     Complete,
     /// The peer ended the TLS session.
     CloseNotify,
-    /// The peer violated the protocol, or is not trusted.
+    /// The peer violated the protocol, or its certificate is not trusted.
     Failed,
 }
 
-/// Decrypts received bytes and appends the plain text to `input`.
-fn decrypt(tls: &mut ServerConnection, mut sealed: &[u8], input: &mut Vec<u8>) -> DecryptOutcome {
-    while !sealed.is_empty() {
-        if !matches!(tls.read_tls(&mut sealed), Ok(1..)) || tls.process_new_packets().is_err() {
+/// Decrypts received bytes and appends the plaintext to `input`.
+fn decrypt(tls: &mut ServerConnection, mut ciphertext: &[u8], input: &mut Vec<u8>) -> DecryptOutcome {
+    while !ciphertext.is_empty() {
+        if !matches!(tls.read_tls(&mut ciphertext), Ok(1..)) || tls.process_new_packets().is_err() {
             return DecryptOutcome::Failed;
         }
-        let mut plain = [0; READ_BUFFER_BYTES];
+        let mut plaintext = [0; READ_BUFFER_BYTES];
         loop {
-            match tls.reader().read(&mut plain) {
+            match tls.reader().read(&mut plaintext) {
                 Ok(0) => return DecryptOutcome::CloseNotify,
-                Ok(n) => input.extend_from_slice(&plain[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+                Ok(length) => input.extend_from_slice(&plaintext[..length]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => return DecryptOutcome::Failed,
             }
         }
