--- a/crates/proxy/src/driver/configuration/mod.rs
+++ b/crates/proxy/src/driver/configuration/mod.rs
@@ -1,13 +1,15 @@
-//! The subscription to a publisher's configuration: an HTTP watch of JSON lines, and reports of what was
-//! applied or rejected. What a message means is decided in `violetseam-distribution`; this is its driver.
+//! The subscription to a publisher's configuration: an HTTP watch that streams JSON lines, and reports on the
+//! versions that were applied or rejected. `violetseam-distribution` decides what a message means; this
+//! module performs the input and output for it.
 //!
-//! Requests in flight keep the class that they began with: a route is looked up once, when the head is read.
+//! A request in flight keeps its class when the routes change, because its route is looked up only once, when
+//! its head is read.
 //!
-//! - `updates.rs`: what the publisher sends, and its effects
+//! - `updates.rs`: the publisher's messages and their effects
 //! - `reports.rs`: acknowledgements and rejections
-//! - `exchange.rs`: the HTTP exchanges for both
-//! - `storage.rs`: who has the store, this process or one that takes over
-//! - `store/`: the last good configuration on disk
+//! - `exchange.rs`: the HTTP exchanges for watches and reports
+//! - `storage.rs`: whether this process or one that takes over has the store
+//! - `store/`: the last valid configuration on disk
 
 mod exchange;
 mod reports;
@@ -28,10 +30,10 @@
 use violetseam_operator_commands::daemon_state::{ConfigurationState, ConfigurationVersion, RejectedVersion};
 use violetseam_settings::RouteTable;
 
-/// Where the publisher opens watches.
+/// The path on which the publisher serves watches.
 const WATCH_PATH: &str = "/v1/configuration/watch";
 
-/// The subscription of one proxy.
+/// The subscription of one proxy to its publisher.
 pub(super) struct Subscription {
     publisher: SocketAddr,
     subscriber: Subscriber,
@@ -40,35 +42,35 @@
     watch: Option<Exchange>,
     report: Option<Exchange>,
     reports: ReportQueue,
-    /// When the subscription's timer is set for.
-    armed_at: Option<Micros>,
+    /// When the subscription's timer fires; `None` if no timer is set.
+    timer_due_at: Option<Micros>,
 }
 
 impl Subscription {
-    /// The distributed routes in force; none before the first configuration.
+    /// Returns the distributed routes in force, or `None` before the first configuration was received.
     pub(super) fn table(&self) -> Option<&RouteTable> {
         self.routes.table()
     }
 
-    fn exchange(&mut self, purpose: ExchangePurpose) -> &mut Option<Exchange> {
+    fn exchange_slot(&mut self, purpose: ExchangePurpose) -> &mut Option<Exchange> {
         match purpose {
             ExchangePurpose::Watch => &mut self.watch,
             ExchangePurpose::Report => &mut self.report,
         }
     }
 
-    fn open_exchange(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
-        self.exchange(id.purpose).as_mut().filter(|exchange| exchange.id == id)
+    fn exchange_by_id(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
+        self.exchange_slot(id.purpose).as_mut().filter(|exchange| exchange.id == id)
     }
 
     fn state(&self, now: Micros) -> ConfigurationState {
         let status = self.subscriber.status(now);
         let rejected = status.rejected.map(|rejection| RejectedVersion {
-            version: version_state(rejection.version),
+            version: to_version_state(rejection.version),
             reason: rejection.reason,
         });
         ConfigurationState {
-            version: status.version.map(version_state),
+            version: status.version.map(to_version_state),
             routes: self.table().map_or(0, |table| table.len() as u64),
             age_us: status.age,
             watching: status.watching,
@@ -77,13 +79,14 @@
     }
 }
 
-fn version_state(version: Version) -> ConfigurationVersion {
+fn to_version_state(version: Version) -> ConfigurationVersion {
     ConfigurationVersion { term: version.term.0, number: version.number }
 }
 
 impl Proxy {
-    /// Begins with the configuration that was stored, where the settings name a publisher. Before the first
-    /// client is accepted, so that no request meets the routes of the settings in between.
+    /// Opens the subscription if the settings name a publisher, and applies the stored configuration. This
+    /// happens before the first client is accepted, so that no request is routed by the routes of the
+    /// settings before the stored ones are in force.
     pub(super) fn open_subscription(&mut self, takes_over: bool) -> std::io::Result<()> {
         let settings = self.settings.clone();
         let (Some(publisher), Some(folder)) = (settings.publisher, settings.state_dir.clone()) else {
@@ -92,8 +95,8 @@
         let position = settings.decisions.position;
         let (storage, stored) = Storage::open(folder, position, takes_over).map_err(std::io::Error::other)?;
         let mut routes = DistributedRoutes::new(&settings.class_names);
-        let usable = stored.filter(|configuration| storage::is_usable(&routes, configuration));
-        if let Some(configuration) = &usable {
+        let usable_configuration = stored.filter(|configuration| storage::is_usable(&routes, configuration));
+        if let Some(configuration) = &usable_configuration {
             routes.replace(configuration);
         }
         let now = self.now();
@@ -101,60 +104,62 @@
         let name = format!("{}-{position}", settings.fleet_name);
         self.subscription = Some(Box::new(Subscription {
             publisher,
-            subscriber: Subscriber::new(now, &name, seed, usable),
+            subscriber: Subscriber::new(now, &name, seed, usable_configuration),
             routes,
             storage,
             watch: None,
             report: None,
             reports: ReportQueue::default(),
-            armed_at: None,
+            timer_due_at: None,
         }));
         self.run_subscription();
         Ok(())
     }
 
-    /// Does what is due of the subscription: calls, closes a silent watch, sends reports.
+    /// Performs the subscription's work that is due: connects to the publisher, closes a watch on which
+    /// nothing is received, and sends reports.
     pub(super) fn run_subscription(&mut self) {
         if self.has_handed_over() || self.lifecycle.is_shutting_down() {
             return;
         }
         let now = self.now();
         let Some(subscription) = &mut self.subscription else { return };
-        if subscription.armed_at.is_some_and(|at| at <= now) {
-            subscription.armed_at = None;
+        if subscription.timer_due_at.is_some_and(|due_at| due_at <= now) {
+            subscription.timer_due_at = None;
         }
         let effects = subscription.subscriber.on_tick(now);
         self.apply_effects(effects);
-        let call = self.subscription.as_mut().and_then(|subscription| subscription.subscriber.call(now));
-        if let Some(call) = call {
-            self.open_configuration_watch(&call);
+        let request = self.subscription.as_mut().and_then(|subscription| subscription.subscriber.call(now));
+        if let Some(request) = request {
+            self.open_configuration_watch(&request);
         }
         self.send_next_report();
-        self.arm_subscription();
+        self.set_subscription_timer();
     }
 
-    /// The subscription is the successor's now: it begins with what was stored and what it receives.
+    /// Closes the exchanges after a hand-over. The new process has a subscription of its own, which starts
+    /// from the stored configuration.
     pub(super) fn end_subscription(&mut self) {
         self.close_exchange(ExchangePurpose::Watch);
         self.close_exchange(ExchangePurpose::Report);
     }
 
-    /// The state of the subscription; none where the settings name no publisher.
+    /// Returns the state of the subscription, or `None` if the settings name no publisher.
     pub(super) fn configuration_state(&self) -> Option<ConfigurationState> {
         self.subscription.as_ref().map(|subscription| subscription.state(self.now()))
     }
 
-    fn arm_subscription(&mut self) {
+    fn set_subscription_timer(&mut self) {
         let Some(subscription) = &mut self.subscription else { return };
-        let due = subscription.subscriber.deadline();
-        if subscription.armed_at.is_none_or(|at| at > due) {
-            subscription.armed_at = Some(due);
-            self.timers.set(due, TimerKind::Configuration);
+        let deadline = subscription.subscriber.deadline();
+        if subscription.timer_due_at.is_none_or(|due_at| due_at > deadline) {
+            subscription.timer_due_at = Some(deadline);
+            self.timers.set(deadline, TimerKind::Configuration);
         }
     }
 
-    fn open_configuration_watch(&mut self, call: &Subscribe) {
-        let path = format!("{WATCH_PATH}?{}", call.to_query());
+    fn open_configuration_watch(&mut self, request: &Subscribe) {
+        let path = format!("{WATCH_PATH}?{}", request.to_query());
         if self.start_exchange(ExchangePurpose::Watch, &path, &[]).is_none() {
             self.on_watch_closed();
         }
--- a/crates/proxy/src/driver/configuration/reports.rs
+++ b/crates/proxy/src/driver/configuration/reports.rs
@@ -1,4 +1,5 @@
-//! Reports to the publisher: acknowledgements and rejections, sent one at a time and again until received.
+//! Reports to the publisher: acknowledgements and rejections. They are sent one at a time, and each is sent
+//! again until the publisher has received it.
 
 use super::super::Proxy;
 use super::super::timers::TimerKind;
@@ -6,37 +7,38 @@
 use violetseam::interface::Micros;
 use violetseam_distribution::Report;
 
-/// Where the publisher receives acknowledgements and rejections.
+/// The path on which the publisher receives acknowledgements and rejections.
 const ACKNOWLEDGE_PATH: &str = "/v1/configuration/acknowledge";
-/// A report that takes longer has failed.
+/// How long the exchange of a report may take before it has failed.
 const REPORT_TIMEOUT: Micros = 3_000_000;
-/// A report that failed is sent again after this.
+/// How long after a failed report no report is sent.
 const REPORT_RETRY_DELAY: Micros = 1_000_000;
 
-/// The reports that have still to be sent: the latest of each kind.
+/// The reports that have not been received yet: at most the latest acknowledgement and the latest rejection.
 #[derive(Default)]
 pub(super) struct ReportQueue {
     acknowledgement: Option<Report>,
     rejection: Option<Report>,
-    /// What the open exchange reports, to be sent again if that fails.
+    /// The report of the open exchange, which is sent again if the exchange fails.
     in_flight: Option<Report>,
-    /// No report is sent before.
+    /// The time before which no report is sent, because an earlier one failed.
     not_before: Micros,
 }
 
 impl ReportQueue {
-    /// Queues a report in place of an earlier one of its kind.
+    /// Queues a report. It replaces a queued one of the same kind.
     pub(super) fn push(&mut self, report: Report) {
         let slot = self.slot(&report);
         *slot = Some(report);
     }
 
-    /// The report in flight was received.
+    /// Handles that the publisher has received the report in flight.
     pub(super) fn on_received(&mut self) {
         self.in_flight = None;
     }
 
-    /// Queues the report in flight again, unless a newer one of its kind has come; whether there was one.
+    /// Queues the report in flight again, unless a newer one of its kind is queued. Returns whether a report
+    /// was in flight.
     fn requeue_in_flight(&mut self, not_before: Micros) -> bool {
         let Some(report) = self.in_flight.take() else { return false };
         self.slot(&report).get_or_insert(report);
@@ -44,7 +46,7 @@
         true
     }
 
-    /// The next report to be sent, which is in flight from here on.
+    /// Removes the next report from the queue and marks it as in flight.
     fn take_next(&mut self) -> Option<&Report> {
         let next = self.acknowledgement.take().or_else(|| self.rejection.take())?;
         Some(self.in_flight.insert(next))
@@ -59,7 +61,7 @@
 }
 
 impl Proxy {
-    /// Sends the next report, one at a time.
+    /// Sends the next report, unless one is in flight or the delay after a failure has not passed.
     pub(super) fn send_next_report(&mut self) {
         let now = self.now();
         let Some(subscription) = &mut self.subscription else { return };
@@ -72,12 +74,12 @@
             Some(ExchangeId { generation, .. }) => {
                 self.timers.set(now + REPORT_TIMEOUT, TimerKind::ConfigurationReport(generation));
             }
-            None => self.on_report_failed(),
+            None => self.on_report_exchange_ended(),
         }
     }
 
-    /// The exchange of a report has ended; nothing failed if the report was received.
-    pub(super) fn on_report_failed(&mut self) {
+    /// Handles the end of a report's exchange. If the report was not received, it is queued again.
+    pub(super) fn on_report_exchange_ended(&mut self) {
         let retry_at = self.now() + REPORT_RETRY_DELAY;
         let Some(subscription) = &mut self.subscription else { return };
         if subscription.reports.requeue_in_flight(retry_at) {
@@ -85,12 +87,12 @@
         }
     }
 
-    /// A report has had its time.
+    /// Ends the exchange of a report whose time-out has expired.
     pub(in super::super) fn report_timeout(&mut self, generation: u64) {
         let id = ExchangeId { purpose: ExchangePurpose::Report, generation };
         let subscription = self.subscription.as_mut();
-        if subscription.is_some_and(|subscription| subscription.open_exchange(id).is_some()) {
-            self.exchange_ended(ExchangePurpose::Report);
+        if subscription.is_some_and(|subscription| subscription.exchange_by_id(id).is_some()) {
+            self.end_exchange(ExchangePurpose::Report);
         }
         self.run_subscription();
     }
--- a/crates/proxy/src/driver/configuration/store/database.rs
+++ b/crates/proxy/src/driver/configuration/store/database.rs
@@ -1,4 +1,4 @@
-//! The database file: its layout, and how it is opened, read and written.
+//! The database file of the store: its tables, and how it is opened, read and written.
 
 use super::WriteTask;
 use redb::{DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition, TableError};
@@ -8,14 +8,14 @@
 use std::path::Path;
 use violetseam_distribution::{ApplyError, Change, Configuration, Digest, Resource, ResourceKey, Version};
 
-/// One row, by [`HEAD_KEY`]: the [`Head`] as JSON.
+/// The table with a single row, which maps [`HEAD_KEY`] to the [`Head`] as JSON.
 const HEAD: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("head");
-/// A row for each resource: key and resource, both as JSON.
+/// The table with a row for each resource, which maps its key to the resource, both as JSON.
 const RESOURCES: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("resources");
 /// The key of the one row of [`HEAD`].
 const HEAD_KEY: &str = "head";
 
-/// What the stored resources must amount to.
+/// The version and the digest that the stored resources must have together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Head {
     version: Version,
@@ -25,24 +25,24 @@
 /// Why a database file was not opened.
 #[derive(Debug)]
 pub(super) enum FileError {
-    /// Another process has it.
+    /// Another process has the file open.
     InUse,
-    /// The file cannot be opened or made.
+    /// The file cannot be opened or created.
     Unusable(StorageError),
-    /// Its contents cannot be relied on.
+    /// The contents of the file are damaged.
     Damaged(DamageError),
 }
 
-/// Why the contents of a file cannot be relied on.
+/// How a file was found to be damaged.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DamageError {
-    /// The database panicked on it.
-    #[error("an assertion of the database failed")]
+    /// `redb` panicked while it opened or read the file.
+    #[error("the database library panicked while opening or reading it")]
     Assertion,
-    /// The database does not accept the file.
+    /// `redb` rejected the file.
     #[error(transparent)]
     Open(DatabaseError),
-    /// The tables have no configuration that matches its digest.
+    /// The tables contain no valid configuration with the stored digest.
     #[error(transparent)]
     Read(StoreError),
 }
@@ -50,7 +50,7 @@
 /// Why the configuration could not be read from the database or written to it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreError {
-    /// A transaction could not be begun.
+    /// A transaction could not be started.
     #[error(transparent)]
     Transaction(#[from] redb::TransactionError),
     /// A table could not be opened.
@@ -62,50 +62,51 @@
     /// A transaction could not be committed.
     #[error(transparent)]
     Commit(#[from] redb::CommitError),
-    /// A row is not JSON of its form.
+    /// A row is not JSON of the expected form.
     #[error(transparent)]
     Row(#[from] serde_json::Error),
-    /// The resources do not amount to what the head says.
+    /// The resources do not match the version and the digest in the head.
     #[error(transparent)]
     Configuration(#[from] ApplyError),
-    /// There are resources, but no head.
-    #[error("it has no head")]
+    /// The head table exists but has no row.
+    #[error("the table `head` has no row")]
     NoHead,
-    /// The changes lead from another version than the one in the file.
-    #[error("the file misses what came before")]
+    /// The changes are relative to a version other than the one in the file.
+    #[error("the changes are relative to a version other than the stored one")]
     MissingDelta,
 }
 
-/// The database, and the version in it.
+/// An open database file.
 #[derive(Debug)]
 pub(super) struct Database {
     file: redb::Database,
-    /// The version stored.
+    /// The version in the file; `None` if it contains no configuration.
     version: Option<Version>,
 }
 
-/// A file that was opened.
+/// A database that was opened, with its contents.
 pub(super) struct OpenedDatabase {
     pub(super) database: Database,
-    /// The configuration that it has.
+    /// The configuration in the file, if it contains one.
     pub(super) configuration: Option<Configuration>,
 }
 
 impl Head {
-    /// The head of this configuration.
+    /// Returns the head for a configuration.
     pub(super) fn of(configuration: &Configuration) -> Head {
         Head { version: configuration.version(), digest: configuration.digest() }
     }
 }
 
 impl Database {
-    /// Opens the file, or makes it, and reads what it has.
+    /// Opens the file, or creates it, and reads its contents.
     ///
     /// # Errors
     ///
-    /// If another process has the file, or it cannot be opened or read.
+    /// Returns an error if another process has the file open, or if the file cannot be opened or read.
     pub(super) fn open(path: &Path) -> Result<OpenedDatabase, FileError> {
-        // A damaged file may fail an assertion of the database's own: that is damage, too.
+        // A damaged file can violate an assertion in `redb`, which then panics. This is treated as damage,
+        // too.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let file = redb::Database::create(path).map_err(open_error)?;
             let configuration = read(&file).map_err(|error| FileError::Damaged(DamageError::Read(error)))?;
@@ -115,11 +116,12 @@
         opened.unwrap_or(Err(FileError::Damaged(DamageError::Assertion)))
     }
 
-    /// Performs a task.
+    /// Performs a write task.
     ///
     /// # Errors
     ///
-    /// If the task does not fit the version in the file, or cannot be written; the file stays as it was.
+    /// Returns an error if the task's base is not the version in the file, or if the task cannot be written.
+    /// The file is then unchanged.
     pub(super) fn write(&mut self, task: &WriteTask) -> Result<(), StoreError> {
         let version = match task {
             WriteTask::Delta { base, .. } if self.version != Some(*base) => {
@@ -173,7 +175,7 @@
 fn open_error(error: DatabaseError) -> FileError {
     match error {
         DatabaseError::DatabaseAlreadyOpen => FileError::InUse,
-        // A file that cannot be opened or made is not a damaged one.
+        // An I/O error of another kind does not mean that the contents of the file are damaged.
         DatabaseError::Storage(StorageError::Io(error))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
--- a/crates/proxy/src/driver/configuration/updates.rs
+++ b/crates/proxy/src/driver/configuration/updates.rs
@@ -1,4 +1,4 @@
-//! What the publisher sends: messages, and what the subscriber makes of them.
+//! The publisher's messages, and the effects that the subscriber derives from them.
 
 use super::super::Proxy;
 use super::{ExchangeId, ExchangePurpose, Subscription};
@@ -6,16 +6,16 @@
 use violetseam_distribution::{Change, Message, Report, Version};
 
 impl Proxy {
-    /// Processes the lines of the watch that have come completely.
+    /// Processes the lines of the watch that were received completely.
     pub(super) fn process_publisher_lines(&mut self, watch: ExchangeId) {
         let now = self.now();
         while let Some(subscription) = &mut self.subscription {
-            let Some(exchange) = subscription.open_exchange(watch) else { return };
-            let message = match exchange.lines.next_line() {
+            let Some(exchange) = subscription.exchange_by_id(watch) else { return };
+            let message = match exchange.line_reader.next_line() {
                 Ok(None) => return,
                 Ok(Some([])) => continue,
                 Ok(Some(line)) => Message::parse(line),
-                Err(_) => return self.exchange_ended(ExchangePurpose::Watch),
+                Err(_) => return self.end_exchange(ExchangePurpose::Watch),
             };
             let Subscription { subscriber, routes, .. } = &mut **subscription;
             let effects = match message {
@@ -23,7 +23,7 @@
                     routes.check(proposal).map_err(InvalidProposal::new)
                 }),
                 Err(error) => {
-                    tracing::warn!("publisher: {error}");
+                    tracing::warn!("publisher: malformed message: {error}");
                     subscriber.on_malformed(now, &error)
                 }
             };
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Performs what the subscriber asks for, in order.
+    /// Performs the subscriber's effects in order.
     pub(super) fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -50,7 +50,7 @@
 
     fn apply_changes(&mut self, version: Version, changes: Vec<Change>) {
         let Some(subscription) = &mut self.subscription else { return };
-        tracing::debug!(target: "configuration", %version, changes = changes.len(), "in force");
+        tracing::debug!(target: "configuration", %version, changes = changes.len(), "changes applied");
         subscription.routes.apply(&changes);
         if let Some(configuration) = subscription.subscriber.configuration() {
             subscription.storage.apply(configuration, changes);
@@ -61,7 +61,7 @@
         let Some(subscription) = &mut self.subscription else { return };
         let Some(configuration) = subscription.subscriber.configuration() else { return };
         let resources = configuration.len();
-        tracing::info!(target: "configuration", %version, resources, "snapshot in force");
+        tracing::info!(target: "configuration", %version, resources, "snapshot applied");
         subscription.routes.replace(configuration);
         subscription.storage.replace(configuration);
     }
@@ -71,7 +71,7 @@
         if let Report::Reject { version, reason, .. } = report
             && self.log_limit.allows(now)
         {
-            tracing::warn!(target: "configuration", %version, "refused: {reason}");
+            tracing::warn!(target: "configuration", %version, "version rejected: {reason}");
         }
     }
 }
--- a/crates/proxy/src/driver/operators/listeners.rs
+++ b/crates/proxy/src/driver/operators/listeners.rs
@@ -40,9 +40,9 @@
         operators: Operators,
         inherited: Option<TcpListener>,
     ) -> Result<()> {
-        let Operators { socket: socket_path, tls_config, boot, state, state_writer, reload, set_log, reopen } =
+        let Operators { socket: path, tls_config, boot, state, state_writer, reload, set_log, reopen } =
             operators;
-        let unpublished_path = unpublished_path(&socket_path);
+        let unpublished_path = unpublished_path(&path);
         self.listen_on_unix_socket(&unpublished_path)?;
         let tls_listener = match self.settings.control_tls.as_ref().map(|tls| tls.listen) {
             Some(addr) => Some(self.listen_on_tcp(addr, inherited)?),
@@ -52,7 +52,7 @@
         let persist_requests = Some(spawn_state_writer(state_writer, persist_results.clone())?);
         self.receive_persist_results(received_results)?;
         self.control_server = Some(ControlServer {
-            socket_path,
+            socket_path: path,
             unpublished_path: Some(unpublished_path),
             tls_listener,
             tls_config,
