--- a/crates/proxy/src/driver/site_calls/call.rs
+++ b/crates/proxy/src/driver/site_calls/call.rs
@@ -1,9 +1,9 @@
-//! One call: its connection, its request, and the reading of its answer.
+//! A single call: opens its connection, sends its request, and reads its response.
 
 use super::super::http_request::HttpRequest;
 use super::super::timers::TimerKind;
 use super::super::{ConnectionId, Proxy};
-use super::{CallError, CallPurpose, MIN_STREAM_SPAN};
+use super::{CallError, CallPurpose, MIN_STREAM_WAIT};
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam::interface::Micros;
@@ -12,11 +12,11 @@
 use violetseam_site_protocol::line_reader::LineReader;
 use violetseam_site_protocol::{endpoint_list, release_service};
 
-/// What a call is to send, and for how long.
+/// The request of a call, with the call's purpose and its time-out.
 pub(super) struct CallRequest<'a> {
     pub(super) purpose: CallPurpose,
     pub(super) request: HttpRequest<'a>,
-    /// Microseconds until the call's timer fires; none is set without.
+    /// The time until the call's timer fires; `None` if no timer is set.
     pub(super) timeout: Option<Micros>,
 }
 
@@ -26,15 +26,16 @@
     pub(super) purpose: CallPurpose,
     socket: Socket,
     http: ClientConnection,
-    lines: LineReader,
-    /// A vote's reply as it comes.
-    reply: Vec<u8>,
-    /// At least one byte of the call may have reached the other side.
+    /// Splits the response's body into lines, for all calls but votes.
+    line_reader: LineReader,
+    /// The part of the reply to a vote that has been received.
+    vote_reply: Vec<u8>,
+    /// Whether bytes of the request were written, so that the other side may have received it.
     pub(super) is_written: bool,
-    /// A message has come: the call's time-out no longer counts.
+    /// Whether a message was received, after which the call's time-out no longer applies.
     pub(super) is_answered: bool,
-    /// A line has come since the stream was last checked for silence.
-    received_since_check: bool,
+    /// Whether a line was received since the last check of the stream's idle time-out.
+    has_received_since_check: bool,
 }
 
 impl Call {
@@ -44,32 +45,33 @@
             purpose,
             socket,
             http,
-            lines: LineReader::new(max_line_bytes(purpose)),
-            reply: Vec::new(),
+            line_reader: LineReader::new(max_line_bytes(purpose)),
+            vote_reply: Vec::new(),
             is_written: false,
             is_answered: false,
-            received_since_check: false,
+            has_received_since_check: false,
         }
     }
 
-    /// Takes a part of the answer's body.
+    /// Processes a part of the response's body.
     fn feed_body(&mut self, bytes: &[u8]) -> Result<(), CallError> {
         if self.purpose != CallPurpose::Vote {
-            self.lines.feed(bytes);
+            self.line_reader.feed(bytes);
             return Ok(());
         }
-        self.reply.extend_from_slice(bytes);
-        if self.reply.len() > release_service::MAX_LINE_BYTES {
+        self.vote_reply.extend_from_slice(bytes);
+        if self.vote_reply.len() > release_service::MAX_LINE_BYTES {
             return Err(CallError::ReplyTooLong);
         }
         Ok(())
     }
 
-    /// The next line of the body that has come completely; a blank one keeps an idle stream open.
+    /// Returns the next line of the body that was received completely. The other side sends blank lines to
+    /// keep an idle stream open; they count as received lines.
     fn next_line(&mut self) -> Result<Option<Vec<u8>>, CallError> {
-        let line = self.lines.next_line().map_err(CallError::malformed)?.map(<[u8]>::to_vec);
+        let line = self.line_reader.next_line().map_err(CallError::malformed)?.map(<[u8]>::to_vec);
         if line.is_some() {
-            self.received_since_check = true;
+            self.has_received_since_check = true;
         }
         Ok(line)
     }
@@ -83,7 +85,7 @@
 }
 
 impl Proxy {
-    /// Begins a call; none if no connection could be begun.
+    /// Starts a call and returns its key, or `None` if no connection could be started.
     pub(super) fn start_call(&mut self, call: &CallRequest<'_>) -> Option<usize> {
         let CallRequest { purpose, request, timeout } = call;
         let stream = connect(request.address).ok()?;
@@ -100,7 +102,7 @@
         Some(key)
     }
 
-    /// Closes a call's connection without a report to anybody.
+    /// Closes a call without notifying the code that waits for its end.
     pub(super) fn close_call(&mut self, key: usize) {
         if self.site_calls.in_flight.contains(key) {
             self.site_calls.in_flight.remove(key).socket.remove(&self.loop_handle);
@@ -137,14 +139,14 @@
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         while let Some(call) = self.site_calls.in_flight.get_mut(key) {
             match call.socket.read(&mut read_buffer) {
-                ReadOutcome::Bytes(count) => {
-                    call.http.feed(&read_buffer[..count]);
+                ReadOutcome::Bytes(length) => {
+                    call.http.feed(&read_buffer[..length]);
                     self.process_call_events(key);
                 }
                 ReadOutcome::WouldBlock => break,
                 ReadOutcome::Closed => {
                     if let Some(ClientEvent::End { .. }) = call.http.close() {
-                        self.on_answer_end(key);
+                        self.on_response_end(key);
                     }
                     self.end_call(key, &CallError::Closed);
                     break;
@@ -163,7 +165,7 @@
             match call.http.next_event() {
                 None => return,
                 Some(ClientEvent::Head(head)) if head.status == StatusCode::OK => {}
-                Some(ClientEvent::Head(_)) => return self.end_call(key, &CallError::NotAccepted),
+                Some(ClientEvent::Head(_)) => return self.end_call(key, &CallError::UnexpectedStatus),
                 Some(ClientEvent::Body(bytes)) => {
                     if let Err(error) = call.feed_body(&bytes) {
                         return self.end_call(key, &error);
@@ -171,10 +173,10 @@
                     self.process_call_lines(key);
                 }
                 Some(ClientEvent::End { .. }) => {
-                    self.on_answer_end(key);
+                    self.on_response_end(key);
                     return self.end_call(key, &CallError::Closed);
                 }
-                Some(ClientEvent::Error(_)) => return self.end_call(key, &CallError::MalformedAnswer),
+                Some(ClientEvent::Error(_)) => return self.end_call(key, &CallError::MalformedResponse),
             }
         }
     }
@@ -200,35 +202,37 @@
         }
     }
 
-    /// The answer is complete: a vote's reply is, too.
-    fn on_answer_end(&mut self, key: usize) {
+    /// Handles the end of a response. If the call is a vote, its reply is now complete.
+    fn on_response_end(&mut self, key: usize) {
         let Some(call) = self.site_calls.in_flight.get_mut(key) else { return };
         if call.purpose == CallPurpose::Vote && !call.is_answered {
             call.is_answered = true;
-            let reply = std::mem::take(&mut call.reply);
+            let reply = std::mem::take(&mut call.vote_reply);
             self.on_vote_reply(&reply);
         }
     }
 
-    /// The time that was set for a call may be over.
+    /// Handles the timer of a call: checks whether a release stream is idle, and ends any other call that has
+    /// received no message.
     pub(in super::super) fn call_timeout(&mut self, id: ConnectionId) {
         let Some(call) = self.site_calls.get_mut(id) else { return };
         if call.purpose == CallPurpose::WatchRelease {
-            self.check_stream_silence(id);
+            self.check_stream_idle(id);
         } else if !call.is_answered {
-            self.end_call(id.key, &CallError::NoAnswer);
+            self.end_call(id.key, &CallError::NoResponse);
         }
     }
 
-    /// Ends a stream on which nothing has come since the last check, and otherwise checks again later.
-    fn check_stream_silence(&mut self, id: ConnectionId) {
+    /// Ends a stream on which no line was received since the last check, and otherwise sets the timer for the
+    /// next check.
+    fn check_stream_idle(&mut self, id: ConnectionId) {
         let now = self.now();
-        let max_silence = self.settings.release_idle_timeout.unwrap_or(0);
+        let idle_timeout = self.settings.release_idle_timeout.unwrap_or(0);
         let Some(call) = self.site_calls.get_mut(id) else { return };
-        if std::mem::take(&mut call.received_since_check) {
-            self.timers.set(now + max_silence.max(MIN_STREAM_SPAN), TimerKind::SiteCall(id));
+        if std::mem::take(&mut call.has_received_since_check) {
+            self.timers.set(now + idle_timeout.max(MIN_STREAM_WAIT), TimerKind::SiteCall(id));
         } else {
-            self.end_call(id.key, &CallError::Silent);
+            self.end_call(id.key, &CallError::StreamIdle);
         }
     }
 }
--- a/crates/proxy/src/driver/site_calls/list_updates.rs
+++ b/crates/proxy/src/driver/site_calls/list_updates.rs
@@ -1,4 +1,4 @@
-//! The server list from discovery: the calls for it, and the lines that they are answered with.
+//! The server list from discovery: the calls that request it, and the lines of their responses.
 
 use super::super::Proxy;
 use super::super::http_request::HttpRequest;
@@ -8,7 +8,7 @@
 use violetseam_site_protocol::endpoint_list::ListUpdate;
 
 impl Proxy {
-    /// Subscribes to the server list. A new subscription replaces the one before.
+    /// Subscribes to the server list. A new subscription replaces the previous one.
     pub(in super::super) fn watch_server_list(&mut self) {
         if let Some(previous) = self.site_calls.list_watch.take() {
             self.close_call(previous);
@@ -32,12 +32,12 @@
         let timeout = Some(self.settings.discovery_timeout);
         let call = self.start_call(&CallRequest { purpose, request, timeout });
         if call.is_none() {
-            self.on_list_failed(&CallError::NoDiscovery);
+            self.on_list_failed(&CallError::NoDiscoveryConnection);
         }
         call
     }
 
-    /// Applies one update of the list and passes it to the engine.
+    /// Applies one update to the server list and passes the resulting change to the engine.
     pub(super) fn on_list_line(&mut self, line: &[u8]) -> Result<(), CallError> {
         let update = ListUpdate::parse(line).map_err(CallError::malformed)?;
         let now = self.now();
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Lists every server as ready, if this proxy is to break the rules so.
+    /// Lists every server as ready, if the sabotage `IgnoreDrains` is enabled.
     #[cfg(feature = "sabotage")]
     fn ignore_drains(
         &self,
@@ -62,7 +62,7 @@
         change
     }
 
-    /// The watch has ended, which matters unless a newer subscription has taken its place.
+    /// Handles the end of a watch, unless a newer subscription has replaced it.
     pub(super) fn on_list_watch_ended(&mut self, key: usize, error: &CallError) {
         if self.site_calls.list_watch == Some(key) {
             self.site_calls.list_watch = None;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Reports to the engine that the list could not be had.
+    /// Reports to the engine that the server list could not be received.
     pub(super) fn on_list_failed(&mut self, error: &CallError) {
         tracing::warn!("roster: {error}");
         let now = self.now();
--- a/crates/proxy/src/driver/site_calls/mod.rs
+++ b/crates/proxy/src/driver/site_calls/mod.rs
@@ -1,10 +1,11 @@
-//! Calls to discovery and to the release service: each one HTTP exchange on a connection of its own. A watch
-//! on the server list and the release's status are answers without an end, one JSON line a message.
+//! Calls to discovery and to the release service. Each is one HTTP exchange on a connection of its own. The
+//! server list and the release status are streamed in responses that do not end, with one JSON line for each
+//! message.
 //!
-//! - `call.rs`: a call from its connection to its end, whatever it is for
-//! - `error.rs`: why a call ended
+//! - `call.rs`: a single call of any purpose, from its connection to its end
+//! - `error.rs`: the reasons for which a call ends
 //! - `list_updates.rs`: the server list
-//! - `release_status.rs`: the release's status
+//! - `release_status.rs`: the release status
 //! - `votes.rs`: votes on the release
 
 mod call;
@@ -19,55 +20,58 @@
 use slab::Slab;
 use violetseam::interface::Micros;
 
-/// The least wait for another try on the release service's stream, or for a line on it.
-const MIN_STREAM_SPAN: Micros = 10_000;
+/// The minimum wait before the release service's stream is opened again, and the minimum of its idle
+/// time-out.
+const MIN_STREAM_WAIT: Micros = 10_000;
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPurpose {
-    /// Changes of the server list, from the present version on.
+    /// The call streams changes of the server list, starting from the present version.
     WatchList,
-    /// The complete server list, once.
+    /// The call fetches the complete server list once.
     FetchList,
-    /// The status of the newest build's release.
+    /// The call streams the release status of the newest build.
     WatchRelease,
-    /// A vote.
+    /// The call sends a vote.
     Vote,
 }
 
-/// The calls in flight, and what the next ones go by.
+/// The calls in flight, and the state that later calls depend on.
 #[derive(Default)]
 pub(super) struct SiteCalls {
     in_flight: Slab<Call>,
-    /// The call that is subscribed to the server list.
+    /// The key of the call that is subscribed to the server list.
     list_watch: Option<usize>,
-    /// The call that streams the release's status.
+    /// The key of the call that streams the release status.
     release_stream: Option<usize>,
-    /// Which of the settings' release services is called.
+    /// The index of the release service that is called, in the settings' list of release services.
     release_service_index: usize,
     /// The highest fencing number received from a release service.
     highest_fence: u64,
 }
 
 impl SiteCalls {
-    /// No calls yet; `highest_fence` is what a process before this one has received.
+    /// Creates the state without calls. In a takeover, `highest_fence` is the old process's value; otherwise
+    /// it is 0.
     pub(super) fn new(highest_fence: u64) -> Self {
         SiteCalls { highest_fence, ..SiteCalls::default() }
     }
 
-    /// The highest fencing number received from a release service.
+    /// Returns the highest fencing number received from a release service.
     pub(super) fn highest_fence(&self) -> u64 {
         self.highest_fence
     }
 
-    /// The call in this slot, if it is still the one of this generation.
+    /// Returns the call with this key, unless the key has been reused by a call of a later generation.
     fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Call> {
         self.in_flight.get_mut(id.key).filter(|call| call.generation == id.generation)
     }
 }
 
 impl Proxy {
-    /// Ends the streams from discovery and the release service: they are a successor's now.
+    /// Ends the streams from discovery and the release service after a hand-over. The new process opens its
+    /// own.
     pub(super) fn end_site_streams(&mut self) {
         let list_watch = self.site_calls.list_watch.take();
         let release_stream = self.site_calls.release_stream.take();
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Handles one line of an answer, which is not blank.
+    /// Handles one line of a response. The line is not blank.
     fn on_call_line(&mut self, purpose: CallPurpose, line: &[u8]) -> Result<(), CallError> {
         match purpose {
             CallPurpose::WatchList | CallPurpose::FetchList => self.on_list_line(line),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Closes a call that is over, and reports that to whatever waits for it.
+    /// Closes a call that has ended, and notifies the code that waits for its end.
     fn end_call(&mut self, key: usize, error: &CallError) {
         let Some(call) = self.site_calls.in_flight.get(key) else { return };
         let purpose = call.purpose;
@@ -101,7 +105,7 @@
                 self.on_release_stream_lost();
             }
             CallPurpose::Vote if is_answered => {}
-            CallPurpose::Vote => self.on_vote_unanswered(is_written, error),
+            CallPurpose::Vote => self.on_vote_failed(is_written, error),
         }
     }
 }
--- a/crates/proxy/src/driver/site_calls/release_status.rs
+++ b/crates/proxy/src/driver/site_calls/release_status.rs
@@ -1,19 +1,19 @@
-//! The release's status, streamed by one of the settings' release services at a time.
+//! The release status, which is streamed by one of the release services in the settings at a time.
 
 use super::super::Proxy;
 use super::super::http_request::HttpRequest;
 use super::super::timers::TimerKind;
 use super::call::CallRequest;
-use super::{CallError, CallPurpose, MIN_STREAM_SPAN};
+use super::{CallError, CallPurpose, MIN_STREAM_WAIT};
 use std::net::SocketAddr;
 use violetseam::interface::ReleaseStatus;
 use violetseam_site_protocol::release_service::FencedRelease;
 
 impl Proxy {
-    /// Opens the stream of the release's status; lost, it is opened again after a while.
+    /// Opens the stream of the release status. If the stream ends, it is opened again after a delay.
     pub(in super::super) fn open_release_stream(&mut self) {
-        let is_leaving = self.has_handed_over() || self.lifecycle.is_shutting_down();
-        if self.site_calls.release_stream.is_some() || is_leaving {
+        let is_ending = self.has_handed_over() || self.lifecycle.is_shutting_down();
+        if self.site_calls.release_stream.is_some() || is_ending {
             return;
         }
         let path = format!("/v1/stage/watch?proxy={}", self.settings.decisions.position);
@@ -27,32 +27,35 @@
         }
     }
 
-    /// The address of the release service that is called.
+    /// Returns the address of the release service that is called.
     pub(super) fn release_service(&self) -> SocketAddr {
         let addresses = &self.settings.release_services;
         addresses[self.site_calls.release_service_index % addresses.len()]
     }
 
-    /// Calls the next release service after a while.
+    /// Selects the next release service, and sets the timer that opens the stream from it after a random
+    /// delay.
     pub(super) fn on_release_stream_lost(&mut self) {
         self.site_calls.release_stream = None;
-        // A standby may have become the leader.
+        // Another release service, until now a standby, may have become the leader.
         let next_index = self.site_calls.release_service_index + 1;
         self.site_calls.release_service_index = next_index % self.settings.release_services.len();
-        // Drawn, as all proxies lose the release service together.
-        let span = self.settings.release_reconnect_delay.max(MIN_STREAM_SPAN);
-        let wait = span / 2 + self.random_u64() % span;
-        self.timers.set(self.now() + wait, TimerKind::ReleaseStream);
+        // The delay is random because all proxies lose the release service at the same time and must not
+        // reconnect at the same time.
+        let base_delay = self.settings.release_reconnect_delay.max(MIN_STREAM_WAIT);
+        let delay = base_delay / 2 + self.random_u64() % base_delay;
+        self.timers.set(self.now() + delay, TimerKind::ReleaseStream);
     }
 
-    /// Passes a new status to the engine.
+    /// Passes a release status to the engine, unless it comes from a superseded release service.
     pub(super) fn on_release_line(&mut self, line: &[u8]) -> Result<(), CallError> {
         let FencedRelease { status: release, fence } =
             FencedRelease::parse(line).map_err(CallError::malformed)?;
         let highest = self.site_calls.highest_fence;
         if fence < highest {
-            // A controller that was superseded while it was suspended: it is not followed, and left.
-            return Err(CallError::Fenced { fence, highest });
+            // The status comes from a controller that was superseded while it was suspended. The status is
+            // ignored, and the stream from this controller ends.
+            return Err(CallError::Superseded { fence, highest });
         }
         self.site_calls.highest_fence = fence;
         if self.engine.release() != Some(release) {
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on the release, each a call to the release service with one reply.
+//! Votes on the release. Each is a call to the release service, which sends one reply.
 
 use super::super::Proxy;
 use super::super::http_request::HttpRequest;
@@ -7,7 +7,7 @@
 use violetseam::interface::{Build, Outcome, Verdict};
 use violetseam_site_protocol::release_service::{FencedRelease, Vote, VoteResult};
 
-/// Where the release service receives votes.
+/// The path on which the release service receives votes.
 const VOTE_PATH: &str = "/v1/vote";
 
 impl Proxy {
@@ -21,30 +21,32 @@
             timeout: Some(self.settings.decisions.rollout.vote_timeout),
         });
         if call.is_none() {
-            // Nothing was sent to the release service: it cannot count.
+            // Nothing was sent to the release service, so the vote cannot be counted.
             self.on_vote_ended(Outcome::Error, None);
         }
     }
 
-    /// The reply to a vote is complete.
+    /// Handles the complete reply to a vote.
     pub(super) fn on_vote_reply(&mut self, reply: &[u8]) {
         let VoteResult { outcome, release } = VoteResult::parse(reply).unwrap_or_else(|error| {
-            tracing::warn!("{error}");
-            // It was received by something that does not speak the protocol; whether it counts is open.
+            tracing::warn!("the reply to a vote cannot be parsed: {error}");
+            // The vote was received by a process that does not follow the protocol, so it is unknown whether
+            // it counts.
             VoteResult { outcome: Outcome::Timeout, release: None }
         });
         self.on_vote_ended(outcome, release);
     }
 
-    /// No reply has come. A vote that was sent may count all the same, unless it was not accepted.
-    pub(super) fn on_vote_unanswered(&mut self, is_written: bool, error: &CallError) {
-        let may_count = is_written && !matches!(error, CallError::NotAccepted);
-        let outcome = if may_count { Outcome::Timeout } else { Outcome::Error };
+    /// Handles a vote that ended without a reply. If the vote was written, it may have been counted
+    /// nevertheless, except where the release service responded with a status other than 200.
+    pub(super) fn on_vote_failed(&mut self, is_written: bool, error: &CallError) {
+        let may_be_counted = is_written && !matches!(error, CallError::UnexpectedStatus);
+        let outcome = if may_be_counted { Outcome::Timeout } else { Outcome::Error };
         self.on_vote_ended(outcome, None);
     }
 
-    /// Reports a vote's end to the engine, with the release's status and its fencing number where a reply had
-    /// them.
+    /// Reports the end of a vote to the engine. If the reply contained a release status with its fencing
+    /// number, that status is passed on too.
     fn on_vote_ended(&mut self, outcome: Outcome, release: Option<FencedRelease>) {
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
@@ -52,7 +54,7 @@
             return self.engine.on_vote_reply(now, outcome, None);
         };
         if fence < self.site_calls.highest_fence {
-            // What a superseded controller counts, counts nowhere.
+            // A vote that was counted by a superseded controller has no effect.
             return self.engine.on_vote_reply(now, Outcome::Error, None);
         }
         self.site_calls.highest_fence = fence;
