--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -82,7 +82,7 @@
 
 /// One proxy, which runs on one event loop.
 pub struct Proxy {
-    /// The control sockets, if this proxy runs in a daemon that operators control.
+    /// The server side of the control sockets, if this proxy runs in a daemon that operators control.
     control_server: Option<ControlServer>,
     settings: Rc<ProxySettings>,
     engine: Engine,
--- a/crates/proxy/src/driver/site_calls/mod.rs
+++ b/crates/proxy/src/driver/site_calls/mod.rs
@@ -20,8 +20,7 @@
 use slab::Slab;
 use violetseam::interface::Micros;
 
-/// The minimum wait before the release service's stream is opened again, and the minimum of its idle
-/// time-out.
+/// The lower limit for the reconnect delay and for the idle time-out of the release service's stream.
 const MIN_STREAM_WAIT: Micros = 10_000;
 
 /// The purpose of a call.
--- a/crates/proxy/src/driver/site_calls/votes.rs
+++ b/crates/proxy/src/driver/site_calls/votes.rs
@@ -46,7 +46,7 @@
     }
 
     /// Reports the end of a vote to the engine. If the reply contained a release status with its fencing
-    /// number, that status is passed on too.
+    /// number, that status is passed on too, unless its sender has been superseded.
     fn on_vote_ended(&mut self, outcome: Outcome, release: Option<FencedRelease>) {
         tracing::debug!(target: "verdict", ?outcome, "vote reply");
         let now = self.now();
