--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to proxies: opening, writing, reading, closing.
+//! The clients' connections to proxies: how they are opened, written, read and closed.
 
 use super::requests::Execution;
 use super::{Clients, TimerKind};
@@ -11,12 +11,13 @@
 use violetseam_invariants::FinalResponse;
 use violetseam_invariants::ObservedEvent;
 
-/// Bytes that are read from a connection at once.
+/// The most bytes that one read takes from a connection.
 const READ_BUFFER_SIZE: usize = 16 * 1_024;
-/// How long a report of a wrong answer may take, in microseconds.
-const REPORT_TIMEOUT: u64 = 1_000_000;
+/// The time limit for reporting a wrong answer to a proxy, in microseconds.
+const REPORT_TIMEOUT_US: u64 = 1_000_000;
 
-/// Identifies a connection, as long as the same exchange is on it.
+/// Identifies one exchange on a connection. The generation changes after each response, so a timer of an
+/// earlier exchange no longer matches.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionId {
     pub(super) key: usize,
@@ -36,24 +37,25 @@
 /// Why a client closes a connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DisconnectReason {
-    /// Of its own accord, before its deadline.
+    /// The client gives up before the deadline of the attempt.
     Early,
-    /// Long after its deadline.
+    /// No complete response came by the time limit of the exchange. For an attempt, that limit is some time
+    /// after its deadline.
     Timeout,
 }
 
-/// What happens on a connection.
+/// The exchange that a connection currently carries.
 pub(super) enum Exchange {
     Idle,
     Attempt(Box<Attempt>),
     WrongAnswerReport,
 }
 
-/// An attempt at a request.
+/// One attempt to have a request served.
 pub(super) struct Attempt {
-    /// Its number in the records.
+    /// The attempt's number in the event records.
     pub(super) number: u64,
-    /// Key of the request.
+    /// The key of the request in [`Clients`].
     pub(super) request: usize,
     pub(super) started_at: u64,
     pub(super) deadline: u64,
@@ -61,24 +63,24 @@
     pub(super) response: Option<ResponseInfo>,
 }
 
-/// What the head of a response says.
+/// What a client uses of the head of a response.
 #[derive(Clone, Debug)]
 pub(super) struct ResponseInfo {
     status: StatusCode,
-    /// How the proxy classifies the response.
-    pub(super) answer: Option<FinalResponse>,
+    /// How the proxy classifies the response, if it states that.
+    pub(super) final_response: Option<FinalResponse>,
     pub(super) build: u16,
     pub(super) is_wrong: bool,
-    /// By which the answer may be reported as wrong.
+    /// The id with which the answer can be reported as wrong.
     pub(super) id: Option<String>,
-    /// In seconds.
-    pub(super) retry_after: u64,
+    /// The time to wait before a retry, in seconds. It is 0 if the response states none.
+    pub(super) retry_after_s: u64,
 }
 
 impl ResponseInfo {
     fn parse(head: &ResponseHead) -> Self {
-        let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let answer = match text("violetseam-answer") {
+        let field = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+        let final_response = match field("violetseam-answer") {
             Some("served") => Some(FinalResponse::Served),
             Some("refused") => Some(FinalResponse::Rejected),
             Some("failed") => Some(FinalResponse::Failed),
@@ -86,17 +88,18 @@
         };
         ResponseInfo {
             status: head.status,
-            answer,
-            build: text(BUILD).and_then(|build| build.parse().ok()).unwrap_or(0),
-            is_wrong: text(WRONG).is_some(),
-            id: text("answer-id").map(str::to_owned),
-            retry_after: text("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0),
+            final_response,
+            build: field(BUILD).and_then(|build| build.parse().ok()).unwrap_or(0),
+            is_wrong: field(WRONG).is_some(),
+            id: field("answer-id").map(str::to_owned),
+            retry_after_s: field("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0),
         }
     }
 }
 
 impl Clients {
-    /// Opens a connection to a proxy for an exchange.
+    /// Opens a connection to a proxy for an exchange. Returns `None` if no socket can be opened or
+    /// registered.
     pub(super) fn open(&mut self, proxy: usize, exchange: Exchange) -> Option<ConnectionId> {
         let stream = connect(self.addresses.proxy(proxy)).ok()?;
         let generation = self.next_sequence();
@@ -187,9 +190,9 @@
         }
     }
 
-    /// A response is complete.
+    /// Handles the end of a response: frees the connection for the next exchange and evaluates the response.
     fn on_response_end(&mut self, key: usize, is_reusable: bool) {
-        // A new generation, as the timers of this exchange must not affect the next.
+        // The connection gets a new generation, because the timers of this exchange must not affect the next.
         let generation = self.next_sequence();
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.generation = generation;
@@ -206,13 +209,13 @@
         if let Exchange::Attempt(attempt) = exchange
             && let Some(response) = &attempt.response
         {
-            self.on_answer(proxy, &attempt, response);
+            self.on_response(proxy, &attempt, response);
         }
     }
 
     fn on_connection_lost(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        // A response that ends with the connection is complete now.
+        // A response that is delimited by the end of the connection is complete now.
         if let Some(ClientEvent::End { .. }) = connection.http.close() {
             return self.on_response_end(key, false);
         }
@@ -229,7 +232,7 @@
             response: FinalResponse::ConnectionClosed,
         });
         self.report.attempts.broken += 1;
-        self.retry_or_finish(attempt.request, Execution::Possible, 0);
+        self.retry_or_finish(attempt.request, Execution::PossiblyExecuted, 0);
     }
 
     pub(super) fn close(&mut self, key: usize) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// The client closes a connection without a response.
+    /// Closes a connection without a response, unless the exchange that `id` identifies is already over.
     pub(super) fn disconnect(&mut self, id: ConnectionId, reason: DisconnectReason) {
         let Some(connection) = self.connections.get_mut(id.key) else { return };
         if connection.generation != id.generation {
@@ -258,24 +261,24 @@
         match reason {
             DisconnectReason::Early => self.finish_unserved(attempt.request),
             DisconnectReason::Timeout => {
-                self.retry_or_finish(attempt.request, Execution::Possible, 0);
+                self.retry_or_finish(attempt.request, Execution::PossiblyExecuted, 0);
             }
         }
     }
 
-    /// Reports an answer as wrong to the proxy that forwarded it.
+    /// Reports an answer as wrong to the proxy that forwarded it, on a connection of its own.
     pub(super) fn report_wrong_answer(&mut self, proxy: usize, answer_id: &str) {
         let Some(id) = self.open(proxy, Exchange::WrongAnswerReport) else { return };
         let body = format!("{{\"answer\":\"{answer_id}\"}}");
         let length = body.len();
-        let text = format!(
+        let request = format!(
             "POST /.well-known/wrong-answer HTTP/1.1\r\nhost: lab\r\nconnection: close\r\n\
              content-length: {length}\r\n\r\n{body}"
         );
         if let Some(connection) = self.connections.get_mut(id.key) {
-            connection.socket.write_buffer().extend_from_slice(text.as_bytes());
+            connection.socket.write_buffer().extend_from_slice(request.as_bytes());
             connection.http.expect_response(false);
         }
-        self.schedule(self.clock.now() + REPORT_TIMEOUT, TimerKind::Timeout(id));
+        self.schedule(self.clock.now() + REPORT_TIMEOUT_US, TimerKind::Timeout(id));
     }
 }
--- a/crates/simulated-site/src/network/clients/mod.rs
+++ b/crates/simulated-site/src/network/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: an open loop of requests over persistent connections, with deadlines, retries, early
+//! Simulated clients. They send an open-loop load over persistent connections, with deadlines, retries, early
 //! disconnects and reports of wrong answers.
 
 mod connection;
@@ -25,12 +25,12 @@
 use std::time::Duration;
 use violetseam_invariants::{EventRecord, ObservedEvent};
 
-/// The longest wait of the event loop, in microseconds.
-const MAX_WAIT: u64 = 50_000;
-/// Makes the clients' draws different from those of the traffic.
+/// The longest time that the event loop waits for events, in microseconds.
+const MAX_WAIT_US: u64 = 50_000;
+/// Combined with the scenario's seed, so that the clients' random draws differ from those of the traffic.
 const SEED_MASK: u64 = 0xc1e7;
 
-/// What a timer does.
+/// What is done when a timer expires.
 #[derive(Clone, Debug)]
 enum TimerKind {
     /// Starts the next attempt of a request.
@@ -43,7 +43,7 @@
     ReportWrongAnswer { proxy: usize, answer_id: String },
 }
 
-/// All clients.
+/// The state of all clients of a run.
 pub struct Clients {
     clock: Clock,
     scenario: Rc<Scenario>,
@@ -51,43 +51,43 @@
     handle: LoopHandle<'static, Clients>,
     random: RandomSource,
     traffic: Peekable<TrafficGenerator>,
-    /// When the scenario starts.
-    begin: u64,
+    /// The time at which the scenario starts, in microseconds on `clock`.
+    scenario_start: u64,
     requests: Slab<PendingRequest>,
     connections: Slab<Connection>,
-    /// Keys of idle connections, by proxy.
+    /// The keys of the idle connections, by proxy.
     idle_connections: HashMap<usize, Vec<usize>>,
-    /// By time and order.
+    /// Timers by the time at which they expire and by the order in which they were scheduled.
     timers: BTreeMap<(u64, u64), TimerKind>,
     sequence: u64,
     last_attempt: u64,
     report: ClientReport,
-    /// Proxies that are known to be unreachable, and until when clients avoid them.
+    /// For each proxy that is known to be unreachable, the time until which clients avoid it.
     avoided_until: BTreeMap<usize, u64>,
-    /// Since when a proxy cannot be reached.
+    /// For each proxy that cannot be reached, the time of the first attempt that failed to reach it.
     unreachable_since: BTreeMap<usize, u64>,
     progress: Arc<Progress>,
 }
 
-/// Runs the clients until the scenario is over and no request is pending, or until `stop` is set. The
-/// scenario starts at `begin`.
+/// Runs the clients until all traffic of the scenario has been sent and neither a request nor a timer is
+/// pending, or until `stop` is set. The scenario starts at `scenario_start`, in microseconds on `clock`.
 ///
 /// # Errors
-/// The event loop could not be set up, or waiting for events failed.
+/// Returns [`NetworkError::EventLoop`] if the event loop cannot be created, or if waiting for events fails.
 pub fn run(
     scenario: &Scenario,
     addresses: AddressPlan,
     clock: Clock,
-    begin: u64,
+    scenario_start: u64,
     stop: &AtomicBool,
     progress: Arc<Progress>,
 ) -> Result<ClientReport, NetworkError> {
     let mut event_loop: EventLoop<'static, Clients> =
         EventLoop::try_new().map_err(NetworkError::EventLoop)?;
     let handle = event_loop.handle();
-    let mut clients = Clients::new(scenario, addresses, clock, begin, handle, progress);
+    let mut clients = Clients::new(scenario, addresses, clock, scenario_start, handle, progress);
     loop {
-        let wait = clients.time_to_next_event().min(MAX_WAIT);
+        let wait = clients.time_to_next_event().min(MAX_WAIT_US);
         event_loop.dispatch(Duration::from_micros(wait), &mut clients).map_err(NetworkError::EventLoop)?;
         clients.advance();
         if clients.is_finished() || stop.load(Ordering::Relaxed) {
@@ -101,7 +101,7 @@
         scenario: &Scenario,
         addresses: AddressPlan,
         clock: Clock,
-        begin: u64,
+        scenario_start: u64,
         handle: LoopHandle<'static, Clients>,
         progress: Arc<Progress>,
     ) -> Clients {
@@ -111,7 +111,7 @@
             handle,
             random: RandomSource::seed_from_u64(scenario.seed ^ SEED_MASK),
             traffic: TrafficGenerator::new(scenario).peekable(),
-            begin,
+            scenario_start,
             requests: Slab::new(),
             connections: Slab::new(),
             idle_connections: HashMap::new(),
@@ -135,7 +135,7 @@
         self.report.entries.push(EventRecord { at, event });
     }
 
-    /// A number that is larger than all before.
+    /// Returns a number that is larger than all numbers it returned before.
     fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
@@ -152,21 +152,21 @@
 
     fn time_to_next_event(&mut self) -> u64 {
         let now = self.clock.now();
-        let next_arrival = self.traffic.peek().map(|request| request.at + self.begin);
+        let next_arrival = self.traffic.peek().map(|request| request.at + self.scenario_start);
         let next_event = next_arrival.into_iter().chain(self.next_timer()).min();
-        next_event.map_or(MAX_WAIT, |at| at.saturating_sub(now))
+        next_event.map_or(MAX_WAIT_US, |at| at.saturating_sub(now))
     }
 
     fn is_finished(&mut self) -> bool {
         self.traffic.peek().is_none() && self.requests.is_empty() && self.timers.is_empty()
     }
 
-    /// Does what is due.
+    /// Sends the requests and runs the timers that are due.
     fn advance(&mut self) {
         let now = self.clock.now();
-        let begin = self.begin;
-        while let Some(request) = self.traffic.next_if(|request| request.at + begin <= now) {
-            self.on_arrival(ClientRequest { at: request.at + begin, ..request });
+        let scenario_start = self.scenario_start;
+        while let Some(request) = self.traffic.next_if(|request| request.at + scenario_start <= now) {
+            self.on_arrival(ClientRequest { at: request.at + scenario_start, ..request });
         }
         while self.next_timer().is_some_and(|at| at <= now) {
             if let Some((_, timer)) = self.timers.pop_first() {
--- a/crates/simulated-site/src/network/clients/report.rs
+++ b/crates/simulated-site/src/network/clients/report.rs
@@ -1,26 +1,26 @@
-//! What the clients observed in a run.
+//! The report of what the clients observed in a run, and counters of its progress.
 
 use crate::scenario::ClassSpec;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicU64;
 use violetseam_invariants::EventRecord;
 
-/// Requests of one class by what became of them.
+/// Counts the requests of one class by their results.
 #[derive(Clone, Debug, Default)]
 pub struct ClassCounts {
     /// Requests that clients made.
     pub requests: u64,
     /// Served correctly within the latency objective.
     pub in_time: u64,
-    /// Served correctly, but later.
+    /// Served correctly, but after the latency objective.
     pub late: u64,
     /// Served with a wrong answer.
     pub wrong: u64,
     /// Never served.
     pub unserved: u64,
-    /// Priority weight of all requests.
+    /// The sum of the priority weights of all requests.
     pub requested_weight: f64,
-    /// Priority weight earned by responses.
+    /// The sum of the priority weights of correctly served requests, reduced for late responses.
     pub served_weight: f64,
 }
 
@@ -41,41 +41,41 @@
     }
 }
 
-/// Clients' attempts by how they ended.
+/// Counts the clients' attempts by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Served.
+    /// The attempt was served.
     pub served: u64,
-    /// Rejected by the proxy.
+    /// The proxy rejected the attempt.
     pub rejected: u64,
-    /// Failed, as the proxy's response says.
+    /// The proxy's response classifies the attempt as failed or does not classify it.
     pub failed: u64,
     /// The connection broke before the response was complete.
     pub broken: u64,
-    /// No connection to a proxy.
+    /// The client could not send the attempt, because it had no connection to the proxy.
     pub unreachable: u64,
-    /// The client disconnected before a response.
+    /// The client disconnected before the response was complete.
     pub disconnected: u64,
 }
 
-/// What the clients observed.
+/// Everything that the clients observed in a run.
 #[derive(Debug, Default)]
 pub struct ClientReport {
-    /// Records for the checker of the invariants.
+    /// The event records for the invariant checker.
     pub entries: Vec<EventRecord>,
-    /// By class.
+    /// The counts of requests, by class index.
     pub classes: Vec<ClassCounts>,
-    /// Attempts of all classes.
+    /// The counts of attempts of all classes together.
     pub attempts: AttemptCounts,
-    /// Served responses by build.
+    /// The number of served responses, by the build that gave them.
     pub responses_by_build: BTreeMap<u16, u64>,
-    /// Latencies of served attempts, in microseconds.
+    /// The latency of each served attempt, in microseconds.
     pub latencies_us: Vec<u64>,
-    /// Reports of wrong answers that a proxy accepted.
+    /// The number of reports of wrong answers that a proxy accepted.
     pub accepted_reports: u64,
 }
 
-/// Counters that may be read while the clients run.
+/// Counters that other threads may read while the clients run.
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Requests that clients made.
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -1,4 +1,5 @@
-//! Requests from their first attempt to their last.
+//! How clients make requests: the attempts, their responses, retries and final results. All times are in
+//! microseconds.
 
 use super::connection::{Attempt, ConnectionId, Exchange, ResponseInfo};
 use super::{Clients, TimerKind};
@@ -11,30 +12,30 @@
 use violetseam_invariants::FinalResponse;
 use violetseam_invariants::ObservedEvent;
 
-/// How long past its deadline a client still waits, so that a late response is seen as late. In
-/// microseconds, as all times here.
-const LATE_RESPONSE_WAIT: u64 = 400_000;
-/// No attempt starts with less time until the deadline.
-const MIN_ATTEMPT_TIME: u64 = 20_000;
-/// The shortest time limit of an attempt.
-const MIN_ATTEMPT_TIMEOUT: u64 = 50_000;
-/// How long clients avoid a proxy that cannot be reached.
-const PROXY_AVOIDANCE_TIME: u64 = 500_000;
-/// Clients that disconnect early do so within this share of the time until the deadline.
-const MAX_EARLY_DISCONNECT: f64 = 0.8;
-/// Body of a request that is not idempotent.
+/// How long a client still waits after the deadline of an attempt, so that it observes a late response as
+/// late.
+const LATE_RESPONSE_WAIT_US: u64 = 400_000;
+/// The least time until the deadline of the request with which an attempt is started.
+const MIN_ATTEMPT_TIME_US: u64 = 20_000;
+/// The shortest time limit of an attempt, unless the deadline of the request is sooner.
+const MIN_ATTEMPT_TIMEOUT_US: u64 = 50_000;
+/// How long clients avoid a proxy that they have found to be unreachable.
+const PROXY_AVOIDANCE_TIME_US: u64 = 500_000;
+/// Clients that disconnect early do so within this share of the time that remains until the deadline.
+const MAX_EARLY_DISCONNECT_SHARE: f64 = 0.8;
+/// The body of a request that is not idempotent.
 const REQUEST_BODY: &str = "work";
 
-/// Whether an attempt may have been executed.
+/// Whether a server may have executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// It cannot have been.
-    None,
-    /// It may have been.
-    Possible,
+    /// No server can have executed it.
+    NotExecuted,
+    /// A server may have executed it.
+    PossiblyExecuted,
 }
 
-/// A request that is not finished.
+/// A request that has no final result yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) request: ClientRequest,
@@ -42,7 +43,7 @@
 }
 
 impl Clients {
-    /// Takes a new request.
+    /// Counts a new request and starts its first attempt.
     pub(super) fn on_arrival(&mut self, request: ClientRequest) {
         let class = &self.scenario.classes[request.class];
         self.report.classes[request.class].add_request(class);
@@ -51,18 +52,19 @@
         self.start_attempt(key);
     }
 
-    /// Starts the next attempt of a request, unless its deadline is too close.
+    /// Starts the next attempt of a request. If the deadline of the request is too close, ends the request as
+    /// unserved.
     pub(super) fn start_attempt(&mut self, request: usize) {
         let now = self.clock.now();
         let Some(pending) = self.requests.get_mut(request) else { return };
         let class = &self.scenario.classes[pending.request.class];
         let request_deadline = pending.request.at + class.deadline;
-        if now + MIN_ATTEMPT_TIME >= request_deadline {
+        if now + MIN_ATTEMPT_TIME_US >= request_deadline {
             return self.finish_unserved(request);
         }
         pending.attempts += 1;
         let timeout = (class.deadline as f64 * self.scenario.clients.attempt_timeout_share) as u64;
-        let deadline = request_deadline.min(now + timeout.max(MIN_ATTEMPT_TIMEOUT));
+        let deadline = request_deadline.min(now + timeout.max(MIN_ATTEMPT_TIMEOUT_US));
         let proxy = self.choose_proxy();
         self.last_attempt += 1;
         let attempt = Attempt {
@@ -79,19 +81,20 @@
     /// Sends an attempt on an idle connection, or on a new one once that is established.
     fn send_or_connect(&mut self, proxy: usize, attempt: Attempt) {
         let request = attempt.request;
-        let times_out_at = attempt.deadline + LATE_RESPONSE_WAIT;
+        let timeout_at = attempt.deadline + LATE_RESPONSE_WAIT_US;
         let exchange = Exchange::Attempt(Box::new(attempt));
         if let Some(key) = self.idle_connections.get_mut(&proxy).and_then(Vec::pop) {
             self.connections[key].exchange = exchange;
             return self.send_request(key);
         }
         match self.open(proxy, exchange) {
-            Some(id) => self.schedule(times_out_at, TimerKind::Timeout(id)),
+            Some(id) => self.schedule(timeout_at, TimerKind::Timeout(id)),
             None => self.on_unreachable(request, proxy),
         }
     }
 
-    /// The proxy of an attempt: clients spread over those that are not known to be unreachable.
+    /// Chooses the proxy for an attempt: a random draw among the proxies that are not known to be
+    /// unreachable.
     fn choose_proxy(&mut self) -> usize {
         let now = self.clock.now();
         self.avoided_until.retain(|_, until| *until > now);
@@ -125,7 +128,7 @@
         proxies.map(weight).collect()
     }
 
-    /// Sends the request of the attempt on an established connection.
+    /// Sends the request of the attempt that is assigned to an established connection.
     pub(super) fn send_request(&mut self, key: usize) {
         let now = self.clock.now();
         let connection = &mut self.connections[key];
@@ -142,7 +145,8 @@
         connection.socket.write_buffer().extend_from_slice(text.as_bytes());
         connection.http.expect_response(false);
         let id = ConnectionId { key, generation: connection.generation };
-        // The deadline as stated: the proxy may not use what rounding to milliseconds cuts off.
+        // The record has the deadline that the request states, as the proxy may not use the part of a
+        // millisecond that rounding cuts off.
         let sent = ObservedEvent::RequestSent {
             request: number,
             proxy: connection.proxy as u32,
@@ -150,38 +154,40 @@
             deadline: now + timeout_ms * 1_000,
         };
         self.record(sent);
-        self.schedule(deadline + LATE_RESPONSE_WAIT, TimerKind::Timeout(id));
+        self.schedule(deadline + LATE_RESPONSE_WAIT_US, TimerKind::Timeout(id));
         self.schedule_early_disconnect(now, deadline, id);
         self.flush(key);
     }
 
-    /// Some clients disconnect early.
+    /// Lets the scenario's share of clients disconnect early.
     fn schedule_early_disconnect(&mut self, now: u64, deadline: u64, id: ConnectionId) {
         if self.random.random::<f64>() < self.scenario.clients.disconnect_share {
             let remaining = (deadline - now) as f64;
-            let delay = (self.random.random::<f64>() * remaining * MAX_EARLY_DISCONNECT) as u64;
+            let delay = (self.random.random::<f64>() * remaining * MAX_EARLY_DISCONNECT_SHARE) as u64;
             self.schedule(now + delay, TimerKind::Disconnect(id));
         }
     }
 
-    /// A response to an attempt is complete.
-    pub(super) fn on_answer(&mut self, proxy: usize, attempt: &Attempt, response: &ResponseInfo) {
-        // A response of the proxy that is neither rejected nor failed: the request was invalid.
-        let answer = response.answer.unwrap_or(FinalResponse::Failed);
-        self.record(ObservedEvent::ResponseReceived { request: attempt.number, response: answer });
-        match answer {
+    /// Evaluates the complete response to an attempt.
+    pub(super) fn on_response(&mut self, proxy: usize, attempt: &Attempt, response: &ResponseInfo) {
+        // The proxy classifies each response as served, rejected or failed, except when it finds the request
+        // invalid. Such a response counts as failed.
+        let final_response = response.final_response.unwrap_or(FinalResponse::Failed);
+        self.record(ObservedEvent::ResponseReceived { request: attempt.number, response: final_response });
+        match final_response {
             FinalResponse::Served => self.on_served(proxy, attempt, response),
             FinalResponse::Rejected => {
                 self.report.attempts.rejected += 1;
                 self.progress.rejected.fetch_add(1, Ordering::Relaxed);
-                let complies = self.random.random::<f64>() < self.scenario.clients.retry_after_compliance;
-                let retry_after = if complies { response.retry_after * 1_000_000 } else { 0 };
-                self.retry_or_finish(attempt.request, Execution::None, retry_after);
+                let honors_retry_after =
+                    self.random.random::<f64>() < self.scenario.clients.retry_after_compliance;
+                let retry_after = if honors_retry_after { response.retry_after_s * 1_000_000 } else { 0 };
+                self.retry_or_finish(attempt.request, Execution::NotExecuted, retry_after);
             }
             _ => {
                 self.report.attempts.failed += 1;
                 self.progress.failed.fetch_add(1, Ordering::Relaxed);
-                self.retry_or_finish(attempt.request, Execution::Possible, 0);
+                self.retry_or_finish(attempt.request, Execution::PossiblyExecuted, 0);
             }
         }
     }
@@ -199,7 +205,8 @@
         }
     }
 
-    /// Clients report some of the wrong answers, and a few right ones.
+    /// Schedules the report of an answer as wrong. Clients report the scenario's share of the wrong answers,
+    /// and its share of the right ones as false reports.
     fn schedule_wrong_answer_report(&mut self, now: u64, proxy: usize, response: &ResponseInfo) {
         let Some(answer_id) = response.id.clone() else { return };
         let rollout = &self.scenario.rollout;
@@ -210,19 +217,20 @@
         }
     }
 
-    /// Retries a request after an attempt that was not served, if its class and the attempt's execution allow
-    /// that. `retry_after` is in microseconds.
+    /// Retries a request after an attempt that was not served, or ends the request as unserved. A request is
+    /// retried only if it has retries left, and either no server executed the attempt or its class may be
+    /// repeated safely. The retry waits for at least `retry_after`.
     pub(super) fn retry_or_finish(&mut self, request: usize, execution: Execution, retry_after: u64) {
         let now = self.clock.now();
         let Some(pending) = self.requests.get(request) else { return };
         let class = &self.scenario.classes[pending.request.class];
-        let may_repeat = match class.idempotency {
+        let may_be_repeated = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::KeyedAll => now < pending.request.at + class.dedup_window,
             Idempotency::KeyedZone | Idempotency::KeyedCell | Idempotency::NonIdempotent => false,
         };
-        let has_retries = pending.attempts <= self.scenario.clients.retries;
-        if (execution == Execution::None || may_repeat) && has_retries {
+        let has_retries_left = pending.attempts <= self.scenario.clients.retries;
+        if (execution == Execution::NotExecuted || may_be_repeated) && has_retries_left {
             let wait = self.scenario.clients.backoff.max(retry_after);
             self.schedule(now + wait, TimerKind::StartAttempt { request });
         } else {
@@ -230,7 +238,7 @@
         }
     }
 
-    /// A request is finished with a right answer.
+    /// Ends a request that got a right answer, and counts it as in time or late.
     fn finish_served(&mut self, request: usize, served_at: u64) {
         let Some(PendingRequest { request, .. }) = self.requests.try_remove(request) else { return };
         let class = &self.scenario.classes[request.class];
@@ -243,33 +251,34 @@
         }
     }
 
-    /// A request is finished with a wrong answer.
+    /// Ends a request that got a wrong answer.
     fn finish_wrong(&mut self, request: usize) {
         if let Some(pending) = self.requests.try_remove(request) {
             self.report.classes[pending.request.class].wrong += 1;
         }
     }
 
-    /// A request is finished without an answer.
+    /// Ends a request that was never served.
     pub(super) fn finish_unserved(&mut self, request: usize) {
         if let Some(pending) = self.requests.try_remove(request) {
             self.report.classes[pending.request.class].unserved += 1;
         }
     }
 
-    /// A proxy could not be reached. After a while clients notice that, and avoid it.
+    /// Handles an attempt whose proxy could not be reached. Clients avoid a proxy once it has been
+    /// unreachable for the scenario's detection time.
     pub(super) fn on_unreachable(&mut self, request: usize, proxy: usize) {
         let now = self.clock.now();
         self.report.attempts.unreachable += 1;
         let since = *self.unreachable_since.entry(proxy).or_insert(now);
         if now >= since + self.scenario.clients.dead_proxy_detection {
-            self.avoided_until.insert(proxy, now + PROXY_AVOIDANCE_TIME);
+            self.avoided_until.insert(proxy, now + PROXY_AVOIDANCE_TIME_US);
         }
-        self.retry_or_finish(request, Execution::None, 0);
+        self.retry_or_finish(request, Execution::NotExecuted, 0);
     }
 }
 
-/// The text of a request.
+/// Encodes a request as HTTP/1.1 text.
 fn encode(pending: &PendingRequest, number: u64, class: &ClassSpec, tenant: &str, timeout_ms: u64) -> String {
     let ClientRequest { class: class_index, key, work, cost_hint, .. } = pending.request;
     let is_idempotent = class.idempotency == Idempotency::Idempotent;
--- a/crates/simulated-site/src/network/error.rs
+++ b/crates/simulated-site/src/network/error.rs
@@ -1,35 +1,35 @@
-//! Errors of setting up and running sockets.
+//! Errors that occur while the event loops, sockets and threads are set up or run.
 
 use std::net::SocketAddr;
 
-/// Why the simulated site or its clients cannot run.
+/// The reason why the simulated site or its clients cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum NetworkError {
-    /// The event loop could not be created, or waiting for events failed.
-    #[error("event loop: {0}")]
+    /// An event loop could not be created, or waiting for its events failed.
+    #[error("cannot create an event loop or wait for its events: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// An address could not be listened on.
-    #[error("listening on {address}: {source}")]
+    /// A socket could not be opened at an address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system or of the event loop.
         source: std::io::Error,
     },
-    /// A socket could not be added to the event loop.
-    #[error("adding the socket at {address} to the event loop: {source}")]
+    /// A socket could not be registered on the event loop.
+    #[error("cannot register the socket at {address} on the event loop: {source}")]
     Register {
-        /// Where the socket listens.
+        /// The address at which the socket listens.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system or of the event loop.
         source: calloop::Error,
     },
     /// A thread could not be started.
-    #[error("starting the thread {name:?}: {source}")]
+    #[error("cannot start the thread {name:?}: {source}")]
     Thread {
-        /// Name of the thread.
+        /// The name of the thread.
         name: &'static str,
-        /// The cause.
+        /// The error of the operating system or of the event loop.
         source: std::io::Error,
     },
 }
--- a/crates/simulated-site/src/network/headers.rs
+++ b/crates/simulated-site/src/network/headers.rs
@@ -1,41 +1,43 @@
-//! Header fields by which simulated clients and servers tell each other what the proxy between them need not
-//! know.
+//! Header fields that simulated clients and servers exchange through the proxy between them. Most carry facts
+//! of the simulation that the proxy does not need.
 
 use violetseam_http1::RequestHead;
 
-/// Number of the client's request.
+/// The number of the client's attempt in the records.
 pub const REQUEST: &str = "x-lab-request";
-/// The request's true work, in microseconds of a standard core.
+/// The work that the request actually takes, in microseconds of a standard core.
 pub const WORK: &str = "x-lab-work-us";
-/// Index of the request's class.
+/// The index of the request's class.
 pub const CLASS: &str = "x-lab-class";
-/// On a response: the answer is wrong, which only the simulation can tell.
+/// Marks a response whose answer is wrong, which only the simulation can know.
 pub const WRONG: &str = "x-lab-wrong";
-/// On a response: the build that gave it.
+/// The number of the build that gave the response.
 pub const BUILD: &str = "x-lab-build";
-/// On a 503: the request was not executed.
+/// Marks a 503 response to a request that the server did not execute.
 pub const NOT_RUN: &str = "x-not-run";
 /// The request's idempotency key.
 pub const KEY: &str = "idempotency-key";
 
-/// A field as a number.
+/// Returns the value of a field as a number, or `None` if the field is absent or not a number.
 pub(super) fn number(head: &RequestHead, name: &str) -> Option<u64> {
     text(head, name)?.parse().ok()
 }
 
-/// The index of the request's class; 0 without one.
+/// Returns the index of the request's class, or 0 if the request does not state it.
 pub(super) fn class_of(head: &RequestHead) -> usize {
     number(head, CLASS).unwrap_or(0) as usize
 }
 
-/// The proxy that sent a request: the last number of its `Via`.
+/// Returns the position of the proxy that sent a request, which is the last number of its `Via` field, or
+/// `u32::MAX` if there is none.
 pub(super) fn proxy_of(head: &RequestHead) -> u32 {
     let last = head.headers.get_all("via").into_iter().next_back();
     let via = last.and_then(|value| value.to_str().ok()).unwrap_or("");
     via.rsplit('-').next().and_then(|number| number.trim().parse().ok()).unwrap_or(u32::MAX)
 }
 
-/// The idempotency key as a number: its value, or a hash of its text; 0 without a key.
+/// Returns the idempotency key as a number: its value if it is numeric, otherwise a hash of its text.
+/// Returns 0 if the request has no key.
 pub(super) fn key_of(head: &RequestHead) -> u64 {
     let Some(key) = text(head, KEY) else { return 0 };
     let hash = |hash: u64, byte: u8| hash.wrapping_mul(31) + u64::from(byte);
