--- a/crates/simulated-site/src/network/clients/connection.rs
+++ b/crates/simulated-site/src/network/clients/connection.rs
@@ -2,7 +2,7 @@
 
 use super::requests::Execution;
 use super::{Clients, TimerKind};
-use crate::network::headers::{BUILD, WRONG};
+use crate::network::headers::{BUILD, WRONG_ANSWER};
 use calloop::{Interest, Readiness};
 use http::StatusCode;
 use violetseam_event_io::{ReadOutcome, Socket, connect};
@@ -90,7 +90,7 @@
             status: head.status,
             final_response,
             build: field(BUILD).and_then(|build| build.parse().ok()).unwrap_or(0),
-            is_wrong: field(WRONG).is_some(),
+            is_wrong: field(WRONG_ANSWER).is_some(),
             id: field("answer-id").map(str::to_owned),
             retry_after_s: field("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0),
         }
--- a/crates/simulated-site/src/network/clients/requests.rs
+++ b/crates/simulated-site/src/network/clients/requests.rs
@@ -4,7 +4,7 @@
 use super::connection::{Attempt, ConnectionId, Exchange, ResponseInfo};
 use super::{Clients, TimerKind};
 use crate::model::traffic::ClientRequest;
-use crate::network::headers::{CLASS, KEY, REQUEST, WORK};
+use crate::network::headers::{CLASS_INDEX, IDEMPOTENCY_KEY, REQUEST_NUMBER, WORK_US};
 use crate::scenario::{ClassSpec, Idempotency, ProxySpec};
 use rand::RngExt;
 use std::fmt::Write;
@@ -284,12 +284,12 @@
     let is_idempotent = class.idempotency == Idempotency::Idempotent;
     let method = if is_idempotent { "GET" } else { "POST" };
     let mut text = format!(
-        "{method} /c{class_index}/{key} HTTP/1.1\r\nhost: lab\r\n{REQUEST}: {number}\r\n\
-         {CLASS}: {class_index}\r\n{WORK}: {work}\r\nx-tenant: {tenant}\r\n\
+        "{method} /c{class_index}/{key} HTTP/1.1\r\nhost: lab\r\n{REQUEST_NUMBER}: {number}\r\n\
+         {CLASS_INDEX}: {class_index}\r\n{WORK_US}: {work}\r\nx-tenant: {tenant}\r\n\
          request-timeout-ms: {timeout_ms}\r\n"
     );
     if key != 0 {
-        let _ = write!(text, "{KEY}: {key}\r\n");
+        let _ = write!(text, "{IDEMPOTENCY_KEY}: {key}\r\n");
     }
     if let Some(hint) = cost_hint {
         let _ = write!(text, "x-cost-us: {hint}\r\n");
--- a/crates/simulated-site/src/network/site/discovery_http.rs
+++ b/crates/simulated-site/src/network/site/discovery_http.rs
@@ -1,7 +1,7 @@
 //! Discovery over HTTP: complete lists, watches, and faults of both.
 
 use super::connection::Watch;
-use super::state::{Site, rule_state};
+use super::state::{Site, recorded_status};
 use super::streams::ResponseEnd;
 use crate::scenario::FaultKind;
 use violetseam_invariants::ObservedEvent;
@@ -98,7 +98,7 @@
     fn record_list(&mut self, proxy: u32, update: &ListUpdate) {
         for endpoint in &update.servers {
             let started = self.registry.started_at(endpoint.id);
-            let status = rule_state(endpoint.state);
+            let status = recorded_status(endpoint.state);
             self.record(ObservedEvent::ServerStatusSent { proxy, server: endpoint.id, status, started });
         }
         if update.kind == UpdateKind::Full {
@@ -141,7 +141,7 @@
     }
 
     /// Disturbs all watches, as a fault of discovery begins.
-    pub(super) fn disturb_endpoint_watches(&mut self, kind: FaultKind) {
+    pub(super) fn disrupt_endpoint_watches(&mut self, kind: FaultKind) {
         let now = self.clock.now();
         let keys: Vec<usize> = self.pending.endpoint_watches.values().copied().collect();
         for key in keys {
--- a/crates/simulated-site/src/network/site/faults.rs
+++ b/crates/simulated-site/src/network/site/faults.rs
@@ -1,11 +1,11 @@
-//! Faults that begin, go on and end.
+//! Applies the faults of the scenario as they begin, continue and end.
 
 use super::state::Site;
 use crate::model::server::Build;
 use crate::scenario::{Fault, FaultKind};
 
 impl Site {
-    /// Applies the faults of this turn.
+    /// Applies the changes and effects of faults that are due in this turn.
     pub(super) fn apply_faults(&mut self, now: u64) {
         self.apply_fault_changes(now);
         self.restart_crashed_servers(now);
@@ -17,10 +17,10 @@
         let scenario = self.scenario.clone();
         for (index, fault) in scenario.faults.iter().enumerate() {
             let is_active = fault.is_active(now);
-            if is_active == self.was_active[index] {
+            if is_active == self.was_fault_active[index] {
                 continue;
             }
-            self.was_active[index] = is_active;
+            self.was_fault_active[index] = is_active;
             if is_active {
                 self.log(format!("trouble begins: {}", fault.kind.log_name()));
                 self.on_fault_start(now, fault);
@@ -45,7 +45,7 @@
             }
             FaultKind::DiscoveryOutage
             | FaultKind::DiscoveryGarbage
-            | FaultKind::DiscoveryVersionRollback => self.disturb_endpoint_watches(fault.kind),
+            | FaultKind::DiscoveryVersionRollback => self.disrupt_endpoint_watches(fault.kind),
             FaultKind::DiscoveryPartition | FaultKind::ReleaseServicePartition => {
                 self.close_partitioned_watches(fault);
             }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The servers that a crash or the outage of a zone affects.
+    /// Returns the servers that a crash or a zone outage affects.
     fn affected_servers(&self, fault: &Fault) -> Vec<u64> {
         let affected = self.servers.iter().filter(|(_, server)| match fault.kind {
             FaultKind::ZoneOutage => usize::from(server.model.spec.zone) == fault.selector,
@@ -74,7 +74,8 @@
         affected.map(|(id, _)| *id).collect()
     }
 
-    /// Sets what active faults and the newest build do to each server.
+    /// Applies the impairments of active faults, and the slowdown of the fleet by the newest build, to each
+    /// server.
     fn impair_servers(&mut self, now: u64) {
         let scenario = self.scenario.clone();
         let newest = self.releases.status().build.max(scenario.rollout.first_build);
@@ -87,7 +88,7 @@
     }
 }
 
-/// Whether the outage of a zone makes its servers unreachable; otherwise they crash.
+/// Returns whether a zone outage makes the servers of the zone unreachable. Otherwise they crash.
 fn leaves_servers_unreachable(outage: &Fault) -> bool {
     outage.parameter > 0.5
 }
--- a/crates/simulated-site/src/network/site/listeners.rs
+++ b/crates/simulated-site/src/network/site/listeners.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, ConnectionId, DelayedAction, Role};
 use super::state::Site;
 use crate::network::NetworkError;
-use crate::network::headers::proxy_of;
+use crate::network::headers::sending_proxy;
 use crate::scenario::FaultKind;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
@@ -138,7 +138,7 @@
 
     fn on_head(&mut self, key: usize, head: Box<RequestHead>) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        let proxy = proxy_of(&head);
+        let proxy = sending_proxy(&head);
         connection.head = Some(head);
         connection.body.clear();
         let Role::Server(server) = connection.role else { return };
--- a/crates/simulated-site/src/network/site/mod.rs
+++ b/crates/simulated-site/src/network/site/mod.rs
@@ -1,7 +1,8 @@
-//! Servers, discovery, the release service and the network between proxies on one event loop.
+//! The simulated servers, discovery service, release service and network between proxies, on one event loop.
 //!
-//! A turn of the loop handles what came over the sockets, then what is due by the clock: replies of servers,
-//! changes of the endpoint list, the release service, faults that begin and end.
+//! Each pass of the loop first handles what came over the sockets and then what is due by the clock: replies
+//! of servers, changes of the endpoint list, datagrams and delayed actions. At a fixed interval,
+//! a turn also advances the release service and begins or ends faults.
 
 mod connection;
 mod controller_link;
@@ -43,12 +44,12 @@
 use std::time::Duration;
 use violetseam_site_protocol::endpoint_list::EndpointState;
 
-/// Between two turns of the release service and of faults, in microseconds.
-const TURN_INTERVAL: u64 = 20_000;
-/// Makes the site's draws different from those of the traffic.
+/// The interval at which the release service and the faults get a turn, in microseconds.
+const TURN_INTERVAL_US: u64 = 20_000;
+/// Combined with the scenario's seed, so that the site's random draws differ from those of the traffic.
 const SEED_MASK: u64 = 0x5173;
 
-/// Who decides on releases.
+/// The service that decides on releases in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseDecider {
     /// The simulated release service.
@@ -57,25 +58,26 @@
     Controller,
 }
 
-/// How a site runs.
+/// The settings of a run of the site.
 #[derive(Debug)]
 pub struct SiteOptions {
-    /// Where everything listens.
+    /// The addresses at which the services of the run listen.
     pub addresses: AddressPlan,
-    /// Who decides on releases.
+    /// The service that decides on releases.
     pub release_decider: ReleaseDecider,
     /// The clock of the run.
     pub clock: Clock,
     /// Receives a message once the site listens.
     pub ready: Sender<()>,
-    /// Receives lines about what happens.
+    /// Receives the log lines of the run.
     pub log: Sender<String>,
 }
 
 /// Runs the site until `stop` is set.
 ///
 /// # Errors
-/// An event loop, a socket or a thread could not be set up, or waiting for events failed.
+/// Returns a [`NetworkError`] if the event loop, a socket or a thread cannot be set up, or if
+/// waiting for events fails.
 pub fn run(scenario: &Scenario, options: SiteOptions, stop: &AtomicBool) -> Result<SiteReport, NetworkError> {
     let mut event_loop: EventLoop<'static, Site> = EventLoop::try_new().map_err(NetworkError::EventLoop)?;
     let clock = options.clock;
@@ -83,7 +85,7 @@
     let mut site = Site::start(scenario, options, event_loop.handle())?;
     let _ = ready.send(());
     while !stop.load(Ordering::Relaxed) {
-        let wait = site.next_event().saturating_sub(clock.now()).min(TURN_INTERVAL);
+        let wait = site.next_event_at().saturating_sub(clock.now()).min(TURN_INTERVAL_US);
         event_loop.dispatch(Duration::from_micros(wait), &mut site).map_err(NetworkError::EventLoop)?;
         site.advance();
     }
@@ -91,7 +93,7 @@
 }
 
 impl Site {
-    /// Opens all sockets, and starts the servers of the first build.
+    /// Opens all sockets, and starts a server of the first build in each place.
     fn start(
         scenario: &Scenario,
         options: SiteOptions,
@@ -104,7 +106,7 @@
         for place in 0..scenario.servers.len() {
             let server = place as u64 + 1;
             site.start_server(server, place, build.clone(), true)?;
-            site.list(0, server, EndpointState::Ready);
+            site.schedule_listing(0, server, EndpointState::Ready);
         }
         site.publish_endpoint_changes();
         Ok(site)
@@ -134,37 +136,37 @@
             log,
             report: SiteReport::default(),
             dedup_caches: DedupCaches::default(),
-            servers_by_place: vec![1; scenario.servers.len()],
-            next_turn: 0,
-            was_active: vec![false; scenario.faults.len()],
+            servers_started_by_place: vec![1; scenario.servers.len()],
+            next_turn_at: 0,
+            was_fault_active: vec![false; scenario.faults.len()],
             completed: Vec::new(),
             recent_attempts: RecentAttempts::new(),
             scenario: Rc::new(scenario.clone()),
         })
     }
 
-    /// When something is due by the clock.
-    fn next_event(&self) -> u64 {
+    /// Returns the time at which the next thing is due by the clock.
+    fn next_event_at(&self) -> u64 {
         let reachable = self.servers.values().filter(|server| !server.is_unreachable);
         let completions = reachable.filter_map(|server| server.model.next_completion());
         completions
             .chain(self.registry.next_change())
             .chain(self.relay.next_arrival())
             .chain(self.pending.next_action())
-            .chain([self.next_turn])
+            .chain([self.next_turn_at])
             .min()
             .unwrap_or(0)
     }
 
-    /// Does what is due.
+    /// Does everything that is due by the clock.
     fn advance(&mut self) {
         let now = self.clock.now();
         self.send_due_replies(now);
         self.publish_endpoint_changes();
         self.relay.deliver_due(now);
         self.run_delayed_actions(now);
-        if now >= self.next_turn {
-            self.next_turn = now + TURN_INTERVAL;
+        if now >= self.next_turn_at {
+            self.next_turn_at = now + TURN_INTERVAL_US;
             self.apply_faults(now);
             self.advance_releases(now);
         }
@@ -181,14 +183,15 @@
         self.completed = completed;
     }
 
-    /// A turn of the release service.
+    /// Gives the release service its turn: carries out its commands for servers, and sends its status and its
+    /// replies to votes.
     fn advance_releases(&mut self, now: u64) {
         let is_down = self.is_active(FaultKind::ReleaseServiceUnresponsive);
         let before = self.releases.status();
         let mut commands = Vec::new();
         self.releases.advance(now, is_down, &mut commands);
         for command in commands {
-            self.execute(now, command);
+            self.execute_command(now, command);
         }
         let status = self.releases.status();
         if (status.build, status.stage, status.phase) != (before.build, before.stage, before.phase) {
--- a/crates/simulated-site/src/network/site/release_source.rs
+++ b/crates/simulated-site/src/network/site/release_source.rs
@@ -1,19 +1,19 @@
-//! Who decides on releases: the simulated release service or a controller.
+//! The source of release decisions: the simulated release service or a release controller.
 
 use super::controller_link::ControllerLink;
 use crate::model::release_service::{BuildOutcome, ReleaseService, ServerCommand};
 use violetseam_site_protocol::release_service::ReleaseUpdate;
 
-/// Who decides on releases.
+/// The service that decides on releases in a run.
 pub(super) enum ReleaseSource {
     /// The simulated release service.
     Simulated(Box<ReleaseService>),
-    /// A controller, as a process of its own.
+    /// A release controller, which runs as a separate process.
     Controller(Box<ControllerLink>),
 }
 
 impl ReleaseSource {
-    /// The present release status.
+    /// Returns the current release status.
     pub(super) fn status(&self) -> ReleaseUpdate {
         match self {
             ReleaseSource::Simulated(service) => service.status(),
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Does what is due. `is_down` applies to the simulated service only.
+    /// Advances the release to `now` and appends the commands for the servers to `commands`. `is_down`
+    /// applies to the simulated service only.
     pub(super) fn advance(&mut self, now: u64, is_down: bool, commands: &mut Vec<ServerCommand>) {
         match self {
             ReleaseSource::Simulated(service) => service.advance(now, is_down, commands),
@@ -29,7 +30,7 @@
         }
     }
 
-    /// What became of each build.
+    /// Returns the outcome of each build that was offered.
     pub(super) fn outcomes(&self) -> &[BuildOutcome] {
         match self {
             ReleaseSource::Simulated(service) => service.outcomes(),
--- a/crates/simulated-site/src/network/site/report.rs
+++ b/crates/simulated-site/src/network/site/report.rs
@@ -1,42 +1,42 @@
-//! What the site observed in a run.
+//! The report of what the simulated site observed in a run.
 
 use crate::model::release_service::BuildOutcome;
 use std::collections::BTreeMap;
 use violetseam_invariants::EventRecord;
 
-/// A build that was offered, and what became of it.
+/// A build that was offered to the release service, with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BuildReport {
-    /// What became of it.
+    /// When the build was offered, and when it was released or rolled back.
     pub outcome: BuildOutcome,
-    /// Whether it has a defect.
+    /// Whether the scenario gave the build a defect.
     pub is_defective: bool,
 }
 
-/// Attempts by what servers replied.
+/// Counts attempts by the replies of the servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// Served.
+    /// The server executed the attempt and replied with success.
     pub ok: u64,
-    /// Failed.
+    /// The server replied with an error.
     pub error: u64,
-    /// Rejected without being executed.
+    /// The server rejected the attempt without executing it.
     pub not_run: u64,
 }
 
-/// What the site observed.
+/// Everything that the site observed in a run.
 #[derive(Debug, Default)]
 pub struct SiteReport {
-    /// Records for the checker of the invariants.
+    /// The event records for the invariant checker.
     pub entries: Vec<EventRecord>,
-    /// The builds that were offered, in order.
+    /// The builds that were offered, in the order of the offers.
     pub builds: Vec<BuildReport>,
-    /// Servers that collapsed because they were overloaded while warming up.
+    /// The ids of servers that collapsed because they were overloaded while warming up.
     pub collapsed: Vec<u64>,
-    /// Attempts by the servers' replies.
+    /// The counts of attempts by the servers' replies.
     pub replies: ReplyCounts,
-    /// Votes that counted, by proxy.
+    /// The number of votes that the release service counted, by proxy.
     pub votes: BTreeMap<usize, u64>,
-    /// Attempts that were still in flight at the end.
+    /// The number of attempts that were still in flight at the end.
     pub open_attempts: usize,
 }
--- a/crates/simulated-site/src/network/site/servers.rs
+++ b/crates/simulated-site/src/network/site/servers.rs
@@ -1,7 +1,8 @@
-//! Servers: how they start, drain, stop, crash and start again, and how discovery lists them.
+//! The life cycle of simulated servers: how they start, drain, stop, crash and start again, and how the
+//! endpoint list follows that.
 
 use super::listeners::listen;
-use super::state::{Listener, SimulatedServer, Site, rule_state};
+use super::state::{Listener, SimulatedServer, Site, recorded_status};
 use crate::model::release_service::ServerCommand;
 use crate::model::server::{Build, FaultTarget, Server};
 use crate::network::NetworkError;
@@ -14,36 +15,45 @@
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState};
 
 impl Site {
-    /// Carries out a command of the release service.
-    pub(super) fn execute(&mut self, now: u64, command: ServerCommand) {
+    /// Carries out a command of the release service for a server.
+    pub(super) fn execute_command(&mut self, now: u64, command: ServerCommand) {
         match command {
             ServerCommand::Start { server, place, build } => self.start_successor(now, server, place, build),
             ServerCommand::Drain { server } => {
                 if let Some(entry) = self.servers.get_mut(&server) {
                     entry.is_draining = true;
                 }
-                self.list(now + self.scenario.discovery.drain_delay, server, EndpointState::Draining);
+                self.schedule_listing(
+                    now + self.scenario.discovery.drain_delay,
+                    server,
+                    EndpointState::Draining,
+                );
             }
             ServerCommand::Stop { server } => {
-                self.list(now + self.scenario.discovery.drain_delay, server, EndpointState::Gone);
+                self.schedule_listing(now + self.scenario.discovery.drain_delay, server, EndpointState::Gone);
                 self.stop_server(server);
                 self.servers.remove(&server);
             }
         }
     }
 
-    /// Starts a further server in a place.
+    /// Starts another server in a place that has had servers before.
     fn start_successor(&mut self, now: u64, server: u64, place: usize, build: u16) {
-        let index = place + self.scenario.servers.len() * self.servers_by_place[place];
-        self.servers_by_place[place] += 1;
+        let index = place + self.scenario.servers.len() * self.servers_started_by_place[place];
+        self.servers_started_by_place[place] += 1;
         let build = Build::in_scenario(&self.scenario, build);
         match self.start_server(server, index, build, false) {
-            Ok(()) => self.list(now + self.scenario.discovery.startup_delay, server, EndpointState::Ready),
-            Err(e) => self.log(format!("server {server} does not start: {e}")),
+            Ok(()) => self.schedule_listing(
+                now + self.scenario.discovery.startup_delay,
+                server,
+                EndpointState::Ready,
+            ),
+            Err(e) => self.log(format!("cannot start server {server}: {e}")),
         }
     }
 
-    /// Starts a server. `index` is that by which faults name it; `warm`: it has been running for long.
+    /// Starts a server. Faults refer to the server by `index`. A `warm` server counts as having run for a
+    /// long time, so it needs no warm-up and its start is not recorded.
     pub(super) fn start_server(
         &mut self,
         server: u64,
@@ -58,7 +68,7 @@
             self.record_start(server, &model);
         }
         let listener = self.listen_for_server(server)?;
-        // Servers pause at different times.
+        // The first pause is offset by the server's id, so that servers pause at different times.
         let next_pause = now + (server * 7_919 % 1_000) * 1_000;
         let entry = SimulatedServer {
             model,
@@ -93,7 +103,8 @@
         Ok(Listener { socket, token })
     }
 
-    /// Ends a server's process: everything in flight is lost.
+    /// Simulates the end of a server's process: the server stops listening, and all attempts in flight on it
+    /// are lost.
     pub(super) fn stop_server(&mut self, server: u64) {
         if let Some(listener) = self.servers.get_mut(&server).and_then(|entry| entry.listener.take()) {
             self.handle.remove(listener.token);
@@ -101,8 +112,9 @@
         self.close_connections_to_server(server);
     }
 
-    /// Schedules a server's entry on the endpoint list.
-    pub(super) fn list(&mut self, at: u64, server: u64, state: EndpointState) {
+    /// Schedules a change of a server's entry on the endpoint list, which becomes visible at `at` plus the
+    /// delay of an active discovery fault.
+    pub(super) fn schedule_listing(&mut self, at: u64, server: u64, state: EndpointState) {
         let Some(entry) = self.servers.get(&server) else { return };
         let spec = &entry.model.spec;
         let endpoint = Endpoint {
@@ -120,7 +132,7 @@
         self.registry.schedule_change(visible_at, endpoint, started_at);
     }
 
-    /// Makes due changes of the endpoint list visible.
+    /// Makes the due changes of the endpoint list visible, and sends them to the watching proxies.
     pub(super) fn publish_endpoint_changes(&mut self) {
         let now = self.clock.now();
         let changes = self.registry.apply_due(now);
@@ -130,13 +142,14 @@
         for change in changes {
             self.record(ObservedEvent::ServerListed {
                 server: change.server,
-                status: rule_state(change.state),
+                status: recorded_status(change.state),
             });
         }
         self.notify_endpoint_watches(now);
     }
 
-    /// A server crashes, and starts again at a time.
+    /// Crashes a server, which starts again at `restarts_at`. If the restart would be listed before the
+    /// crash, discovery never lists the crash.
     pub(super) fn crash(&mut self, now: u64, server: u64, restarts_at: u64) {
         self.stop_server(server);
         let Some(entry) = self.servers.get_mut(&server) else { return };
@@ -144,11 +157,11 @@
         let crash_listed_at = now + self.scenario.discovery.crash_delay;
         let restart_listed_at = restarts_at + self.scenario.discovery.startup_delay;
         if crash_listed_at < restart_listed_at {
-            self.list(crash_listed_at, server, EndpointState::Gone);
+            self.schedule_listing(crash_listed_at, server, EndpointState::Gone);
         }
     }
 
-    /// Starts the crashed servers that are due, without warm caches.
+    /// Restarts the crashed servers whose restart is due. Their caches are cold.
     pub(super) fn restart_crashed_servers(&mut self, now: u64) {
         let is_due = |entry: &SimulatedServer| entry.down_until.is_some_and(|at| at <= now);
         let due: Vec<u64> =
@@ -156,7 +169,7 @@
         for server in due {
             match self.listen_for_server(server) {
                 Ok(listener) => self.restart(now, server, listener),
-                Err(e) => self.log(format!("server {server} does not start again: {e}")),
+                Err(e) => self.log(format!("cannot restart server {server} after a crash: {e}")),
             }
         }
     }
@@ -171,16 +184,16 @@
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.model = model;
         }
-        self.list(now + self.scenario.discovery.startup_delay, server, state);
+        self.schedule_listing(now + self.scenario.discovery.startup_delay, server, state);
     }
 
-    /// Servers that collapsed answer nobody any more.
+    /// Stops the servers that have collapsed under overload.
     pub(super) fn stop_collapsed_servers(&mut self) {
         let has_collapsed = |entry: &SimulatedServer| entry.model.collapsed && entry.listener.is_some();
         let collapsed: Vec<u64> =
             self.servers.iter().filter(|(_, entry)| has_collapsed(entry)).map(|(id, _)| *id).collect();
         for server in collapsed {
-            self.log(format!("server {server} was overloaded while warming up, and collapsed"));
+            self.log(format!("server {server} collapsed because it was overloaded while warming up"));
             self.report.collapsed.push(server);
             self.stop_server(server);
         }
--- a/crates/simulated-site/src/network/site/state.rs
+++ b/crates/simulated-site/src/network/site/state.rs
@@ -1,4 +1,5 @@
-//! The state of the site, and what all its parts need: active faults, the status as sent, records.
+//! The state of the site, and the functions that all its parts need: which faults are active, which release
+//! status is visible, and how events are recorded.
 
 use super::connection::{Connection, Pending};
 use super::relay::Relay;
@@ -17,41 +18,42 @@
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
 use violetseam_invariants::{AttemptEnd, AttemptOutcome, EventRecord, ObservedEvent};
-use violetseam_invariants::{Phase as RulePhase, ServerStatus};
+use violetseam_invariants::{Phase as RecordedPhase, ServerStatus};
 use violetseam_site_protocol::endpoint_list::EndpointState;
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate};
 
-/// A listening socket on the event loop.
+/// A listening socket that is registered on the event loop.
 #[derive(Clone)]
 pub(super) struct Listener {
     pub(super) socket: Rc<TcpListener>,
     pub(super) token: RegistrationToken,
 }
 
-/// A server with its socket.
+/// A simulated server: its model, its listening socket and its state.
 pub(super) struct SimulatedServer {
     pub(super) model: Server,
-    /// None while it is down.
+    /// The listening socket. `None` while the server is down.
     pub(super) listener: Option<Listener>,
     pub(super) fault_target: FaultTarget,
-    /// It answers nobody and closes nothing.
+    /// Whether the server is cut off: it answers nobody, and its connections stay open.
     pub(super) is_unreachable: bool,
     pub(super) is_draining: bool,
-    /// It crashed and starts again then.
+    /// The time at which the server starts again, if it has crashed.
     pub(super) down_until: Option<u64>,
 }
 
-/// Recent attempts, with exponential decay; for builds that slow the whole fleet down.
+/// Counts recent attempts with exponential decay. The share of the newest build in them determines how much a
+/// defective build slows the whole fleet down.
 pub(super) struct RecentAttempts {
     at_newest_build: f64,
     total: f64,
 }
 
 impl RecentAttempts {
-    /// What remains after a turn.
+    /// The share of each count that remains after a turn.
     const DECAY: f64 = 0.98;
-    /// Added in each turn, so that the total never reaches 0.
-    const TOTAL_FLOOR: f64 = 0.01;
+    /// Added to the total in each turn, so that it never reaches 0.
+    const TOTAL_INCREMENT_PER_TURN: f64 = 0.01;
 
     pub(super) fn new() -> Self {
         RecentAttempts { at_newest_build: 0.0, total: 1.0 }
@@ -66,7 +68,7 @@
 
     pub(super) fn decay(&mut self) {
         self.at_newest_build *= Self::DECAY;
-        self.total = self.total * Self::DECAY + Self::TOTAL_FLOOR;
+        self.total = self.total * Self::DECAY + Self::TOTAL_INCREMENT_PER_TURN;
     }
 
     pub(super) fn share_of_newest_build(&self) -> f64 {
@@ -74,13 +76,13 @@
     }
 }
 
-/// A release status and the time from which it was in force.
+/// A release status and the time at which it took effect.
 pub(super) struct StatusChange {
     pub(super) at: u64,
     pub(super) status: ReleaseUpdate,
 }
 
-/// The site.
+/// The state of the simulated site.
 pub struct Site {
     pub(super) clock: Clock,
     pub(super) scenario: Rc<Scenario>,
@@ -97,73 +99,75 @@
     pub(super) log: Sender<String>,
     pub(super) report: SiteReport,
     pub(super) dedup_caches: DedupCaches,
-    /// In order of time; the status is sent late.
+    /// All changes of the release status, in order of time. The history is needed because proxies get the
+    /// status with a delay.
     pub(super) status_history: Vec<StatusChange>,
-    /// By place: servers that have stood there.
-    pub(super) servers_by_place: Vec<usize>,
-    pub(super) next_turn: u64,
-    /// By fault: whether it was active in the last turn.
-    pub(super) was_active: Vec<bool>,
-    /// Buffer of [`Site::advance`].
+    /// The number of servers that have been started in each place.
+    pub(super) servers_started_by_place: Vec<usize>,
+    pub(super) next_turn_at: u64,
+    /// Whether each fault of the scenario was active in the last turn.
+    pub(super) was_fault_active: Vec<bool>,
+    /// A buffer for completed requests, which is reused in each pass of the loop.
     pub(super) completed: Vec<CompletedRequest>,
     pub(super) recent_attempts: RecentAttempts,
 }
 
 impl Site {
-    /// Records an event for the checker of the invariants.
+    /// Records an event for the invariant checker.
     pub(super) fn record(&mut self, event: ObservedEvent) {
         let at = self.clock.now();
         self.entries.push(EventRecord { at, event });
     }
 
-    /// Records the end of an attempt.
+    /// Records how an attempt ended.
     pub(super) fn record_end(&mut self, attempt: u64, outcome: AttemptOutcome) {
         self.record(ObservedEvent::AttemptEnded(AttemptEnd { attempt, outcome }));
     }
 
-    /// Records the release status as sent to a proxy.
+    /// Records that the release status was sent to a proxy.
     pub(super) fn record_status(&mut self, proxy: u32, status: ReleaseUpdate) {
         let phase = match status.phase {
-            PhaseName::Trial => RulePhase::Trial,
-            PhaseName::RollingBack => RulePhase::RollingBack,
-            PhaseName::Released => RulePhase::Released,
-            PhaseName::Withdrawn => RulePhase::Withdrawn,
+            PhaseName::Trial => RecordedPhase::Trial,
+            PhaseName::RollingBack => RecordedPhase::RollingBack,
+            PhaseName::Released => RecordedPhase::Released,
+            PhaseName::Withdrawn => RecordedPhase::Withdrawn,
         };
         let ReleaseUpdate { build, stage, cap, .. } = status;
         self.record(ObservedEvent::ReleaseStatusSent { proxy, build, stage, phase, cap });
     }
 
-    /// Writes a line to the log of the run. Nobody reads it once the run is over.
+    /// Writes a line to the log of the run. The line is dropped if the receiver is gone, which is the case
+    /// once the run is over.
     pub(super) fn log(&self, line: String) {
         let _ = self.log.send(line);
     }
 
-    /// Active faults of a kind.
+    /// Returns the active faults of a kind.
     pub(super) fn active_faults(&self, kind: FaultKind) -> impl Iterator<Item = &Fault> {
         self.scenario.active_faults(self.clock.now()).filter(move |fault| fault.kind == kind)
     }
 
-    /// The first active fault of a kind.
+    /// Returns the first active fault of a kind.
     pub(super) fn active_fault(&self, kind: FaultKind) -> Option<&Fault> {
         self.active_faults(kind).next()
     }
 
-    /// Whether a fault of a kind is active.
+    /// Returns whether a fault of a kind is active.
     pub(super) fn is_active(&self, kind: FaultKind) -> bool {
         self.active_fault(kind).is_some()
     }
 
-    /// The delay that a fault of a kind adds now.
+    /// Returns the delay that the first active fault of a kind adds, in microseconds; 0 if none is active.
     pub(super) fn injected_delay(&self, kind: FaultKind) -> u64 {
         self.active_fault(kind).map_or(0, Fault::magnitude_seconds)
     }
 
-    /// Whether a partition of a kind separates a proxy.
+    /// Returns whether an active partition of a kind has a proxy among its targets.
     pub(super) fn is_partitioned(&self, kind: FaultKind, proxy: u32) -> bool {
         self.active_faults(kind).any(|fault| fault.targets.contains(&(proxy as usize)))
     }
 
-    /// Whether a proxy and a server cannot reach each other.
+    /// Returns whether an active partition separates a proxy from a server.
     pub(super) fn is_server_partitioned(&self, proxy: u32, server: u64) -> bool {
         let zone = self.servers.get(&server).map(|server| usize::from(server.model.spec.zone));
         let separates =
@@ -171,7 +175,8 @@
         self.active_faults(FaultKind::ServerPartition).any(separates)
     }
 
-    /// The release status that proxies get at a time: that of a while ago.
+    /// Returns the release status that proxies get at `now`. It is the status that was in effect earlier, by
+    /// the scenario's status delay and the delay of an active fault.
     pub(super) fn delayed_status(&self, now: u64) -> ReleaseUpdate {
         let delay = self.scenario.rollout.status_delay + self.injected_delay(FaultKind::ReleaseServiceDelay);
         let visible_until = now.saturating_sub(delay);
@@ -181,8 +186,8 @@
     }
 }
 
-/// A state as the checker of the invariants knows it.
-pub(super) fn rule_state(state: EndpointState) -> ServerStatus {
+/// Returns the state of an endpoint in the terms of the invariant checker.
+pub(super) fn recorded_status(state: EndpointState) -> ServerStatus {
     match state {
         EndpointState::Ready => ServerStatus::Ready,
         EndpointState::Draining => ServerStatus::Draining,
