--- a/crates/simulated-site/src/network/site/connection.rs
+++ b/crates/simulated-site/src/network/site/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to the site, and what is pending on them: attempts in flight, watches, votes and delayed
+//! The connections to the site, and what is pending on them: attempts in flight, watches, votes and delayed
 //! actions.
 
 use std::collections::{BTreeMap, HashMap};
@@ -7,7 +7,7 @@
 use violetseam_http1::server::ServerConnection;
 use violetseam_site_protocol::release_service::{ReleaseUpdate, Vote};
 
-/// What a connection leads to.
+/// The service that a connection leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     /// The server with this id.
@@ -16,31 +16,31 @@
     ReleaseService,
 }
 
-/// Identifies a connection, even after its slot is used by another.
+/// Identifies a connection. If its slot has been reused, the generation no longer matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionId {
     pub(super) key: usize,
     pub(super) generation: u64,
 }
 
-/// A response that goes on with each change.
+/// An open response that gets a further line with each change.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Watch {
     Endpoints {
         proxy: u32,
-        /// The version that was sent last.
+        /// The version of the endpoint list that was sent last.
         version: u64,
     },
     Release {
         proxy: u32,
-        /// The status that was sent last.
+        /// The release status that was sent last.
         status: ReleaseUpdate,
         sent_at: u64,
     },
 }
 
 impl Watch {
-    /// The proxy that watches.
+    /// Returns the proxy that watches.
     pub(super) fn proxy(self) -> u32 {
         match self {
             Watch::Endpoints { proxy, .. } | Watch::Release { proxy, .. } => proxy,
@@ -48,7 +48,7 @@
     }
 }
 
-/// One connection.
+/// A connection to a service of the site.
 pub(super) struct Connection {
     pub(super) generation: u64,
     pub(super) role: Role,
@@ -56,21 +56,21 @@
     pub(super) http: ServerConnection,
     pub(super) head: Option<Box<RequestHead>>,
     pub(super) body: Vec<u8>,
-    /// The attempt in flight on it.
+    /// The attempt that is in flight on the connection.
     pub(super) attempt: Option<u64>,
     pub(super) watch: Option<Watch>,
-    /// The proxy that sent the last request to a server on it.
+    /// The proxy that sent the last request on a connection to a server.
     pub(super) sender: Option<u32>,
-    /// Nothing of it arrives any more, in either direction.
+    /// Whether the connection is cut off, so that nothing arrives in either direction.
     pub(super) is_partitioned: bool,
 }
 
-/// What is done later on a connection.
+/// An action that is done on a connection at a later time.
 #[derive(Clone, Debug)]
 pub(super) enum DelayedAction {
-    /// The reply to a vote is sent.
+    /// Sends the reply to a vote.
     Reply { connection: ConnectionId, body: Vec<u8> },
-    /// The connection is read from now on.
+    /// Starts to read the connection.
     StartReading { connection: ConnectionId },
 }
 
@@ -86,27 +86,28 @@
 
 /// A vote that the controller is processing.
 pub(super) struct PendingVote {
-    /// The connection that waits for the reply, if any may see it.
-    pub(super) waiting: Option<ConnectionId>,
+    /// The connection on which the reply is sent. `None` if the proxy must not get one, because the release
+    /// service is unresponsive.
+    pub(super) reply_connection: Option<ConnectionId>,
     pub(super) vote: Vote,
 }
 
-/// What is pending on the connections.
+/// Everything that is pending on the connections.
 #[derive(Default)]
 pub(super) struct Pending {
     sequence: u64,
     next_attempt: u64,
-    /// Connections by attempt.
+    /// The key of the connection of each attempt in flight.
     pub(super) attempts: HashMap<u64, usize>,
     /// The connection of each proxy's latest watch of the endpoint list.
     pub(super) endpoint_watches: BTreeMap<u32, usize>,
     delayed: BTreeMap<(u64, u64), DelayedAction>,
-    /// Votes by token.
+    /// The votes that the controller is processing, by token.
     pub(super) votes: HashMap<u64, PendingVote>,
 }
 
 impl Pending {
-    /// A number that is larger than all before.
+    /// Returns a number that is larger than all numbers it returned before.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
@@ -119,18 +120,18 @@
         self.next_attempt
     }
 
-    /// When the next delayed action is due.
+    /// Returns the time at which the next delayed action is due.
     pub(super) fn next_action(&self) -> Option<u64> {
         self.delayed.keys().next().map(|key| key.0)
     }
 
-    /// Schedules an action.
+    /// Schedules a delayed action for the time `at`.
     pub(super) fn schedule(&mut self, at: u64, action: DelayedAction) {
         let sequence = self.next_sequence();
         self.delayed.insert((at, sequence), action);
     }
 
-    /// Takes the next action that is due.
+    /// Removes and returns the next delayed action, if it is due.
     pub(super) fn pop_due(&mut self, now: u64) -> Option<DelayedAction> {
         if self.next_action()? > now {
             return None;
--- a/crates/simulated-site/src/network/site/controller_link/mod.rs
+++ b/crates/simulated-site/src/network/site/controller_link/mod.rs
@@ -1,8 +1,9 @@
-//! A release controller in place of the simulated release service: its status goes on to the proxies, their
-//! votes go to it, and the servers here are the platform that it directs.
+//! The link to a release controller that runs in place of the simulated release service. The site forwards
+//! the controller's release status to the proxies and their votes to the controller, and it acts as the
+//! platform that starts and stops servers as the controller directs.
 //!
-//! The controller is another process and may be down for a while. Threads with blocking sockets make the
-//! watches and calls; the site's event loop only takes what they received.
+//! The controller is another process and may be down for a while. Threads with blocking sockets hold the
+//! watches and make the calls. The site's event loop only takes the messages that they received.
 
 use crate::model::release_service::{BuildOutcome, PooledServer, ServerCommand, ServerPool, initial_status};
 use crate::network::NetworkError;
@@ -19,28 +20,28 @@
 
 use threads::{spawn_reporter, spawn_vote_senders, spawn_watches};
 
-/// The reply to a vote.
+/// The reply of the controller to a vote.
 pub(super) struct ReplyToVote {
     /// The token that the vote was sent with.
     pub(super) token: u64,
-    /// None: the controller could not be reached.
+    /// `None` if the controller could not be reached or sent no valid reply.
     pub(super) reply: Option<VoteReply>,
 }
 
-/// What the threads received.
+/// A message that one of the threads received from the controller.
 enum ControllerMessage {
     Status(ReleaseUpdate),
     DesiredBuilds(DesiredBuilds),
     Reply(ReplyToVote),
 }
 
-/// A vote on its way to the controller.
+/// A vote that waits to be sent to the controller.
 struct EncodedVote {
     token: u64,
     body: Vec<u8>,
 }
 
-/// The link to a controller, and the servers of the platform.
+/// The link to a controller, and the servers of the platform that it directs.
 pub(super) struct ControllerLink {
     plan: Rollout,
     messages: Receiver<ControllerMessage>,
@@ -48,7 +49,7 @@
     reports: Sender<Vec<PlaceReport>>,
     stop: Arc<AtomicBool>,
     status: ReleaseUpdate,
-    /// Places and the builds that the controller wants there.
+    /// The places and builds for which the controller wants a server.
     desired: BTreeSet<(u32, u16)>,
     pool: ServerPool,
     replies: VecDeque<ReplyToVote>,
@@ -62,7 +63,7 @@
 }
 
 impl ControllerLink {
-    /// A link to the controller at an address. All places run the first build.
+    /// Starts the link to the controller at an address. At the start, all places run the first build.
     pub(super) fn start(
         address: SocketAddr,
         plan: Rollout,
@@ -90,17 +91,18 @@
         })
     }
 
-    /// The latest release status.
+    /// Returns the latest release status of the controller.
     pub(super) fn status(&self) -> ReleaseUpdate {
         self.status
     }
 
-    /// What became of each build.
+    /// Returns the outcome of each build that was offered.
     pub(super) fn outcomes(&self) -> &[BuildOutcome] {
         &self.outcomes
     }
 
-    /// Takes what was received, and lets the platform do what the controller wants.
+    /// Processes the messages that were received, starts and drains servers as the controller wants, and
+    /// reports what changed.
     pub(super) fn advance(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
         while let Ok(message) = self.messages.try_recv() {
             self.on_message(now, message);
@@ -109,14 +111,15 @@
         self.advance_pool(now, commands, &mut reports);
         if !self.desired.is_empty() {
             self.start_missing(now, &mut reports);
-            self.end_unwanted(now, commands, &mut reports);
+            self.drain_unwanted(now, commands, &mut reports);
         }
         if !reports.is_empty() {
             let _ = self.reports.send(reports);
         }
     }
 
-    /// Messages of a controller that has been superseded are ignored.
+    /// Processes a message. A message with an older fence comes from a controller that has been superseded,
+    /// and is ignored.
     fn on_message(&mut self, now: u64, message: ControllerMessage) {
         match message {
             ControllerMessage::Status(status) => {
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Ends the starts and drains that are due.
+    /// Completes the starts and drains of servers that are due.
     fn advance_pool(&mut self, now: u64, commands: &mut Vec<ServerCommand>, reports: &mut Vec<PlaceReport>) {
         for transition in self.pool.advance(now) {
             let has_ended = transition.server.is_draining();
@@ -162,19 +165,26 @@
         }
     }
 
-    /// Starts servers that are wanted and missing.
+    /// Starts the servers that the controller wants and that are missing.
     fn start_missing(&mut self, now: u64, reports: &mut Vec<PlaceReport>) {
         let staying = self.pool.iter().filter(|(_, server)| !server.is_draining());
-        let present: BTreeSet<(u32, u16)> = staying.map(|(_, server)| slot(server)).collect();
+        let present: BTreeSet<(u32, u16)> = staying.map(|(_, server)| place_and_build(server)).collect();
         for &(place, build) in self.desired.difference(&present) {
             self.pool.launch(place as usize, build, now + self.plan.startup_time);
             reports.push(PlaceReport { place, build, state: PlaceStateName::Starting });
         }
     }
 
-    /// Drains servers that are not wanted. Those that do not run yet are gone at once.
-    fn end_unwanted(&mut self, now: u64, commands: &mut Vec<ServerCommand>, reports: &mut Vec<PlaceReport>) {
-        let unwanted = self.pool.iter().filter(|(_, server)| !self.desired.contains(&slot(server)));
+    /// Drains the servers that the controller does not want. Those that are still starting are removed at
+    /// once.
+    fn drain_unwanted(
+        &mut self,
+        now: u64,
+        commands: &mut Vec<ServerCommand>,
+        reports: &mut Vec<PlaceReport>,
+    ) {
+        let unwanted =
+            self.pool.iter().filter(|(_, server)| !self.desired.contains(&place_and_build(server)));
         let unwanted: Vec<(u64, PooledServer)> = unwanted.map(|(id, server)| (id, *server)).collect();
         for (id, server) in &unwanted {
             if self.pool.drain(*id, now + self.plan.drain_time).is_some() {
@@ -190,23 +200,23 @@
         }
     }
 
-    /// Sends a vote; its reply comes from [`ControllerLink::next_reply`] with the token.
+    /// Sends a vote to the controller. [`ControllerLink::next_reply`] returns the reply with the same token.
     pub(super) fn send_vote(&self, token: u64, vote: &Vote) {
         let _ = self.votes.send(EncodedVote { token, body: vote.write() });
     }
 
-    /// The next reply to a vote, if one has come.
+    /// Returns the next reply to a vote, if one has arrived.
     pub(super) fn next_reply(&mut self) -> Option<ReplyToVote> {
         self.replies.pop_front()
     }
 }
 
-/// The place and build of a server.
-fn slot(server: &PooledServer) -> (u32, u16) {
+/// Returns the place and the build of a server.
+fn place_and_build(server: &PooledServer) -> (u32, u16) {
     (server.place as u32, server.build)
 }
 
 fn place_report(server: &PooledServer, state: PlaceStateName) -> PlaceReport {
-    let (place, build) = slot(server);
+    let (place, build) = place_and_build(server);
     PlaceReport { place, build, state }
 }
--- a/crates/simulated-site/src/network/site/controller_link/threads.rs
+++ b/crates/simulated-site/src/network/site/controller_link/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of a link to a controller, and their HTTP calls on blocking sockets.
+//! The threads of the link to a controller, which make HTTP calls on blocking sockets.
 
 use super::{ControllerMessage, EncodedVote, ReplyToVote};
 use crate::network::NetworkError;
@@ -11,11 +11,11 @@
 use violetseam_site_protocol::placement::{DesiredBuilds, PlaceReport, write_reports};
 use violetseam_site_protocol::release_service::{ReleaseUpdate, VoteReply};
 
-/// Threads that send votes.
+/// The number of threads that send votes.
 const VOTE_SENDERS: usize = 8;
-/// A call or a watch fails after so long without a byte.
+/// The time without a byte after which a call or a watch fails.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two tries to reach the controller.
+/// The wait between two attempts to reach the controller.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 const STATUS_WATCH_PATH: &str = "/v1/stage/watch?proxy=platform";
@@ -30,7 +30,7 @@
     spawned.map(drop).map_err(|source| NetworkError::Thread { name, source })
 }
 
-/// Starts a thread for each watch of the controller.
+/// Starts a thread for each of the two watches, of the release status and of the desired builds.
 pub(super) fn spawn_watches(
     address: SocketAddr,
     messages: &Sender<ControllerMessage>,
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// Forwards a line of a watch, unless it is of no known kind.
+/// Forwards a line of a watch as a message. A line that cannot be parsed as either kind of message is
+/// ignored.
 fn forward_line(line: &[u8], messages: &Sender<ControllerMessage>) {
     if let Ok(status) = ReleaseUpdate::from_json(line) {
         let _ = messages.send(ControllerMessage::Status(status));
@@ -58,7 +59,8 @@
     }
 }
 
-/// Starts the threads that send votes. Each takes the next vote when it is free.
+/// Starts the threads that send votes. A thread that has finished a vote takes the next one from the shared
+/// queue.
 pub(super) fn spawn_vote_senders(
     address: SocketAddr,
     messages: &Sender<ControllerMessage>,
@@ -89,8 +91,8 @@
     }
 }
 
-/// Starts the thread that reports places: in order, and each report until it is accepted, as the controller
-/// may be down for a while.
+/// Starts the thread that reports the states of places. It sends the reports in order, and repeats each until
+/// the controller accepts it, because the controller may be down for a while.
 pub(super) fn spawn_reporter(
     address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -114,7 +116,7 @@
     Ok(stream)
 }
 
-/// Reads a watch, line by line, until it breaks.
+/// Reads a watch line by line, until the connection ends or the response is a server error.
 fn watch(address: SocketAddr, path: &str, on_line: &dyn Fn(&[u8])) -> std::io::Result<()> {
     let mut stream = connect(address)?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n").as_bytes())?;
@@ -126,14 +128,14 @@
         if is_at_end || line.starts_with("HTTP/1.1 5") {
             return Ok(());
         }
-        // Between the lines of JSON are those of the chunks.
+        // Lines that do not start with a brace belong to the response head or to the chunked encoding.
         if line.starts_with('{') {
             on_line(line.trim_end().as_bytes());
         }
     }
 }
 
-/// Posts a body, and returns the body of the response if it was accepted.
+/// Posts a body, and returns the body of the response if its status is 200.
 fn post(address: SocketAddr, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     let mut response = exchange(address, path, body).ok()?;
     let head_end = response.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
--- a/crates/simulated-site/src/network/site/datagrams.rs
+++ b/crates/simulated-site/src/network/site/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between proxies as they reach the relay: lost, repeated, corrupted or delayed by faults.
+//! How the relay treats the datagrams between proxies: faults lose, repeat, corrupt or delay them.
 
 use super::relay::{Link, Relay};
 use super::state::Site;
@@ -9,25 +9,25 @@
 use rand::RngExt;
 use std::net::UdpSocket;
 
-/// Ordinary delay of a datagram, in microseconds.
-const MIN_DELAY: u64 = 1_000;
-const MAX_DELAY: u64 = 8_000;
-/// The longest delay while datagrams are reordered, in microseconds.
-const MAX_REORDERING_DELAY: u64 = 400_000;
-/// The largest datagram, in bytes.
+/// The range of the delay of a datagram while no fault affects it, in microseconds.
+const MIN_DELAY_US: u64 = 1_000;
+const MAX_DELAY_US: u64 = 8_000;
+/// The longest delay of a datagram while a fault reorders datagrams, in microseconds.
+const MAX_REORDERING_DELAY_US: u64 = 400_000;
+/// The largest datagram that is relayed in full, in bytes.
 const MAX_DATAGRAM_SIZE: usize = 2_048;
-/// Datagrams that are read from one socket before others get their turn.
+/// The most datagrams that are read from one socket before other sockets get their turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// A byte of the header, and the bits of it that corruption flips.
+/// The index of the header byte that corruption changes, and the bits that it flips in it.
 const CORRUPTED_BYTE: usize = 2;
 const CORRUPTED_BITS: u8 = 7;
 
-/// [`Fault::selector`] of a partition that loses only what targets send.
+/// The [`Fault::selector`] of a partition that loses only the datagrams that targets send.
 const SENT_BY_TARGETS: usize = 1;
-/// [`Fault::selector`] of a partition that loses only what targets receive.
+/// The [`Fault::selector`] of a partition that loses only the datagrams that are sent to targets.
 const SENT_TO_TARGETS: usize = 2;
 
-/// A relay whose sockets are on the event loop.
+/// Binds the sockets of the relay and registers them on the event loop.
 pub(super) fn bind_relay(
     event_loop: &LoopHandle<'static, Site>,
     addresses: AddressPlan,
@@ -41,12 +41,12 @@
             Ok(PostAction::Continue)
         });
         let address = addresses.relay(link.from, link.to);
-        inserted.map_err(|e| NetworkError::Register { address, source: e.error })?;
+        inserted.map_err(|error| NetworkError::Register { address, source: error.error })?;
     }
     Ok(relay)
 }
 
-/// Whether a partition loses the datagrams of a link.
+/// Returns whether a partition loses the datagrams of a link.
 fn is_partitioned(partition: &Fault, link: Link) -> bool {
     let from_target = partition.targets.contains(&link.from);
     let to_target = partition.targets.contains(&link.to);
@@ -59,7 +59,7 @@
 }
 
 impl Site {
-    /// Active faults of a kind that affect a link.
+    /// Returns the active faults of a kind that affect a link. A fault without targets affects all links.
     fn link_faults(&self, kind: FaultKind, link: Link) -> impl Iterator<Item = &Fault> {
         let is_on_link = move |fault: &&Fault| {
             let targets = &fault.targets;
@@ -68,7 +68,7 @@
         self.active_faults(kind).filter(is_on_link)
     }
 
-    /// Whether a datagram on a link is lost now.
+    /// Returns whether a datagram on a link is lost now. Partial loss is decided by a random draw.
     fn is_lost(&mut self, link: Link) -> bool {
         if self.is_active(FaultKind::GossipOutage) {
             return true;
@@ -96,21 +96,22 @@
         let delays = self.link_faults(FaultKind::GossipDelay, link).map(Fault::magnitude_seconds);
         let injected_delay = delays.max().unwrap_or(0);
         if !self.is_active(FaultKind::GossipReordering) {
-            return self.send_delayed(now, link, datagram, MAX_DELAY.max(injected_delay));
+            return self.send_delayed(now, link, datagram, MAX_DELAY_US.max(injected_delay));
         }
         for _ in 0..2 {
-            self.send_delayed(now, link, datagram, MAX_REORDERING_DELAY.max(injected_delay));
+            self.send_delayed(now, link, datagram, MAX_REORDERING_DELAY_US.max(injected_delay));
         }
-        // A version that the receiver does not know, so it must drop the datagram.
+        // The corrupted byte states a protocol version that the receiver does not know, so the receiver must
+        // drop the datagram.
         let mut corrupted = datagram.to_vec();
         if let Some(byte) = corrupted.get_mut(CORRUPTED_BYTE % datagram.len().max(1)) {
             *byte ^= CORRUPTED_BITS;
         }
-        self.relay.send(now + MIN_DELAY, link, corrupted);
+        self.relay.send(now + MIN_DELAY_US, link, corrupted);
     }
 
     fn send_delayed(&mut self, now: u64, link: Link, datagram: &[u8], max_delay: u64) {
-        let delay = self.random.random_range(MIN_DELAY..max_delay);
+        let delay = self.random.random_range(MIN_DELAY_US..max_delay);
         self.relay.send(now + delay, link, datagram.to_vec());
     }
 }
--- a/crates/simulated-site/src/network/site/discovery_http.rs
+++ b/crates/simulated-site/src/network/site/discovery_http.rs
@@ -1,4 +1,4 @@
-//! Discovery over HTTP: complete lists, watches, and faults of both.
+//! The HTTP interface of discovery: complete endpoint lists, watches of the list, and the faults of both.
 
 use super::connection::Watch;
 use super::state::{Site, recorded_status};
@@ -8,19 +8,19 @@
 use violetseam_invariants::{EndpointListCall, ServerStatus};
 use violetseam_site_protocol::endpoint_list::{ListUpdate, UpdateKind};
 
-/// Prefix of the path of a watch.
+/// The prefix of the path of a watch request.
 const WATCH_PATH: &str = "/v1/roster/watch";
-/// A list that cannot be parsed.
+/// An endpoint list that cannot be parsed.
 const MALFORMED_LIST: &[u8] = b"{\"kind\":\"full\",\"version\":7,]\n";
-/// A line of a watch that cannot be parsed.
+/// A line on a watch that cannot be parsed.
 const MALFORMED_LINE: &[u8] = b"\xff\xfe not a list\n";
-/// Version of a list that goes back behind those before.
+/// The version of a list that is lower than the versions sent before it.
 const ROLLED_BACK_VERSION: u64 = 1;
 
-/// A query of the endpoint list.
+/// A request for the endpoint list or for a watch of it.
 struct ListQuery {
     proxy: u32,
-    /// The version that the proxy has.
+    /// The version of the list that the proxy has already.
     since: Option<u64>,
     is_watch: bool,
 }
@@ -49,7 +49,7 @@
         let is_unreachable = self.is_active(FaultKind::DiscoveryOutage)
             || self.is_partitioned(FaultKind::DiscoveryPartition, proxy);
         if is_unreachable {
-            // Never answered; the caller times out.
+            // The request is never answered, so the proxy runs into its timeout.
             return self.record(ObservedEvent::EndpointListCalled { proxy, call: EndpointListCall::Failed });
         }
         if self.is_active(FaultKind::DiscoveryGarbage) {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// What a query gets: a watch with a known version starts with a delta, which may be empty.
+    /// Returns the list with which a query is answered. A watch that states a version starts with a delta
+    /// from that version, which may be empty. Every other query gets the complete list.
     fn list_update(&self, now: u64, query: &ListQuery) -> ListUpdate {
         if self.is_active(FaultKind::DiscoveryVersionRollback) {
             return self.rolled_back_list(now);
@@ -94,7 +95,7 @@
         ListUpdate { version: ROLLED_BACK_VERSION, ..self.registry.snapshot(now) }
     }
 
-    /// Records a list as sent to a proxy.
+    /// Records the status of each server as a list states it to a proxy.
     fn record_list(&mut self, proxy: u32, update: &ListUpdate) {
         for endpoint in &update.servers {
             let started = self.registry.started_at(endpoint.id);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A server that is missing from a complete list has left.
+    /// Records as removed each server that is missing from a complete list.
     fn record_absent_servers(&mut self, proxy: u32, update: &ListUpdate) {
         let listed: Vec<u64> = update.servers.iter().map(|endpoint| endpoint.id).collect();
         let last_server = self.servers.keys().next_back().copied().unwrap_or(0);
@@ -120,11 +121,11 @@
         }
     }
 
-    /// Sends what has changed to all watches.
+    /// Sends the changes since the last update on each watch.
     pub(super) fn notify_endpoint_watches(&mut self, now: u64) {
-        let is_disturbed =
+        let is_suspended =
             self.is_active(FaultKind::DiscoveryOutage) || self.is_active(FaultKind::DiscoveryVersionRollback);
-        if is_disturbed {
+        if is_suspended {
             return;
         }
         let keys: Vec<usize> = self.pending.endpoint_watches.values().copied().collect();
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Disturbs all watches, as a fault of discovery begins.
+    /// Disrupts all watches when a fault of discovery begins: sends a malformed line or an older version, or
+    /// closes them.
     pub(super) fn disrupt_endpoint_watches(&mut self, kind: FaultKind) {
         let now = self.clock.now();
         let keys: Vec<usize> = self.pending.endpoint_watches.values().copied().collect();
--- a/crates/simulated-site/src/network/site/listeners.rs
+++ b/crates/simulated-site/src/network/site/listeners.rs
@@ -1,4 +1,4 @@
-//! Listens for connections to servers, discovery and the release service, and reads requests from them.
+//! Accepts connections to servers, discovery and the release service, and reads requests from them.
 
 use super::connection::{Connection, ConnectionId, DelayedAction, Role};
 use super::state::Site;
@@ -12,12 +12,12 @@
 use violetseam_http1::server::{ServerConnection, ServerEvent};
 use violetseam_http1::{Limits, RequestHead};
 
-/// Connections that wait in the kernel to be accepted.
+/// The length of the kernel's queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1_024;
-/// Bytes that are read from a connection at once.
+/// The most bytes that one read takes from a connection.
 const READ_BUFFER_SIZE: usize = 16 * 1_024;
 
-/// Listens on an address.
+/// Opens a listening socket at an address.
 pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, NetworkError> {
     violetseam_event_io::listen(address, LISTEN_BACKLOG)
         .map_err(|source| NetworkError::Listen { address, source })
@@ -36,7 +36,7 @@
         inserted.map(drop).map_err(|e| NetworkError::Register { address, source: e.error })
     }
 
-    /// Accepts connections to a server, as many as it may have.
+    /// Accepts connections to a server up to its limit of open connections.
     pub(super) fn accept_for_server(&mut self, server: u64, listener: &TcpListener) {
         let role = Role::Server(server);
         let limit = self.servers.get(&server).map_or(0, |entry| entry.model.spec.connections);
@@ -50,14 +50,16 @@
         }
     }
 
-    /// Lets connections wait in the kernel, until one of the server's is closed.
+    /// Stops accepting connections to a server. New connections wait in the kernel's queue until one of the
+    /// server's connections is closed.
     fn stop_accepting(&self, server: u64) {
         if let Some(listener) = self.servers.get(&server).and_then(|entry| entry.listener.as_ref()) {
             let _ = self.handle.disable(&listener.token);
         }
     }
 
-    /// How long a new connection takes until it is read, while handshakes are slow.
+    /// Returns the time for which a new connection to a server stays unread, in microseconds, while a fault
+    /// slows handshakes down.
     fn handshake_delay(&self, role: Role) -> Option<u64> {
         let Role::Server(_) = role else { return None };
         let fault = self.active_fault(FaultKind::SlowHandshake)?;
--- a/crates/simulated-site/src/network/site/release_http.rs
+++ b/crates/simulated-site/src/network/site/release_http.rs
@@ -1,4 +1,4 @@
-//! The release service over HTTP: the release status, votes and their replies.
+//! The HTTP interface of the release service: watches of the release status, votes and the replies to them.
 
 use super::connection::{Connection, ConnectionId, DelayedAction, PendingVote, Watch};
 use super::release_source::ReleaseSource;
@@ -9,10 +9,10 @@
 use rand::RngExt;
 use violetseam_site_protocol::release_service::{ReleaseUpdate, Vote, VoteOutcome, VoteReply};
 
-/// Share of votes that count while the release service is unresponsive.
-const UNRESPONSIVE_VOTE_SHARE: f64 = 0.5;
+/// The share of votes that are lost while the release service is unresponsive. The other votes count.
+const UNRESPONSIVE_VOTE_LOSS_SHARE: f64 = 0.5;
 
-/// The reply to a vote that failed.
+/// The reply to a vote that is malformed or ends in an injected error.
 const ERROR_REPLY: VoteReply = VoteReply { outcome: VoteOutcome::Error, release: None };
 
 impl Site {
@@ -48,15 +48,16 @@
         }
     }
 
-    /// Counts a vote, and returns the reply if there is one now. While the release service is unresponsive
-    /// there is none, though some of the votes count.
+    /// Processes a vote, and returns the reply if it is known at once. A vote that goes to a controller gets
+    /// its reply later. While the release service is unresponsive there is no reply, though some of the votes
+    /// count.
     fn on_vote(&mut self, now: u64, connection: ConnectionId, body: &[u8]) -> Option<VoteReply> {
         let Ok(vote) = Vote::parse(body) else { return Some(ERROR_REPLY) };
         if self.is_partitioned(FaultKind::ReleaseServicePartition, vote.proxy as u32) {
             return None;
         }
         let is_unresponsive = self.is_active(FaultKind::ReleaseServiceUnresponsive);
-        if is_unresponsive && self.random.random::<f64>() < UNRESPONSIVE_VOTE_SHARE {
+        if is_unresponsive && self.random.random::<f64>() < UNRESPONSIVE_VOTE_LOSS_SHARE {
             return None;
         }
         if self.is_active(FaultKind::ReleaseServiceErrors) {
@@ -66,8 +67,8 @@
             ReleaseSource::Simulated(service) => service.vote(now, &vote),
             ReleaseSource::Controller(link) => {
                 let token = self.pending.next_sequence();
-                let waiting = (!is_unresponsive).then_some(connection);
-                self.pending.votes.insert(token, PendingVote { waiting, vote });
+                let reply_connection = (!is_unresponsive).then_some(connection);
+                self.pending.votes.insert(token, PendingVote { reply_connection, vote });
                 link.send_vote(token, &vote);
                 return None;
             }
@@ -90,13 +91,14 @@
         self.log(format!("proxy {proxy} votes {verdict:?} on build {build}, stage {stage}"));
     }
 
-    /// Forwards the controller's replies to the proxies that wait for them.
+    /// Forwards the controller's replies to the proxies whose votes they answer.
     pub(super) fn forward_vote_replies(&mut self, now: u64) {
         while let ReleaseSource::Controller(link) = &mut self.releases
             && let Some(vote_reply) = link.next_reply()
         {
             let Some(pending) = self.pending.votes.remove(&vote_reply.token) else { continue };
-            // Without a reply from the controller the proxy gets none: whether its vote counts is unknown.
+            // If the controller did not reply, the proxy gets no reply either, as it is unknown whether its
+            // vote counts.
             if let Some(reply) = vote_reply.reply {
                 self.forward_vote_reply(now, &pending, reply);
             }
@@ -107,8 +109,9 @@
         if reply.outcome == VoteOutcome::Ok {
             self.on_vote_counted(&pending.vote);
         }
-        let Some(connection) = pending.waiting else { return };
-        // As late as on the watches: a status that is ahead of them would be followed by older ones.
+        let Some(connection) = pending.reply_connection else { return };
+        // The status in the reply is delayed like the status on the watches. If it were newer than theirs,
+        // older statuses would follow it.
         let status = reply.release.map(|_| self.delayed_status(now));
         if let Some(status) = status {
             self.record_status(pending.vote.proxy as u32, status);
@@ -116,7 +119,8 @@
         self.schedule_reply(now, connection, &VoteReply { release: status, ..reply });
     }
 
-    /// Sends the release status to each proxy when it changes, and again after a while.
+    /// Sends the release status on each watch when the status has changed since it was last sent there, and
+    /// otherwise when the scenario's resend interval has passed.
     pub(super) fn notify_release_watches(&mut self, now: u64) {
         if self.is_active(FaultKind::ReleaseServiceUnresponsive) {
             return;
@@ -138,14 +142,14 @@
     }
 }
 
-/// The proxy that watches on a connection, if it is to get the status now.
+/// Returns the proxy that watches on a connection, if the release status is due to be sent to it.
 fn proxy_to_notify(
     connection: &Connection,
     status: ReleaseUpdate,
     now: u64,
     resend_interval: u64,
 ) -> Option<u32> {
-    let Some(Watch::Release { proxy, status: sent, sent_at }) = connection.watch else { return None };
-    let is_due = sent != status || now >= sent_at + resend_interval;
+    let Some(Watch::Release { proxy, status: last_sent, sent_at }) = connection.watch else { return None };
+    let is_due = last_sent != status || now >= sent_at + resend_interval;
     is_due.then_some(proxy)
 }
--- a/crates/simulated-site/src/network/site/servers.rs
+++ b/crates/simulated-site/src/network/site/servers.rs
@@ -148,8 +148,8 @@
         self.notify_endpoint_watches(now);
     }
 
-    /// Crashes a server, which starts again at `restarts_at`. If the restart would be listed before the
-    /// crash, discovery never lists the crash.
+    /// Crashes a server, which starts again at `restarts_at`. If the restart is due to be listed
+    /// no later than the crash, the crash is never listed.
     pub(super) fn crash(&mut self, now: u64, server: u64, restarts_at: u64) {
         self.stop_server(server);
         let Some(entry) = self.servers.get_mut(&server) else { return };
--- a/crates/simulated-site/src/network/site/streams.rs
+++ b/crates/simulated-site/src/network/site/streams.rs
@@ -1,4 +1,4 @@
-//! Writing to connections, partitioning them and closing them.
+//! How the site writes to connections, cuts them off and closes them.
 
 use super::connection::{Connection, DelayedAction, Role, Watch};
 use super::state::Site;
@@ -9,12 +9,12 @@
 use violetseam_invariants::EndpointListCall;
 use violetseam_invariants::{AttemptOutcome, ObservedEvent};
 
-/// Whether a response ends with what is written.
+/// Whether a response is complete once the given lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseEnd {
-    /// It does.
+    /// The response ends with these lines.
     Complete,
-    /// More follows.
+    /// The response stays open, and further lines follow.
     Open,
 }
 
@@ -49,7 +49,7 @@
         if let Some(attempt) = attempt {
             server.model.cancel(self.clock.now(), attempt);
         }
-        // The listener may have stopped at the server's limit of connections.
+        // The listener may have stopped accepting because the server had reached its limit of connections.
         if let Some(listener) = server.listener.as_ref().filter(|_| !server.is_unreachable) {
             let _ = self.handle.enable(&listener.token);
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Closes all connections that a predicate chooses.
+    /// Closes all connections for which the predicate holds.
     fn close_where(&mut self, predicate: impl Fn(&Connection) -> bool) {
         let chosen = self.connections.iter().filter(|(_, connection)| predicate(connection));
         let keys: Vec<usize> = chosen.map(|(key, _)| key).collect();
@@ -76,8 +76,9 @@
         self.close_where(|connection| connection.role == Role::Server(server));
     }
 
-    /// From now on nothing of a connection arrives. The other side learns that by its own timeout; its end
-    /// of the connection is still noticed, so that nothing of it stays open.
+    /// Cuts a connection off: from now on nothing that either side sends arrives. The other side learns that
+    /// only by its own timeout. When it closes the connection, the site still notices and closes its own end,
+    /// so that no connection stays open.
     pub(super) fn partition_connection(&mut self, key: usize) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.is_partitioned = true;
@@ -85,12 +86,14 @@
         }
     }
 
-    /// Servers can be reached again: partitioned connections are closed, as their bytes are lost.
+    /// Closes the connections that were cut off, because servers can be reached again and the bytes that were
+    /// sent on these connections are lost.
     pub(super) fn close_partitioned_connections(&mut self) {
         self.close_where(|connection| connection.is_partitioned);
     }
 
-    /// Ends the watches of the proxies that a partition separates from discovery or the release service.
+    /// Closes the watches of the proxies that a partition separates from discovery or from the release
+    /// service.
     pub(super) fn close_partitioned_watches(&mut self, partition: &Fault) {
         let role = match partition.kind {
             FaultKind::DiscoveryPartition => Role::Discovery,
@@ -102,8 +105,9 @@
         });
     }
 
-    /// Makes a server unreachable: it answers nobody, and nobody notices that it is gone. What it has in
-    /// flight is recorded as lost, as it cannot see a cancellation from then on.
+    /// Makes a server unreachable: it answers nobody, and its connections stay open, so no peer is told that
+    /// it is gone. Its attempts in flight are recorded as lost, because from then on it cannot see that one
+    /// is cancelled.
     pub(super) fn set_unreachable(&mut self, server: u64) {
         let now = self.clock.now();
         let Some(entry) = self.servers.get_mut(&server) else { return };
@@ -127,8 +131,8 @@
         }
     }
 
-    /// Makes a server reachable again. Nothing that was sent to it meanwhile has arrived: old connections are
-    /// closed unread.
+    /// Makes a server reachable again. Nothing that was sent to it in the meantime has arrived, so its old
+    /// connections are closed without reading them.
     pub(super) fn set_reachable(&mut self, server: u64) {
         let Some(entry) = self.servers.get_mut(&server) else { return };
         entry.is_unreachable = false;
@@ -139,7 +143,7 @@
         self.close_connections_to_server(server);
     }
 
-    /// Starts a response of lines.
+    /// Starts a response with lines as its body.
     pub(super) fn start_response(&mut self, key: usize, lines: &[u8], end: ResponseEnd) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let out = connection.socket.write_buffer();
@@ -155,14 +159,14 @@
         self.flush(key);
     }
 
-    /// Goes on with an open response.
+    /// Writes a further line of an open response.
     pub(super) fn continue_response(&mut self, key: usize, line: &[u8]) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.http.write_body(connection.socket.write_buffer(), line);
         self.flush(key);
     }
 
-    /// Does the delayed actions that are due, if their connections still exist.
+    /// Runs the delayed actions that are due. Actions whose connections no longer exist are dropped.
     pub(super) fn run_delayed_actions(&mut self, now: u64) {
         while let Some(action) = self.pending.pop_due(now) {
             let id = action.connection();
