--- a/crates/simulated-site/src/network/address_plan.rs
+++ b/crates/simulated-site/src/network/address_plan.rs
@@ -30,8 +30,7 @@
 }
 
 impl AddressPlan {
-    /// Returns the addresses for one run of this process. Runs of a process that may overlap have different
-    /// numbers `run`.
+    /// Returns the addresses for run number `run` of this process.
     #[must_use]
     pub fn of_process(run: u8) -> Self {
         let process = std::process::id();
