--- a/crates/scenarios/src/controller.rs
+++ b/crates/scenarios/src/controller.rs
@@ -1,4 +1,4 @@
-//! The release controller of a run, as a process: started, killed, started again, offered builds.
+//! The release controller of a run: starts, kills and restarts its process, and offers builds to it.
 
 use crate::error::ScenarioRunError;
 use crate::release_plan;
@@ -13,18 +13,18 @@
 use violetseam_simulated_site::network::AddressPlan;
 use violetseam_simulated_site::scenario::Scenario;
 
-/// How long a controller may take until it leads.
+/// Time limit for a started controller to become the leader.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two questions whether it leads.
+/// Interval between two status requests while waiting for the controller to lead.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For the answer to one question whether it leads.
+/// Timeout of one such status request.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two attempts to offer a build.
+/// Interval between two attempts to offer a build.
 const OFFER_INTERVAL: Duration = Duration::from_millis(20);
-/// For the answer to an offer or an order.
+/// Timeout for the response to an offer or an order.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The controller's process, if it runs, and what it is started with.
+/// The process of the controller, if it is running, and the settings with which it is started.
 pub(crate) struct ControllerProcess {
     program: PathBuf,
     settings: PathBuf,
@@ -34,11 +34,11 @@
 }
 
 impl ControllerProcess {
-    /// Writes the controller's settings, starts it with an empty state and waits until it leads.
+    /// Writes the settings of the controller, starts it with an empty state and waits until it leads.
     ///
     /// # Errors
-    /// Errors of the settings file and the process; [`ScenarioRunError::ControllerNotReady`] if it does not
-    /// lead in time.
+    /// Returns an error if the settings cannot be written or the process cannot be started, and
+    /// [`ScenarioRunError::ControllerNotReady`] if the controller does not lead in time.
     pub fn start(
         program: PathBuf,
         out: PathBuf,
@@ -53,21 +53,24 @@
             addresses.controller(),
             control.display()
         );
-        std::fs::write(&settings, script).map_err(ScenarioRunError::io(settings.display().to_string()))?;
-        // The state of an earlier run in the same folder, if there is one.
+        std::fs::write(&settings, script).map_err(ScenarioRunError::io(format!(
+            "writing the controller settings {}",
+            settings.display()
+        )))?;
+        // Removes the state of an earlier run in the same folder, if there is one.
         let _ = std::fs::remove_dir_all(out.join("controller"));
         let mut controller = ControllerProcess { program, settings, out, control, child: None };
-        controller.spawn().map_err(ScenarioRunError::io("controller"))?;
+        controller.spawn().map_err(ScenarioRunError::io("starting the release controller"))?;
         controller.wait_until_leading()?;
         Ok(controller)
     }
 
-    /// Its control socket.
+    /// Returns the path of the control socket.
     pub fn control(&self) -> &Path {
         &self.control
     }
 
-    /// Starts the process, or starts it again with the state that it had.
+    /// Starts the process. A restarted controller continues with its stored state.
     pub fn spawn(&mut self) -> std::io::Result<()> {
         let log = OpenOptions::new().create(true).append(true).open(self.log_path())?;
         let child = Command::new(&self.program)
@@ -104,7 +107,7 @@
         matches!(response, Ok(Response::Status(status)) if status.term > 0)
     }
 
-    /// Ends the process at once.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -120,11 +123,11 @@
     }
 }
 
-/// Offers the scenario's builds at their moments, until `stop` is set. A build that is still on trial is
-/// rolled back for the next one.
+/// Offers each build of the scenario at its scheduled time, until `stop` is set. A build that is still on
+/// trial when the next one is due is rolled back first.
 ///
 /// # Errors
-/// [`ScenarioRunError::PlanRejected`] if the controller finds faults in a plan.
+/// Returns [`ScenarioRunError::PlanRejected`] if the controller finds faults in a plan.
 pub(crate) fn offer_builds(
     scenario: &Scenario,
     control: &Path,
@@ -147,7 +150,8 @@
     Ok(())
 }
 
-/// Offers a build once; whether the controller took it. It may be down, or busy with another build.
+/// Offers a build once and returns whether the controller accepted it. A controller that is down or has
+/// another build on trial does not accept it.
 fn try_offer(control: &Path, offer: &Request) -> Result<bool, ScenarioRunError> {
     match send_request(control, offer, COMMAND_TIMEOUT) {
         Ok(Response::Reply(Reply::Accepted | Reply::Obsolete(_))) => Ok(true),
--- a/crates/scenarios/src/error.rs
+++ b/crates/scenarios/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario could not be played.
+//! Errors of playing a scenario.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,87 +7,87 @@
 use violetseam_simulated_site::network::NetworkError;
 use violetseam_simulated_site::scenario::ScenarioError;
 
-/// Why a scenario could not be played to its end.
+/// The reason why a scenario could not be played to its end.
 #[derive(Debug, Error)]
 pub enum ScenarioRunError {
-    /// The scenario contradicts itself.
+    /// The scenario failed its validation.
     #[error(transparent)]
     InvalidScenario(#[from] ScenarioError),
     /// A file, process or socket failed.
     #[error("{operation}: {source}")]
     Io {
-        /// What was tried, and on what.
+        /// The operation that failed, and its object.
         operation: String,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
     /// The scenario or its summary could not be written as JSON.
-    #[error("{document} as JSON: {source}")]
+    #[error("could not encode {document} as JSON: {source}")]
     Encode {
-        /// What was to be written.
+        /// The document that was to be written.
         document: &'static str,
         /// The encoder's error.
         #[source]
         source: serde_json::Error,
     },
-    /// The release controller did not answer on its control socket in time.
-    #[error("the controller does not speak, see {}", .log.display())]
+    /// The release controller did not report on its control socket in time that it leads.
+    #[error("the release controller did not become the leader in time, see its log {}", .log.display())]
     ControllerNotReady {
-        /// Its log.
+        /// Path of the controller's log.
         log: PathBuf,
     },
-    /// The simulated site failed while it was being started.
-    #[error("the stand-ins did not start: {source}")]
+    /// The simulated site failed during its start.
+    #[error("the simulated site could not be started: {source}")]
     SiteNotStarted {
-        /// What failed.
+        /// The underlying error.
         #[source]
         source: NetworkError,
     },
-    /// The simulated site did not start in time, and reported no error.
-    #[error("the stand-ins did not start in time")]
+    /// The simulated site was not ready in time, and reported no error.
+    #[error("the simulated site was not ready in time")]
     SiteNotReady,
     /// The event loop, a socket or a thread of the simulated clients or site failed.
-    #[error("{part}: {source}")]
+    #[error("simulated {part} failed: {source}")]
     Simulation {
-        /// Which part.
+        /// The part that failed: the clients or the site.
         part: &'static str,
-        /// What failed.
+        /// The underlying error.
         #[source]
         source: NetworkError,
     },
-    /// A proxy ended before it took a connection.
-    #[error("proxy {proxy} ended at once ({status}), see {}", .log.display())]
+    /// A proxy process exited before it accepted a connection.
+    #[error("proxy {proxy} exited before it accepted a connection ({status}), see {}", .log.display())]
     ProxyExited {
-        /// Its position.
+        /// Position of the proxy in its fleet.
         proxy: usize,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// Its log.
+        /// Path of the proxy's log.
         log: PathBuf,
     },
-    /// A proxy took no connection in time.
-    #[error("proxy {proxy} takes no connections")]
+    /// A proxy accepted no connection in time.
+    #[error("proxy {proxy} accepted no connection in time")]
     ProxyNotReady {
-        /// Its position.
+        /// Position of the proxy in its fleet.
         proxy: usize,
     },
     /// A thread of this process panicked.
-    #[error("the {thread} thread failed")]
+    #[error("the {thread} thread panicked")]
     ThreadPanicked {
-        /// Which one.
+        /// The owner of the thread in the possessive, such as `site's`.
         thread: &'static str,
     },
-    /// The release controller found faults in the plan of a build.
-    #[error("a build could not be offered: {}", .faults.join("; "))]
+    /// The release controller rejected the plan of a build as invalid.
+    #[error("the release controller rejected the plan of a build: {}", .faults.join("; "))]
     PlanRejected {
-        /// The faults that it listed.
+        /// The faults that the controller found in the plan.
         faults: Vec<String>,
     },
 }
 
 impl ScenarioRunError {
-    /// Adds to an I/O error what was tried, and on what.
+    /// Wraps an I/O error together with the operation that failed.
     pub(crate) fn io(operation: impl Into<String>) -> impl FnOnce(io::Error) -> ScenarioRunError {
         let operation = operation.into();
         move |source| ScenarioRunError::Io { operation, source }
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,6 +1,6 @@
-//! Plays scripted scenarios: proxies as processes of their own, a simulated site round them, faults
-//! injected by the clock, and at the end the rules checked from what crossed the sockets. It also measures
-//! what the proxy and the operators' tools cost.
+//! Plays scripted scenarios: each proxy runs as a process of its own against a simulated site, faults are
+//! injected at scheduled times, and at the end the invariants are checked on what crossed the sockets. The
+//! crate also measures the cost of the proxy and of the operators' tools.
 
 mod base_scenario;
 pub mod bench_scenario;
--- a/crates/scenarios/src/outcome.rs
+++ b/crates/scenarios/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a scenario, and the files that keep it.
+//! The outcome of a scenario, and the files in which it is stored.
 
 use crate::error::ScenarioRunError;
 use crate::report;
@@ -10,56 +10,58 @@
 use violetseam_simulated_site::network::site::SiteReport;
 use violetseam_simulated_site::scenario::Scenario;
 
-/// What views from outside may be off by, in the proxy's favour, in microseconds: events of different
-/// sockets are seen in any order within a turn of a loop, and all processes share the machine's cores.
+/// Tolerance of the observed times, in microseconds, granted in the proxy's favour. The recorded times are
+/// inexact because the events of different sockets are seen in any order within one iteration of an event
+/// loop, and because all processes share the cores of the machine.
 const OBSERVATION_SLACK: u64 = 60_000;
 
-/// What came of a scenario.
+/// The outcome of a scenario.
 #[derive(Debug)]
 pub struct ScenarioOutcome {
-    /// Whether the rules were kept.
+    /// The result of checking the invariants.
     pub check_report: CheckReport,
-    /// What clients got.
+    /// The results that the clients received.
     pub clients: ClientReport,
-    /// What the site saw.
+    /// The requests and builds that the simulated site observed.
     pub site: SiteReport,
-    /// What else went wrong: proxies that did not drain, requests left open.
+    /// Further failures: proxies that did not drain, and attempts left open.
     pub faults: Vec<String>,
-    /// Processor seconds of the proxies that were there at the end.
+    /// CPU time in seconds of the proxies that were running at the end.
     pub cpu_seconds: f64,
-    /// How many records the check rests on.
+    /// The number of records that were checked.
     pub records: usize,
 }
 
 impl ScenarioOutcome {
-    /// All rules were kept, nothing leaked, all proxies drained.
+    /// Returns whether all invariants held, no attempt was left open and all proxies drained.
     pub fn is_good(&self) -> bool {
         self.check_report.all_hold() && self.faults.is_empty()
     }
 }
 
-/// What was observed while a scenario was played.
+/// The observations made while a scenario was played.
 pub(crate) struct Observations {
     /// Records of the faults that were injected into processes.
     pub process_entries: Vec<EventRecord>,
-    /// What the clients saw.
+    /// The results that the clients received.
     pub clients: ClientReport,
-    /// What the site saw.
+    /// The requests and builds that the simulated site observed.
     pub site: SiteReport,
-    /// What went wrong with the processes.
+    /// Failures of the processes, one text each.
     pub faults: Vec<String>,
-    /// Processor seconds of the proxies.
+    /// CPU time of the proxies, in seconds.
     pub cpu_seconds: f64,
 }
 
 impl Observations {
-    /// Checks the rules on the records, and writes the records and a summary into the folder.
+    /// Checks the invariants on the records, and writes the records and a summary into the folder `out`.
     pub fn evaluate(mut self, scenario: &Scenario, out: &Path) -> Result<ScenarioOutcome, ScenarioRunError> {
         let entries = self.merge_entries();
         let rules = scenario.rules(OBSERVATION_SLACK);
-        let file = File::create(out.join("records.vsau")).map_err(ScenarioRunError::io("records"))?;
+        let file = File::create(out.join("records.vsau"))
+            .map_err(ScenarioRunError::io("writing the records to records.vsau"))?;
         violetseam_invariants::record_file::write(&mut BufWriter::new(file), &rules, &entries)
-            .map_err(ScenarioRunError::io("records"))?;
+            .map_err(ScenarioRunError::io("writing the records to records.vsau"))?;
         let outcome = ScenarioOutcome {
             check_report: violetseam_invariants::check(&rules, &entries),
             clients: self.clients,
@@ -72,7 +74,7 @@
         Ok(outcome)
     }
 
-    /// All records in the order of their times.
+    /// Returns the records of processes, site and clients, sorted by time.
     fn merge_entries(&mut self) -> Vec<EventRecord> {
         let mut entries = std::mem::take(&mut self.process_entries);
         entries.extend(self.site.entries.iter().cloned());
@@ -82,7 +84,7 @@
     }
 }
 
-/// Writes a document as JSON; `document` names it in errors.
+/// Writes a value as a JSON file; `document` names it in error messages.
 pub(crate) fn write_json(
     path: &Path,
     document: &'static str,
--- a/crates/scenarios/src/playback.rs
+++ b/crates/scenarios/src/playback.rs
@@ -1,4 +1,4 @@
-//! While a scenario runs: injects the faults of its processes when they are due, and reports its progress.
+//! Injects process faults when they are due while a scenario runs, and reports its progress.
 
 use crate::controller::ControllerProcess;
 use crate::error::ScenarioRunError;
@@ -12,13 +12,13 @@
 use violetseam_simulated_site::Clock;
 use violetseam_simulated_site::network::clients::Progress;
 
-/// Between two looks at what is due.
+/// Interval at which due faults and new messages are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Between two reports of the clients' counts, in microseconds.
+/// Interval between two progress lines with the clients' counters, in microseconds.
 const PROGRESS_INTERVAL: u64 = 5_000_000;
 
 impl Session {
-    /// Injects the faults of the processes until the clients are through; the records of them.
+    /// Injects the process faults until the clients have finished; returns the records of these faults.
     ///
     /// # Errors
     /// [`ScenarioRunError::Io`] if a process cannot be started.
@@ -34,15 +34,15 @@
         loop {
             let now = clock.now();
             while let Some(due) = timeline.next_if(|timed| timed.at <= now) {
-                on_progress(&line_at(now, &describe(due.fault)));
+                on_progress(&progress_line(now, &describe_fault(due.fault)));
                 injector.inject(due.fault)?;
             }
             while let Ok(message) = site_messages.try_recv() {
-                on_progress(&line_at(now, &message));
+                on_progress(&progress_line(now, &message));
             }
             if now >= last_report + PROGRESS_INTERVAL {
                 last_report = now;
-                on_progress(&line_at(now, &describe_counts(progress)));
+                on_progress(&progress_line(now, &describe_counts(progress)));
             }
             if clients.is_finished() {
                 return Ok(injector.entries);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Injects faults into processes and records what the rules need to know of them.
+/// Injects faults into processes and records those that the invariant checks must know about.
 struct FaultInjector<'a> {
     clock: Clock,
     proxies: &'a mut ProxyFleet,
@@ -83,12 +83,13 @@
         let proxy = position as u32;
         self.record(ObservedEvent::ProxyKilled { proxy });
         self.proxies.kill(position);
-        // What it sent in its last moment is seen a little later: this incarnation ends here.
+        // The data that the process sent just before its end is seen slightly later, so the end of this
+        // incarnation is recorded a second time, after the kill.
         self.record(ObservedEvent::ProxyKilled { proxy });
     }
 
-    /// Seen from outside, a suspension begins and ends in the process's favour: it is recorded as a little
-    /// longer than it is.
+    /// The pause is recorded before the process is stopped, and its end after the process has continued: the
+    /// recorded pause is slightly longer than the real one, so that the inexact times favour the process.
     fn suspend_proxy(&mut self, position: usize) {
         self.record(ObservedEvent::ProxyPaused { proxy: position as u32 });
         self.proxies.signal(position, Signal::STOP);
@@ -107,13 +108,15 @@
 
     fn start_controller(&mut self) -> Result<(), ScenarioRunError> {
         match &mut self.controller {
-            Some(controller) => controller.spawn().map_err(ScenarioRunError::io("controller")),
+            Some(controller) => {
+                controller.spawn().map_err(ScenarioRunError::io("restarting the release controller"))
+            }
             None => Ok(()),
         }
     }
 }
 
-fn describe(fault: ProcessFault) -> String {
+fn describe_fault(fault: ProcessFault) -> String {
     match fault {
         ProcessFault::KillProxy(position) => format!("proxy {position} is killed"),
         ProcessFault::StartProxy(position) => format!("proxy {position} is started again"),
@@ -136,7 +139,7 @@
     )
 }
 
-/// A line of the progress: the moment of the scenario, and what happened.
-fn line_at(now: u64, message: &str) -> String {
+/// Formats a progress line: the time since the first request, in seconds, and the message.
+fn progress_line(now: u64, message: &str) -> String {
     format!("{:6.1} s {message}", now.saturating_sub(STARTUP_SPAN) as f64 / 1e6)
 }
--- a/crates/scenarios/src/session.rs
+++ b/crates/scenarios/src/session.rs
@@ -1,4 +1,4 @@
-//! The processes and threads of one run: started together, ended in order.
+//! The processes and threads of one run, which are started together and stopped in order.
 
 use crate::controller::{ControllerProcess, offer_builds};
 use crate::error::ScenarioRunError;
@@ -16,28 +16,28 @@
 use violetseam_simulated_site::network::{AddressPlan, NetworkError, clients, site};
 use violetseam_simulated_site::scenario::Scenario;
 
-/// From the start of the simulated site to the first request, in microseconds.
+/// Time from the start of the simulated site to the first request, in microseconds.
 pub(crate) const STARTUP_SPAN: u64 = 2_000_000;
-/// How long the simulated site may take to listen.
+/// Time limit for the simulated site to start listening.
 const SITE_START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long each proxy may take until it takes connections.
+/// Time limit for each proxy to accept its first connection.
 const PROXY_START_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long the proxies may take to drain.
+/// Time limit for the proxies to drain.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
-/// The site sees the proxies' connections close before it ends.
+/// Delay before the site is stopped, in which it sees the connections of the proxies close.
 const CLOSE_GRACE: Duration = Duration::from_millis(150);
 
-/// What the threads of a run share.
+/// The state that the threads of a run share.
 #[derive(Clone)]
 struct RunContext {
-    /// The scenario, its times counted from the start of the clock.
+    /// The scenario, whose times are relative to the start of the clock.
     scenario: Arc<Scenario>,
     addresses: AddressPlan,
     clock: Clock,
     stop: Arc<AtomicBool>,
 }
 
-/// The processes and threads of a run.
+/// The running processes and threads of a run.
 pub(crate) struct Session {
     context: RunContext,
     controller: Option<ControllerProcess>,
@@ -48,19 +48,19 @@
     progress: Arc<Progress>,
 }
 
-/// What a running scenario's faults act on, and what its progress is read from.
+/// The parts of a session on which faults are injected, and from which the progress is read.
 pub(crate) struct SessionParts<'a> {
-    /// The run's clock.
+    /// The clock of the run.
     pub clock: Clock,
-    /// The proxies.
+    /// The proxy processes.
     pub proxies: &'a mut ProxyFleet,
-    /// The release controller, if one decides on releases.
+    /// The release controller, if a controller process decides on releases.
     pub controller: Option<&'a mut ControllerProcess>,
-    /// Lines of what happens at the site.
+    /// Log lines of the simulated site.
     pub site_messages: &'a Receiver<String>,
-    /// Counts of the clients' requests.
+    /// Counters of the clients' requests.
     pub progress: &'a Progress,
-    /// Ends with the scenario.
+    /// The client thread, which ends with the scenario.
     pub clients: &'a JoinHandle<Result<ClientReport, NetworkError>>,
 }
 
@@ -96,7 +96,7 @@
         Ok(Session { context, controller, offers, site, proxies, clients, progress })
     }
 
-    /// The parts that the faults act on.
+    /// Returns the parts on which faults are injected, and from which the progress is read.
     pub fn parts(&mut self) -> SessionParts<'_> {
         SessionParts {
             clock: self.context.clock,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Waits for the clients, drains the proxies and ends the site; what they saw.
+    /// Waits for the clients, drains the proxies and stops the site; returns what was observed.
     pub fn finish(mut self) -> Result<Observations, ScenarioRunError> {
         let clients = join(self.clients, "clients'")?
             .map_err(|source| ScenarioRunError::Simulation { part: "clients", source })?;
@@ -162,7 +162,7 @@
 }
 
 impl SiteThread {
-    /// Starts it.
+    /// Starts the thread of the simulated site.
     fn spawn(context: &RunContext, release_decider: ReleaseDecider) -> SiteThread {
         let context = context.clone();
         let (ready_sender, ready) = channel();
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Ends all threads of the run; what the site saw.
+    /// Signals all threads of the run to stop, waits for the site and returns its report.
     fn stop(self, context: &RunContext) -> Result<SiteReport, ScenarioRunError> {
         context.stop.store(true, Ordering::Relaxed);
         join(self.handle, "site's")?.map_err(|source| ScenarioRunError::Simulation { part: "site", source })
