--- a/crates/scenarios/src/base_scenario.rs
+++ b/crates/scenarios/src/base_scenario.rs
@@ -1,5 +1,4 @@
-//! What the scenarios that come with the program have in common: one site, and how to write releases and
-//! faults.
+//! The common base of the built-in scenarios: the site that they share, and helpers for releases and faults.
 
 use violetseam_simulated_site::scenario::{
     BuildDefect, ClassSpec, Clients, DiscoveryDelays, Fault, FaultKind, GateMode, Idempotency, ProxySpec,
@@ -11,15 +10,15 @@
 /// A second in microseconds.
 pub(crate) const S: u64 = 1_000_000;
 
-/// Zones over which proxies and servers are spread.
+/// Number of zones over which proxies and servers are distributed.
 const ZONES: usize = 3;
-/// Cells over which servers are spread.
+/// Number of cells over which servers are distributed.
 const CELLS: usize = 4;
-/// Different speeds of servers.
+/// Number of different server speeds.
 const SPEEDS: usize = 5;
 
-/// A fleet of three zones and one class of each kind, without releases and faults. `length` is in
-/// microseconds, `rate` in requests a second.
+/// Returns a scenario with three zones and four request classes that differ in idempotency, without releases
+/// and faults. `length` is in microseconds, `rate` in requests per second.
 pub(crate) fn base_scenario(name: &str, length: u64, proxies: usize, servers: usize, rate: f64) -> Scenario {
     Scenario {
         name: name.into(),
@@ -176,17 +175,18 @@
     }
 }
 
-/// A build without a defect, offered at this time.
+/// Returns the release of a build without a defect, offered at the given time.
 pub(crate) fn sound_release(at: u64) -> Release {
     Release { at, defect: None, severity: 0.0, speed: 1.0 }
 }
 
-/// A build that fails a share of its requests, offered at this time.
+/// Returns the release of a build that fails a share of its requests, offered at the given time.
 pub(crate) fn failing_release(at: u64, severity: f64) -> Release {
     Release { at, defect: Some(BuildDefect::Errors), severity, speed: 1.0 }
 }
 
-/// A fault without targets and figures; those that it needs are set by a struct update.
+/// Returns a fault without targets and with all parameters 0. Callers set those that the fault needs with a
+/// struct update.
 pub(crate) fn fault(kind: FaultKind, at: u64, duration: u64) -> Fault {
     Fault { kind, at, duration, magnitude: 0.0, parameter: 0.0, targets: Vec::new(), selector: 0 }
 }
--- a/crates/scenarios/src/builtin_scenarios.rs
+++ b/crates/scenarios/src/builtin_scenarios.rs
@@ -1,11 +1,11 @@
-//! Scenarios that come with the program.
+//! The scenarios that are built into the program.
 
 use crate::base_scenario::{MS, S, base_scenario, failing_release, fault, sound_release};
 use crate::fleet_scenarios;
 use std::ops::RangeInclusive;
 use violetseam_simulated_site::scenario::{Fault, FaultKind, Scenario};
 
-/// Names of the scenarios that come with the program.
+/// Names of the built-in scenarios.
 pub const NAMES: [&str; 13] = [
     "demo",
     "bad-day",
@@ -22,18 +22,18 @@
     "fleet-lending",
 ];
 
-/// What the names of scenarios with a variable number of proxies begin with.
+/// Name prefix of the scenarios with a variable number of proxies.
 const FLEET_PREFIX: &str = "fleet-";
-/// The scenario with a variable loss of datagrams.
-const LENDING: &str = "fleet-lending";
-/// Proxies of a fleet scenario, where no other number is asked for.
+/// Name of the scenario with a variable loss of gossip datagrams.
+const QUOTA_LENDING: &str = "fleet-lending";
+/// Number of proxies of a fleet scenario if the name does not give one.
 const DEFAULT_FLEET_SIZE: usize = 3;
-/// Numbers of proxies that may be asked for.
+/// Numbers of proxies that a name may give.
 const FLEET_SIZES: RangeInclusive<usize> = 3..=60;
 
-/// A scenario by its name; a fleet scenario may be followed by its number of proxies, as in
-/// `fleet-links:12`, and `fleet-lending` by the share of datagrams that is lost as well, in percent, as in
-/// `fleet-lending:12:20`.
+/// Returns the scenario with the given name. The name of a fleet scenario may be followed by the number of
+/// proxies, as in `fleet-links:12`; that of `fleet-lending` also by the percentage of datagrams that are
+/// lost, as in `fleet-lending:12:20`.
 pub fn named(name: &str) -> Option<Scenario> {
     let mut parts = name.split(':');
     let name = parts.next()?;
@@ -46,7 +46,7 @@
         "fleet-links" => Some(fleet_scenarios::failing_links(proxies)),
         "fleet-deaths" => Some(fleet_scenarios::failing_processes(proxies)),
         "fleet-deaf" => Some(fleet_scenarios::no_gossip(proxies)),
-        LENDING => Some(fleet_scenarios::quota_lending(proxies, loss)),
+        QUOTA_LENDING => Some(fleet_scenarios::quota_lending(proxies, loss)),
         "demo" => Some(demo()),
         "bad-day" => Some(bad_day()),
         "bad-day-short" => Some(bad_day_short()),
@@ -60,21 +60,22 @@
     }
 }
 
-/// The number of proxies that is asked for, if this scenario has a variable one; `None` for an invalid one.
+/// Returns the number of proxies; `None` if it is invalid or this scenario has a fixed number.
 fn fleet_size(name: &str, size: Option<&str>) -> Option<usize> {
     let Some(size) = size else { return Some(DEFAULT_FLEET_SIZE) };
     let size = size.parse().ok()?;
     (name.starts_with(FLEET_PREFIX) && FLEET_SIZES.contains(&size)).then_some(size)
 }
 
-/// The share of datagrams that is lost, from 0 to 1; `None` for an invalid one.
+/// Returns the share of datagrams that are lost, from 0 to 1; `None` if it is invalid or this scenario has
+/// no such share.
 fn datagram_loss(name: &str, percent: Option<&str>) -> Option<f64> {
     let Some(percent) = percent else { return Some(0.0) };
     let percent: f64 = percent.parse().ok()?;
-    (name == LENDING && (0.0..=100.0).contains(&percent)).then_some(percent / 100.0)
+    (name == QUOTA_LENDING && (0.0..=100.0).contains(&percent)).then_some(percent / 100.0)
 }
 
-/// Two proxies, one good build and one bad one, a slow server; under a minute.
+/// Two proxies, one good and one bad build, and a slow server; takes less than a minute.
 pub fn demo() -> Scenario {
     let mut scenario = base_scenario("demo", 44 * S, 2, 8, 420.0);
     scenario.releases = vec![sound_release(2 * S), failing_release(29 * S, 0.6)];
@@ -83,12 +84,12 @@
     scenario
 }
 
-/// Nothing goes wrong, nothing is released.
+/// A scenario without faults and releases.
 pub fn quiet() -> Scenario {
     base_scenario("quiet", 10 * S, 3, 12, 500.0)
 }
 
-/// Twenty takeovers of two proxies at 70% load while builds come.
+/// Twenty takeovers of two proxies at 70% load while builds are being released.
 pub fn takeovers() -> Scenario {
     let mut scenario = base_scenario("takeovers", 46 * S, 2, 8, 800.0);
     scenario.traffic.shape = vec![(0.0, 1.0), (1.0, 1.0)];
@@ -102,7 +103,7 @@
     scenario
 }
 
-/// A good build, and a bad one after it, while the controller is killed five times.
+/// A good build followed by a bad one, while the controller is killed five times.
 pub fn controller_kills() -> Scenario {
     let mut scenario = base_scenario("controller-kills", 46 * S, 3, 12, 400.0);
     scenario.clients.disconnect_share = 0.0;
@@ -122,7 +123,7 @@
     scenario
 }
 
-/// Four takeovers of two proxies while a build comes, for CI.
+/// Four takeovers of two proxies while a build is being released, for CI.
 pub fn takeover_short() -> Scenario {
     let mut scenario = base_scenario("takeover-short", 12 * S, 2, 8, 300.0);
     scenario.clients.disconnect_share = 0.0;
@@ -132,8 +133,8 @@
     scenario
 }
 
-/// All at once: a bad build while servers fail, a shared slowness, a lost zone, a killed proxy, a silent
-/// release service, late discovery and lost datagrams.
+/// Combined faults: a bad build while servers fail, a slowdown of the whole fleet, the outage of a zone, a
+/// killed proxy, an unresponsive release service, delayed discovery and lost datagrams.
 pub fn bad_day() -> Scenario {
     let mut scenario = base_scenario("bad-day", 40 * S, 3, 12, 620.0);
     scenario.releases = vec![failing_release(2 * S, 0.7), sound_release(20 * S)];
@@ -166,7 +167,8 @@
     scenario
 }
 
-/// The bad day in a short form, for CI: fewer requests, the same kinds of faults closer together.
+/// A short form of [`bad_day`] for CI: fewer requests, and the same kinds of faults closer
+/// together.
 pub fn bad_day_short() -> Scenario {
     let mut scenario = base_scenario("bad-day-short", 18 * S, 3, 12, 300.0);
     scenario.releases = vec![failing_release(S, 0.8)];
--- a/crates/scenarios/src/fault_timeline.rs
+++ b/crates/scenarios/src/fault_timeline.rs
@@ -1,16 +1,17 @@
-//! When a scenario's faults hit the processes of a run: proxies and the release controller.
+//! Schedules the faults of a scenario that are injected into processes: the proxies and the release
+//! controller.
 
 use violetseam_simulated_site::scenario::{Fault, FaultKind, Scenario};
 
-/// The shortest time for which a crashed controller is down, in seconds.
+/// Minimum downtime of a crashed controller, in seconds.
 const MIN_CONTROLLER_DOWNTIME: f64 = 0.05;
-/// The shortest time for which each batch of a rolling restart is down, in seconds.
+/// Minimum downtime of each batch of a rolling restart, in seconds.
 const MIN_RESTART_DOWNTIME: f64 = 0.2;
-/// A zone outage of a larger magnitude hits the zone's proxies too, not only its servers.
-const MAX_MAGNITUDE_SPARING_PROXIES: f64 = 0.5;
+/// A zone outage above this magnitude affects the proxies of the zone as well as its servers.
+const MAX_SERVERS_ONLY_MAGNITUDE: f64 = 0.5;
 
-/// What is done to a process; proxies are named by position. Of faults due at once, those of an earlier
-/// variant are injected first.
+/// A fault that is injected into a process; proxies are identified by position. Faults that are due at the
+/// same time are injected in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ProcessFault {
     /// The proxy is killed.
@@ -23,7 +24,7 @@
     ResumeProxy(usize),
     /// A second process is started under the proxy's identity.
     DuplicateProxy(usize),
-    /// A new process takes over from the proxy's.
+    /// A new process takes over from the proxy's process.
     TakeOverProxy(usize),
     /// The controller is killed.
     KillController,
@@ -31,16 +32,16 @@
     StartController,
 }
 
-/// A fault and when it is due, in microseconds.
+/// A fault and the time at which it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TimedFault {
-    /// When it is due.
+    /// When the fault is due, in microseconds.
     pub at: u64,
-    /// What is done.
+    /// The fault to inject.
     pub fault: ProcessFault,
 }
 
-/// A span in which a proxy is down, in microseconds.
+/// The interval in which a proxy is down, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Downtime {
     proxy: usize,
@@ -48,7 +49,7 @@
     to: u64,
 }
 
-/// The faults of a scenario's processes in the order in which they are due.
+/// Returns the process faults of a scenario in the order in which they are due.
 pub(crate) fn fault_timeline(scenario: &Scenario) -> Vec<TimedFault> {
     let mut timeline = Vec::new();
     for downtime in merge_downtimes(downtimes(scenario)) {
@@ -68,7 +69,7 @@
     timeline
 }
 
-/// The proxies that a fault names and that the scenario has.
+/// Returns the targets of a fault that are proxies of the scenario.
 fn affected_proxies<'a>(scenario: &'a Scenario, fault: &'a Fault) -> impl Iterator<Item = usize> + 'a {
     fault.targets.iter().copied().filter(|&proxy| proxy < scenario.proxies.len())
 }
@@ -84,7 +85,7 @@
                 downtimes.extend(proxies.map(|proxy| Downtime { proxy, from, to }));
             }
             FaultKind::ProxyRollingRestart => downtimes.extend(rolling_restart(fault)),
-            FaultKind::ZoneOutage if fault.magnitude > MAX_MAGNITUDE_SPARING_PROXIES => {
+            FaultKind::ZoneOutage if fault.magnitude > MAX_SERVERS_ONLY_MAGNITUDE => {
                 let proxies = scenario.proxies.iter().enumerate();
                 let in_zone = proxies.filter(|(_, proxy)| usize::from(proxy.zone) == fault.selector);
                 downtimes.extend(in_zone.map(|(proxy, _)| Downtime { proxy, from, to }));
@@ -96,7 +97,7 @@
     downtimes
 }
 
-/// A proxy that two faults hit at once stays down until the later of their ends.
+/// Merges overlapping downtimes: a proxy that two faults affect at once stays down until the later end.
 fn merge_downtimes(mut downtimes: Vec<Downtime>) -> Vec<Downtime> {
     downtimes.sort_unstable();
     let mut merged: Vec<Downtime> = Vec::new();
@@ -111,21 +112,21 @@
     merged
 }
 
-/// One batch after another, each down for `parameter` seconds.
+/// Returns the downtimes of a rolling restart: one batch after another, each down for `parameter` seconds.
 fn rolling_restart(fault: &Fault) -> Vec<Downtime> {
     let batch_size = fault.magnitude.max(1.0) as usize;
     let batches = fault.targets.len().div_ceil(batch_size).max(1) as u64;
-    let down = seconds_to_micros(fault.parameter.max(MIN_RESTART_DOWNTIME));
+    let downtime = seconds_to_micros(fault.parameter.max(MIN_RESTART_DOWNTIME));
     let interval = fault.duration / batches;
     let mut downtimes = Vec::new();
     for (index, batch) in fault.targets.chunks(batch_size).enumerate() {
         let from = fault.at + index as u64 * interval;
-        downtimes.extend(batch.iter().map(|&proxy| Downtime { proxy, from, to: from + down }));
+        downtimes.extend(batch.iter().map(|&proxy| Downtime { proxy, from, to: from + downtime }));
     }
     downtimes
 }
 
-/// `magnitude` moments, evenly over the fault's span.
+/// Returns `magnitude` points in time, spaced evenly over the duration of the fault.
 fn repetitions(fault: &Fault) -> impl Iterator<Item = u64> {
     let count = fault.magnitude.max(1.0) as u64;
     let (start, length) = (fault.at, fault.duration);
@@ -140,7 +141,8 @@
     }
 }
 
-/// Suspensions of `magnitude` milliseconds, one every `parameter` seconds or a single one.
+/// Adds suspensions of `magnitude` milliseconds: one every `parameter` seconds, or a single one if
+/// `parameter` is 0.
 fn add_suspensions(timeline: &mut Vec<TimedFault>, scenario: &Scenario, fault: &Fault) {
     let span = (fault.magnitude * 1e3) as u64;
     let interval = if fault.parameter > 0.0 { seconds_to_micros(fault.parameter) } else { fault.duration };
@@ -159,12 +161,12 @@
     }
 }
 
-/// Crashes of `parameter` seconds each.
+/// Adds controller crashes with a downtime of `parameter` seconds each.
 fn add_controller_crashes(timeline: &mut Vec<TimedFault>, fault: &Fault) {
-    let down = seconds_to_micros(fault.parameter.max(MIN_CONTROLLER_DOWNTIME));
+    let downtime = seconds_to_micros(fault.parameter.max(MIN_CONTROLLER_DOWNTIME));
     for at in repetitions(fault) {
         timeline.push(TimedFault { at, fault: ProcessFault::KillController });
-        timeline.push(TimedFault { at: at + down, fault: ProcessFault::StartController });
+        timeline.push(TimedFault { at: at + downtime, fault: ProcessFault::StartController });
     }
 }
 
--- a/crates/scenarios/src/fleet_scenarios.rs
+++ b/crates/scenarios/src/fleet_scenarios.rs
@@ -1,24 +1,25 @@
-//! Scenarios that test what the whole fleet shares: most servers fail a part of their requests, so that all
-//! proxies want more retries than the fleet's quota has, while links, processes and zones fail.
+//! Scenarios that test the retry quota shared by the whole fleet: the servers fail a part of their requests,
+//! so that all proxies need more retries than the quota of the fleet allows, while links, processes and zones
+//! fail.
 
 use crate::base_scenario::{MS, S, base_scenario, fault};
 use violetseam_simulated_site::scenario::{Fault, FaultKind, RetryQuotas, Scenario};
 
-/// Requests a second for each proxy, on average.
+/// Average requests per second and proxy.
 const REQUEST_RATE: f64 = 90.0;
-/// Retries a second for each proxy, of each class that has a quota.
+/// Retry quota in retries per second and proxy, for each class that has a quota.
 const RETRY_RATE: f64 = 4.0;
-/// Share of the requests that servers fail.
+/// Share of the requests that the servers answer with an error.
 const SERVER_ERROR_RATE: f64 = 0.4;
-/// The part of the retry quota that is never lent, in percent.
+/// The part of the retry quota that is never lent to other proxies, in percent.
 const GUARANTEED_PERCENT: u64 = 25;
-/// One in so many proxies has most of the clients ...
+/// Every proxy whose position is a multiple of this number is busy: it serves most of the clients.
 const BUSY_PROXY_INTERVAL: usize = 3;
-/// ... so many times as many as another.
+/// The number of clients of a busy proxy, as a multiple of that of any other proxy.
 const BUSY_PROXY_WEIGHT: f64 = 6.0;
 
-/// A scenario in which retry quota is scarce, with further faults: one in three proxies has most of the
-/// clients; all servers fail two of five requests from the first second on.
+/// Returns a scenario in which retry quota is scarce, with additional faults. One in three proxies serves
+/// most of the clients, and all servers fail two of five requests from the first second on.
 fn scarce_quota(name: &str, length: u64, proxies: usize, faults: Vec<Fault>) -> Scenario {
     let fleet_size = proxies as f64;
     let mut scenario = base_scenario(name, length, proxies, (2 * proxies).max(12), REQUEST_RATE * fleet_size);
@@ -27,7 +28,8 @@
     }
     scenario.clients.own_proxy = true;
     scenario.clients.disconnect_share = 0.0;
-    // The deduplication group of a keyed class is large, so that a retry finds a server.
+    // The keyed class gets a large share because its deduplication group spans all servers, so that
+    // a retry finds a server.
     scenario.classes[1].share = 0.4;
     let quota = RETRY_RATE * fleet_size;
     scenario.retry_quotas = Some(RetryQuotas {
@@ -45,14 +47,14 @@
     scenario
 }
 
-/// A third of a fleet, rounded up.
+/// Returns the positions of the first third of a fleet, rounded up.
 fn third(proxies: usize) -> Vec<usize> {
     (0..proxies.div_ceil(3)).collect()
 }
 
-/// Links fail: a third of the proxies is partitioned from all others and each other, then nothing that it
-/// sends arrives, then nothing that is sent to it; datagrams are delayed by up to 3 s and reordered; half
-/// of them are lost; at last nothing fails.
+/// Failing links. A third of the proxies is partitioned from all others and from each other; then nothing
+/// that these proxies send arrives, then nothing that is sent to them. Later datagrams are delayed by up to
+/// 3 s and reordered, and half of them are lost. At the end no link fails.
 pub fn failing_links(proxies: usize) -> Scenario {
     let third = third(proxies);
     let faults = vec![
@@ -70,10 +72,10 @@
     scarce_quota("fleet-links", 14 * S, proxies, faults)
 }
 
-/// Processes fail: a third of the proxies is killed with quota leases and starts again at once; another
-/// proxy is suspended until its leases have expired, and continues as if they had not; another is killed
-/// and comes back after its leases; second processes start under identities in use; at last all are
-/// restarted one batch after another.
+/// Failing processes. A third of the proxies is killed while holding quota leases and restarted at once. One
+/// proxy is suspended until its leases have expired, and then continues as if they were valid. Another is
+/// killed and restarted after its leases have expired. Second processes are started under identities that
+/// are in use. At the end all proxies are restarted in batches.
 pub fn failing_processes(proxies: usize) -> Scenario {
     let third = third(proxies);
     let middle = proxies / 2;
@@ -95,8 +97,8 @@
     scarce_quota("fleet-deaths", 15 * S, proxies, faults)
 }
 
-/// No datagram ever arrives; meanwhile one proxy is partitioned from discovery, one from the release
-/// service, a third of them from the servers of a zone.
+/// No gossip datagram arrives during the whole scenario. Meanwhile one proxy is partitioned from discovery,
+/// one from the release service, and a third of the proxies from the servers of a zone.
 pub fn no_gossip(proxies: usize) -> Scenario {
     let third = third(proxies);
     let faults = vec![
@@ -108,8 +110,8 @@
     scarce_quota("fleet-deaf", 9 * S, proxies, faults)
 }
 
-/// Nothing fails but the servers' answers and a share of the datagrams, from 0 to 1: what quota leases are
-/// worth.
+/// Shows the benefit of quota leases: the only faults are failed responses of the servers and, if `loss` is
+/// above 0, the loss of that share of the datagrams, from 0 to 1.
 pub fn quota_lending(proxies: usize, loss: f64) -> Scenario {
     let length = 10 * S;
     let mut faults = Vec::new();
--- a/crates/scenarios/src/proxies.rs
+++ b/crates/scenarios/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a run, as processes: started, killed, started again, drained.
+//! The proxy processes of a run: starts, kills, restarts and drains them.
 
 use crate::error::ScenarioRunError;
 use crate::process;
@@ -10,46 +10,46 @@
 use std::time::{Duration, Instant};
 use violetseam_simulated_site::network::AddressPlan;
 
-/// For one connection that probes whether a proxy listens.
+/// Timeout of a connection attempt that probes whether a proxy is listening.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Between two such probes.
+/// Interval between two such probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(10);
-/// Between two looks whether a process has ended.
+/// Interval at which a draining process is polled for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the processes are started.
+/// The program, files and arguments with which proxy processes are started.
 #[derive(Clone, Debug)]
 pub(crate) struct ProxyCommand {
-    /// The program that has `serve`.
+    /// Path of the program whose `serve` command runs a proxy.
     pub program: PathBuf,
     /// The settings script of all proxies.
     pub settings: PathBuf,
-    /// Where the logs go.
+    /// Folder for the logs.
     pub out: PathBuf,
-    /// Further arguments; `{position}` in them stands for the proxy's.
+    /// Additional arguments; `{position}` in them is replaced by the proxy's position.
     pub extra_args: Vec<String>,
 }
 
-/// A process and the position that it serves at.
+/// A process and the fleet position of the proxy that it runs.
 struct PositionedChild {
     position: usize,
     child: Child,
 }
 
-/// One fleet of proxies, by position.
+/// The processes of a fleet of proxies.
 pub(crate) struct ProxyFleet {
     command: ProxyCommand,
     addresses: AddressPlan,
-    /// The process that serves at each position, if there is one.
+    /// The current process of each position, if one is running.
     running: Vec<Option<Child>>,
-    /// Processes whose sockets were taken over: each ends by itself.
+    /// Processes whose sockets were taken over. Each must exit by itself.
     replaced: Vec<PositionedChild>,
-    /// Second processes under an identity that is in use: each must end by itself, with an error.
+    /// Second processes under an identity that is in use. Each must exit by itself, with an error.
     duplicates: Vec<PositionedChild>,
 }
 
 impl ProxyFleet {
-    /// A fleet of this size, of which nothing runs yet.
+    /// Returns a fleet of `count` proxies, none of which is running yet.
     pub fn new(command: ProxyCommand, addresses: AddressPlan, count: usize) -> Self {
         let running = (0..count).map(|_| None).collect();
         ProxyFleet { command, addresses, running, replaced: Vec::new(), duplicates: Vec::new() }
@@ -59,7 +59,7 @@
         self.command.out.join(format!("proxy-{position}.log"))
     }
 
-    /// Starts all proxies and waits until each takes connections, up to `timeout` for each.
+    /// Starts all proxies and waits up to `timeout` for each until it accepts connections.
     pub fn start_all(&mut self, timeout: Duration) -> Result<(), ScenarioRunError> {
         for position in 0..self.running.len() {
             self.start(position)?;
@@ -70,14 +70,14 @@
         Ok(())
     }
 
-    /// Starts a proxy.
+    /// Starts the proxy at a position.
     pub fn start(&mut self, position: usize) -> Result<(), ScenarioRunError> {
         let child = self.spawn(position, &[])?;
         self.running[position] = Some(child);
         Ok(())
     }
 
-    /// Starts a process that takes over from a running one.
+    /// Starts a process that takes over from the running process of a proxy.
     pub fn take_over(&mut self, position: usize) -> Result<(), ScenarioRunError> {
         let child = self.spawn(position, &["--takeover"])?;
         if let Some(child) = self.running[position].replace(child) {
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Sends a proxy a signal, if it runs.
+    /// Sends a signal to a proxy if it is running.
     pub fn signal(&self, position: usize, signal: Signal) {
         let pid = self.running[position].as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
@@ -102,7 +102,8 @@
     }
 
     fn spawn(&self, position: usize, takeover_args: &[&str]) -> Result<Child, ScenarioRunError> {
-        self.try_spawn(position, takeover_args).map_err(ScenarioRunError::io(format!("proxy {position}")))
+        self.try_spawn(position, takeover_args)
+            .map_err(ScenarioRunError::io(format!("starting proxy {position}")))
     }
 
     fn try_spawn(&self, position: usize, takeover_args: &[&str]) -> std::io::Result<Child> {
@@ -121,7 +122,7 @@
             .spawn()
     }
 
-    /// Waits until a proxy takes connections.
+    /// Waits until a proxy accepts a connection.
     fn wait_until_ready(&mut self, position: usize, timeout: Duration) -> Result<(), ScenarioRunError> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -137,7 +138,7 @@
         Err(ScenarioRunError::ProxyNotReady { proxy: position })
     }
 
-    /// Ends a proxy at once, with all it holds.
+    /// Kills a proxy with SIGKILL, without draining it.
     pub fn kill(&mut self, position: usize) {
         if let Some(mut child) = self.running[position].take() {
             let _ = child.kill();
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Asks all to drain and waits; a line for each process that did not end as it should.
+    /// Sends SIGTERM to all proxies so that they drain, and waits for their exit. Returns a line for each
+    /// process that did not exit as expected.
     pub fn drain(&mut self, timeout: Duration) -> Vec<String> {
         for position in 0..self.running.len() {
             self.signal(position, Signal::TERM);
@@ -161,7 +163,7 @@
         failures
     }
 
-    /// A line for each duplicate that did not end by itself with an error.
+    /// Returns a line for each duplicate that did not exit by itself with an error, and kills it.
     fn collect_duplicates(&mut self) -> Vec<String> {
         let mut failures = Vec::new();
         for PositionedChild { position, mut child } in self.duplicates.drain(..) {
@@ -177,7 +179,7 @@
         failures
     }
 
-    /// Seconds of processor time that the running proxies have used.
+    /// Returns the CPU time of the running proxies, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         let children = self.running.iter().flatten();
         children.filter_map(|child| process::cpu_seconds(child.id())).sum()
@@ -197,7 +199,8 @@
 }
 
 impl PositionedChild {
-    /// Waits until the process ends, and kills it at the deadline; what went wrong, if anything did.
+    /// Waits for the process to exit and kills it at the deadline. Returns a description of the failure if it
+    /// did not exit cleanly.
     fn wait_for_clean_exit(mut self, deadline: Instant) -> Option<String> {
         let position = self.position;
         loop {
--- a/crates/scenarios/src/proxy_settings.rs
+++ b/crates/scenarios/src/proxy_settings.rs
@@ -1,19 +1,20 @@
-//! The settings script of a scenario's proxies: one file for all, the position is given at the start.
+//! Generates the settings script of a scenario's proxies. All proxies share one file; each gets its position
+//! as an option at its start.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use violetseam_simulated_site::network::AddressPlan;
 use violetseam_simulated_site::scenario::{ClassSpec, GateMode, Idempotency, Rollout, Scenario};
 
-/// Servers whose cores differ by less count as of one size.
+/// Servers whose numbers of cores differ by no more than this count as equal in size.
 const EQUAL_CORES_TOLERANCE: f64 = 1e-9;
 
-/// Where the proxies of a run have their control sockets, less `-N` for the position.
+/// Returns the path of the control sockets of a run without the suffix `-N`, where N is the position.
 pub fn control_path_prefix(addresses: AddressPlan) -> PathBuf {
     std::env::temp_dir().join(format!("vs-lab-{}", addresses.discovery().ip()))
 }
 
-/// The settings of all proxies of a scenario.
+/// Returns the settings script shared by all proxies of a scenario.
 pub fn script(scenario: &Scenario, addresses: AddressPlan, state_dir: &Path) -> String {
     let mut script = String::from("N = option(\"position\", 0)\n");
     write_fleet(&mut script, scenario, addresses, state_dir);
@@ -33,9 +34,10 @@
     let size = scenario.proxies.len();
     let zones: Vec<u16> = scenario.proxies.iter().map(|proxy| proxy.zone).collect();
     let cores = scenario.servers.iter().map(|server| server.cores);
-    let sizes_differ =
-        cores.into_iter().any(|c| (c - scenario.servers[0].cores).abs() > EQUAL_CORES_TOLERANCE);
-    // Paths of sockets are limited to about 100 bytes, so they are not in the state folder.
+    let sizes_differ = cores
+        .into_iter()
+        .any(|core_count| (core_count - scenario.servers[0].cores).abs() > EQUAL_CORES_TOLERANCE);
+    // The control sockets are not in the state folder because socket paths are limited to about 100 bytes.
     let control = control_path_prefix(addresses);
     let _ = writeln!(
         script,
@@ -54,7 +56,7 @@
     let _ = writeln!(script, "desk(addr = \"{}\")", addresses.release_service());
 }
 
-/// Each proxy sends to its peers by way of the relay, which can hold datagrams back.
+/// Writes the peer addresses. Each proxy sends to its peers through a relay, which can hold datagrams back.
 fn write_peers(script: &mut String, proxies: usize, addresses: AddressPlan) {
     if proxies <= 1 {
         return;
@@ -113,7 +115,7 @@
     );
 }
 
-/// The proxies take votes as numbers of proxies; the scenario has them as shares.
+/// Converts a share of votes in the scenario to a number of proxies, as the settings expect.
 fn votes(rollout: &Rollout, proxies: usize, share: f64) -> f64 {
     match rollout.gate {
         GateMode::Any => 1.0,
@@ -172,12 +174,12 @@
     );
 }
 
-/// A span in microseconds, as scripts write it.
+/// Formats a duration in microseconds as a script literal.
 pub(crate) fn span(micros: u64) -> String {
     format!("\"{micros}us\"")
 }
 
-/// A truth value, as scripts write it.
+/// Formats a Boolean as a script literal.
 pub(crate) fn boolean(value: bool) -> &'static str {
     if value { "True" } else { "False" }
 }
--- a/crates/scenarios/src/release_plan.rs
+++ b/crates/scenarios/src/release_plan.rs
@@ -1,13 +1,13 @@
-//! The release plan of a scenario's build, as the script that is submitted to the release controller.
+//! Generates the release plan of a scenario's build as a script for the release controller.
 
 use crate::proxy_settings::{boolean, span};
 use std::fmt::Write;
 use violetseam_simulated_site::scenario::{GateMode, Rollout, Scenario};
 
-/// The lowest share of votes that a plan may name.
+/// The smallest share of votes that a plan may state.
 const MIN_VOTE_SHARE: f64 = 0.001;
 
-/// The plan of the scenario's build with this index among its releases.
+/// Returns the plan script for the release with this index in the scenario.
 pub fn script(scenario: &Scenario, release_index: usize) -> String {
     let mut script = String::new();
     write_plan_and_fleet(&mut script, scenario, release_index);
@@ -52,12 +52,13 @@
     }
 }
 
-/// What promotes each wave of a plan.
+/// The promotion gate of the waves of a plan.
 struct WaveGate {
+    /// Name of the gate mode in the script.
     name: &'static str,
-    /// Share of the proxies whose votes promote, or hold where the clock promotes.
+    /// Share of the proxies whose votes promote the wave or, with the timer gate, hold it.
     votes: f64,
-    /// In microseconds.
+    /// Soak time of the wave, in microseconds.
     soak: u64,
 }
 
@@ -71,7 +72,7 @@
                 soak: rollout.bake,
             },
             GateMode::Timer => {
-                // If no share of the proxies holds the clock, only all of them together do.
+                // Without a share of votes that holds the timer, it takes the votes of all proxies.
                 let votes = if rollout.votes_to_hold > 0.0 { rollout.votes_to_hold } else { 1.0 };
                 WaveGate { name: "timer", votes, soak: rollout.stage_duration }
             }
--- a/crates/scenarios/src/report.rs
+++ b/crates/scenarios/src/report.rs
@@ -1,4 +1,4 @@
-//! What a scenario came to, for people and as data.
+//! Reports of the outcome of a scenario, as text and as JSON.
 
 use crate::outcome::ScenarioOutcome;
 use hdrhistogram::Histogram;
@@ -9,13 +9,13 @@
 use violetseam_simulated_site::network::site::BuildReport;
 use violetseam_simulated_site::scenario::{ClassSpec, Scenario};
 
-/// The longest latency that the histogram distinguishes, in microseconds.
+/// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY: u64 = 120_000_000;
-/// Significant digits of latencies.
+/// Significant digits of recorded latencies.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Violations that the text lists.
+/// Maximum number of violations that the text lists.
 const MAX_LISTED_VIOLATIONS: usize = 20;
-/// What each rule demands, in the order of their numbers.
+/// The requirement of each invariant, in the order of the rule numbers.
 const RULES: [&str; 5] = [
     "one answer in time",
     "no effect twice",
@@ -24,7 +24,7 @@
     "exposure within the cap",
 ];
 
-/// Priority weight of the requests served in time, as a share of the weight of all.
+/// Returns the priority weight of the requests served in time, as a share of the weight of all requests.
 pub fn served_weight(outcome: &ScenarioOutcome) -> f64 {
     let classes = &outcome.clients.classes;
     let requested: f64 = classes.iter().map(|class| class.requested_weight).sum();
@@ -32,7 +32,7 @@
     served / requested.max(1e-9)
 }
 
-/// Latencies of served attempts, in microseconds.
+/// Latency percentiles of served attempts, in microseconds.
 #[derive(Clone, Copy, Default)]
 struct Latencies {
     p50: u64,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The outcome as data.
+/// Returns the outcome as JSON.
 pub fn summary(scenario: &Scenario, outcome: &ScenarioOutcome) -> Value {
     let classes = scenario.classes.iter().zip(&outcome.clients.classes);
     let latencies = Latencies::of(outcome);
@@ -78,7 +78,7 @@
         "proxy_cpu_s": outcome.cpu_seconds,
         "records": outcome.records,
         "rules": {"broken": check_report.violation_counts, "looked_at": check_report.examined},
-        "fleet_bounds": check_report.fleet_limits.iter().map(bound_summary).collect::<Vec<_>>(),
+        "fleet_bounds": check_report.fleet_limits.iter().map(fleet_limit_summary).collect::<Vec<_>>(),
         "faults": outcome.faults,
     })
 }
@@ -115,34 +115,34 @@
     })
 }
 
-fn bound_summary(bound: &FleetLimit) -> Value {
+fn fleet_limit_summary(limit: &FleetLimit) -> Value {
     json!({
-        "what": bound.name,
-        "budget": bound.rate_per_second,
-        "spent": bound.attempts,
-        "nearest": bound.peak_utilization,
-        "over": bound.exceeded,
+        "what": limit.name,
+        "budget": limit.rate_per_second,
+        "spent": limit.attempts,
+        "nearest": limit.peak_utilization,
+        "over": limit.exceeded,
     })
 }
 
-/// How the bounds of the whole fleet were kept, a line each.
+/// Formats the result for each fleet-wide bound, one line each.
 pub fn fleet_bounds(check_report: &CheckReport) -> String {
     let mut text = String::new();
-    for bound in &check_report.fleet_limits {
-        let result = match bound.first_exceeded {
+    for limit in &check_report.fleet_limits {
+        let result = match limit.first_exceeded {
             None => "kept".to_owned(),
-            Some(at) => format!("BROKEN {} times, first at {:.3} s", bound.exceeded, seconds(at)),
+            Some(at) => format!("BROKEN {} times, first at {:.3} s", limit.exceeded, seconds(at)),
         };
         let _ = writeln!(
             text,
             "  fleet: {} {result}: {} of {} a second, the fullest span {:.2} of its bound",
-            bound.name, bound.attempts, bound.rate_per_second, bound.peak_utilization
+            limit.name, limit.attempts, limit.rate_per_second, limit.peak_utilization
         );
     }
     text
 }
 
-/// The outcome as text.
+/// Formats the outcome as text.
 pub fn text(scenario: &Scenario, outcome: &ScenarioOutcome) -> String {
     let mut text = format!(
         "day {} (seed {}): {} proxies, {} servers\n",
