--- a/crates/scenarios/src/bench_scenario/convert.rs
+++ b/crates/scenarios/src/bench_scenario/convert.rs
@@ -1,4 +1,4 @@
-//! From the parts of a file to the parts of a scenario.
+//! Converts the parts of a bench file to the parts of a scenario, except for servers and faults.
 
 use super::BenchScenarioError;
 use super::format::{BenchClass, BenchDiscovery, BenchFile, BenchRelease, BenchRollout};
@@ -6,9 +6,9 @@
     BuildDefect, ClassSpec, Clients, DiscoveryDelays, GateMode, Idempotency, Release, Rollout, ServiceRules,
 };
 
-/// How long past its deadline a request may be answered, in microseconds: the bench's rule.
+/// Time after its deadline within which a request may still be answered, in microseconds, as in the bench.
 const DEADLINE_GRACE: u64 = 20_000;
-/// The longest time between two queries of the endpoint list, in microseconds: the bench's rule.
+/// Maximum time between two queries of the endpoint list, in microseconds, as in the bench.
 const MAX_POLL_INTERVAL: u64 = 10_000_000;
 
 pub(super) fn class(class: &BenchClass, notes: &mut Vec<String>) -> Result<ClassSpec, BenchScenarioError> {
--- a/crates/scenarios/src/bench_scenario/error.rs
+++ b/crates/scenarios/src/bench_scenario/error.rs
@@ -1,47 +1,49 @@
-//! Why a scenario file of the bench cannot be played.
+//! Errors of reading a scenario file of the bench.
 
 use thiserror::Error;
 
-/// Why a scenario file of the bench cannot be played.
+/// The reason why a scenario file of the bench cannot be played.
 #[derive(Debug, Error)]
 pub enum BenchScenarioError {
-    /// It is not in the bench's format.
+    /// The file is not in the bench's format.
     #[error("not a drawn day: {0}")]
     Format(#[from] serde_json::Error),
-    /// It has another family than releases, or more than one tier of servers.
-    #[error("a day of family {family:?} with {tiers} tiers cannot be played")]
+    /// The file has a family other than the one with releases, or not exactly one tier of servers.
+    #[error(
+        "only files with releases and one tier can be played: found family {family:?} with {tiers} tiers"
+    )]
     UnsupportedFamily {
-        /// Its family.
+        /// Family of the file.
         family: String,
-        /// How many tiers it has.
+        /// Number of tiers in the file.
         tiers: usize,
     },
-    /// A server names a kind that the file does not have.
-    #[error("a server of no known kind ({kind})")]
+    /// A server refers to a machine kind that the file does not define.
+    #[error("a server refers to machine kind {kind}, which the file does not define")]
     UnknownServerKind {
-        /// Index of the kind.
+        /// Index of the machine kind.
         kind: usize,
     },
-    /// A class has an unknown effect, or an unknown group of servers that drop repeats.
-    #[error("class {class:?}: unknown effect {effect:?}, {group:?}")]
+    /// A class has an unknown effect or an unknown deduplication group.
+    #[error("class {class:?} has an unknown effect {effect:?} or deduplication group {group:?}")]
     UnknownEffect {
         /// Name of the class.
         class: String,
-        /// Its effect.
+        /// Effect of its requests.
         effect: String,
-        /// Its group.
+        /// Deduplication group of its requests.
         group: String,
     },
     /// A build has an unknown defect.
-    #[error("a build with an unknown fault {defect:?}")]
+    #[error("a build has an unknown defect {defect:?}")]
     UnknownDefect {
-        /// The defect.
+        /// Name of the defect in the file.
         defect: String,
     },
-    /// Stages are promoted in an unknown way.
-    #[error("an unknown gate {gate:?}")]
+    /// The rollout has an unknown gate mode.
+    #[error("the rollout has an unknown gate mode {gate:?}")]
     UnknownGate {
-        /// The gate.
+        /// Name of the gate mode in the file.
         gate: String,
     },
 }
--- a/crates/scenarios/src/bench_scenario/faults.rs
+++ b/crates/scenarios/src/bench_scenario/faults.rs
@@ -1,20 +1,22 @@
-//! From the faults of a file to those of a scenario.
+//! Converts the faults of a bench file to faults of a scenario.
 
 use super::format::BenchFault;
 use super::scale::Scale;
 use violetseam_simulated_site::scenario::{Fault, FaultKind};
 
-/// The bench's mark of a release, which itself has the defect: nothing is injected for it.
+/// Kind of fault with which the bench marks a defective release. The release itself has the defect, so no
+/// fault is injected for it.
 const BAD_BUILD: &str = "bad_build";
 
-/// What the indices of a fault's targets stand for.
+/// Whether the target indices of a fault refer to servers or to proxies.
 #[derive(Clone, Copy)]
 enum Targets {
     Servers,
     Proxies,
 }
 
-/// The fault, unless it is not injected; `notes` names those that cannot be.
+/// Converts a fault, or returns `None` if it is not injected. Faults that cannot be played are added to
+/// `notes`.
 pub(super) fn convert(fault: &BenchFault, scale: &Scale, notes: &mut Vec<String>) -> Option<Fault> {
     if fault.kind == BAD_BUILD {
         return None;
@@ -29,7 +31,7 @@
         Targets::Servers => indices.filter_map(|index| scale.server_index(index)).collect(),
         Targets::Proxies => indices.filter(|&index| index < scale.proxies).collect(),
     };
-    // The bench states the batch of a rolling restart as a share of the proxies.
+    // The bench states the batch size of a rolling restart as a share of the proxies.
     let magnitude = match kind {
         FaultKind::ProxyRollingRestart => (fault.size * scale.proxies as f64).ceil(),
         _ => fault.size,
--- a/crates/scenarios/src/bench_scenario/format.rs
+++ b/crates/scenarios/src/bench_scenario/format.rs
@@ -1,6 +1,6 @@
-//! The format of scenario files that the operators' bench generates. Fields have the bench's names and,
-//! unless stated otherwise, its units: times in microseconds, work in microseconds of a standard core.
-//! Fields that have no part in playing a file here are left out.
+//! The format of the scenario files that the operators' bench generates. Fields have the names of the bench
+//! and, unless stated otherwise, its units: times are in microseconds, work is in microseconds of a standard
+//! core. Fields that are not needed to play a file over sockets are left out.
 
 use serde::Deserialize;
 
@@ -54,7 +54,7 @@
     pub impatient: f64,
 }
 
-/// How late discovery lists changes.
+/// Delays with which discovery lists changes.
 #[derive(Deserialize)]
 pub(super) struct BenchDiscovery {
     pub notice: u64,
@@ -62,7 +62,7 @@
     pub add: u64,
 }
 
-/// What proxies may do.
+/// Limits on retries and hedging by the proxies.
 #[derive(Deserialize)]
 pub(super) struct BenchAllowances {
     pub second_copies: bool,
@@ -94,7 +94,7 @@
     pub traffic: f64,
 }
 
-/// A tier of servers; only files with one tier are played.
+/// A tier of servers; only files with exactly one tier can be played.
 #[derive(Deserialize)]
 pub(super) struct BenchTier {
     pub kinds: Vec<BenchMachineKind>,
@@ -102,7 +102,7 @@
     pub stated_cold: u64,
 }
 
-/// A kind of machines.
+/// A machine kind: the hardware and limits that servers of this kind share.
 #[derive(Deserialize)]
 pub(super) struct BenchMachineKind {
     pub cores: f64,
@@ -114,7 +114,7 @@
     pub conn_cap_per_core: Option<f64>,
 }
 
-/// A server, running at the start or a spare.
+/// A server that either runs at the start or is a spare.
 #[derive(Deserialize)]
 pub(super) struct BenchServer {
     pub zone: u16,
--- a/crates/scenarios/src/bench_scenario/scale.rs
+++ b/crates/scenarios/src/bench_scenario/scale.rs
@@ -1,28 +1,28 @@
-//! How much of a file's scenario is played: as many proxies, servers and requests as one machine carries.
+//! Scales the scenario of a bench file down to the proxies, servers and requests that one machine can run.
 
 use super::BenchScenarioError;
 use super::format::{BenchFile, BenchServer};
 use violetseam_simulated_site::scenario::ServerSpec;
 
-/// The most proxies that are started, each a process.
+/// Maximum number of proxies. Each is a process of its own.
 const MAX_PROXIES: usize = 8;
-/// The most first attempts a second.
+/// Maximum rate of first attempts, per second.
 const MAX_REQUEST_RATE: f64 = 1_500.0;
-/// The most servers.
+/// Maximum number of servers.
 const MAX_SERVERS: usize = 76;
-/// The fewest servers.
+/// Minimum number of servers.
 const MIN_SERVERS: usize = 2;
-/// Connections that a server accepts for each core, where the file says nothing.
+/// Connections that a server accepts per core if the file states no limit.
 const DEFAULT_CONNECTIONS_PER_CORE: f64 = 400.0;
 
-/// How much of a file's scenario is played.
+/// The part of a file's scenario that is played.
 pub(super) struct Scale {
-    /// Played servers and traffic, as a share.
+    /// The share of servers and traffic that is played.
     pub ratio: f64,
-    /// Played proxies: the first of the file's.
+    /// Number of proxies that are played: the first ones of the file.
     pub proxies: usize,
     file_proxies: usize,
-    /// Played servers: the first of the file's that run at the start.
+    /// Number of servers that are played: the first ones of the file that run at the start.
     servers: usize,
     file_servers: usize,
 }
@@ -31,9 +31,9 @@
     pub fn of(file: &BenchFile) -> Scale {
         let file_servers = file.servers.iter().filter(|server| server.up).count();
         let rate = file.traffic.load * file.capacity() / file.mean_work().max(1.0);
-        let by_rate = MAX_REQUEST_RATE / rate;
-        let by_servers = MAX_SERVERS as f64 / file_servers.max(1) as f64;
-        let ratio = by_rate.min(by_servers).min(1.0);
+        let ratio_by_rate = MAX_REQUEST_RATE / rate;
+        let ratio_by_servers = MAX_SERVERS as f64 / file_servers.max(1) as f64;
+        let ratio = ratio_by_rate.min(ratio_by_servers).min(1.0);
         Scale {
             ratio,
             proxies: file.proxies.len().min(MAX_PROXIES),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Names what is left out.
+    /// Adds notes on the proxies and servers that are left out.
     pub fn note(&self, notes: &mut Vec<String>) {
         if self.proxies < self.file_proxies {
             let Scale { proxies, file_proxies, .. } = self;
@@ -55,21 +55,21 @@
         }
     }
 
-    /// The played servers that run at the start.
+    /// Returns the servers to play that run at the start.
     pub fn running_servers(&self, file: &BenchFile) -> Result<Vec<ServerSpec>, BenchScenarioError> {
         let running: Vec<&BenchServer> = file.servers.iter().filter(|server| server.up).collect();
         running[..self.servers].iter().map(|server| file.server_spec(server)).collect()
     }
 
-    /// The spares of the played places.
+    /// Returns the spares of the places that are played.
     pub fn spare_servers(&self, file: &BenchFile) -> Result<Vec<ServerSpec>, BenchScenarioError> {
         let spares = file.servers.iter().filter(|server| !server.up).enumerate();
         let played = spares.filter(|(index, _)| index % self.file_places() < self.servers);
         played.map(|(_, server)| file.server_spec(server)).collect()
     }
 
-    /// The played index of one of the file's servers, if it is played. The file numbers servers by place and
-    /// generation; played places keep their numbers.
+    /// Returns the index in the scenario of a server of the file, if that server is played. The file numbers
+    /// servers by place and generation; places that are played keep their numbers.
     pub fn server_index(&self, file_index: usize) -> Option<usize> {
         let place = file_index % self.file_places();
         let generation = file_index / self.file_places();
@@ -82,13 +82,13 @@
 }
 
 impl BenchFile {
-    /// Mean work of a request.
+    /// Returns the mean work of a request, in microseconds of a standard core.
     pub(super) fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         self.classes.iter().map(|class| class.share * class.work).sum::<f64>() / shares.max(1e-9)
     }
 
-    /// Capacity of the servers that run at the start, in work per second.
+    /// Returns the capacity of the servers that run at the start, in work per second.
     fn capacity(&self) -> f64 {
         let kinds = &self.tiers[0].kinds;
         let cores = |server: &BenchServer| kinds.get(server.kind).map_or(1.0, |kind| kind.cores);
--- a/crates/scenarios/tests/scenarios.rs
+++ b/crates/scenarios/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios that come with the program: their names, and the scripts written for their processes.
+//! Tests of the built-in scenarios: their names, and the scripts generated for their processes.
 
 use std::path::Path;
 use violetseam_scenarios::builtin_scenarios::{NAMES, named};
@@ -10,7 +10,7 @@
     for name in NAMES {
         let scenario = named(name).unwrap_or_else(|| panic!("no scenario {name}"));
         scenario.validate().unwrap();
-        // The spared one is the scenario of the controller's crashes without them.
+        // `controller-spared` is `controller-kills` without the crashes, and keeps that name.
         assert!(scenario.name == name || name == "controller-spared", "{name}: {}", scenario.name);
     }
 }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_in_the_benchs_format_is_rejected_with_the_reason() {
+fn a_file_that_is_not_in_the_bench_format_is_rejected_with_the_reason() {
     let error = bench_scenario::read(b"{}").unwrap_err();
     assert!(error.to_string().starts_with("not a drawn day: missing field"), "{error}");
 }
