--- a/crates/scenarios/src/measurement/disturbance/client.rs
+++ b/crates/scenarios/src/measurement/disturbance/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends requests at a fixed interval and takes the times of their responses.
+//! A client that sends requests at a fixed interval and measures their response times.
 
 use super::{DISTURBANCES, RoundState};
 use crate::measurement::echo_servers::HEAD_END;
@@ -10,20 +10,20 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for bytes of a response.
+/// Timeout of each read from a connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one client saw, by [`Disturbance`].
+/// The measurements of one client, by [`Disturbance`](super::Disturbance).
 pub(super) struct ClientFigures {
     /// Response times in microseconds.
     pub times: Vec<Histogram<u64>>,
-    /// Requests that the proxy rejected.
+    /// Number of requests that the proxy rejected.
     pub rejected: [u64; DISTURBANCES],
-    /// Requests without a response.
+    /// Number of requests without a response.
     pub lost: u64,
 }
 
-/// Sends requests at a fixed interval until the round ends. A request belongs to the span in which it was
+/// Sends requests at a fixed interval until the round ends. A request is counted in the span in which it was
 /// due.
 pub(super) fn run_client(
     address: SocketAddr,
@@ -50,15 +50,15 @@
     Ok(figures)
 }
 
-/// A client with one connection at most.
+/// A client with at most one connection.
 struct Client {
     address: SocketAddr,
-    /// The connection of the last response, if it stayed open.
+    /// The connection of the previous response, if it was kept open.
     idle: Option<TcpStream>,
 }
 
 impl Client {
-    /// Sends a request and waits for its response; its status.
+    /// Sends a request, waits for its response and returns the status.
     fn request(&mut self) -> std::io::Result<u16> {
         let mut stream = match self.idle.take() {
             Some(stream) => stream,
@@ -101,10 +101,10 @@
     }
 }
 
-/// The response, if all of it has been received.
+/// Returns the response if it has been received completely.
 fn parse_response(received: &[u8]) -> Option<Response> {
-    let start_of_end = received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END)?;
-    let head_length = start_of_end + HEAD_END.len();
+    let head_end_start = received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END)?;
+    let head_length = head_end_start + HEAD_END.len();
     let head = String::from_utf8_lossy(&received[..head_length]).to_ascii_lowercase();
     let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
     let body_length: usize = field("content-length:").and_then(|length| length.parse().ok()).unwrap_or(0);
--- a/crates/scenarios/src/measurement/disturbance/mod.rs
+++ b/crates/scenarios/src/measurement/disturbance/mod.rs
@@ -1,9 +1,9 @@
-//! What a flood of control connections and a takeover add to the times of requests, beside idle spans of the
-//! same run.
+//! Measures how much a flood of control connections and a takeover add to response times, compared with
+//! undisturbed spans of the same run.
 //!
-//! Clients send at a fixed rate, each on a connection of its own, and a request counts from the moment it
-//! was due. A connection that the proxy closes between two requests is opened again, as any client does; a
-//! request is lost if a second connection does not answer it either.
+//! Clients send requests at a fixed rate, each on a connection of its own, and the response time counts from
+//! the time at which the request was due. Like any client, they reconnect if the proxy closes a connection
+//! between two requests. A request is lost if it gets no response on a second connection either.
 
 mod client;
 mod totals;
@@ -19,30 +19,32 @@
 use std::time::{Duration, Instant};
 use totals::Totals;
 
-/// Clients that send requests.
+/// Number of clients that send requests.
 const CLIENTS: usize = 32;
-/// Servers behind the proxy.
+/// Number of servers behind the proxy.
 const SERVERS: usize = 12;
-/// Control connections that a flood keeps open at most.
+/// Maximum number of control connections that a flood keeps open.
 const MAX_FLOOD_CONNECTIONS: usize = 1_000;
-/// What control connections send, in turn: half a line, nonsense, two questions, nothing.
+/// Messages that the control connections send in turn: half a line, an invalid request, two
+/// requests, nothing.
 const FLOOD_MESSAGES: [&[u8]; 4] = [b"{\"state\"", b"nonsense\n", b"\"state\"\n\"state\"\n", b""];
-/// The span that counts for a takeover, whatever the settings: what it adds, it adds at once.
+/// Duration of the measured span of a takeover, independent of the settings: a takeover affects only the
+/// requests around it.
 const TAKEOVER_SPAN: Duration = Duration::from_secs(1);
 
-/// What happens beside the requests.
+/// The disturbance to which the proxy is exposed while requests are sent.
 #[derive(Clone, Copy)]
 enum Disturbance {
     None,
     ControlFlood,
     Takeover,
-    /// One span gives way to another: requests that are due then have no figures.
+    /// The transition between two spans. The response times of requests that are due then are not reported.
     Changing,
 }
 
-/// The disturbances that have figures.
+/// The disturbances for which response times are reported.
 const MEASURED: [Disturbance; 3] = [Disturbance::None, Disturbance::ControlFlood, Disturbance::Takeover];
-/// All values of [`Disturbance`].
+/// Number of variants of [`Disturbance`].
 const DISTURBANCES: usize = MEASURED.len() + 1;
 
 impl Disturbance {
@@ -56,10 +58,11 @@
     }
 }
 
-/// Measures; a text with a table of medians. `on_progress` gets lines for each round.
+/// Measures all disturbances and returns a text with a table of medians; `on_progress` is called with lines
+/// for each round.
 ///
 /// # Errors
-/// [`MeasurementError`] says which process or measurement failed.
+/// Returns [`MeasurementError`] if a process, a connection or a histogram fails.
 pub fn measure(
     settings: &MeasurementSettings,
     on_progress: &mut dyn FnMut(&str),
@@ -74,9 +77,9 @@
     Ok(totals.text(experiment.control_connections))
 }
 
-/// What the clients of a round read.
+/// The state that the clients of a round read.
 struct RoundState {
-    /// The [`Disturbance`] of the present span.
+    /// The [`Disturbance`] of the current span, as its number.
     disturbance: AtomicUsize,
     stop: AtomicBool,
 }
@@ -87,7 +90,7 @@
     }
 }
 
-/// The proxy and what disturbs it; its control socket is removed when this is dropped.
+/// The measured proxy and the files with which it is disturbed. The control socket is removed on drop.
 struct Experiment<'a> {
     settings: &'a MeasurementSettings,
     script: PathBuf,
@@ -100,7 +103,7 @@
     fn start(settings: &'a MeasurementSettings) -> Result<Experiment<'a>, MeasurementError> {
         let servers = EchoServers::start(SERVERS)?;
         let site = stub_site::start(&servers.addresses)?;
-        // Paths of sockets are limited to about 100 bytes, so it is not in the output folder.
+        // The control socket is not in the output folder because socket paths are limited to about 100 bytes.
         let control = std::env::temp_dir().join(format!("vs-q{}", std::process::id()));
         let state = settings.out.join("state");
         let options = format!("state_dir = \"{}\", control = \"{}\"", state.display(), control.display());
@@ -109,7 +112,7 @@
         Ok(Experiment { settings, script, control, proxy, control_connections: 0 })
     }
 
-    /// One round: an idle span, a flood and a takeover, under the same load.
+    /// Runs one round under constant load: an undisturbed span, a flood and a takeover.
     fn run_round(&mut self) -> Result<Vec<ClientFigures>, MeasurementError> {
         let state = RoundState {
             disturbance: AtomicUsize::new(Disturbance::Changing as usize),
@@ -163,20 +166,20 @@
     }
 }
 
-/// Connects over and over for one span; how many connections it made.
+/// Opens control connections repeatedly for one span and returns how many it opened.
 fn flood_control(control: &Path, span: Duration) -> usize {
     let end = Instant::now() + span;
     let mut open = Vec::new();
-    let mut made = 0;
+    let mut opened = 0;
     while Instant::now() < end {
         if open.len() >= MAX_FLOOD_CONNECTIONS {
             open.clear();
         }
         if let Ok(mut stream) = UnixStream::connect(control) {
-            let _ = stream.write_all(FLOOD_MESSAGES[made % FLOOD_MESSAGES.len()]);
+            let _ = stream.write_all(FLOOD_MESSAGES[opened % FLOOD_MESSAGES.len()]);
             open.push(stream);
-            made += 1;
+            opened += 1;
         }
     }
-    made
+    opened
 }
--- a/crates/scenarios/src/measurement/disturbance/totals.rs
+++ b/crates/scenarios/src/measurement/disturbance/totals.rs
@@ -1,4 +1,4 @@
-//! The figures of all rounds, and their table.
+//! Collects the measurements of all rounds and formats them as a table.
 
 use super::client::ClientFigures;
 use super::{DISTURBANCES, Disturbance, MEASURED};
@@ -6,16 +6,16 @@
 use crate::measurement::{MeasurementError, median};
 use std::fmt::Write;
 
-/// Response times of one round and disturbance, in milliseconds.
+/// Response times in one round under one disturbance, in milliseconds.
 struct RoundTimes {
     p50: f64,
     p99: f64,
     max: f64,
 }
 
-/// The figures of all rounds.
+/// The measurements of all rounds.
 pub(super) struct Totals {
-    /// By disturbance, then by round.
+    /// Response times by disturbance, then by round.
     times: [Vec<RoundTimes>; MEASURED.len()],
     rejected: [u64; DISTURBANCES],
     requests: u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds what the clients of a round saw.
+    /// Adds the measurements of the clients of one round.
     pub fn add_round(
         &mut self,
         round: usize,
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// The table of medians.
+    /// Formats the table of medians.
     pub fn text(&self, control_connections: usize) -> String {
         let mut text = String::from(
             "| ms, medians | p50 | p99 | worst | refused, all rounds |\n| --- | --- | --- | --- | --- |\n",
--- a/crates/scenarios/src/measurement/echo_servers.rs
+++ b/crates/scenarios/src/measurement/echo_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that answer each request at once with a few bytes, so that the proxy is what is measured.
+//! Servers that answer each request immediately with a few bytes, so that the cost of the proxy dominates the
+//! measurement.
 
 use super::MeasurementError;
 use calloop::generic::Generic;
@@ -10,34 +11,36 @@
 use std::time::Duration;
 use violetseam_event_io::{ReadOutcome, Socket};
 
-/// What ends the head of a request or response.
+/// The bytes that end the head of a request or response.
 pub(super) const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The response to each request.
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfine";
-/// How the bytes of a complete response end.
+/// The bytes with which a complete response ends.
 pub(super) const RESPONSE_END: &[u8] = b"\r\n\r\nfine";
-/// Bytes that are read from a connection at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Running servers; they end with the process.
+/// Running servers, which end with the process.
 pub(super) struct EchoServers {
     /// Their addresses.
     pub addresses: Vec<SocketAddr>,
-    /// While this is set, they take requests and send no responses.
+    /// While this is set, the servers read requests but send no responses.
     pub silent: Arc<AtomicBool>,
 }
 
 impl EchoServers {
-    /// Starts so many servers on one thread.
+    /// Starts `count` servers on one thread.
     pub fn start(count: usize) -> Result<EchoServers, MeasurementError> {
         let bind = |_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let listeners: Vec<TcpListener> =
-            (0..count).map(bind).collect::<Result<_, _>>().map_err(MeasurementError::io("echo servers"))?;
+        let listeners: Vec<TcpListener> = (0..count)
+            .map(bind)
+            .collect::<Result<_, _>>()
+            .map_err(MeasurementError::io("listening as echo servers"))?;
         let addresses = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<Result<_, _>>()
-            .map_err(MeasurementError::io("echo servers"))?;
+            .map_err(MeasurementError::io("listening as echo servers"))?;
         let silent = Arc::new(AtomicBool::new(false));
         let servers = EchoServers { addresses, silent: silent.clone() };
         std::thread::spawn(move || EchoLoop::run(listeners, silent));
@@ -45,7 +48,7 @@
     }
 }
 
-/// A connection and what of its next request has been read.
+/// A connection and the received part of its next request.
 struct Connection {
     socket: Socket,
     received: Vec<u8>,
@@ -111,7 +114,7 @@
 }
 
 impl Connection {
-    /// Takes all complete requests and, unless silent, writes a response to each.
+    /// Consumes all complete requests and, unless `silent`, writes a response to each.
     fn respond(&mut self, silent: bool) {
         while let Some(start) = self.received.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
             self.received.drain(..start + HEAD_END.len());
--- a/crates/scenarios/src/measurement/error.rs
+++ b/crates/scenarios/src/measurement/error.rs
@@ -1,70 +1,70 @@
-//! Why a measurement failed.
+//! Errors of a measurement.
 
 use std::io;
 use thiserror::Error;
 
-/// Why a measurement failed.
+/// The reason why a measurement failed.
 #[derive(Debug, Error)]
 pub enum MeasurementError {
     /// A file, process or socket failed.
     #[error("{operation}: {source}")]
     Io {
-        /// What was tried, and on what.
+        /// The operation that failed, and its object.
         operation: String,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
     /// The event loop of the load generator failed.
-    #[error("the load generator's event loop: {source}")]
+    #[error("the event loop of the load generator failed: {source}")]
     EventLoop {
         /// The loop's error.
         #[from]
         source: calloop::Error,
     },
-    /// No histogram of response times could be made.
-    #[error("a histogram of response times: {source}")]
+    /// A histogram of response times could not be created.
+    #[error("could not create a histogram of response times: {source}")]
     Histogram {
         /// The histogram's error.
         #[from]
         source: hdrhistogram::CreationError,
     },
     /// The histograms of two clients could not be added.
-    #[error("the sum of two histograms: {source}")]
+    #[error("could not add the response times of two clients: {source}")]
     HistogramSum {
         /// The histogram's error.
         #[from]
         source: hdrhistogram::AdditionError,
     },
     /// A proxy did not print its address when it started.
-    #[error("a proxy printed no address but {line:?}")]
+    #[error("expected a started proxy to print its address, but it printed {line:?}")]
     NoAddress {
-        /// What it printed instead.
+        /// The line that it printed instead.
         line: String,
     },
     /// A proxy whose sockets were taken over ended with an error.
-    #[error("the old process left something open")]
+    #[error("the process whose sockets were taken over exited with an error")]
     UncleanTakeover,
-    /// Some daemons did not learn the release status in time.
-    #[error("the daemons did not come up")]
+    /// Some daemons did not receive the release status in time.
+    #[error("not all daemons received the release status in time")]
     DaemonsNotReady,
-    /// Fewer or more daemons than expected applied a command.
-    #[error("round {round}: {applied} of {expected} agreed")]
+    /// The number of daemons that applied a command, or of their responses, was not the expected one.
+    #[error("round {round}: {applied} of {expected} daemons agreed")]
     NotAllApplied {
-        /// The round, from 0.
+        /// Index of the round, from 0.
         round: usize,
-        /// How many did.
+        /// Number of daemons that applied it.
         applied: usize,
-        /// How many should.
+        /// Number of daemons that should have applied it.
         expected: usize,
     },
-    /// A daemon that was killed and started again did not show the pause that it had.
-    #[error("a killed daemon did not come back paused")]
+    /// A daemon that was killed and restarted did not restore its pause in time.
+    #[error("a killed and restarted daemon did not restore its pause in time")]
     PauseNotRestored,
 }
 
 impl MeasurementError {
-    /// Adds to an I/O error what was tried, and on what.
+    /// Wraps an I/O error together with the operation that failed.
     pub(crate) fn io(operation: impl Into<String>) -> impl FnOnce(io::Error) -> MeasurementError {
         let operation = operation.into();
         move |source| MeasurementError::Io { operation, source }
--- a/crates/scenarios/src/measurement/fleet_tool.rs
+++ b/crates/scenarios/src/measurement/fleet_tool.rs
@@ -1,4 +1,5 @@
-//! What the fleet tool takes: many local daemons, one of them frozen, one killed and started again.
+//! Measures the response times of the fleet tool with many local daemons, and with a small fleet of which one
+//! daemon is frozen, or killed and restarted.
 
 use super::echo_servers::EchoServers;
 use super::{MeasurementError, MeasurementSettings, median, milliseconds, stub_site};
@@ -11,40 +12,40 @@
 use violetseam_operator_commands::Action;
 use violetseam_settings::Member;
 
-/// How long all daemons may take until they have learned the release status.
+/// Time limit for all daemons to receive the release status.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Between two looks whether they have.
+/// Interval at which their states are polled meanwhile.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// For the state of a daemon that starts.
+/// Timeout for reading the state of a daemon that is starting.
 const START_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// For a call to a daemon that runs.
+/// Timeout of a call to a running daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// For a call where one daemon does not answer.
+/// Timeout of a call in a fleet of which one daemon may not respond.
 const FROZEN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Calls that the tool makes at once.
+/// Maximum number of concurrent calls of the tool.
 const PARALLEL_CALLS: usize = 64;
-/// How long a pause lasts, in microseconds.
+/// Duration of a pause, in microseconds.
 const PAUSE_SPAN: u64 = 600_000_000;
-/// How long a command may be on its way.
+/// Validity of a command after it was issued.
 const COMMAND_VALIDITY: Duration = Duration::from_secs(30);
-/// Daemons of which one is frozen or killed.
+/// Number of daemons in the fleet of which one is frozen or killed.
 const SMALL_FLEET: usize = 20;
-/// The one that is frozen.
+/// Index of the daemon that is frozen.
 const FROZEN_DAEMON: usize = 7;
-/// The one that is killed.
+/// Index of the daemon that is killed.
 const KILLED_DAEMON: usize = 0;
-/// From the end of one round beside a frozen daemon to the next.
-const THAW_SPAN: Duration = Duration::from_millis(50);
-/// How long a killed daemon may take until it is paused again.
+/// Delay after each round with a frozen daemon, in which that daemon continues.
+const RESUME_SPAN: Duration = Duration::from_millis(50);
+/// Time limit for a killed and restarted daemon to restore its pause.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two looks whether it is.
+/// Interval at which its state is polled meanwhile.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Measures `daemons` daemons, then twenty with one frozen and one killed; a text with medians. `on_progress`
-/// gets a line for each round.
+/// Measures a fleet of `daemons` daemons, then one of twenty of which one daemon is frozen and later another
+/// killed. Returns a text with medians; `on_progress` is called with a line for each round.
 ///
 /// # Errors
-/// [`MeasurementError`] says which process or measurement failed.
+/// Returns [`MeasurementError`] if a process fails or a daemon does not apply a command as expected.
 pub fn measure(
     settings: &MeasurementSettings,
     daemons: usize,
@@ -58,7 +59,7 @@
     Ok(text)
 }
 
-/// Running daemons; they are killed when this is dropped.
+/// Running daemons, which are killed on drop.
 struct Daemons {
     settings: MeasurementSettings,
     site: SocketAddr,
@@ -78,7 +79,8 @@
         Ok(daemons)
     }
 
-    /// Paths of sockets are limited to about 100 bytes, so they are not in the output folder.
+    /// Returns the path of a control socket. It is not in the output folder because socket paths are limited
+    /// to about 100 bytes.
     fn control_path(&self, index: usize) -> PathBuf {
         std::env::temp_dir().join(format!("vs-m{}-{index}", std::process::id()))
     }
@@ -95,10 +97,10 @@
             .arg(&file)
             .stdout(Stdio::null())
             .spawn()
-            .map_err(MeasurementError::io(self.settings.program.display().to_string()))
+            .map_err(MeasurementError::io(format!("starting {}", self.settings.program.display())))
     }
 
-    /// The first `count` daemons, as the fleet tool sees them.
+    /// Returns the first `count` daemons as a fleet of the fleet tool.
     fn fleet_of(&self, count: usize, timeout: Duration) -> Fleet {
         let member = |index: usize| Member {
             name: format!("d{index}"),
@@ -113,7 +115,7 @@
         self.fleet_of(self.children.len(), timeout)
     }
 
-    /// Waits until each has learned the release status.
+    /// Waits until each daemon has received the release status.
     fn wait_until_ready(&self) -> Result<(), MeasurementError> {
         let fleet = self.fleet(START_CALL_TIMEOUT);
         let deadline = Instant::now() + START_TIMEOUT;
@@ -132,11 +134,12 @@
 
     fn signal(&self, index: usize, signal: Signal) -> Result<(), MeasurementError> {
         let Some(pid) = Pid::from_raw(self.children[index].id() as i32) else { return Ok(()) };
-        kill_process(pid, signal)
-            .map_err(|error| MeasurementError::io(format!("signal to daemon {index}"))(error.into()))
+        kill_process(pid, signal).map_err(|error| {
+            MeasurementError::io(format!("sending a signal to daemon {index}"))(error.into())
+        })
     }
 
-    /// Kills a daemon and starts it again; when it was started.
+    /// Kills and restarts a daemon; returns the time of the restart.
     fn restart(&mut self, index: usize) -> Result<Instant, MeasurementError> {
         let _ = self.children[index].kill();
         let _ = self.children[index].wait();
@@ -158,8 +161,8 @@
     }
 }
 
-/// A pause sent to a fleet: its report, and when each response came. The tool reads all states before it
-/// sends the command, so that the responses to the command are the second half.
+/// A pause command sent to a fleet, with its report and the time of each response. The tool reads the states
+/// of all daemons before it sends the command, so the second half of the responses belongs to the command.
 struct TimedCommand {
     report: CommandReport,
     response_times: Vec<Duration>,
@@ -242,7 +245,7 @@
         let first = command.response_times[others];
         let last = command.response_times[2 * others - 1];
         command_spans.push(milliseconds(last - first));
-        std::thread::sleep(THAW_SPAN);
+        std::thread::sleep(RESUME_SPAN);
     }
     Ok(format!(
         "20 daemons, one frozen, time-out 1 s: the report of all is complete after {:.0} ms, the nineteen's \
--- a/crates/scenarios/src/measurement/load_generator.rs
+++ b/crates/scenarios/src/measurement/load_generator.rs
@@ -1,4 +1,4 @@
-//! The client side of a measurement: a fixed number of connections, each with one request in flight at most.
+//! The client side of a measurement: a fixed number of connections, each with at most one request in flight.
 
 use super::echo_servers::RESPONSE_END;
 use super::{MeasurementError, REQUEST};
@@ -8,57 +8,57 @@
 use std::time::{Duration, Instant};
 use violetseam_event_io::{ReadOutcome, Socket, connect};
 
-/// The longest response time that the histogram distinguishes, in microseconds.
+/// Upper bound of the histogram of response times, in microseconds.
 const MAX_RESPONSE_TIME: u64 = 60_000_000;
-/// Significant digits of recorded times.
+/// Significant digits of recorded response times.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// From the start of the connections to the first request.
+/// Delay between opening the connections and the first request.
 const CONNECT_SPAN: Duration = Duration::from_millis(50);
-/// The longest turn of the loop of an unpaced load.
-const UNPACED_TURN: Duration = Duration::from_millis(10);
-/// Bytes that are read from a connection at once.
+/// Maximum wait for events in one iteration of the event loop of an unpaced load.
+const UNPACED_POLL_TIMEOUT: Duration = Duration::from_millis(10);
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4_096;
 
-/// An empty histogram of response times in microseconds.
+/// Returns an empty histogram of response times in microseconds.
 pub(super) fn response_times() -> Result<Histogram<u64>, MeasurementError> {
     Ok(Histogram::new_with_bounds(1, MAX_RESPONSE_TIME, HISTOGRAM_DIGITS)?)
 }
 
-/// A response time in milliseconds, by its quantile.
+/// Returns the response time at a quantile, in milliseconds.
 pub(super) fn quantile_ms(times: &Histogram<u64>, quantile: f64) -> f64 {
     times.value_at_quantile(quantile) as f64 / 1e3
 }
 
-/// How a load is offered.
+/// The settings of a load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadSettings {
-    /// Where requests go.
+    /// The address to which requests are sent.
     pub address: SocketAddr,
-    /// How many connections send them.
+    /// Number of connections that send requests.
     pub connections: usize,
-    /// For how long they are counted; a tenth of it goes before, uncounted.
+    /// Duration of the counted part. An uncounted warm-up of a tenth of it precedes.
     pub span: Duration,
-    /// Requests a second; as many as go if not given. Paced requests that find no connection free count
-    /// from when they were due.
+    /// Requests per second, or `None` for as many as the connections allow. The response time of a paced
+    /// request that has to wait for a free connection counts from the time at which it was due.
     pub pace: Option<f64>,
 }
 
-/// What a load came to.
+/// The result of a load.
 #[derive(Clone, Debug)]
 pub(super) struct LoadResult {
-    /// Responses a second.
+    /// Responses per second.
     pub per_second: f64,
-    /// Half of the responses came within this, in milliseconds.
+    /// Median response time, in milliseconds.
     pub p50: f64,
-    /// 95% of them did.
+    /// 95th percentile of the response time, in milliseconds.
     pub p95: f64,
-    /// 99% of them did.
+    /// 99th percentile of the response time, in milliseconds.
     pub p99: f64,
     /// Requests lost to broken connections.
     pub broken: u64,
 }
 
-/// Offers a load and waits for its end.
+/// Offers a load, waits for its end and returns its result.
 pub(super) fn offer_load(settings: &LoadSettings) -> Result<LoadResult, MeasurementError> {
     let mut event_loop: EventLoop<'static, LoadGenerator> = EventLoop::try_new()?;
     let mut generator = LoadGenerator::new(settings, event_loop.handle())?;
@@ -72,23 +72,23 @@
             counted_from = Some(Instant::now());
             generator.times.reset();
         }
-        let turn = match settings.pace {
+        let poll_timeout = match settings.pace {
             None => {
                 generator.send_on_all_idle();
-                UNPACED_TURN
+                UNPACED_POLL_TIMEOUT
             }
             Some(rate) => {
                 generator.send_due(&mut next_due, Duration::from_secs_f64(1.0 / rate));
                 Duration::ZERO
             }
         };
-        event_loop.dispatch(turn, &mut generator)?;
+        event_loop.dispatch(poll_timeout, &mut generator)?;
     }
     let counted_from = counted_from.unwrap_or(warm_up_end);
     Ok(generator.result(counted_from.elapsed()))
 }
 
-/// A connection and its request.
+/// A connection and the state of its request.
 struct Connection {
     socket: Socket,
     received: Vec<u8>,
@@ -100,10 +100,10 @@
 struct LoadGenerator {
     handle: LoopHandle<'static, LoadGenerator>,
     connections: Vec<Connection>,
-    /// Indices of the connections without a request.
+    /// Indices of the connections without a request in flight.
     idle: Vec<usize>,
     paced: bool,
-    /// No request is sent after this.
+    /// The time after which no request is sent.
     until: Instant,
     times: Histogram<u64>,
     broken: u64,
@@ -116,7 +116,7 @@
     ) -> Result<LoadGenerator, MeasurementError> {
         let mut connections = Vec::new();
         for index in 0..settings.connections {
-            let operation = format!("connection to {}", settings.address);
+            let operation = format!("connecting to {}", settings.address);
             let stream = connect(settings.address).map_err(MeasurementError::io(operation.as_str()))?;
             let on_ready =
                 move |ready: Readiness, generator: &mut LoadGenerator| generator.on_ready(index, ready);
--- a/crates/scenarios/src/measurement/mod.rs
+++ b/crates/scenarios/src/measurement/mod.rs
@@ -1,4 +1,4 @@
-//! What the proxy and the operators' tools cost, measured on real processes.
+//! Measures the cost of the proxy and of the operators' tools on real processes.
 
 pub mod disturbance;
 mod echo_servers;
@@ -15,40 +15,41 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What is measured with and for how long.
+/// The settings of a measurement.
 #[derive(Clone, Debug)]
 pub struct MeasurementSettings {
-    /// The program that has `serve`.
+    /// Path of the program whose `serve` command runs a proxy.
     pub program: PathBuf,
-    /// Rounds; results are medians of them.
+    /// Number of rounds; the results are medians over them.
     pub rounds: usize,
-    /// Length of each part of a round.
+    /// Duration of each part of a round.
     pub span: Duration,
-    /// Requests a second of the paced part.
+    /// Request rate of the paced parts, per second.
     pub pace: f64,
-    /// Where settings and logs go.
+    /// Folder for settings and logs.
     pub out: PathBuf,
-    /// Further arguments of `serve`.
+    /// Additional arguments of `serve`.
     pub extra_args: Vec<String>,
 }
 
 impl MeasurementSettings {
     fn create_folder(&self) -> Result<(), MeasurementError> {
-        std::fs::create_dir_all(&self.out).map_err(MeasurementError::io(self.out.display().to_string()))
+        std::fs::create_dir_all(&self.out)
+            .map_err(MeasurementError::io(format!("creating the folder {}", self.out.display())))
     }
 
-    /// Writes a settings script into the folder; its path.
+    /// Writes a settings script into the output folder and returns its path.
     fn write_script(&self, name: &str, script: &str) -> Result<PathBuf, MeasurementError> {
         let path = self.out.join(format!("{name}.star"));
-        std::fs::write(&path, script).map_err(MeasurementError::io(path.display().to_string()))?;
+        std::fs::write(&path, script).map_err(MeasurementError::io(format!("writing {}", path.display())))?;
         Ok(path)
     }
 }
 
-/// One request of a measurement's clients.
+/// The request that the clients of a measurement send.
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\nhost: measure\r\n\r\n";
 
-/// The value in the middle, the higher of two; 0 if there is none.
+/// Returns the median: of an even number of values the higher one in the middle, of none 0.
 fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/scenarios/src/measurement/overhead.rs
+++ b/crates/scenarios/src/measurement/overhead.rs
@@ -1,7 +1,8 @@
-//! What the proxy costs: the same client side against a server directly and through the proxy, in one run.
+//! Measures the overhead of the proxy: in one run, the same load is sent to a server directly and through the
+//! proxy.
 //!
-//! Client side and servers have a thread each; the proxy is a process of its own and gets a core of its own
-//! if there is one.
+//! The client side and the servers have one thread each. The proxy is a process of its own and gets a core of
+//! its own if one is free.
 
 use super::echo_servers::EchoServers;
 use super::load_generator::{LoadSettings, offer_load};
@@ -15,26 +16,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Connections of the load without a pace.
+/// Number of connections of the unpaced load.
 const UNPACED_CONNECTIONS: usize = 64;
-/// Connections of the loads with a pace, one after another.
+/// Numbers of connections of the paced loads, which run one after another.
 const PACED_CONNECTIONS: [usize; 2] = [16, 256];
-/// The counted span of a load and the tenth of it that goes before.
-const LOAD_SPANS: f64 = 1.1;
-/// Deadline of requests where throughput and times are measured.
+/// Total duration of a load as a multiple of its counted span: the warm-up adds a tenth.
+const TOTAL_TO_COUNTED_SPAN: f64 = 1.1;
+/// Deadline of requests while throughput and response times are measured.
 const DEADLINE: &str = "2s";
-/// Connections whose memory is measured.
+/// Number of connections whose memory use is measured.
 const MEMORY_CONNECTIONS: usize = 5_000;
-/// Servers beside the measurement of memory.
+/// Number of servers behind the proxy while memory is measured.
 const MEMORY_SERVERS: usize = 12;
-/// Deadline of the requests that servers hold while memory is measured.
+/// Deadline of the requests that the servers leave unanswered while memory is measured.
 const MEMORY_DEADLINE: &str = "20s";
-/// Until the proxy has accepted all connections.
+/// Delay in which the proxy accepts all connections.
 const ACCEPT_SPAN: Duration = Duration::from_millis(500);
-/// Until the proxy has passed all requests on.
+/// Delay in which the proxy forwards all requests.
 const FORWARD_SPAN: Duration = Duration::from_millis(1_500);
 
-/// One column of the table: requests go directly, or through a proxy over so many servers.
+/// One column of the table: requests are sent directly, or through a proxy in front of `servers` servers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Route {
     Direct,
@@ -42,7 +43,7 @@
 }
 
 const ROUTES: [Route; 3] = [Route::Direct, Route::Proxied { servers: 12 }, Route::Proxied { servers: 76 }];
-/// Servers that run: as many as the largest of the routes has.
+/// Number of servers to start: as many as the route with the most servers needs.
 const MAX_SERVERS: usize = 76;
 
 impl fmt::Display for Route {
@@ -54,7 +55,7 @@
     }
 }
 
-/// One row of the table, in the order of the rows.
+/// One row of the table; the variants are in the order of the rows.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Metric {
     Throughput,
@@ -80,7 +81,7 @@
     }
 }
 
-/// The figures of all rounds.
+/// The measured values of all rounds.
 #[derive(Default)]
 struct Figures(BTreeMap<(Metric, Route), Vec<f64>>);
 
@@ -109,11 +110,11 @@
     }
 }
 
-/// Measures the proxy against direct connections; a table of medians. `on_progress` gets a line for each
-/// round.
+/// Measures the proxy against direct connections and returns a table of medians; `on_progress` is called with
+/// a line for each round.
 ///
 /// # Errors
-/// [`MeasurementError`] says which process or measurement failed.
+/// Returns [`MeasurementError`] if a process, a connection or the load generator fails.
 pub fn measure(
     settings: &MeasurementSettings,
     on_progress: &mut dyn FnMut(&str),
@@ -145,7 +146,7 @@
     Ok(table)
 }
 
-/// One round of one route; its requests a second.
+/// Measures one round of one route and returns its requests per second.
 fn measure_route(
     settings: &MeasurementSettings,
     route: Route,
@@ -165,7 +166,7 @@
     figures.add(route, Metric::Throughput, unpaced.per_second);
     if let Some(proxy) = &proxy {
         let cpu = proxy.cpu_seconds() - cpu_before;
-        let load_seconds = settings.span.as_secs_f64() * LOAD_SPANS;
+        let load_seconds = settings.span.as_secs_f64() * TOTAL_TO_COUNTED_SPAN;
         figures.add(route, Metric::CpuPerRequest, cpu / (unpaced.per_second * load_seconds) * 1e6);
         figures.add(route, Metric::CoresUsed, cpu / load_seconds);
     }
@@ -183,11 +184,11 @@
     Ok(unpaced.per_second)
 }
 
-/// What the proxy's memory grows by, in bytes.
+/// The growth of the proxy's resident memory, in bytes.
 struct MemoryUse {
-    /// For each idle connection of a client.
+    /// Growth per idle client connection.
     idle_connection: f64,
-    /// More for each request that a server holds.
+    /// Additional growth per request that a server leaves unanswered.
     held_request: f64,
 }
 
@@ -201,12 +202,12 @@
     let mut streams = (0..MEMORY_CONNECTIONS)
         .map(|_| TcpStream::connect(proxy.address))
         .collect::<Result<Vec<TcpStream>, _>>()
-        .map_err(MeasurementError::io(format!("{MEMORY_CONNECTIONS} connections")))?;
+        .map_err(MeasurementError::io(format!("opening {MEMORY_CONNECTIONS} connections to a proxy")))?;
     std::thread::sleep(ACCEPT_SPAN);
     let connected = proxy.resident_bytes();
     servers.silent.store(true, Ordering::Relaxed);
     for stream in &mut streams {
-        stream.write_all(REQUEST).map_err(MeasurementError::io("a request"))?;
+        stream.write_all(REQUEST).map_err(MeasurementError::io("sending a request to a proxy"))?;
     }
     std::thread::sleep(FORWARD_SPAN);
     let holding = proxy.resident_bytes();
--- a/crates/scenarios/src/measurement/proxy_process.rs
+++ b/crates/scenarios/src/measurement/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The proxy under measurement, as a process of its own.
+//! The measured proxy, which runs as a process of its own.
 
 use super::{MeasurementError, MeasurementSettings, stub_site};
 use crate::process;
@@ -9,27 +9,27 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// From the address of a proxy that it listens at, to its first request: it learns of the servers meanwhile.
-const SETTLE_SPAN: Duration = Duration::from_millis(300);
+/// Delay between the start of a proxy and its first request, in which it receives its list of servers.
+const DISCOVERY_SPAN: Duration = Duration::from_millis(300);
 
-/// A running proxy; it is killed when this is dropped.
+/// A running proxy process, which is killed on drop.
 pub(super) struct ProxyProcess {
     child: Child,
-    /// Where it takes requests.
+    /// The address at which it listens for requests.
     pub address: SocketAddr,
 }
 
-/// What a proxy prints of itself when it ends.
+/// The statistics that a proxy prints when it exits.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ModuleUse {
-    /// Seconds that it spent in the decision module.
+pub(super) struct ModuleStatistics {
+    /// Seconds spent in the decision module.
     pub seconds: f64,
-    /// Requests that it took.
+    /// Number of requests that the proxy received.
     pub requests: f64,
 }
 
 impl ProxyProcess {
-    /// Starts a proxy over these servers and waits until it is in service.
+    /// Starts a proxy in front of the given servers and waits for it to receive its server list.
     pub fn start(
         settings: &MeasurementSettings,
         name: &str,
@@ -41,7 +41,7 @@
         let mut args = vec!["--time-module".to_owned()];
         args.extend(settings.extra_args.iter().cloned());
         let proxy = ProxyProcess::spawn(&settings.program, &script, &args)?;
-        std::thread::sleep(SETTLE_SPAN);
+        std::thread::sleep(DISCOVERY_SPAN);
         Ok(proxy)
     }
 
@@ -53,13 +53,13 @@
             .args(args)
             .stdout(Stdio::piped())
             .spawn()
-            .map_err(MeasurementError::io(program.display().to_string()))?;
+            .map_err(MeasurementError::io(format!("starting {}", program.display())))?;
         let mut line = String::new();
         if let Some(stdout) = child.stdout.as_mut() {
-            // Whatever is read beyond the first line would be lost to `end`.
+            // With a larger buffer, output after the first line would be read here and missed by `end`.
             BufReader::with_capacity(1, stdout)
                 .read_line(&mut line)
-                .map_err(MeasurementError::io("a proxy's address"))?;
+                .map_err(MeasurementError::io("reading the address that a proxy prints"))?;
         }
         match line.trim().rsplit(' ').next().and_then(|word| word.parse().ok()) {
             Some(address) => Ok(ProxyProcess { child, address }),
@@ -71,24 +71,24 @@
         }
     }
 
-    /// Processor seconds that it has used.
+    /// Returns the CPU time that it has used, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         process::cpu_seconds(self.child.id()).unwrap_or(0.0)
     }
 
-    /// Its resident memory in bytes.
+    /// Returns its resident memory, in bytes.
     pub fn resident_bytes(&self) -> f64 {
         process::resident_bytes(self.child.id()).unwrap_or(0.0)
     }
 
-    /// Waits for its end; whether it ended without an error.
+    /// Waits for the process to exit and returns whether it exited without an error.
     pub fn wait(&mut self) -> Result<bool, MeasurementError> {
-        let status = self.child.wait().map_err(MeasurementError::io("the end of a proxy"))?;
+        let status = self.child.wait().map_err(MeasurementError::io("waiting for a proxy to exit"))?;
         Ok(status.success())
     }
 
-    /// Drains it; what it prints of itself.
-    pub fn end(mut self) -> ModuleUse {
+    /// Drains the proxy, waits for its exit and returns the statistics that it prints.
+    pub fn end(mut self) -> ModuleStatistics {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
             let _ = kill_process(pid, Signal::TERM);
         }
@@ -100,7 +100,7 @@
         let mut numbers = text.split_whitespace().filter_map(|word| word.parse().ok());
         let seconds = numbers.next().unwrap_or(0.0);
         let requests = numbers.next().unwrap_or(0.0);
-        ModuleUse { seconds, requests }
+        ModuleStatistics { seconds, requests }
     }
 }
 
--- a/crates/scenarios/src/measurement/recording.rs
+++ b/crates/scenarios/src/measurement/recording.rs
@@ -1,4 +1,4 @@
-//! What the flight recorder costs: the proxy's throughput with and without it, in turn.
+//! Measures the cost of the flight recorder: the throughput of the proxy without and with it, alternately.
 
 use super::echo_servers::EchoServers;
 use super::load_generator::{LoadSettings, offer_load};
@@ -7,21 +7,21 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Servers behind the proxy.
+/// Number of servers behind the proxy.
 const SERVERS: usize = 12;
-/// Connections of the load.
+/// Number of connections of the load.
 const CONNECTIONS: usize = 64;
 /// Deadline of the requests.
 const DEADLINE: &str = "2s";
 
-/// Requests a second with and without the recorder, medians of the rounds.
+/// Requests per second with and without the recorder, as medians over the rounds.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordingCost {
-    /// Without it.
+    /// Without the recorder.
     pub plain: f64,
-    /// With it.
+    /// With the recorder.
     pub recorded: f64,
-    /// The median of the rounds' ratios, recorded to plain.
+    /// The median of the ratio of `recorded` to `plain` in each round.
     pub ratio: f64,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Measures what recording costs; `on_progress` gets a line for each round.
+/// Measures the cost of recording; `on_progress` is called with a line for each round.
 ///
 /// # Errors
-/// [`MeasurementError`] says which process or measurement failed.
+/// Returns [`MeasurementError`] if a process or the load generator fails.
 pub fn measure(
     settings: &MeasurementSettings,
     on_progress: &mut dyn FnMut(&str),
@@ -64,7 +64,7 @@
     recording
 }
 
-/// Requests a second of a proxy that is started for this.
+/// Starts a proxy, measures its requests per second and stops it.
 fn throughput(settings: &MeasurementSettings, servers: &[SocketAddr]) -> Result<f64, MeasurementError> {
     let proxy = ProxyProcess::start(settings, "recording", servers, DEADLINE)?;
     let load =
--- a/crates/scenarios/src/measurement/stub_site.rs
+++ b/crates/scenarios/src/measurement/stub_site.rs
@@ -1,19 +1,23 @@
-//! Discovery and a release service that never have anything new, and the settings of proxies that use them.
+//! Stubs of discovery and of the release service, whose responses never change, and the settings of proxies
+//! that use them.
 
 use super::MeasurementError;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 
-/// The status of a release that has long ended.
+/// The status of a release that has ended.
 const RELEASE_STATUS: &str = r#"{"build":1,"stage":0,"phase":"released","cap":1.0}"#;
-/// The path at which discovery is asked.
+/// Prefix of the paths of discovery.
 const DISCOVERY_PATH: &str = "/v1/roster";
 
-/// Starts, on a thread, discovery that lists these servers and a release service whose status never changes;
-/// the address of both.
+/// Starts a thread that serves as discovery, which lists the given servers, and as release service, whose
+/// status never changes. Returns the address of both.
 pub(super) fn start(servers: &[SocketAddr]) -> Result<SocketAddr, MeasurementError> {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(MeasurementError::io("stub site"))?;
-    let address = listener.local_addr().map_err(MeasurementError::io("stub site"))?;
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .map_err(MeasurementError::io("listening as the stub of discovery and release service"))?;
+    let address = listener
+        .local_addr()
+        .map_err(MeasurementError::io("listening as the stub of discovery and release service"))?;
     let list = endpoint_list(servers);
     std::thread::spawn(move || serve(&listener, &list));
     Ok(address)
@@ -27,7 +31,7 @@
     format!(r#"{{"kind":"full","version":1,"servers":[{}]}}"#, endpoints.join(","))
 }
 
-/// Answers each watch with its first line; the connections stay open, as a watch does.
+/// Responds to each watch with its first line and keeps the connection open, as a watch requires.
 fn serve(listener: &TcpListener, list: &str) {
     let mut watches = Vec::new();
     for mut stream in listener.incoming().flatten() {
@@ -45,7 +49,7 @@
     stream.write_all(format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
 }
 
-/// The settings of a proxy over a site; `fleet_options` go into `fleet(...)`.
+/// Returns the settings of a proxy that uses the stubs; `fleet_options` are inserted into `fleet(...)`.
 pub(super) fn proxy_script(site: SocketAddr, fleet_options: &str, deadline: &str) -> String {
     format!(
         "fleet(name = \"measure\", size = 1, position = 0, {fleet_options})\n\
