--- a/crates/scenarios/src/bench_scenario/convert.rs
+++ b/crates/scenarios/src/bench_scenario/convert.rs
@@ -14,7 +14,7 @@
 pub(super) fn class(class: &BenchClass, notes: &mut Vec<String>) -> Result<ClassSpec, BenchScenarioError> {
     let idempotency = idempotency(class)?;
     if class.stream {
-        notes.push(format!("class {:?} is played with whole answers", class.name));
+        notes.push(format!("class {:?} is played with complete responses instead of streams", class.name));
     }
     Ok(ClassSpec {
         name: class.name.clone(),
@@ -48,7 +48,9 @@
 pub(super) fn clients(file: &BenchFile, notes: &mut Vec<String>) -> Clients {
     let clients = &file.clients;
     if clients.backoff == "exp" {
-        notes.push("clients' growing back-off is played with its first wait".into());
+        notes.push(
+            "the exponential backoff of clients is played as a constant backoff of its first delay".into(),
+        );
     }
     Clients {
         retries: clients.retries,
--- a/crates/scenarios/src/bench_scenario/faults.rs
+++ b/crates/scenarios/src/bench_scenario/faults.rs
@@ -23,7 +23,7 @@
     }
     let Some((kind, targets)) = kind_and_targets(fault) else {
         let seconds = fault.at as f64 / 1e6;
-        notes.push(format!("trouble {:?} from {seconds:.1} s on cannot be played here", fault.kind));
+        notes.push(format!("not played: fault {:?} from {seconds:.1} s on", fault.kind));
         return None;
     };
     let indices = fault.on.iter().copied();
--- a/crates/scenarios/src/bench_scenario/format.rs
+++ b/crates/scenarios/src/bench_scenario/format.rs
@@ -33,7 +33,7 @@
     pub rollout: BenchRollout,
 }
 
-/// How requests arrive.
+/// The request rate over time, and the keys of the requests.
 #[derive(Deserialize)]
 pub(super) struct BenchTraffic {
     pub load: f64,
@@ -43,7 +43,7 @@
     pub hint_cv: f64,
 }
 
-/// How clients behave.
+/// The behavior of the clients.
 #[derive(Deserialize)]
 pub(super) struct BenchClients {
     pub retries: u32,
@@ -153,7 +153,7 @@
     pub strength: f64,
 }
 
-/// How builds are rolled out.
+/// The rollout of builds.
 #[derive(Deserialize)]
 pub(super) struct BenchRollout {
     pub control: String,
--- a/crates/scenarios/src/bench_scenario/mod.rs
+++ b/crates/scenarios/src/bench_scenario/mod.rs
@@ -18,7 +18,7 @@
 const PLAYED_FAMILY: &str = "rollout";
 /// Parts of the bench's simulation that are never played, whatever the file contains.
 const NEVER_PLAYED: [&str; 3] =
-    ["load reports and probes", "connection handshakes' cost in server work", "list service's capacity"];
+    ["load reports and probes", "the server work of connection handshakes", "the capacity of discovery"];
 
 /// A scenario of the bench, converted to what can be played over sockets.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     scale.note(&mut notes);
     let scenario = convert_scenario(&file, &scale, &mut notes)?;
     if file.zones.len() > 1 {
-        notes.push("not played: time between zones".into());
+        notes.push("not played: network latency between zones".into());
     }
     Ok(BenchScenario { scenario, scale: scale.ratio, notes })
 }
--- a/crates/scenarios/src/bench_scenario/scale.rs
+++ b/crates/scenarios/src/bench_scenario/scale.rs
@@ -47,11 +47,14 @@
     pub fn note(&self, notes: &mut Vec<String>) {
         if self.proxies < self.file_proxies {
             let Scale { proxies, file_proxies, .. } = self;
-            notes.push(format!("{proxies} of {file_proxies} proxies, each with more of the traffic"));
+            notes.push(format!(
+                "{proxies} of {file_proxies} proxies, each with a larger share of the traffic"
+            ));
         }
         if self.servers < self.file_servers {
             let Scale { servers, file_servers, .. } = self;
-            notes.push(format!("{servers} of {file_servers} servers and as little traffic"));
+            notes
+                .push(format!("{servers} of {file_servers} servers, with the traffic reduced in proportion"));
         }
     }
 
--- a/crates/scenarios/src/measurement/disturbance/mod.rs
+++ b/crates/scenarios/src/measurement/disturbance/mod.rs
@@ -71,8 +71,8 @@
     let mut experiment = Experiment::start(settings)?;
     let mut totals = Totals::new();
     for round in 1..=settings.rounds {
-        let round_figures = experiment.run_round()?;
-        totals.add_round(round, &round_figures, on_progress)?;
+        let client_figures = experiment.run_round()?;
+        totals.add_round(round, &client_figures, on_progress)?;
     }
     Ok(totals.text(experiment.control_connections))
 }
@@ -122,11 +122,11 @@
         let interval = Duration::from_secs_f64(CLIENTS as f64 / self.settings.pace);
         std::thread::scope(|scope| {
             let state = &state;
-            let spawn = |index: usize| {
+            let spawn_client = |index: usize| {
                 let offset = interval.mul_f64(index as f64 / CLIENTS as f64);
                 scope.spawn(move || run_client(address, offset, interval, state))
             };
-            let clients: Vec<_> = (0..CLIENTS).map(spawn).collect();
+            let clients: Vec<_> = (0..CLIENTS).map(spawn_client).collect();
             std::thread::sleep(self.settings.span / 4);
             let disturbed = self.disturb(state);
             state.stop.store(true, Ordering::Relaxed);
--- a/crates/scenarios/src/playback.rs
+++ b/crates/scenarios/src/playback.rs
@@ -108,9 +108,7 @@
 
     fn start_controller(&mut self) -> Result<(), ScenarioRunError> {
         match &mut self.controller {
-            Some(controller) => {
-                controller.spawn().map_err(ScenarioRunError::io("restarting the release controller"))
-            }
+            Some(controller) => controller.spawn().map_err(ScenarioRunError::io("restarting the controller")),
             None => Ok(()),
         }
     }
@@ -119,19 +117,21 @@
 fn describe_fault(fault: ProcessFault) -> String {
     match fault {
         ProcessFault::KillProxy(position) => format!("proxy {position} is killed"),
-        ProcessFault::StartProxy(position) => format!("proxy {position} is started again"),
-        ProcessFault::SuspendProxy(position) => format!("proxy {position} is stopped"),
-        ProcessFault::ResumeProxy(position) => format!("proxy {position} goes on"),
-        ProcessFault::DuplicateProxy(position) => format!("a second process starts as proxy {position}"),
-        ProcessFault::TakeOverProxy(position) => format!("proxy {position} is taken over"),
+        ProcessFault::StartProxy(position) => format!("proxy {position} is restarted"),
+        ProcessFault::SuspendProxy(position) => format!("proxy {position} is suspended"),
+        ProcessFault::ResumeProxy(position) => format!("proxy {position} is resumed"),
+        ProcessFault::DuplicateProxy(position) => {
+            format!("a second process is started under the identity of proxy {position}")
+        }
+        ProcessFault::TakeOverProxy(position) => format!("a new process takes over from proxy {position}"),
         ProcessFault::KillController => "the controller is killed".to_owned(),
-        ProcessFault::StartController => "the controller is started again".to_owned(),
+        ProcessFault::StartController => "the controller is restarted".to_owned(),
     }
 }
 
 fn describe_counts(progress: &Progress) -> String {
     format!(
-        "{} requests, {} served in time, tries refused {}, failed {}",
+        "{} requests, {} served in time; attempts: {} rejected, {} failed",
         progress.requests.load(Ordering::Relaxed),
         progress.in_time.load(Ordering::Relaxed),
         progress.rejected.load(Ordering::Relaxed),
