--- a/crates/scenarios/src/playback.rs
+++ b/crates/scenarios/src/playback.rs
@@ -120,9 +120,7 @@
         ProcessFault::StartProxy(position) => format!("proxy {position} is restarted"),
         ProcessFault::SuspendProxy(position) => format!("proxy {position} is suspended"),
         ProcessFault::ResumeProxy(position) => format!("proxy {position} is resumed"),
-        ProcessFault::DuplicateProxy(position) => {
-            format!("a second process is started under the identity of proxy {position}")
-        }
+        ProcessFault::DuplicateProxy(position) => format!("a second process is started as proxy {position}"),
         ProcessFault::TakeOverProxy(position) => format!("a new process takes over from proxy {position}"),
         ProcessFault::KillController => "the controller is killed".to_owned(),
         ProcessFault::StartController => "the controller is restarted".to_owned(),
