--- a/crates/scenarios/src/bench_scenario/convert.rs
+++ b/crates/scenarios/src/bench_scenario/convert.rs
@@ -1,4 +1,4 @@
-//! From the parts of a file to the parts of a scenario.
+//! Converts the parts of a bench file to the parts of a scenario, except for servers and faults.
 
 use super::BenchScenarioError;
 use super::format::{BenchClass, BenchDiscovery, BenchFile, BenchRelease, BenchRollout};
@@ -6,15 +6,15 @@
     BuildDefect, ClassSpec, Clients, DiscoveryDelays, GateMode, Idempotency, Release, Rollout, ServiceRules,
 };
 
-/// How long past its deadline a request may be answered, in microseconds: the bench's rule.
+/// Time after its deadline within which a request may still be answered, in microseconds, as in the bench.
 const DEADLINE_GRACE: u64 = 20_000;
-/// The longest time between two queries of the endpoint list, in microseconds: the bench's rule.
+/// Maximum time between two queries of the endpoint list, in microseconds, as in the bench.
 const MAX_POLL_INTERVAL: u64 = 10_000_000;
 
 pub(super) fn class(class: &BenchClass, notes: &mut Vec<String>) -> Result<ClassSpec, BenchScenarioError> {
     let idempotency = idempotency(class)?;
     if class.stream {
-        notes.push(format!("class {:?} is played with whole answers", class.name));
+        notes.push(format!("class {:?} is played with complete responses instead of streams", class.name));
     }
     Ok(ClassSpec {
         name: class.name.clone(),
@@ -48,7 +48,9 @@
 pub(super) fn clients(file: &BenchFile, notes: &mut Vec<String>) -> Clients {
     let clients = &file.clients;
     if clients.backoff == "exp" {
-        notes.push("clients' growing back-off is played with its first wait".into());
+        notes.push(
+            "the exponential backoff of clients is played as a constant backoff of its first delay".into(),
+        );
     }
     Clients {
         retries: clients.retries,
