--- a/crates/simulated-site/src/model/release_service/mod.rs
+++ b/crates/simulated-site/src/model/release_service/mod.rs
@@ -1,8 +1,10 @@
-//! The simulated release service: offers builds in stages, counts votes, starts and drains servers.
+//! The simulated release service. It offers builds in stages, counts the proxies' votes, and starts and
+//! drains servers.
 //!
-//! Servers stand in places. A stage wants the new build in its share of them; the previous server of a
-//! place stays until the release, or drains once its successor runs, as the rollout says. A build that is
-//! rolled back is replaced by the previous one, which is started again where it has ended.
+//! Each server occupies a place. A stage runs the new build in a share of the places. Depending on the
+//! rollout, the server of the previous build either stays in its place until the release, or drains once the
+//! server of the new build runs. When a build is rolled back, servers of the previous build replace it; they
+//! are started again in the places where they have stopped.
 
 mod pool;
 mod rollback;
@@ -17,38 +19,38 @@
 use violetseam_site_protocol::release_service::{PhaseName, ReleaseUpdate, VerdictName, Vote, VoteOutcome};
 use votes::{VoteRateLimit, Votes, is_for_any_stage, matches_status};
 
-/// What became of a build.
+/// The history of a build that was offered. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BuildOutcome {
     /// The build.
     pub build: u16,
-    /// When it was offered.
+    /// When the build was offered.
     pub offered_at: u64,
-    /// When it was released.
+    /// When the build was released, if it was.
     pub released_at: Option<u64>,
-    /// When it was rolled back or withdrawn.
+    /// When the build was rolled back or withdrawn, if it was.
     pub rolled_back_at: Option<u64>,
 }
 
 impl BuildOutcome {
-    /// A build that is offered now.
+    /// Creates the history of a build that is offered now.
     pub fn offered(build: u16, now: u64) -> Self {
         BuildOutcome { build, offered_at: now, released_at: None, rolled_back_at: None }
     }
 }
 
-/// The release service.
+/// The simulated release service.
 #[derive(Debug)]
 pub struct ReleaseService {
     plan: Rollout,
     releases: Vec<Release>,
-    /// How many of the releases have been offered.
+    /// Number of releases that have been offered so far.
     offered: usize,
     proxies: usize,
     places: usize,
     pool: ServerPool,
     status: ReleaseUpdate,
-    /// The build that runs everywhere before the newest.
+    /// The build that a rollback of the current one restores.
     previous_build: u16,
     clock: StageClock,
     votes: Votes,
@@ -57,7 +59,7 @@
 }
 
 impl ReleaseService {
-    /// A service whose places all run the first build.
+    /// Creates a service in which every place runs the first build.
     pub fn new(plan: Rollout, releases: Vec<Release>, proxies: usize, places: usize) -> Self {
         let build = plan.first_build;
         ReleaseService {
@@ -76,17 +78,18 @@
         }
     }
 
-    /// The present release status.
+    /// The current release status.
     pub fn status(&self) -> ReleaseUpdate {
         self.status
     }
 
-    /// What became of each build.
+    /// The history of each build that has been offered, in the order of the offers.
     pub fn outcomes(&self) -> &[BuildOutcome] {
         &self.outcomes
     }
 
-    /// Does what is due. `is_down`: the service does nothing but what the platform does by itself.
+    /// Performs all work that is due and appends commands for the servers. While the service is down
+    /// (`is_down`), only the platform's own work goes on: servers that start or drain finish doing so.
     pub fn advance(&mut self, now: u64, is_down: bool, commands: &mut Vec<ServerCommand>) {
         commands.extend(self.pool.advance(now).into_iter().map(ServerCommand::from));
         if is_down {
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Offers the next build once its time has come. A build on trial makes way for it.
+    /// Offers the next build once its time has come and all servers are running. A build that is still on
+    /// trial then is rolled back first.
     fn offer_next(&mut self, now: u64) {
         let is_due = self.releases.get(self.offered).is_some_and(|release| release.at <= now);
         if !is_due {
@@ -143,8 +147,8 @@
         self.votes.clear();
     }
 
-    fn launch(&mut self, now: u64, place: usize, build: u16) {
-        self.pool.launch(place, build, now + self.plan.startup_time);
+    fn start_server(&mut self, now: u64, place: usize, build: u16) {
+        self.pool.start(place, build, now + self.plan.startup_time);
     }
 
     fn drain(&mut self, now: u64, server: u64, commands: &mut Vec<ServerCommand>) {
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Drains each server of one build whose place has a running server of another.
+    /// Drains each server of the build `old` whose place also has a running server of the build `new`.
     fn drain_replaced(&mut self, now: u64, old: u16, new: u16, commands: &mut Vec<ServerCommand>) {
         let running = self.pool.iter().filter(|(_, server)| server.build == new && server.is_running());
         let places: Vec<usize> = running.map(|(_, server)| server.place).collect();
@@ -168,7 +172,8 @@
         self.has_votes(VerdictName::Back, self.plan.votes_to_roll_back)
     }
 
-    /// Whether enough proxies vote so: one under [`GateMode::Any`], otherwise a share of all proxies.
+    /// Whether enough proxies have voted for a verdict: one proxy under [`GateMode::Any`], otherwise the
+    /// given share of all proxies.
     fn has_votes(&self, verdict: VerdictName, share: f64) -> bool {
         let needed = match self.plan.gate {
             GateMode::Any => 1,
@@ -177,7 +182,8 @@
         self.votes.count(verdict, &self.status) >= needed
     }
 
-    /// Counts a vote.
+    /// Records a proxy's vote, or removes the recorded one if the verdict is to withdraw it. Votes above the
+    /// rate limit, from unknown proxies or without any effect are not recorded.
     pub fn vote(&mut self, now: u64, vote: &Vote) -> VoteOutcome {
         if !self.rate_limit.try_take(now) {
             return VoteOutcome::RateLimited;
@@ -196,7 +202,7 @@
         VoteOutcome::Ok
     }
 
-    /// Whether a vote can still have an effect.
+    /// Whether a vote can have an effect under this gate, in the current phase and for the current status.
     fn is_vote_open(&self, vote: &Vote) -> bool {
         let is_timer = self.plan.gate == GateMode::Timer;
         let fits_gate = match vote.verdict {
@@ -213,7 +219,7 @@
     }
 }
 
-/// The status before any build is offered.
+/// The release status before any build is offered: `build` is released.
 pub fn initial_status(build: u16) -> ReleaseUpdate {
     ReleaseUpdate { build, stage: 0, phase: PhaseName::Released, cap: 1.0, fence: 0 }
 }
--- a/crates/simulated-site/src/model/release_service/pool.rs
+++ b/crates/simulated-site/src/model/release_service/pool.rs
@@ -1,62 +1,63 @@
-//! The servers of a platform: each stands in a place, starts, runs, drains and ends.
+//! The servers that the simulated platform runs. Each server occupies a place, and starts, runs, drains and
+//! stops.
 
 use std::collections::BTreeMap;
 
-/// Where a server is in its life.
+/// The lifecycle state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It runs from a time on.
+    /// The server is starting and does not run yet.
     Starting {
-        /// That time.
+        /// When the server runs.
         until: u64,
     },
-    /// It runs.
+    /// The server runs.
     Running,
-    /// It finishes its requests, and ends at a time.
+    /// The server finishes its requests in flight and takes no new ones.
     Draining {
-        /// That time.
+        /// When the server stops.
         until: u64,
     },
 }
 
-/// A server in its place.
+/// A server of the pool, with the place that it occupies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PooledServer {
     /// Index of the place.
     pub place: usize,
-    /// The build that it runs.
+    /// The build that the server runs.
     pub build: u16,
-    /// Where it is in its life.
+    /// The server's lifecycle state.
     pub lifecycle: Lifecycle,
 }
 
 impl PooledServer {
-    /// Whether it runs and is not draining.
+    /// Whether the server runs and is not draining.
     pub fn is_running(&self) -> bool {
         self.lifecycle == Lifecycle::Running
     }
 
-    /// Whether it drains.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         matches!(self.lifecycle, Lifecycle::Draining { .. })
     }
 
-    /// Whether it has not run yet.
+    /// Whether the server is still starting.
     pub fn is_starting(&self) -> bool {
         matches!(self.lifecycle, Lifecycle::Starting { .. })
     }
 }
 
-/// A server whose start or drain is over.
+/// A server that has finished starting or draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// Its id.
+    /// The server's id.
     pub id: u64,
-    /// The server as it is now; draining, if it has ended.
+    /// The server's state now: `Running` after its start, still `Draining` if it has stopped.
     pub server: PooledServer,
 }
 
-/// All servers, by id.
+/// All servers of the platform, by id.
 #[derive(Debug)]
 pub struct ServerPool {
     servers: BTreeMap<u64, PooledServer>,
@@ -64,43 +65,44 @@
 }
 
 impl ServerPool {
-    /// One running server for each place, with ids 1, 2 and so on.
+    /// Creates a pool with one running server in each place. The ids count up from 1.
     pub fn running(places: usize, build: u16) -> Self {
         let running = |place| PooledServer { place, build, lifecycle: Lifecycle::Running };
         let servers = (0..places).map(|place| (place as u64 + 1, running(place))).collect();
         ServerPool { servers, next_id: places as u64 + 1 }
     }
 
-    /// All servers, in the order of their ids.
+    /// Iterates over all servers in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &PooledServer)> {
         self.servers.iter().map(|(id, server)| (*id, server))
     }
 
-    /// Servers of a build that are not draining.
+    /// Iterates over the servers of a build that are not draining.
     pub fn of_build(&self, build: u16) -> impl Iterator<Item = (u64, &PooledServer)> {
         self.iter().filter(move |(_, server)| server.build == build && !server.is_draining())
     }
 
-    /// Starts a server that runs from a time on.
-    pub fn launch(&mut self, place: usize, build: u16, running_at: u64) {
+    /// Starts a server in a place. The server runs once `running_at` is reached.
+    pub fn start(&mut self, place: usize, build: u16, running_at: u64) {
         let lifecycle = Lifecycle::Starting { until: running_at };
         self.servers.insert(self.next_id, PooledServer { place, build, lifecycle });
         self.next_id += 1;
     }
 
-    /// Lets a running server drain until a time; the server, if it was running.
+    /// Drains a running server until a time, and returns it. Returns `None` if the server was not running.
     pub fn drain(&mut self, id: u64, until: u64) -> Option<PooledServer> {
         let server = self.servers.get_mut(&id).filter(|server| server.is_running())?;
         server.lifecycle = Lifecycle::Draining { until };
         Some(*server)
     }
 
-    /// Removes a server.
+    /// Removes a server from the pool at once, and returns it if it was there.
     pub fn remove(&mut self, id: u64) -> Option<PooledServer> {
         self.servers.remove(&id)
     }
 
-    /// Ends the starts and drains that are due: servers that run now, then servers that have ended.
+    /// Completes the starts and drains that are due. Returns first the servers that run now, then those that
+    /// have stopped; stopped servers are removed from the pool.
     pub fn advance(&mut self, now: u64) -> Vec<Transition> {
         let mut started = Vec::new();
         let mut ended = Vec::new();
@@ -129,21 +131,21 @@
 pub enum ServerCommand {
     /// Start a server in a place.
     Start {
-        /// Its id.
+        /// The server's id.
         server: u64,
         /// Index of the place.
         place: usize,
-        /// The build that it runs.
+        /// The build that the server runs.
         build: u16,
     },
-    /// Finish the requests in flight, and take no more.
+    /// Let the server finish its requests in flight and take no new ones.
     Drain {
-        /// Its id.
+        /// The server's id.
         server: u64,
     },
-    /// End.
+    /// Stop the server.
     Stop {
-        /// Its id.
+        /// The server's id.
         server: u64,
     },
 }
--- a/crates/simulated-site/src/model/release_service/rollback.rs
+++ b/crates/simulated-site/src/model/release_service/rollback.rs
@@ -1,16 +1,17 @@
-//! Rollback of a build: the previous one is started again, and the cap falls.
+//! Rollback of a build: servers of the previous build are started again, and the cap of the new one falls.
 
 use super::{ReleaseService, ServerCommand};
 use violetseam_site_protocol::release_service::PhaseName;
 
 impl ReleaseService {
-    /// A turn of a rollback: the cap falls with the number of servers of the build.
+    /// Performs the next steps of a rollback. The cap falls in proportion to the servers that the build has
+    /// left; the build is withdrawn once it has none and every place runs the previous build.
     pub(super) fn advance_rollback(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
         let build = self.status.build;
         let previous = self.previous_build;
         let restored: Vec<usize> = self.pool.of_build(previous).map(|(_, server)| server.place).collect();
         for place in (0..self.places).filter(|place| !restored.contains(place)) {
-            self.launch(now, place, previous);
+            self.start_server(now, place, previous);
         }
         self.cancel_starts(build);
         self.drain_replaced(now, build, previous, commands);
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Removes servers of a build that do not run yet.
+    /// Removes the servers of a build that are still starting.
     fn cancel_starts(&mut self, build: u16) {
         let starting = self.pool.of_build(build).filter(|(_, server)| server.is_starting());
         let starting: Vec<u64> = starting.map(|(id, _)| id).collect();
@@ -31,6 +32,8 @@
         }
     }
 
+    /// Lowers the cap to the build's remaining share of the places, times the ratio of cap to share in the
+    /// first stage.
     fn lower_cap(&mut self) {
         let remaining = self.pool.of_build(self.status.build).count() as f64 / self.places as f64;
         let cap_per_share = self.plan.caps[0] / self.plan.stages[0];
--- a/crates/simulated-site/src/model/release_service/stages.rs
+++ b/crates/simulated-site/src/model/release_service/stages.rs
@@ -1,15 +1,15 @@
-//! Stages of a build on trial: servers are launched, votes and time promote.
+//! Stages of a build on trial: starts the servers of each stage, and promotes by votes or by time.
 
 use super::{ReleaseService, ServerCommand};
 use crate::scenario::GateMode;
 use violetseam_site_protocol::release_service::{PhaseName, VerdictName};
 
 impl ReleaseService {
-    /// A turn of a build on trial.
+    /// Performs the next steps of the current stage of a build on trial.
     pub(super) fn advance_stage(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
         let build = self.status.build;
         let wanted = self.wanted_servers();
-        self.launch_missing(now, wanted);
+        self.start_missing(now, wanted);
         if !self.plan.keep_previous_build {
             self.drain_replaced(now, self.previous_build, build, commands);
         }
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Servers of the new build that the present stage wants.
+    /// Number of servers of the new build in the current stage.
     fn wanted_servers(&self) -> usize {
         let share = self.plan.stages[usize::from(self.status.stage)];
         ((share * self.places as f64).ceil() as usize).clamp(1, self.places)
@@ -34,11 +34,11 @@
         self.pool.of_build(build).filter(|(_, server)| server.is_running()).count()
     }
 
-    /// Launches servers of the new build until there are as many as wanted.
-    fn launch_missing(&mut self, now: u64, wanted: usize) {
+    /// Starts servers of the new build until it has the wanted number of them.
+    fn start_missing(&mut self, now: u64, wanted: usize) {
         let build = self.status.build;
         let taken: Vec<usize> = self.pool.of_build(build).map(|(_, server)| server.place).collect();
-        // Spread over the places, and so over zones and cells.
+        // Steps of 7 spread the servers over the places, and so over zones and cells.
         let spread = (0..self.places).map(|i| (i * 7 + 3) % self.places.max(1));
         let candidates = spread.chain(0..self.places).filter(|place| !taken.contains(place));
         let mut chosen: Vec<usize> = Vec::new();
@@ -48,11 +48,11 @@
             }
         }
         for place in chosen {
-            self.launch(now, place, build);
+            self.start_server(now, place, build);
         }
     }
 
-    /// Whether votes pause the clock.
+    /// Whether votes pause the clock of a stage that is promoted by time.
     fn is_paused_by_votes(&self) -> bool {
         self.plan.gate == GateMode::Timer
             && self.plan.votes_to_hold > 0.0
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Goes on to the next stage, or releases the build after the last.
+    /// Advances to the next stage. After the last stage, releases the build and drains the previous one.
     fn promote(&mut self, now: u64, commands: &mut Vec<ServerCommand>) {
         self.votes.clear();
         let next_stage = usize::from(self.status.stage) + 1;
--- a/crates/simulated-site/src/model/release_service/votes.rs
+++ b/crates/simulated-site/src/model/release_service/votes.rs
@@ -1,12 +1,12 @@
-//! Votes of the proxies, and the limit on their rate.
+//! The votes of the proxies, and the limit on their rate.
 
 use std::collections::BTreeMap;
 use violetseam_site_protocol::release_service::{ReleaseUpdate, VerdictName, Vote};
 
-/// Votes that may accumulate, in seconds of the rate limit.
+/// Capacity of the token bucket, as the time in which the rate limit refills it.
 const BURST_SECONDS: f64 = 2.0;
 
-/// A token bucket for votes.
+/// A token bucket that limits the rate of votes.
 #[derive(Debug)]
 pub(super) struct VoteRateLimit {
     votes_per_second: f64,
@@ -19,7 +19,7 @@
         VoteRateLimit { votes_per_second, tokens: votes_per_second * BURST_SECONDS, refilled_at: 0 }
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token, and returns whether there was one.
     pub(super) fn try_take(&mut self, now: u64) -> bool {
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.tokens += elapsed_seconds * self.votes_per_second;
@@ -33,31 +33,32 @@
     }
 }
 
+/// A vote that counts until it expires.
 #[derive(Clone, Copy, Debug)]
-struct VoteInForce {
+struct UnexpiredVote {
     vote: Vote,
     expires_at: u64,
 }
 
-/// The latest vote of each proxy.
+/// The latest vote of each proxy that has not expired or been withdrawn.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
-    by_proxy: BTreeMap<usize, VoteInForce>,
+    by_proxy: BTreeMap<usize, UnexpiredVote>,
 }
 
-/// Whether a verdict is on the build, whatever its stage.
+/// Whether a verdict applies to the build in any of its stages.
 pub(super) fn is_for_any_stage(verdict: VerdictName) -> bool {
     matches!(verdict, VerdictName::Back | VerdictName::Withdraw)
 }
 
-/// Whether a vote is on the build and stage that a status names.
+/// Whether a vote applies to the build and the stage of a release status.
 pub(super) fn matches_status(vote: &Vote, status: &ReleaseUpdate) -> bool {
     vote.build == status.build && (vote.stage == status.stage || is_for_any_stage(vote.verdict))
 }
 
 impl Votes {
     pub(super) fn insert(&mut self, vote: Vote, expires_at: u64) {
-        self.by_proxy.insert(vote.proxy, VoteInForce { vote, expires_at });
+        self.by_proxy.insert(vote.proxy, UnexpiredVote { vote, expires_at });
     }
 
     pub(super) fn remove(&mut self, proxy: usize) {
@@ -72,7 +73,7 @@
         self.by_proxy.retain(|_, entry| entry.expires_at > now);
     }
 
-    /// Votes in force with a verdict on the build and stage of a status.
+    /// Counts the votes with a verdict that apply to the build and the stage of a release status.
     pub(super) fn count(&self, verdict: VerdictName, status: &ReleaseUpdate) -> usize {
         let counts = |vote: &Vote| vote.verdict == verdict && matches_status(vote, status);
         self.by_proxy.values().filter(|entry| counts(&entry.vote)).count()
--- a/crates/simulated-site/src/network/site/controller_link/mod.rs
+++ b/crates/simulated-site/src/network/site/controller_link/mod.rs
@@ -170,7 +170,7 @@
         let staying = self.pool.iter().filter(|(_, server)| !server.is_draining());
         let present: BTreeSet<(u32, u16)> = staying.map(|(_, server)| place_and_build(server)).collect();
         for &(place, build) in self.desired.difference(&present) {
-            self.pool.launch(place as usize, build, now + self.plan.startup_time);
+            self.pool.start(place as usize, build, now + self.plan.startup_time);
             reports.push(PlaceReport { place, build, state: PlaceStateName::Starting });
         }
     }
