--- a/crates/simulated-site/src/model/endpoint_registry.rs
+++ b/crates/simulated-site/src/model/endpoint_registry.rs
@@ -1,65 +1,71 @@
-//! The simulated discovery service's list of servers: changes become visible late, and readers get the
-//! complete list or what changed.
+//! The endpoint list of the simulated discovery service. Changes become visible after a delay. Readers get
+//! the complete list, or the changes since a version.
 
 use std::collections::BTreeMap;
 use violetseam_site_protocol::endpoint_list::{Endpoint, EndpointState, ListUpdate, UpdateKind};
 
-/// A server on the list.
+/// A server's entry on the endpoint list.
 #[derive(Clone, Debug)]
 struct ListedEndpoint {
     endpoint: Endpoint,
-    /// When the server started; 0: long ago.
+    /// When the server started; 0 if it has been running for long.
     started_at: u64,
-    /// Version of the list that changed it last.
+    /// Version of the list in which the entry changed last.
     changed_in: u64,
 }
 
-/// A change that is not visible yet.
+/// A change of an entry that is not visible yet.
 #[derive(Clone, Debug)]
 struct ScheduledChange {
     endpoint: Endpoint,
     started_at: u64,
 }
 
-/// A server whose entry changed.
+/// A change of a server's entry that has become visible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// The server.
+    /// The server's id.
     pub server: u64,
-    /// Its state now.
+    /// The server's state after the change.
     pub state: EndpointState,
 }
 
-/// The list of servers.
+/// The endpoint list, with the changes that are not visible yet.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     version: u64,
     endpoints: BTreeMap<u64, ListedEndpoint>,
-    /// By time and order.
+    /// Changes that are not visible yet, by the time when they become visible and the order of scheduling.
     scheduled: BTreeMap<(u64, u64), ScheduledChange>,
-    changes: u64,
+    /// Number of changes scheduled so far.
+    scheduled_count: u64,
 }
 
 impl Default for EndpointRegistry {
     fn default() -> Self {
-        EndpointRegistry { version: 1, endpoints: BTreeMap::new(), scheduled: BTreeMap::new(), changes: 0 }
+        EndpointRegistry {
+            version: 1,
+            endpoints: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+        }
     }
 }
 
 impl EndpointRegistry {
-    /// Schedules an entry that becomes visible at a time. `started_at` is when the server started; 0: long
-    /// ago.
+    /// Schedules a change of an entry that becomes visible at a time. `started_at` is when the server
+    /// started; 0 if it has been running for long.
     pub fn schedule_change(&mut self, visible_at: u64, endpoint: Endpoint, started_at: u64) {
-        self.changes += 1;
-        self.scheduled.insert((visible_at, self.changes), ScheduledChange { endpoint, started_at });
+        self.scheduled_count += 1;
+        self.scheduled.insert((visible_at, self.scheduled_count), ScheduledChange { endpoint, started_at });
     }
 
-    /// When the list changes next.
+    /// When the next change becomes visible, if one is scheduled.
     pub fn next_change(&self) -> Option<u64> {
         self.scheduled.keys().next().map(|key| key.0)
     }
 
-    /// Makes the changes visible that are due, and returns them.
+    /// Makes all changes that are due visible, and returns them.
     pub fn apply_due(&mut self, now: u64) -> Vec<EndpointChange> {
         let mut applied = Vec::new();
         while self.next_change().is_some_and(|at| at <= now) {
@@ -74,7 +80,7 @@
         applied
     }
 
-    /// The list's version.
+    /// The version of the list, which each visible change increases by 1.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -84,14 +90,15 @@
         self.endpoints.get(&server).map(|listed| listed.started_at)
     }
 
-    /// The complete list.
+    /// The complete list as it is sent at a time, without servers that are gone.
     pub fn snapshot(&self, now: u64) -> ListUpdate {
-        let present = self.endpoints.values().filter(|listed| listed.endpoint.state != EndpointState::Gone);
-        let servers = present.map(|listed| listed.with_age(now)).collect();
+        let listed_servers =
+            self.endpoints.values().filter(|listed| listed.endpoint.state != EndpointState::Gone);
+        let servers = listed_servers.map(|listed| listed.with_age(now)).collect();
         ListUpdate { kind: UpdateKind::Full, version: self.version, base: 0, servers }
     }
 
-    /// What has changed since a version, if anything.
+    /// The entries that have changed since the version `base`. Returns `None` if none have.
     pub fn delta_since(&self, now: u64, base: u64) -> Option<ListUpdate> {
         if base >= self.version {
             return None;
@@ -103,7 +110,7 @@
 }
 
 impl ListedEndpoint {
-    /// The entry as it is sent at a time.
+    /// The entry as it is sent at a time, with the server's age if its start is known.
     fn with_age(&self, now: u64) -> Endpoint {
         let age = (self.started_at > 0).then(|| now.saturating_sub(self.started_at));
         Endpoint { age_us: age, ..self.endpoint.clone() }
--- a/crates/simulated-site/src/model/server/build.rs
+++ b/crates/simulated-site/src/model/server/build.rs
@@ -1,24 +1,24 @@
-//! Builds and the figures of their defects.
+//! Builds, and the effects of their defects in figures.
 
 use crate::scenario::{BuildDefect, Release, Scenario};
 
 /// A build, as it affects the servers that run it.
 #[derive(Clone, Debug, Default)]
 pub struct Build {
-    /// Its number.
+    /// The build's number.
     pub number: u16,
-    /// Its speed relative to the first build.
+    /// Speed of the build relative to the first build.
     pub speed: f64,
     defect: Option<BuildDefect>,
     severity: f64,
 }
 
-/// What a defect does to one request.
+/// The effect of a defect on one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct DefectEffect {
-    /// Factor on the work.
+    /// Factor by which the request's work grows.
     pub work_factor: f64,
-    /// Probability of a failure.
+    /// Probability that the request fails.
     pub error_rate: f64,
 }
 
@@ -31,17 +31,18 @@
 }
 
 impl Build {
-    /// A build without a defect.
+    /// Creates a build without a defect.
     pub fn without_defect(number: u16) -> Self {
         Build { number, speed: 1.0, defect: None, severity: 0.0 }
     }
 
-    /// A build that is offered.
+    /// Creates the build of a release.
     pub fn from_release(number: u16, release: &Release) -> Self {
         Build { number, speed: release.speed, defect: release.defect, severity: release.severity }
     }
 
-    /// The build with a number in a scenario, whose releases are numbered on from the first build.
+    /// Creates the build with a given number in a scenario. The releases' numbers follow on from that of the
+    /// first build.
     pub fn in_scenario(scenario: &Scenario, number: u16) -> Self {
         let offset = usize::from(number - scenario.rollout.first_build);
         match offset.checked_sub(1).and_then(|index| scenario.releases.get(index)) {
@@ -50,23 +51,23 @@
         }
     }
 
-    /// Whether it has a defect.
+    /// Whether the build has a defect.
     pub fn is_defective(&self) -> bool {
         self.defect.is_some()
     }
 
-    /// Its defect.
+    /// The build's defect, if it has one.
     pub fn defect(&self) -> Option<BuildDefect> {
         self.defect
     }
 
-    /// A figure between two, by the severity, on a geometric scale.
+    /// Interpolates geometrically between the figures for severity 0 (`mild`) and severity 1 (`severe`).
     fn by_severity(&self, mild: f64, severe: f64) -> f64 {
         mild * (severe / mild).powf(self.severity)
     }
 
-    /// What the defect does to a request of a class. `utilization` is the share of the server's slots in use,
-    /// `age` the time since its start, in microseconds.
+    /// The effect of the defect on a request of a class. `utilization` is the share of the server's slots
+    /// that are in use, `age` the time since the server's start, in microseconds.
     pub(super) fn effect_on(&self, class: usize, utilization: f64, age: u64) -> DefectEffect {
         match self.defect {
             Some(BuildDefect::Errors) => DefectEffect::errors(self.by_severity(0.04, 0.36)),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Share of its answers that are wrong.
+    /// Share of the build's answers that are wrong.
     pub(super) fn wrong_answer_rate(&self) -> f64 {
         match self.defect {
             Some(BuildDefect::WrongAnswers) => self.by_severity(0.03, 0.24),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// How many times slower it makes all servers, given its share of their traffic.
+    /// Factor by which the build slows all servers down, given its share of their traffic.
     pub fn fleet_slowdown(&self, traffic_share: f64) -> f64 {
         match self.defect {
             Some(BuildDefect::SlowsFleet) => 1.0 + traffic_share * self.by_severity(0.7, 2.7),
--- a/crates/simulated-site/src/model/server/dedup.rs
+++ b/crates/simulated-site/src/model/server/dedup.rs
@@ -1,21 +1,21 @@
-//! Servers' memory of idempotency keys.
+//! The servers' caches of idempotency keys, by which they recognize duplicate requests.
 
 use crate::scenario::{ClassSpec, Idempotency, ServerSpec};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A class, by index, and a key of it.
+/// The index of a request class, and a key of a request of that class.
 type ClassKey = (usize, u64);
 
-/// Keys that a group of servers has executed, until each expires.
+/// Keys of the requests that a group of servers has executed. Each key expires.
 #[derive(Debug, Default)]
 struct DedupCache {
     expiry_by_key: BTreeMap<ClassKey, u64>,
-    /// In the order of arrival, with the expiry.
+    /// Expiry and key, in the order of arrival.
     arrivals: VecDeque<(u64, ClassKey)>,
 }
 
 impl DedupCache {
-    /// Whether a key is remembered; remembers it for a span if not.
+    /// Returns whether the cache holds a key. If it does not, inserts the key for the span `window`.
     fn check_and_insert(&mut self, now: u64, key: ClassKey, window: u64) -> bool {
         self.remove_expired(now);
         if self.expiry_by_key.contains_key(&key) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Servers that share one memory of keys.
+/// A group of servers that share one cache of keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DedupGroup {
     All,
@@ -44,15 +44,16 @@
     Cell(u16),
 }
 
-/// The memories of keys of all groups of servers.
+/// The key caches of all groups of servers.
 #[derive(Debug, Default)]
 pub struct DedupCaches {
     by_group: BTreeMap<DedupGroup, DedupCache>,
 }
 
 impl DedupCaches {
-    /// Whether a request that arrives at a server repeats one that the server's group has executed. `class`
-    /// is the index of the request's class, `key` its key; 0: none.
+    /// Returns whether a request that arrives at a server duplicates one that the server's group has
+    /// executed, and remembers its key if it does not. `class` is the index of the request's class; `key` is
+    /// 0 for a request without a key.
     pub fn is_duplicate(
         &mut self,
         now: u64,
--- a/crates/simulated-site/src/model/server/impairment.rs
+++ b/crates/simulated-site/src/model/server/impairment.rs
@@ -1,4 +1,4 @@
-//! What injected faults do to a server.
+//! The effect of injected faults on a server.
 
 use super::Server;
 use crate::scenario::{Fault, FaultKind};
@@ -8,25 +8,25 @@
 /// The shortest time from one pause to the next, in seconds.
 const MIN_PAUSE_INTERVAL: f64 = 0.2;
 
-/// What faults do to a server at present.
+/// The current effect of all faults on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Impairment {
-    /// How many times slower it is.
+    /// Factor by which the server is slower.
     pub slowdown: f64,
     /// Share of the machine that another program takes.
     pub stolen_share: f64,
-    /// Share of requests that fail at once.
+    /// Share of requests that the server fails at once.
     pub fast_error_rate: f64,
-    /// One class that is slower.
+    /// A class whose requests are slower, if there is one.
     pub slow_class: Option<SlowClass>,
 }
 
-/// A class that is slower than others.
+/// A request class that is slower than the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowClass {
-    /// Its index.
+    /// Index of the class.
     pub class: usize,
-    /// How many times slower it is.
+    /// Factor by which requests of the class are slower.
     pub slowdown: f64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Impairment {
-    /// How many times slower requests of a class are.
+    /// Factor by which requests of a class are slower.
     pub(super) fn slowdown_of_class(&self, class: usize) -> f64 {
         match self.slow_class {
             Some(slow) if slow.class == class => slow.slowdown,
@@ -49,15 +49,15 @@
 /// A server as a target of faults.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultTarget {
-    /// Its index, by which faults name it.
+    /// Index of the server, by which faults name their targets.
     pub index: usize,
-    /// The earliest start of its next pause, in microseconds.
+    /// The earliest time of the server's next pause, in microseconds.
     pub next_pause: u64,
 }
 
 impl FaultTarget {
-    /// Applies the faults that are active now to the server. `fleet_slowdown` is how many times slower a
-    /// defective build makes all servers.
+    /// Applies the faults that are active now to the server. `fleet_slowdown` is the factor by which a
+    /// defective build slows all servers down.
     pub fn apply_faults<'a>(
         &mut self,
         server: &mut Server,
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Share that a noisy neighbor takes now. Neighbors of different servers are out of phase.
+    /// Share of the machine that a noisy neighbor takes now. The neighbors of different servers are out of
+    /// phase.
     fn neighbor_share(&self, now: u64, fault: &Fault) -> f64 {
         let period = (fault.parameter.max(MIN_NEIGHBOR_PERIOD) * 1e6) as u64;
         let half_periods = (now - fault.at + self.index as u64 * period / 3) / period;
--- a/crates/simulated-site/src/model/server/mod.rs
+++ b/crates/simulated-site/src/model/server/mod.rs
@@ -1,6 +1,8 @@
-//! A simulated server: slots, a queue, slow start, the defects of its build and what faults do to it.
+//! A simulated server with slots, a queue and slow start. The defects of its build and injected faults affect
+//! it.
 //!
-//! Its work is waiting, not computing, so that one machine can carry a fleet of servers.
+//! A server waits instead of computing while it processes a request, so that one machine can run a whole
+//! fleet of servers.
 
 mod build;
 mod dedup;
@@ -16,83 +18,83 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Work of a duplicate, whose first execution is remembered, as a share of the request's.
+/// Work of a duplicate whose key the server remembers, as a share of the work of its first execution.
 const DUPLICATE_WORK_SHARE: f64 = 0.05;
-/// A server collapses beyond this factor on its overload limit, so that a proxy at the limit does not
-/// depend on rounding.
+/// A server collapses only above its overload limit times this factor, so that rounding does not decide for a
+/// proxy that sends exactly as much as the limit.
 const COLLAPSE_MARGIN: f64 = 1.25;
-/// The least share of a machine that a noisy neighbor leaves.
+/// The smallest share of a machine that a noisy neighbor leaves to the server.
 const MIN_REMAINING_SHARE: f64 = 0.05;
 
-/// A request at a server.
+/// A request as a server receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRequest {
-    /// Identifies it in its reply.
+    /// Id that the completed request carries.
     pub id: u64,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its key; 0: none.
+    /// Idempotency key; 0 if the request has none.
     pub key: u64,
-    /// Its work, in microseconds of a standard core.
+    /// Work of the request, in microseconds of a standard core.
     pub work: f64,
 }
 
 /// A server's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Served.
+    /// The request was served.
     Ok {
-        /// The answer is wrong, which cannot be told from the reply.
+        /// Whether the answer is wrong. The reply itself does not show that.
         is_wrong: bool,
     },
-    /// Failed; it may have been executed.
+    /// The request failed; it may have been executed.
     Error,
-    /// Rejected without being executed.
+    /// The request was rejected without being executed.
     NotRun,
 }
 
-/// A request that is complete.
+/// A request that the server has completed, with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedRequest {
-    /// Its [`ServerRequest::id`].
+    /// The request's [`ServerRequest::id`].
     pub id: u64,
-    /// The reply to it.
+    /// The reply to the request.
     pub reply: Reply,
 }
 
-/// How much a server that is warming up can bear.
+/// The most work that a server that is warming up can take without collapsing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadLimit {
-    /// Multiple of its present capacity ...
+    /// The limit as a multiple of the server's current capacity.
     pub multiple: f64,
-    /// ... over this span, in microseconds.
+    /// Span over which the arriving work is summed up, in microseconds.
     pub span: u64,
 }
 
 /// A running server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its properties.
+    /// The server's properties.
     pub spec: ServerSpec,
-    /// The build that it runs.
+    /// The build that the server runs.
     pub build: Build,
-    /// When it started.
+    /// When the server started.
     pub started_at: u64,
     started_warm: bool,
     queue: VecDeque<ServerRequest>,
-    /// Requests in process: time of completion and id.
+    /// Time of completion and id of each request in process.
     in_process: BinaryHeap<Reverse<(u64, u64)>>,
     replies: BTreeMap<u64, Reply>,
     paused_until: u64,
     impairment: Impairment,
-    /// Recent requests while it warms up: time and work.
+    /// Time and work of the requests that arrived recently, while the server warms up.
     warm_up_arrivals: VecDeque<(u64, f64)>,
-    /// It was overloaded while warming up, and stays down.
+    /// Whether the server was overloaded while warming up. It then stays down.
     pub collapsed: bool,
 }
 
 impl Server {
-    /// Starts a server. `warm`: it has been running for long.
+    /// Starts a server. With `warm`, it has its full capacity at once, as if it had been running for long.
     pub fn start(spec: ServerSpec, build: Build, now: u64, warm: bool) -> Self {
         Server {
             spec,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Its present share of its capacity, which grows during slow start.
+    /// The share of its full capacity that the server has now. The share grows during slow start.
     pub fn warm_fraction(&self, now: u64) -> f64 {
         if self.started_warm {
             return 1.0;
@@ -119,28 +121,28 @@
         (floor + (1.0 - floor) * progress).min(1.0)
     }
 
-    /// When it started, for the endpoint list; 0 for a server that was warm from its start.
+    /// The start time for the endpoint list; 0 for a server that was warm from its start.
     pub fn listed_start(&self) -> u64 {
         if self.warm_fraction(self.started_at) < 1.0 { self.started_at } else { 0 }
     }
 
-    /// Capacity when warm, in work per second.
+    /// Capacity of the server when it is warm, in work per second.
     pub fn capacity(&self) -> f64 {
         self.spec.cores * self.spec.speed * self.build.speed * 1e6
     }
 
-    /// Sets what faults do to it.
+    /// Sets the effect of the active faults.
     pub fn set_impairment(&mut self, impairment: Impairment) {
         self.impairment = impairment;
     }
 
-    /// Pauses it until a time.
+    /// Pauses the server until a time. A longer pause that is already set stays.
     pub fn pause_until(&mut self, until: u64) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Takes a request, and returns a reply if there is one at once. A server that is warming up collapses
-    /// if it gets more than it can bear.
+    /// Accepts a request. Returns a reply if the request fails or is rejected at once. A server that is
+    /// warming up collapses if more work arrives than `limit` allows.
     pub fn accept(
         &mut self,
         now: u64,
@@ -168,7 +170,7 @@
         None
     }
 
-    /// Collapses if what arrived during slow start exceeds the limit.
+    /// Lets the server collapse if the work that arrived recently during slow start exceeds the limit.
     fn check_overload(&mut self, now: u64, work: f64, limit: OverloadLimit) {
         let warm_fraction = self.warm_fraction(now);
         if warm_fraction >= 1.0 {
@@ -209,10 +211,10 @@
         }
     }
 
-    /// How long a request that starts now is in process.
+    /// Time for which a request that starts now is in process, in microseconds.
     fn processing_time(&self, now: u64, request: &ServerRequest) -> u64 {
         let defect = self.build.effect_on(request.class, self.utilization(), self.age(now));
-        // More slots than cores: they share.
+        // If more requests are in process than there are cores, they share the cores.
         let core_sharing = ((self.in_process.len() + 1) as f64 / self.spec.cores).max(1.0);
         let remaining_share = (1.0 - self.impairment.stolen_share).max(MIN_REMAINING_SHARE);
         let class_slowdown = self.impairment.slowdown_of_class(request.class);
@@ -221,13 +223,13 @@
         (request.work * defect.work_factor * core_sharing * slowdown / speed.max(1e-3)) as u64
     }
 
-    /// When the next request is complete.
+    /// When the next request is complete, if one is in process.
     pub fn next_completion(&self) -> Option<u64> {
         let Reverse((completed_at, _)) = self.in_process.peek()?;
         Some((*completed_at).max(self.paused_until))
     }
 
-    /// Appends the requests that are complete.
+    /// Appends the requests that are complete by now, unless the server is paused.
     pub fn take_completed(&mut self, now: u64, completed: &mut Vec<CompletedRequest>) {
         if now < self.paused_until {
             return;
--- a/crates/simulated-site/src/model/traffic.rs
+++ b/crates/simulated-site/src/model/traffic.rs
@@ -1,49 +1,49 @@
-//! Requests as they arrive: an open loop that does not depend on any response.
+//! Generates the clients' requests as an open loop: arrivals do not depend on any response.
 
 use super::RandomSource;
 use crate::scenario::{ClassSpec, Scenario};
 use rand::{RngExt, SeedableRng};
 
-/// The first of the keys that are drawn when the scenario has no set of keys.
+/// Start of the unique keys that requests of keyed classes get when the scenario defines no set of keys.
 const FIRST_UNIQUE_KEY: u64 = 1 << 40;
-/// The least rate, in requests per second.
+/// Lower bound of the request rate, in requests per second.
 const MIN_RATE: f64 = 1e-3;
-/// The least uniform draw that a logarithm is taken of.
+/// Lower bound of a uniform draw before its logarithm is taken.
 const MIN_UNIFORM: f64 = 1e-12;
-/// Coefficient of variation of cost hints around the work.
+/// Coefficient of variation of the cost hints around the actual work.
 const COST_HINT_VARIATION: f64 = 0.3;
 
 /// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// When it arrives.
+    /// When the request arrives.
     pub at: u64,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// Its work.
+    /// Work of the request.
     pub work: u64,
-    /// The client's estimate of its work.
+    /// The client's estimate of the work, if the request carries one.
     pub cost_hint: Option<u64>,
-    /// Its key; 0: none.
+    /// The request's key; 0 if it has none.
     pub key: u64,
 }
 
-/// Draws a scenario's requests one after another.
+/// Draws the requests of a scenario in the order of their arrival.
 #[derive(Debug)]
 pub struct TrafficGenerator {
     random: RandomSource,
     scenario: Scenario,
-    /// Time of the last request.
+    /// Arrival time of the last request.
     at: f64,
-    /// Cumulative popularity of the keys.
+    /// Cumulative popularity of the keys; empty if the scenario defines no set of keys.
     cumulative_key_weights: Vec<f64>,
     next_unique_key: u64,
 }
 
 impl TrafficGenerator {
-    /// The requests of a scenario.
+    /// Creates the generator of a scenario's requests.
     pub fn new(scenario: &Scenario) -> Self {
         let mut total = 0.0;
         let key_weight = |key: u64| 1.0 / ((key + 1) as f64).powf(scenario.traffic.key_skew);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Factor on the average rate at the present time.
+    /// Factor on the average rate at the arrival time of the last request.
     fn rate_factor(&self) -> f64 {
         let position = self.at / self.scenario.length as f64;
         let shape = &self.scenario.traffic.shape;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// An index, drawn by weight.
+    /// Draws an index with a probability in proportion to its weight.
     fn weighted_index(&mut self, weights: &[f64]) -> usize {
         let total: f64 = weights.iter().sum();
         let mut remaining = self.random.random::<f64>() * total;
@@ -84,7 +84,7 @@
         weights.len().saturating_sub(1)
     }
 
-    /// A lognormal draw of mean 1 and the given coefficient of variation.
+    /// Draws from the lognormal distribution of mean 1 and coefficient of variation `cv`.
     fn lognormal(&mut self, cv: f64) -> f64 {
         let variance = (1.0 + cv * cv).ln();
         let radius_draw: f64 = self.random.random::<f64>().max(MIN_UNIFORM);
@@ -93,7 +93,8 @@
         (variance.sqrt() * normal - variance / 2.0).exp()
     }
 
-    fn key(&mut self, class: &ClassSpec) -> u64 {
+    /// Draws the key of a request; 0 if it has none.
+    fn draw_key(&mut self, class: &ClassSpec) -> u64 {
         if let Some(total) = self.cumulative_key_weights.last().copied() {
             let point = self.random.random::<f64>() * total;
             return self.cumulative_key_weights.partition_point(|weight| *weight < point) as u64 + 1;
@@ -106,7 +107,7 @@
     }
 }
 
-/// The factor at a position between two points of position and factor.
+/// Interpolates the factor at a position between two points, each of a position and a factor.
 fn interpolate(before: (f64, f64), after: (f64, f64), position: f64) -> f64 {
     before.1 + (after.1 - before.1) * (position - before.0) / (after.0 - before.0).max(1e-9)
 }
@@ -132,7 +133,7 @@
         } else {
             None
         };
-        let key = self.key(&spec);
+        let key = self.draw_key(&spec);
         Some(ClientRequest { at: self.at as u64, class, tenant, work: work as u64, cost_hint, key })
     }
 }
