--- a/crates/simulated-site/src/scenario/load.rs
+++ b/crates/simulated-site/src/scenario/load.rs
@@ -7,9 +7,10 @@
 pub struct Traffic {
     /// First attempts per second, on average.
     pub rate: f64,
-    /// The rate over time: points of share of the scenario's length and factor, with linear interpolation.
+    /// The rate over time. Each point is a share of the scenario's length and the factor on the average rate
+    /// at that time; the factor is interpolated linearly between points.
     pub shape: Vec<(f64, f64)>,
-    /// Number of distinct keys; 0: only requests of keyed classes carry a key, each its own.
+    /// Number of distinct keys. With 0, only requests of keyed classes carry a key, and each key is unique.
     pub keys: u64,
     /// Skew of the keys' popularity (Zipf exponent).
     pub key_skew: f64,
@@ -20,12 +21,12 @@
 /// How clients behave.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Clients {
-    /// Attempts after the first.
+    /// Number of attempts after the first.
     pub retries: u32,
     /// Time limit of one attempt, as a share of the deadline.
     #[serde(rename = "try_share")]
     pub attempt_timeout_share: f64,
-    /// Wait before a retry.
+    /// How long a client waits before a retry.
     pub backoff: u64,
     /// Share of rejections after which the client waits as long as `retry-after` says.
     #[serde(rename = "honour")]
@@ -33,9 +34,9 @@
     /// Share of requests whose client disconnects early.
     #[serde(rename = "impatient")]
     pub disconnect_share: f64,
-    /// How long clients go on connecting to a dead proxy.
+    /// How long clients keep connecting to a proxy that is down before they notice.
     #[serde(rename = "notice")]
     pub dead_proxy_detection: u64,
-    /// Whether clients prefer proxies by weight; otherwise they spread evenly.
+    /// Whether clients choose proxies by weight. Otherwise they spread evenly over all proxies.
     pub own_proxy: bool,
 }
--- a/crates/simulated-site/src/scenario/mod.rs
+++ b/crates/simulated-site/src/scenario/mod.rs
@@ -1,8 +1,8 @@
-//! A scenario: who takes part, what clients request, what fails and when.
+//! A scenario: its proxies and servers, what clients request, and which faults occur when.
 //!
-//! Plain data that reads and writes as JSON; stored fields and variants keep their first names. Unless stated
-//! otherwise, times are microseconds from the start of the scenario and work is microseconds of a standard
-//! core.
+//! Scenarios are plain data that is stored as JSON. Stored fields and variants keep the names that they were
+//! first stored with. Unless stated otherwise, times are microseconds from the start of the scenario and work
+//! is microseconds of a standard core.
 
 mod fault;
 mod fleet;
@@ -31,9 +31,9 @@
 /// A scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// How long requests arrive.
+    /// Duration for which requests arrive.
     pub length: u64,
     /// Seed of all random draws.
     pub seed: u64,
@@ -41,8 +41,8 @@
     pub proxies: Vec<ProxySpec>,
     /// Servers that run at the start, one for each place.
     pub servers: Vec<ServerSpec>,
-    /// Later servers: the first for each place, then the second for each, and so on; after the last, again
-    /// from the front.
+    /// Properties of later servers: first one for each place, then a second one for each place, and so on.
+    /// After the last, the list repeats from its start.
     pub spares: Vec<ServerSpec>,
     /// Request classes.
     pub classes: Vec<ClassSpec>,
@@ -52,17 +52,17 @@
     pub traffic: Traffic,
     /// How clients behave.
     pub clients: Clients,
-    /// How late discovery lists changes.
+    /// Delays after which discovery lists changes.
     #[serde(rename = "roster")]
     pub discovery: DiscoveryDelays,
     /// How builds are rolled out.
     pub rollout: Rollout,
-    /// The builds that are offered.
+    /// The builds that the release service offers.
     pub releases: Vec<Release>,
     /// Injected faults.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// Limits that the invariants check.
+    /// Limits that proxies must keep.
     #[serde(rename = "contract")]
     pub service_rules: ServiceRules,
     /// Retry quotas of the whole fleet, if it has any.
@@ -70,26 +70,26 @@
     pub retry_quotas: Option<RetryQuotas>,
 }
 
-/// Why a scenario cannot be played.
+/// Why a scenario cannot be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScenarioError {
-    /// No proxy, no server or no class.
-    #[error("a day needs proxies, servers and classes")]
+    /// The scenario has no proxy, no server or no class.
+    #[error("scenario has no proxies, no servers or no request classes")]
     Empty,
-    /// More than this package simulates.
-    #[error("too many proxies, servers or classes")]
+    /// The scenario is larger than this package simulates.
+    #[error("scenario has more proxies, servers or request classes than can be simulated")]
     TooLarge,
-    /// Shares and caps of the stages do not match, or there are none.
-    #[error("each stage needs a share and a cap")]
+    /// The numbers of shares and caps of the stages differ, or there are no stages.
+    #[error("rollout must have at least one stage, and one share and one cap for each stage")]
     Stages,
     /// The request rate is out of bounds.
-    #[error("a rate is over 0, at most 100,000 a second")]
+    #[error("request rate must be above 0 and at most 100,000 requests per second")]
     RequestRate,
-    /// There are quotas, but not one for each class.
-    #[error("each class needs a budget, if any has one; 0 is none")]
+    /// The scenario has retry quotas, but not one for each class.
+    #[error("retry quotas must have one value for each request class; 0 means unlimited")]
     RetryQuotas,
     /// The length is out of bounds.
-    #[error("a day lasts 10 minutes at most")]
+    #[error("scenario length must be above 0 and at most 10 minutes")]
     Length,
 }
 
@@ -120,7 +120,8 @@
         }
     }
 
-    /// What the server with an index is like: the first of each place, then the spares in turn.
+    /// The properties of the server with an index. The first indices are the servers at the start, one for
+    /// each place; later ones are the spares in turn.
     pub fn server_spec(&self, index: usize) -> &ServerSpec {
         let places = self.servers.len();
         match index.checked_sub(places) {
@@ -146,10 +147,10 @@
         self.classes.iter().map(|class| class.share * class.work).sum::<f64>() / shares.max(1e-9)
     }
 
-    /// Checks that the parts fit together.
+    /// Checks that the parts of the scenario fit together and are within their bounds.
     ///
     /// # Errors
-    /// The first part that does not fit.
+    /// Returns the first problem that is found.
     pub fn validate(&self) -> Result<(), ScenarioError> {
         if self.proxies.is_empty() || self.servers.is_empty() || self.classes.is_empty() {
             return Err(ScenarioError::Empty);
@@ -178,7 +179,7 @@
     }
 }
 
-/// A class as the checker of the invariants knows it.
+/// Converts a request class to the form that the checker of the invariants uses.
 fn rule_class(class: &ClassSpec) -> RuleClass {
     let idempotency = match class.idempotency {
         Idempotency::Idempotent => RuleIdempotency::Idempotent,
--- a/crates/simulated-site/src/scenario/rollout.rs
+++ b/crates/simulated-site/src/scenario/rollout.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GateMode {
-    /// One vote.
+    /// A vote of a single proxy.
     Any,
-    /// Votes of a share of all proxies.
+    /// Votes of a given share of all proxies.
     Share,
-    /// The clock.
+    /// The time that the stage has lasted.
     Timer,
 }
 
@@ -19,17 +19,17 @@
 pub struct Rollout {
     /// What promotes a stage.
     pub gate: GateMode,
-    /// Servers of the previous build stay until the release.
+    /// Whether servers of the previous build keep running until the release.
     #[serde(rename = "beside")]
     pub keep_previous_build: bool,
-    /// By stage: share of the places that run the new build.
+    /// For each stage, the share of the places that run the new build.
     pub stages: Vec<f64>,
-    /// By stage: the largest share of attempts at the new build.
+    /// For each stage, the largest share of attempts that the new build may get.
     pub caps: Vec<f64>,
     /// Share of proxies whose votes promote a stage.
     #[serde(rename = "votes_on")]
     pub votes_to_promote: f64,
-    /// Share of proxies whose votes hold the clock.
+    /// Share of proxies whose votes pause the clock of a stage that is promoted by time.
     #[serde(rename = "votes_hold")]
     pub votes_to_hold: f64,
     /// Share of proxies whose votes roll a build back.
@@ -40,7 +40,7 @@
     pub vote_lifetime: u64,
     /// The least duration of a stage once its servers run.
     pub bake: u64,
-    /// Duration of a stage that the clock promotes.
+    /// Duration of a stage that is promoted by time.
     #[serde(rename = "step")]
     pub stage_duration: u64,
     /// How long a server takes to start.
@@ -52,37 +52,37 @@
     /// The release status is sent again after this span without a change.
     #[serde(rename = "push")]
     pub resend_interval: u64,
-    /// How late the release status reaches the proxies.
+    /// Delay after which the release status reaches the proxies.
     #[serde(rename = "told_late")]
     pub status_delay: u64,
-    /// How long a vote's call takes.
+    /// How long the release service takes to reply to a vote.
     #[serde(rename = "call")]
     pub vote_latency: u64,
     /// How long a proxy waits for the reply to a vote.
     #[serde(rename = "call_timeout")]
     pub vote_timeout: u64,
-    /// Votes per second of all proxies that the release service accepts.
+    /// The most votes per second that the release service accepts from all proxies together.
     #[serde(rename = "calls_per_s")]
     pub vote_rate_limit: f64,
     /// Share of wrong answers that clients report.
     #[serde(rename = "flag_share")]
     pub report_share: f64,
-    /// How late clients report an answer.
+    /// Delay after which clients report an answer.
     #[serde(rename = "flag_late")]
     pub report_delay: u64,
     /// Share of right answers that clients report as wrong.
     #[serde(rename = "false_flags")]
     pub false_report_share: f64,
-    /// The first stages, in which the new build gets only requests that may be repeated.
+    /// Number of first stages in which the new build gets only requests that may be repeated.
     #[serde(rename = "guarded")]
     pub idempotent_only_stages: u8,
-    /// A key that the new build has answered goes to no earlier build.
+    /// Whether requests with a key that the new build has answered must not go to an earlier build.
     #[serde(rename = "one_way")]
     pub sticky_to_new_build: bool,
-    /// Exposure is measured over this span.
+    /// Span over which exposure is measured.
     #[serde(rename = "window")]
     pub exposure_window: u64,
-    /// Attempts that may exceed the cap's share.
+    /// Number of attempts by which exposure may exceed the cap.
     #[serde(rename = "free")]
     pub exposure_slack: f64,
     /// Whether exposure is measured for each class.
@@ -95,15 +95,15 @@
 /// A build that is offered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Release {
-    /// When.
+    /// When the build is offered.
     pub at: u64,
-    /// Its defect, if it has one.
+    /// The build's defect, if it has one.
     #[serde(rename = "fault")]
     pub defect: Option<BuildDefect>,
     /// Severity of the defect, 0 to 1.
     #[serde(rename = "strength")]
     pub severity: f64,
-    /// Its speed relative to the first build.
+    /// Speed of the build relative to the first build.
     pub speed: f64,
 }
 
@@ -118,16 +118,16 @@
     ClassErrors(usize),
     /// Requests need more work.
     Slow,
-    /// Slow, with errors, while its server is busy.
+    /// Requests need more work and some fail while the server is busy.
     #[serde(rename = "load")]
     UnderLoad,
-    /// Slow, with errors, some seconds after its start.
+    /// Requests need more work and some fail from some seconds after the server's start on.
     #[serde(rename = "late")]
     Delayed,
-    /// A share of its answers is wrong.
+    /// A share of the answers is wrong.
     #[serde(rename = "wrong")]
     WrongAnswers,
-    /// It slows all servers down in proportion to its traffic.
+    /// The build slows all servers down in proportion to its share of the traffic.
     #[serde(rename = "shared")]
     SlowsFleet,
 }
