--- a/crates/simulated-site/tests/model.rs
+++ b/crates/simulated-site/tests/model.rs
@@ -1,4 +1,4 @@
-//! Simulated servers and the endpoint registry.
+//! Tests of the simulated servers, the key caches and the endpoint registry.
 
 use rand::SeedableRng;
 use violetseam_simulated_site::model::RandomSource;
@@ -58,7 +58,8 @@
     let mut server = Server::start(spec(), Build::without_defect(1), 0, false);
     assert!((server.warm_fraction(SECOND) - 0.75).abs() < 1e-9);
     let mut random = random();
-    // Half a core for 2 s, times 3, with the margin of a quarter.
+    // The server collapses above 3.75 s of work: half a core for 2 s, times the multiple of 3, plus the
+    // margin of a quarter.
     server.accept(0, request(1, 3_700_000.0), false, LIMIT, &mut random);
     assert!(!server.collapsed);
     server.accept(0, request(2, 100_000.0), false, LIMIT, &mut random);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_fault_slows_only_the_servers_that_it_names() {
+fn a_fault_slows_down_only_its_target_servers() {
     let fault = Fault {
         kind: FaultKind::SlowServer,
         at: 0,
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn repeats_are_dropped_within_a_group_of_servers_and_the_window() {
+fn duplicates_are_recognized_within_their_server_group_and_window() {
     let class = ClassSpec {
         name: "write".into(),
         share: 1.0,
--- a/crates/simulated-site/tests/release_service.rs
+++ b/crates/simulated-site/tests/release_service.rs
@@ -1,4 +1,4 @@
-//! The simulated release service: stages, votes, rollback.
+//! Tests of the simulated release service: stages, votes and rollback.
 
 use violetseam_simulated_site::model::release_service::{ReleaseService, ServerCommand};
 use violetseam_simulated_site::scenario::{GateMode, Release, Rollout};
@@ -6,7 +6,7 @@
 
 const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
-const TURN: u64 = 20 * MILLISECOND;
+const STEP: u64 = 20 * MILLISECOND;
 const PROXIES: usize = 2;
 const PLACES: usize = 4;
 
@@ -41,6 +41,7 @@
     }
 }
 
+/// A release service with one release, and the commands that it has issued.
 struct Run {
     service: ReleaseService,
     now: u64,
@@ -54,14 +55,16 @@
         Run { service, now: 0, commands: Vec::new() }
     }
 
+    /// Advances the service by a span, one step after another.
     fn advance(&mut self, span: u64) {
         let until = self.now + span;
         while self.now < until {
-            self.now += TURN;
+            self.now += STEP;
             self.service.advance(self.now, false, &mut self.commands);
         }
     }
 
+    /// Votes for the first proxy on the current build and stage.
     fn vote(&mut self, verdict: VerdictName) -> VoteOutcome {
         let status = self.service.status();
         let vote = Vote { proxy: 0, build: status.build, stage: status.stage, verdict };
@@ -94,7 +97,7 @@
     let mut run = Run::new(rollout());
     run.advance(4 * SECOND);
     assert_eq!(run.vote(VerdictName::Back), VoteOutcome::Ok);
-    run.advance(TURN);
+    run.advance(STEP);
     assert_eq!(run.service.status().phase, PhaseName::RollingBack);
     run.advance(3 * SECOND);
     let status = run.service.status();
--- a/crates/simulated-site/tests/stored_scenario.rs
+++ b/crates/simulated-site/tests/stored_scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files keep the field names that they were first written with.
+//! Stored scenarios keep the names of fields and variants that they were first written with.
 
 use serde_json::{Value, json};
 use violetseam_simulated_site::scenario::{
@@ -37,14 +37,14 @@
     })
 }
 
-fn read(stored: &Value) -> Scenario {
+fn parse(stored: &Value) -> Scenario {
     serde_json::from_value(stored.clone()).unwrap()
 }
 
 #[test]
 fn a_stored_scenario_is_read_and_written_with_the_same_names() {
     let stored = stored_scenario();
-    let scenario = read(&stored);
+    let scenario = parse(&stored);
     assert_eq!(serde_json::to_value(&scenario).unwrap(), stored);
     assert_eq!(scenario.rollout.gate, GateMode::Timer);
     assert_eq!(scenario.classes[0].idempotency, Idempotency::Idempotent);
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn a_scenario_whose_parts_do_not_fit_is_invalid() {
-    let valid = read(&stored_scenario());
+fn a_scenario_with_missing_parts_or_too_long_is_invalid() {
+    let valid = parse(&stored_scenario());
     assert_eq!(valid.validate(), Ok(()));
     let mut without_proxies = valid.clone();
     without_proxies.proxies.clear();
