--- a/crates/simulated-site/src/model/release_service/pool.rs
+++ b/crates/simulated-site/src/model/release_service/pool.rs
@@ -65,7 +65,7 @@
 }
 
 impl ServerPool {
-    /// Creates a pool with one running server in each place. The ids count up from 1.
+    /// Creates a pool with one running server in each place. The ids are 1, 2 and so on.
     pub fn running(places: usize, build: u16) -> Self {
         let running = |place| PooledServer { place, build, lifecycle: Lifecycle::Running };
         let servers = (0..places).map(|place| (place as u64 + 1, running(place))).collect();
--- a/crates/simulated-site/src/model/release_service/stage_clock.rs
+++ b/crates/simulated-site/src/model/release_service/stage_clock.rs
@@ -2,7 +2,8 @@
 
 /// Time from all servers of a stage running to the start of the stage's clock, in microseconds.
 const STAGE_SETTLE_TIME: u64 = 1_000_000;
-/// Time after which a stage no longer waits for its servers to run, in microseconds from the stage's begin.
+/// Time after which a stage no longer waits for its servers to run, in microseconds from the start of the
+/// stage.
 const MAX_STARTUP_TIME: u64 = 8_000_000;
 
 /// The clock of the current stage.
--- a/crates/simulated-site/src/model/release_service/votes.rs
+++ b/crates/simulated-site/src/model/release_service/votes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use violetseam_site_protocol::release_service::{ReleaseUpdate, VerdictName, Vote};
 
-/// Capacity of the token bucket, as the time in which the rate limit refills it.
+/// Capacity of the token bucket, in seconds of refill at the rate limit.
 const BURST_SECONDS: f64 = 2.0;
 
 /// A token bucket that limits the rate of votes.
--- a/crates/simulated-site/tests/model.rs
+++ b/crates/simulated-site/tests/model.rs
@@ -12,7 +12,7 @@
 const SECOND: u64 = 1_000_000;
 const LIMIT: OverloadLimit = OverloadLimit { multiple: 3.0, span: 2 * SECOND };
 
-fn spec() -> ServerSpec {
+fn server_spec() -> ServerSpec {
     ServerSpec {
         zone: 1,
         cell: 2,
@@ -32,7 +32,7 @@
 }
 
 fn warm_server() -> Server {
-    Server::start(spec(), Build::without_defect(1), 0, true)
+    Server::start(server_spec(), Build::without_defect(1), 0, true)
 }
 
 fn random() -> RandomSource {
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_server_collapses_when_it_is_overloaded_while_warming_up() {
-    let mut server = Server::start(spec(), Build::without_defect(1), 0, false);
+    let mut server = Server::start(server_spec(), Build::without_defect(1), 0, false);
     assert!((server.warm_fraction(SECOND) - 0.75).abs() < 1e-9);
     let mut random = random();
     // The server collapses above 3.75 s of work: half a core for 2 s, times the multiple of 3, plus the
@@ -101,13 +101,13 @@
         idempotency: Idempotency::KeyedZone,
         dedup_window: SECOND,
     };
-    let other_zone = ServerSpec { zone: 9, ..spec() };
+    let other_zone = ServerSpec { zone: 9, ..server_spec() };
     let mut caches = DedupCaches::default();
-    assert!(!caches.is_duplicate(0, &class, 0, 7, &spec()));
-    assert!(caches.is_duplicate(10, &class, 0, 7, &spec()));
+    assert!(!caches.is_duplicate(0, &class, 0, 7, &server_spec()));
+    assert!(caches.is_duplicate(10, &class, 0, 7, &server_spec()));
     assert!(!caches.is_duplicate(10, &class, 0, 7, &other_zone));
-    assert!(!caches.is_duplicate(10, &class, 0, 0, &spec()));
-    assert!(!caches.is_duplicate(2 * SECOND, &class, 0, 7, &spec()));
+    assert!(!caches.is_duplicate(10, &class, 0, 0, &server_spec()));
+    assert!(!caches.is_duplicate(2 * SECOND, &class, 0, 7, &server_spec()));
 }
 
 #[test]
