--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher as a process, and subscribers over real connections.
+//! Runs the publisher as a child process, and subscribes to it over TCP connections.
 
 use super::PROGRAM;
 use rustix::process::{Pid, Signal, kill_process};
@@ -15,65 +15,70 @@
 use violetseam_http1::client::{ClientConnection, ClientEvent};
 use violetseam_publisher::client::Client;
 
-/// What a test waits for at most.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The longest time that a test waits for one condition.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// A fresh folder for a publisher's state; the folder itself is not made.
+/// Returns a path for a publisher's state that does not exist yet. The publisher creates the folder.
 pub fn state_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("vs-publisher-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
+/// A running publisher process. It is killed when this value is dropped.
 pub struct PublisherProcess {
     child: Child,
     pub address: SocketAddr,
-    /// The version that it said to go on from.
+    /// The version that the publisher reported on its first line of output: it continues from this version.
     pub started_from: Version,
 }
 
-fn command(state: &Path, more: &[&str]) -> Command {
+fn command(state: &Path, extra_arguments: &[&str]) -> Command {
     let mut command = Command::new(PROGRAM);
-    command.args(["publisher", "--listen", "127.0.0.1:0", "--log", "error", "--state"]).arg(state).args(more);
+    command
+        .args(["publisher", "--listen", "127.0.0.1:0", "--log", "error", "--state"])
+        .arg(state)
+        .args(extra_arguments);
     command
 }
 
-/// Starts a publisher on a free port, and waits until it listens.
-pub fn start(state: &Path, more: &[&str]) -> PublisherProcess {
-    let mut child = command(state, more).stdout(Stdio::piped()).spawn().unwrap();
+/// Starts a publisher on a free port and waits deadline it listens.
+pub fn start(state: &Path, extra_arguments: &[&str]) -> PublisherProcess {
+    let mut child = command(state, extra_arguments).stdout(Stdio::piped()).spawn().unwrap();
     let mut line = String::new();
     BufReader::new(child.stdout.as_mut().unwrap()).read_line(&mut line).unwrap();
     let words: Vec<&str> = line.split_whitespace().collect();
     let ["publishes", "from", "version", version, "on", address] = words[..] else {
-        panic!("the publisher does not start: {line:?}")
+        panic!("the publisher did not start: its first line of output is {line:?}")
     };
     PublisherProcess { child, address: address.parse().unwrap(), started_from: version_of(version) }
 }
 
-/// Starts a publisher that must end by itself: what it said.
-pub fn start_refused(state: &Path, more: &[&str]) -> Output {
-    let mut command = command(state, more);
+/// Starts a publisher that must exit by itself, and returns its output.
+pub fn start_expecting_exit(state: &Path, extra_arguments: &[&str]) -> Output {
+    let mut command = command(state, extra_arguments);
     let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    wait_for_end(&mut child);
+    wait_for_exit(&mut child);
     child.wait_with_output().unwrap()
 }
 
-/// Waits until a process that must end has; one that does not is killed, and the test fails.
-fn wait_for_end(child: &mut Child) -> ExitStatus {
-    let until = Instant::now() + PATIENCE;
+/// Waits deadline a process has exited. Kills it and fails the test if it still runs after the time limit.
+fn wait_for_exit(child: &mut Child) -> ExitStatus {
+    let deadline = Instant::now() + WAIT_LIMIT;
     loop {
         if let Some(status) = child.try_wait().unwrap() {
             return status;
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             let _ = child.kill();
             let _ = child.wait();
-            panic!("a publisher that must end runs on");
+            panic!("the publisher did not exit within {WAIT_LIMIT:?}");
         }
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
+/// Parses a version that is written as `term.number`.
 pub fn version_of(text: &str) -> Version {
     let (term, number) = text.split_once('.').unwrap();
     Version::new(Term(term.parse().unwrap()), number.parse().unwrap())
@@ -84,36 +89,39 @@
         Pid::from_raw(self.child.id() as i32).unwrap()
     }
 
-    /// Kills the process, as a crash would, and waits until it is gone: its store is locked as long as it exists.
+    /// Kills the process, as a crash would, and waits deadline it has exited. The store is locked as long as
+    /// the process exists.
     pub fn kill_and_wait(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
     pub fn client(&self) -> Client {
-        Client { publisher: self.address, timeout: PATIENCE }
+        Client { publisher: self.address, timeout: WAIT_LIMIT }
     }
 
-    /// Publishes changes; they must be taken.
+    /// Publishes changes, which the publisher must accept, and returns the new version.
     pub fn publish(&self, changes: &[Change]) -> Version {
         self.client().publish_changes(&json_lines(changes)).unwrap().version
     }
 
-    /// Runs `violetseam publish`.
-    pub fn run_publish(&self, more: &[&str]) -> Output {
+    /// Runs `violetseam publish` against this publisher and returns its output.
+    pub fn run_publish(&self, extra_arguments: &[&str]) -> Output {
         let to = self.address.to_string();
-        Command::new(PROGRAM).args(["publish", "--to", &to]).args(more).output().unwrap()
+        Command::new(PROGRAM).args(["publish", "--to", &to]).args(extra_arguments).output().unwrap()
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits deadline the publisher has exited by itself.
     pub fn wait(&mut self) -> ExitStatus {
-        wait_for_end(&mut self.child)
+        wait_for_exit(&mut self.child)
     }
 
+    /// Kills the process, as a crash would.
     pub fn kill(mut self) {
         self.kill_and_wait();
     }
 
+    /// Stops the publisher with SIGTERM; it must exit with success.
     pub fn end(mut self) {
         kill_process(self.pid(), Signal::TERM).unwrap();
         assert!(self.child.wait().unwrap().success());
@@ -127,6 +135,7 @@
     }
 }
 
+/// Writes each value as one line of JSON.
 pub fn json_lines<T: serde::Serialize>(values: &[T]) -> Vec<u8> {
     let mut lines = Vec::new();
     for value in values {
@@ -144,7 +153,7 @@
     Change::Remove(ResourceKey::Route(RouteKey { method: None, prefix: prefix.to_owned() }))
 }
 
-/// One connection that a subscriber calls on.
+/// A subscriber's connection to the publisher, with one request and its response.
 pub struct Watch {
     stream: TcpStream,
     http: ClientConnection,
@@ -156,29 +165,30 @@
     ended: bool,
 }
 
-/// What a watch gave.
+/// What was read from a watch.
 #[derive(Debug)]
-pub enum Heard {
+pub enum WatchEvent {
     Message(Message),
-    /// The answer or the connection ended.
+    /// The response or the connection ended.
     End,
-    /// Nothing in this time.
+    /// No message arrived within the given time.
     Silence,
 }
 
 impl Watch {
-    /// Calls, and reads the answer's head.
+    /// Connects, requests a watch, and reads the head of the response.
     pub fn open(publisher: SocketAddr, name: &str, known: Option<Version>) -> Watch {
         let subscribe = Subscribe { subscriber: name.to_owned(), known, snapshot_required: false };
         Watch::call(TcpStream::connect(publisher).unwrap(), &subscribe)
     }
 
+    /// Requests a watch on this connection, and reads the head of the response.
     pub fn call(stream: TcpStream, subscribe: &Subscribe) -> Watch {
         let target = format!("/v1/configuration/watch?{}", subscribe.to_query());
         Watch::request(stream, &format!("GET {target} HTTP/1.1\r\nhost: publisher\r\n\r\n"))
     }
 
-    /// Sends a request of any kind.
+    /// Sends any request, given as text, and reads the head of the response.
     pub fn request(mut stream: TcpStream, request: &str) -> Watch {
         stream.write_all(request.as_bytes()).unwrap();
         let mut http = ClientConnection::new(Limits::default());
@@ -192,55 +202,56 @@
             partial: Vec::new(),
             ended: false,
         };
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_LIMIT;
         while watch.status == 0 && !watch.ended {
-            assert!(Instant::now() < until, "no answer");
-            watch.read(until);
+            assert!(Instant::now() < deadline, "no response within {WAIT_LIMIT:?}");
+            watch.read(deadline);
         }
         watch
     }
 
-    /// The next line, if one comes in this time.
+    /// Returns the next line, or `None` if no line arrives within the given time.
     pub fn next_line(&mut self, within: Duration) -> Option<Vec<u8>> {
-        let until = Instant::now() + within;
-        while self.lines.is_empty() && !self.ended && Instant::now() < until {
-            self.read(until);
+        let deadline = Instant::now() + within;
+        while self.lines.is_empty() && !self.ended && Instant::now() < deadline {
+            self.read(deadline);
         }
         self.lines.pop_front()
     }
 
-    pub fn next(&mut self, within: Duration) -> Heard {
+    /// Returns the next message, or that the watch ended, or that nothing arrived within the given time.
+    pub fn next(&mut self, within: Duration) -> WatchEvent {
         match self.next_line(within) {
-            Some(line) => Heard::Message(Message::parse(&line).unwrap()),
-            None if self.ended => Heard::End,
-            None => Heard::Silence,
+            Some(line) => WatchEvent::Message(Message::parse(&line).unwrap()),
+            None if self.ended => WatchEvent::End,
+            None => WatchEvent::Silence,
         }
     }
 
-    /// The next message that is no heartbeat; it must come.
-    pub fn next_news(&mut self) -> Message {
-        let until = Instant::now() + PATIENCE;
+    /// Returns the next message that is not a heartbeat; fails if none arrives within the time limit.
+    pub fn next_message_except_heartbeat(&mut self) -> Message {
+        let deadline = Instant::now() + WAIT_LIMIT;
         loop {
-            match self.next(until.saturating_duration_since(Instant::now())) {
-                Heard::Message(Message::Heartbeat { .. }) => {}
-                Heard::Message(message) => return message,
-                other => panic!("{other:?}"),
+            match self.next(deadline.saturating_duration_since(Instant::now())) {
+                WatchEvent::Message(Message::Heartbeat { .. }) => {}
+                WatchEvent::Message(message) => return message,
+                other => panic!("expected a message, got {other:?}"),
             }
         }
     }
 
-    /// Reads until the publisher closes: whether it did in this time.
-    pub fn reads_to_end(&mut self, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        while !self.ended && Instant::now() < until {
-            self.read(until);
+    /// Discards what arrives deadline the watch ends, and returns whether it ended within the given time.
+    pub fn closes_within(&mut self, within: Duration) -> bool {
+        let deadline = Instant::now() + within;
+        while !self.ended && Instant::now() < deadline {
+            self.read(deadline);
             self.lines.clear();
         }
         self.ended
     }
 
-    fn read(&mut self, until: Instant) {
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+    fn read(&mut self, deadline: Instant) {
+        let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
         self.stream.set_read_timeout(Some(left)).unwrap();
         let mut bytes = [0; 64 * 1024];
         match self.stream.read(&mut bytes) {
@@ -256,7 +267,7 @@
                     let value = head.headers.get("retry-after-ms");
                     self.retry_after_ms = value.map(|value| value.to_str().unwrap().parse().unwrap());
                 }
-                ClientEvent::Body(body) => self.take(&body),
+                ClientEvent::Body(body) => self.split_lines(&body),
                 ClientEvent::End { .. } => {
                     if !self.partial.is_empty() {
                         self.lines.push_back(std::mem::take(&mut self.partial));
@@ -264,12 +275,13 @@
                     self.ended = true;
                     return;
                 }
-                ClientEvent::Error(fault) => panic!("{fault:?}"),
+                ClientEvent::Error(error) => panic!("malformed response: {error:?}"),
             }
         }
     }
 
-    fn take(&mut self, body: &[u8]) {
+    /// Adds body bytes and moves each complete line to `lines`.
+    fn split_lines(&mut self, body: &[u8]) {
         self.partial.extend_from_slice(body);
         while let Some(at) = self.partial.iter().position(|byte| *byte == b'\n') {
             let rest = self.partial.split_off(at + 1);
@@ -278,7 +290,7 @@
     }
 }
 
-/// Sends a report; the status it was answered with.
+/// Sends a report and returns the status of the response.
 pub fn report(publisher: SocketAddr, report: &Report) -> u16 {
     let body = String::from_utf8(report.write().to_vec()).unwrap();
     let request = format!(
@@ -288,7 +300,7 @@
     Watch::request(TcpStream::connect(publisher).unwrap(), &request).status
 }
 
-/// A connection with a small receive buffer, for a subscriber that reads slowly.
+/// Connects with a small receive buffer, for a subscriber that reads slowly.
 pub fn connect_with_small_buffer(publisher: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 * 1024).unwrap();
--- a/crates/cli/tests/publisher.rs
+++ b/crates/cli/tests/publisher.rs
@@ -1,10 +1,11 @@
-//! The configuration publisher as a process: published, killed, without its log, before slow and many readers.
+//! Tests the configuration publisher as a process: publishing, kills, a lost store, slow subscribers, and
+//! many subscribers at once.
 
 mod common;
 
 use common::publisher::{
-    Heard, PATIENCE, Watch, connect_with_small_buffer, json_lines, put_route, remove_route, report, start,
-    start_refused, state_folder, version_of,
+    WAIT_LIMIT, Watch, WatchEvent, connect_with_small_buffer, json_lines, put_route, remove_route, report,
+    start, start_expecting_exit, state_folder, version_of,
 };
 use rustix::process::{Resource as Limit, Rlimit, prlimit};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +18,7 @@
 use violetseam_distribution::{Message, Micros, Report, Resource, Subscribe, Term, Version};
 use violetseam_publisher::client::ClientError;
 
-/// A route whose prefix is this long.
+/// A change that puts a route whose prefix has the given length.
 fn long_route(number: usize, length: usize) -> Change {
     let start = format!("/{number}/");
     put_route(&format!("{start}{}", "x".repeat(length - start.len())), "read")
@@ -28,16 +29,17 @@
 }
 
 #[test]
-fn a_published_change_reaches_a_watch_and_the_status_says_who_is_behind() {
+fn a_published_change_reaches_a_watch_and_the_status_shows_subscribers_behind() {
     let state = state_folder("reaches");
     let publisher = start(&state, &[]);
     let mut watch = Watch::open(publisher.address, "proxy-1", None);
-    let Message::SnapshotPart(part) = watch.next_news() else { panic!("no snapshot") };
+    let Message::SnapshotPart(part) = watch.next_message_except_heartbeat() else { panic!("no snapshot") };
     assert_eq!((part.version, part.parts, part.resources.len()), (publisher.started_from, 1, 0));
-    // At once, and not only when nothing was sent for a while.
-    let Heard::Message(Message::Heartbeat { version, digest }) = watch.next(Duration::from_millis(1_500))
+    // A heartbeat follows at once, not only after an idle period.
+    let WatchEvent::Message(Message::Heartbeat { version, digest }) =
+        watch.next(Duration::from_millis(1_500))
     else {
-        panic!("no heartbeat after the answer")
+        panic!("no heartbeat after the snapshot")
     };
     assert_eq!((version, digest), (part.version, part.digest));
 
@@ -48,11 +50,11 @@
     let first = publisher.started_from.next();
     assert!(text(&output.stdout).contains(&format!("version {first}, ")), "{output:?}");
 
-    let Message::Delta(delta) = watch.next_news() else { panic!("no delta") };
+    let Message::Delta(delta) = watch.next_message_except_heartbeat() else { panic!("no delta") };
     assert_eq!((delta.base, delta.version), (publisher.started_from, first));
     assert_eq!(delta.changes, [put_route("/a", "read"), put_route("/b", "write")]);
 
-    // Not in force before it is acknowledged.
+    // The status shows a version for a subscriber only once the subscriber has acknowledged it.
     let status = publisher.client().status().unwrap();
     assert_eq!((status.version, status.digest, status.resources), (first, delta.digest, 2));
     assert_eq!(status.subscribers[0].status.version, None);
@@ -67,28 +69,29 @@
     let shown = text(&output.stdout);
     assert!(output.status.success() && shown.contains("1 of 1 subscribers behind"), "{shown}");
     assert!(shown.contains(&format!("refused {second}: class unknown")), "{shown}");
-    // A version that was never published cannot be held.
+    // A subscriber cannot acknowledge a version that was never published.
     let never = Report::Acknowledge { subscriber: "proxy-1".into(), version: second.next() };
     assert_eq!(report(publisher.address, &never), 409);
     publisher.end();
 }
 
 #[test]
-fn heartbeats_come_on_a_watch_without_news() {
+fn heartbeats_arrive_on_a_watch_without_changes() {
     let publisher = start(&state_folder("heartbeats"), &[]);
     let version = publisher.publish(&[put_route("/a", "read")]);
     let mut watch = Watch::open(publisher.address, "proxy-1", Some(version));
     for _ in 0..3 {
         match watch.next(Duration::from_secs(4)) {
-            Heard::Message(Message::Heartbeat { version: told, .. }) => assert_eq!(told, version),
+            WatchEvent::Message(Message::Heartbeat { version: sent, .. }) => assert_eq!(sent, version),
             other => panic!("{other:?}"),
         }
     }
     publisher.end();
 }
 
-/// Publishes one route after another until the publisher is gone: the confirmed ones by number of version.
-fn publish_until_gone(client: violetseam_publisher::client::Client, round: usize) -> BTreeMap<u64, String> {
+/// Publishes one route after another until the publisher does not answer any more. Returns the prefixes of
+/// the confirmed routes by version number.
+fn publish_until_killed(client: violetseam_publisher::client::Client, round: usize) -> BTreeMap<u64, String> {
     let mut confirmed = BTreeMap::new();
     for index in 0.. {
         let prefix = format!("/{round}/{index}");
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn killed_while_it_writes_it_has_every_confirmed_change_once_and_numbers_on() {
+fn a_publisher_killed_while_writing_keeps_each_confirmed_change_once_and_continues_its_numbers() {
     let state = state_folder("killed");
     let mut confirmed = BTreeMap::new();
     let mut last = None;
@@ -112,21 +115,21 @@
             assert!(publisher.started_from >= last, "{} < {last}", publisher.started_from);
         }
         let client = publisher.client();
-        let writer = thread::spawn(move || publish_until_gone(client, round));
+        let writer = thread::spawn(move || publish_until_killed(client, round));
         let mut watch = Watch::open(publisher.address, "proxy-1", Some(publisher.started_from));
-        // Killed after some changes were told, a different number in each round.
-        let mut told = 0;
-        while told < 12 + 7 * round {
-            if matches!(watch.next_news(), Message::Delta(_)) {
-                told += 1;
+        // The publisher is killed after it has sent some deltas, a different number of them in each round.
+        let mut deltas = 0;
+        while deltas < 12 + 7 * round {
+            if matches!(watch.next_message_except_heartbeat(), Message::Delta(_)) {
+                deltas += 1;
             }
         }
         publisher.kill();
         for (number, prefix) in writer.join().unwrap() {
-            assert_eq!(confirmed.insert(number, prefix), None, "number {number} twice");
+            assert_eq!(confirmed.insert(number, prefix), None, "version number {number} was confirmed twice");
         }
-        // What was told before the kill is durable, too.
-        while let Heard::Message(message) = watch.next(Duration::from_millis(200)) {
+        // A version that was sent before the kill must also be durable.
+        while let WatchEvent::Message(message) = watch.next(Duration::from_millis(200)) {
             last = message.version().max(last);
         }
     }
@@ -136,57 +139,57 @@
     let mut watch = Watch::open(publisher.address, "reader", Some(Version::new(newest.term, 0)));
     let mut seen = BTreeSet::new();
     for number in 1..=newest.number {
-        let Message::Delta(delta) = watch.next_news() else { panic!("no delta") };
+        let Message::Delta(delta) = watch.next_message_except_heartbeat() else { panic!("no delta") };
         assert_eq!((delta.base.number, delta.version.number), (number - 1, number));
         let [Change::Put(Resource::Route(route))] = &delta.changes[..] else { panic!("{delta:?}") };
-        assert!(seen.insert(route.key.prefix.clone()), "{} twice", route.key.prefix);
+        assert!(seen.insert(route.key.prefix.clone()), "the route {} was stored twice", route.key.prefix);
         if let Some(prefix) = confirmed.remove(&number) {
             assert_eq!(prefix, route.key.prefix);
         }
     }
-    assert!(confirmed.is_empty(), "confirmed and lost: {confirmed:?}");
-    assert!(seen.len() >= 12 * 6, "{}", seen.len());
+    assert!(confirmed.is_empty(), "confirmed changes were lost: {confirmed:?}");
+    assert!(seen.len() >= 12 * 6, "{} versions are stored", seen.len());
     assert_eq!(publisher.publish(&[put_route("/after", "read")]), newest.next());
     publisher.end();
 }
 
 #[test]
-fn what_cannot_be_made_durable_is_told_to_nobody_and_ends_the_process() {
+fn a_change_that_cannot_be_made_durable_is_not_sent_and_ends_the_process() {
     let state = state_folder("room");
     let mut publisher = start(&state, &[]);
     let version = publisher.publish(&[put_route("/a", "read")]);
     let mut watch = Watch::open(publisher.address, "proxy-1", Some(version));
-    assert!(matches!(watch.next(PATIENCE), Heard::Message(Message::Heartbeat { .. })));
-    // No file may grow: the disk is full.
+    assert!(matches!(watch.next(WAIT_LIMIT), WatchEvent::Message(Message::Heartbeat { .. })));
+    // A limit on the file size stands for a full disk: the store cannot grow.
     let size = std::fs::metadata(state.join("publisher.redb")).unwrap().len();
     let full = Rlimit { current: Some(size), maximum: None };
     prlimit(Some(publisher.pid()), Limit::Fsize, full).unwrap();
     let mut number = 0;
-    let taken = loop {
+    let last_durable = loop {
         let changes: Vec<Change> = (0..2_000).map(|n| long_route(number * 2_000 + n, 500)).collect();
         number += 1;
         match publisher.client().publish_changes(&json_lines(&changes)) {
-            Ok(_) => assert!(number < 100, "the store never grows"),
+            Ok(_) => assert!(number < 100, "the store did not reach its size limit in {number} publications"),
             Err(error) => {
-                // Killed by the system as it writes, or told that the write failed.
+                // The system killed the publisher as it wrote, or the publisher reported the failed write.
                 assert!(!matches!(&error, ClientError::Unreachable(_)), "{error}");
                 break Version::new(version.term, version.number + number as u64 - 1);
             }
         }
     };
     assert!(!publisher.wait().success());
-    let mut told = version;
-    while let Heard::Message(message) = watch.next(PATIENCE) {
-        told = message.version().max(Some(told)).unwrap();
+    let mut last_sent = version;
+    while let WatchEvent::Message(message) = watch.next(WAIT_LIMIT) {
+        last_sent = message.version().max(Some(last_sent)).unwrap();
     }
-    assert_eq!(told, taken);
+    assert_eq!(last_sent, last_durable);
     let publisher = start(&state, &[]);
-    assert_eq!(publisher.started_from, taken);
+    assert_eq!(publisher.started_from, last_durable);
     publisher.end();
 }
 
 #[test]
-fn without_its_log_it_begins_a_higher_term_and_gives_no_empty_snapshot() {
+fn a_publisher_without_its_store_begins_a_higher_term_and_sends_no_empty_snapshot() {
     let state = state_folder("lost");
     let before = start(&state, &[]);
     let held = before.publish(&[put_route("/a", "read"), put_route("/b", "read")]);
@@ -196,10 +199,10 @@
     let after = start(&state, &[]);
     assert!(after.started_from.term > held.term, "{} after {held}", after.started_from);
     assert_eq!(after.started_from.number, 0);
-    // Nothing is published yet: who holds something keeps it.
+    // Nothing is published in the new term yet, so a subscriber keeps the configuration that it has.
     let mut watch = Watch::open(after.address, "proxy-1", Some(held));
     assert!(watch.status == 503 && watch.retry_after_ms.is_some_and(|wait| wait > 0), "{}", watch.status);
-    assert!(matches!(watch.next_news(), Message::RetryAfter { .. }));
+    assert!(matches!(watch.next_message_except_heartbeat(), Message::RetryAfter { .. }));
 
     let file = state.join("whole.jsonl");
     std::fs::write(&file, json_lines(&[Resource::route(None, "/a", "read"), Resource::tenant("t", 2.5)]))
@@ -207,14 +210,14 @@
     let output = after.run_publish(&["--whole", file.to_str().unwrap()]);
     assert!(output.status.success(), "{output:?}");
     let mut watch = Watch::open(after.address, "proxy-1", Some(held));
-    let Message::SnapshotPart(part) = watch.next_news() else { panic!("no snapshot") };
+    let Message::SnapshotPart(part) = watch.next_message_except_heartbeat() else { panic!("no snapshot") };
     assert_eq!(part.version, after.started_from.next());
     assert_eq!(part.resources, [Resource::route(None, "/a", "read"), Resource::tenant("t", 2.5)]);
     after.end();
 
-    // The term that is given: higher goes on with what is stored, lower is refused.
+    // With a higher `--term` the publisher continues from its store; a lower one is refused.
     let (higher, lower) = ((part.version.term.0 + 5).to_string(), (part.version.term.0 - 1).to_string());
-    let refused = start_refused(&state, &["--term", &lower]);
+    let refused = start_expecting_exit(&state, &["--term", &lower]);
     assert!(!refused.status.success() && text(&refused.stderr).contains("--term"), "{refused:?}");
     let publisher = start(&state, &["--term", &higher]);
     assert_eq!(publisher.started_from, version_of(&format!("{higher}.{}", part.version.number)));
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn a_publisher_that_a_later_one_has_replaced_publishes_no_more() {
+fn a_publisher_that_was_replaced_by_one_of_a_higher_term_stops_publishing() {
     let state = state_folder("superseded");
     let publisher = start(&state, &["--term", "7"]);
     let version = publisher.publish(&[put_route("/a", "read")]);
@@ -239,20 +242,22 @@
     assert!(status.halted.is_some());
     publisher.end();
 
-    // A store that lost its newest part: nobody is told another content under a number that was used.
+    // A subscriber has a newer version than the store, so the store has lost its newest part. The publisher
+    // must not publish other content under a version number that was already used.
     let publisher = start(&state, &[]);
     assert_eq!(Watch::open(publisher.address, "proxy-1", Some(version.next())).status, 409);
     assert!(matches!(publisher.client().publish_changes(&change), Err(ClientError::Refused(_))));
     publisher.end();
     let publisher = start(&state, &["--term", "9"]);
     let mut watch = Watch::open(publisher.address, "proxy-1", Some(version.next()));
-    assert!(matches!(watch.next_news(), Message::SnapshotPart(_)));
+    assert!(matches!(watch.next_message_except_heartbeat(), Message::SnapshotPart(_)));
     assert_eq!(publisher.publish(&[put_route("/b", "read")]), Version::new(Term(9), version.number + 1));
     publisher.end();
 }
 
-/// Publishes until a watch that is not read must be closed, while another one is read.
-fn publish_before_slow_reader(name: &str, more: &[&str]) {
+/// Publishes more than an unread watch may buffer: that watch must be closed, and one that is read must stay
+/// open.
+fn publish_with_a_slow_reader(name: &str, more: &[&str]) {
     let state = state_folder(name);
     let mut arguments = vec!["--log-bytes", "200000000"];
     arguments.extend(more);
@@ -261,31 +266,31 @@
     let subscribe = Subscribe { subscriber: "slow".into(), known: Some(known), snapshot_required: false };
     let mut slow = Watch::call(connect_with_small_buffer(publisher.address), &subscribe);
     let mut quick = Watch::open(publisher.address, "quick", Some(known));
-    // More than the kernel's buffers hold.
+    // The changes exceed what the kernel's socket buffers hold.
     let mut last = known;
     for index in 0..12 {
         let changes: Vec<Change> = (0..2_000).map(|n| long_route(index * 2_000 + n, 500)).collect();
         last = publisher.publish(&changes);
-        let told_by = Instant::now() + Duration::from_secs(5);
-        while quick.next_news().version() != Some(last) {}
-        assert!(Instant::now() < told_by, "a slow reader holds up others");
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while quick.next_message_except_heartbeat().version() != Some(last) {}
+        assert!(Instant::now() < deadline, "a slow subscriber delays others");
     }
     let watching = || -> BTreeSet<String> {
         let rows = publisher.client().status().unwrap().subscribers.into_iter();
         rows.filter(|row| row.watching).map(|row| row.status.subscriber).collect()
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_LIMIT;
     while watching().contains("slow") {
-        assert!(Instant::now() < until, "the slow reader's watch stays open");
+        assert!(Instant::now() < until, "the slow subscriber's watch was not closed within {WAIT_LIMIT:?}");
         thread::sleep(Duration::from_millis(50));
     }
     assert!(watching().contains("quick"));
-    // It comes back with its version and misses nothing.
-    assert!(slow.reads_to_end(PATIENCE));
-    let mut back = Watch::open(publisher.address, "slow", Some(known));
+    // The slow subscriber reconnects with its version and receives every delta since.
+    assert!(slow.closes_within(WAIT_LIMIT));
+    let mut reconnected = Watch::open(publisher.address, "slow", Some(known));
     let mut held = known;
     while held != last {
-        let Message::Delta(delta) = back.next_news() else { panic!("no delta") };
+        let Message::Delta(delta) = reconnected.next_message_except_heartbeat() else { panic!("no delta") };
         assert_eq!(delta.base, held);
         held = delta.version;
     }
@@ -293,18 +298,18 @@
 }
 
 #[test]
-fn a_slow_reader_is_closed_at_the_bound_of_its_bytes_and_others_go_on() {
-    publish_before_slow_reader("slow-bytes", &["--unread-bytes", "2000000", "--catch-up", "600"]);
+fn a_slow_subscriber_is_closed_at_its_limit_of_unread_bytes_and_others_continue() {
+    publish_with_a_slow_reader("slow-bytes", &["--unread-bytes", "2000000", "--catch-up", "600"]);
 }
 
 #[test]
-fn a_slow_reader_is_closed_when_it_has_not_caught_up_in_time() {
+fn a_slow_subscriber_is_closed_when_it_has_not_caught_up_in_time() {
     let more = ["--unread-bytes", "100000000", "--catch-up", "1"];
-    publish_before_slow_reader("slow-time", &more);
+    publish_with_a_slow_reader("slow-time", &more);
 }
 
 #[test]
-fn changes_that_do_not_check_are_refused_and_nothing_changes() {
+fn invalid_changes_are_refused_and_nothing_changes() {
     let state = state_folder("refused");
     let publisher = start(&state, &[]);
     let version = publisher.publish(&[put_route("/a", "read")]);
@@ -313,7 +318,7 @@
     let good = text(&json_lines(&[put_route("/good", "read")]));
     let too_many: Vec<Change> =
         (0..=MAX_DELTA_CHANGES).map(|n| put_route(&format!("/{n}"), "read")).collect();
-    let faulty = [
+    let invalid = [
         (format!("{good}{}", text(&json_lines(&[put_route("no-slash", "read")]))), "line 2: prefix"),
         (format!("{good}{{\"put\":"), "line 2: "),
         (format!("{good}{{\"put\":{{\"cache\":{{}}}}}}"), "line 2: unknown variant `cache`"),
@@ -324,7 +329,7 @@
         (String::new(), "no change"),
     ];
     let file = state.join("faulty.jsonl");
-    for (lines, reason) in &faulty {
+    for (lines, reason) in &invalid {
         std::fs::write(&file, lines).unwrap();
         let output = publisher.run_publish(&[file.to_str().unwrap()]);
         assert_eq!(output.status.code(), Some(3), "{reason}: {output:?}");
@@ -335,9 +340,9 @@
     assert_eq!(publisher.run_publish(&["--whole", file.to_str().unwrap()]).status.code(), Some(3));
     let status = publisher.client().status().unwrap();
     assert_eq!((status.version, status.digest, status.resources), (version, digest, 1));
-    // The next thing that the watch hears beside heartbeats is the next good change.
+    // Apart from heartbeats, the next message on the watch is the next valid change.
     let next = publisher.publish(&[put_route("/b", "read")]);
-    assert_eq!((next, watch.next_news().version()), (version.next(), Some(next)));
+    assert_eq!((next, watch.next_message_except_heartbeat().version()), (version.next(), Some(next)));
     publisher.kill();
     let publisher = start(&state, &[]);
     assert_eq!((publisher.started_from, publisher.client().status().unwrap().resources), (next, 2));
@@ -345,17 +350,18 @@
 }
 
 #[test]
-fn a_state_folder_has_one_publisher() {
+fn a_second_publisher_on_the_same_state_folder_is_refused() {
     let state = state_folder("taken");
     let publisher = start(&state, &[]);
-    let refused = start_refused(&state, &[]);
+    let refused = start_expecting_exit(&state, &[]);
     assert!(!refused.status.success());
     assert!(text(&refused.stderr).contains("another publisher"), "{refused:?}");
     publisher.end();
 }
 
-/// A store of some size, ended in order or killed.
-fn stored(state: &Path, killed: bool) -> (Version, Vec<u8>) {
+/// Writes a store of some size with a publisher that is killed or stopped in order. Returns the last version
+/// and the bytes of the store.
+fn write_store(state: &Path, killed: bool) -> (Version, Vec<u8>) {
     let publisher = start(state, &[]);
     for index in 0..20 {
         publisher.publish(&(0..40).map(|n| long_route(index * 40 + n, 200)).collect::<Vec<Change>>());
@@ -373,9 +379,9 @@
 fn a_damaged_store_is_refused() {
     for killed in [false, true] {
         let state = state_folder(&format!("damaged-{killed}"));
-        let (_, whole) = stored(&state, killed);
+        let (_, whole) = write_store(&state, killed);
         let file = state.join("publisher.redb");
-        let texts = |bytes: &[u8]| -> Vec<usize> {
+        let text_offsets = |bytes: &[u8]| -> Vec<usize> {
             bytes.windows(8).enumerate().filter(|(_, part)| *part == b"xxxxxxxx").map(|(at, _)| at).collect()
         };
         let mut damaged = BTreeMap::new();
@@ -385,7 +391,7 @@
         without_head[..512].fill(0x55);
         damaged.insert("head", without_head);
         let mut other_texts = whole.clone();
-        for at in texts(&whole) {
+        for at in text_offsets(&whole) {
             other_texts[at] = b'y';
         }
         damaged.insert("texts", other_texts);
@@ -394,7 +400,7 @@
         damaged.insert("zeros", zeros);
         for (what, bytes) in damaged {
             std::fs::write(&file, bytes).unwrap();
-            let refused = start_refused(&state, &[]);
+            let refused = start_expecting_exit(&state, &[]);
             assert_eq!(refused.status.code(), Some(2), "{what}: {refused:?}");
             assert!(text(&refused.stderr).contains("the store is damaged"), "{what}: {refused:?}");
             assert!(refused.stdout.is_empty(), "{what}: {refused:?}");
@@ -404,8 +410,14 @@
     }
 }
 
-/// A subscriber's life until it holds a configuration: how often it called, and when it was served.
-fn subscribe_until_served(publisher: SocketAddr, name: &str, seed: u64, since: Instant) -> (usize, Duration) {
+/// Runs a subscriber until it has received a snapshot. Returns how many calls it made, and the time from
+/// `since` until it had the snapshot.
+fn subscribe_until_snapshot(
+    publisher: SocketAddr,
+    name: &str,
+    seed: u64,
+    since: Instant,
+) -> (usize, Duration) {
     let now = || since.elapsed().as_micros() as Micros;
     let mut subscriber = Subscriber::new(now(), name, seed, None);
     let mut calls = 0;
@@ -417,7 +429,7 @@
         calls += 1;
         let mut watch = Watch::call(TcpStream::connect(publisher).unwrap(), &subscribe);
         loop {
-            let Heard::Message(message) = watch.next(Duration::from_secs(5)) else {
+            let WatchEvent::Message(message) = watch.next(Duration::from_secs(5)) else {
                 subscriber.on_watch_closed(now());
                 break;
             };
@@ -433,26 +445,30 @@
 }
 
 #[test]
-fn forty_subscribers_at_once_are_all_served_at_the_stated_rate() {
+fn forty_subscribers_at_once_are_all_served_at_the_configured_rate() {
     let publisher = start(&state_folder("forty"), &["--snapshots-per-second", "10"]);
     let resources: Vec<Change> = (0..500).map(|n| long_route(n, 200)).collect();
     publisher.publish(&resources);
     let (address, since) = (publisher.address, Instant::now());
-    let subscriber = |n: u64| move || subscribe_until_served(address, &format!("proxy-{n}"), n, since);
+    let subscriber = |n: u64| move || subscribe_until_snapshot(address, &format!("proxy-{n}"), n, since);
     let callers: Vec<_> = (0..40).map(|n| thread::spawn(subscriber(n))).collect();
     let served: Vec<(usize, Duration)> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
     let last = served.iter().map(|(_, at)| *at).max().unwrap();
-    // Forty at ten a second: 3.9 s from the first to the last.
-    assert!(last >= Duration::from_millis(3_900), "admitted faster than stated: {last:?}");
-    assert!(last <= Duration::from_secs(8), "{last:?}");
-    // Nobody calls in vain: one call that is told when to come, one that is served.
+    // With 40 snapshots at 10 per second, the last comes 3.9 s after the first.
+    assert!(
+        last >= Duration::from_millis(3_900),
+        "snapshots were admitted faster than 10 per second: the last after {last:?}"
+    );
+    assert!(last <= Duration::from_secs(8), "the last snapshot came after {last:?}");
+    // A subscriber makes one call that is told when to retry, and one that is served; no further call is
+    // wasted.
     let most_calls = served.iter().map(|(calls, _)| *calls).max().unwrap();
     assert!(most_calls <= 3, "{served:?}");
     publisher.end();
 }
 
 #[test]
-fn what_comes_from_outside_is_bounded() {
+fn the_size_and_the_number_of_requests_are_limited() {
     let state = state_folder("bounds");
     let publisher = start(&state, &["--connections", "4", "--body-bytes", "100000"]);
     let watch = Watch::request(
@@ -468,31 +484,32 @@
         }
         other => panic!("{other:?}"),
     }
-    // A report has a bound of its own.
+    // The body of a report has its own, lower limit.
     let report = "x".repeat(10_000);
     let request = format!(
         "POST /v1/configuration/acknowledge HTTP/1.1\r\nhost: p\r\ncontent-length: 10000\r\n\r\n{report}"
     );
     assert_eq!(Watch::request(TcpStream::connect(publisher.address).unwrap(), &request).status, 413);
-    // Four connections are held; a fifth is closed, and served once one of them has left.
+    // Four connections are held open. A fifth is closed, and served only once one of the four has been
+    // closed.
     let known = Some(publisher.started_from);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_LIMIT;
     let mut held = Vec::new();
     while held.len() < 4 {
         let watch = Watch::open(publisher.address, &format!("proxy-{}", held.len()), known);
         if watch.status == 200 {
             held.push(watch);
         }
-        assert!(Instant::now() < until);
+        assert!(Instant::now() < until, "only {} of 4 watches were accepted", held.len());
     }
     assert!(publisher.client().status().is_err(), "a fifth connection was served");
     held.pop();
     while publisher.client().status().is_err() {
-        assert!(Instant::now() < until, "no connection is free again");
+        assert!(Instant::now() < until, "no connection became free within {WAIT_LIMIT:?}");
     }
-    // A newer watch of the same subscriber takes the place of the older one.
+    // A newer watch of the same subscriber replaces the older one.
     let mut newer = Watch::open(publisher.address, "proxy-0", known);
-    assert!(held[0].reads_to_end(PATIENCE));
-    assert!(matches!(newer.next(PATIENCE), Heard::Message(_)));
+    assert!(held[0].closes_within(WAIT_LIMIT));
+    assert!(matches!(newer.next(WAIT_LIMIT), WatchEvent::Message(_)));
     publisher.end();
 }
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -1,9 +1,9 @@
-//! Stored data of an earlier build is read by this one: the files under `stored/` (its README says how they were
-//! written) are never written again to make a test pass.
+//! Tests that this build reads the data that an earlier build stored. The files under `stored/` are never
+//! written anew to make a test pass; the README there says how they were written.
 
 mod common;
 
-use common::publisher::{Heard, Watch, put_route, remove_route, start as start_publisher, version_of};
+use common::publisher::{Watch, WatchEvent, put_route, remove_route, start as start_publisher, version_of};
 use common::{PROGRAM, Proxy, world};
 use rustix::io::Errno;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
@@ -23,12 +23,13 @@
 use violetseam_recorder::{ReplayFilter, replay};
 use violetseam_release::{Event, Now, Phase};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// The version that the stored configuration and the publisher's store end with.
+/// The longest time that a test waits for one condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
+/// The last version in the stored configuration and in the publisher's store.
 const STORED_VERSION: &str = "1796219051902.2";
-/// When the stored journal of a controller ends, in microseconds since 1970.
+/// The time at which the stored journal of a controller ends, in microseconds since 1970.
 const STORED_JOURNAL_END: u64 = 1_796_219_059_054_867;
-/// How long the plan in that journal lets its release last, in microseconds.
+/// The longest time that the plan in that journal allows its release to take, in microseconds.
 const STORED_PLAN_LONGEST: u64 = 3_600_000_000;
 /// The boot number in the stored daemon state.
 const STORED_BOOT: u64 = 2;
@@ -38,7 +39,7 @@
 }
 
 /// An empty folder for copies of stored files, at a path short enough for a Unix socket.
-fn scratch(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("vs-stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -49,56 +50,58 @@
     std::fs::copy(stored(name), folder.join(name)).unwrap();
 }
 
-/// Compares a value with the JSON that the build which wrote the stored data made of it.
-fn assert_as_before(name: &str, value: &Value) {
+/// Compares a value with the JSON that the earlier build, which wrote the stored data, made of the same
+/// value.
+fn assert_equals_expected_file(name: &str, value: &Value) {
     let path = stored("expected").join(name);
     let expected: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     assert_eq!(value, &expected, "{name}");
 }
 
-fn wait_for(what: &str, mut is: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < until, "waited in vain for: {what}");
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_LIMIT;
+    while !condition() {
+        assert!(Instant::now() < until, "not reached within {WAIT_LIMIT:?}: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_stored_publisher_goes_on_with_its_configuration_and_its_log() {
-    let state = scratch("publisher");
+fn a_publisher_continues_from_a_stored_configuration_and_its_log() {
+    let state = empty_folder("publisher");
     copy_to(&state, "publisher.redb");
     let publisher = start_publisher(&state, &[]);
     let last = version_of(STORED_VERSION);
     assert_eq!(publisher.started_from, last);
     let mut watch = Watch::open(publisher.address, "fresh", None);
-    let Message::SnapshotPart(part) = watch.next_news() else { panic!("no snapshot") };
+    let Message::SnapshotPart(part) = watch.next_message_except_heartbeat() else { panic!("no snapshot") };
     assert_eq!((part.version, part.parts), (last, 1));
-    assert_as_before("resources.json", &serde_json::to_value(&part.resources).unwrap());
-    // The log leads on from the version before.
+    assert_equals_expected_file("resources.json", &serde_json::to_value(&part.resources).unwrap());
+    // The log still holds the delta from the version before the last.
     let mut before = last;
     before.number -= 1;
     let mut watch = Watch::open(publisher.address, "behind", Some(before));
-    let Message::Delta(delta) = watch.next_news() else { panic!("no delta") };
+    let Message::Delta(delta) = watch.next_message_except_heartbeat() else { panic!("no delta") };
     assert_eq!((delta.base, delta.version, delta.digest), (before, last, part.digest));
     assert_eq!(delta.changes, [remove_route("/gone"), put_route("/d", "read")]);
     let next = publisher.publish(&[put_route("/e", "read")]);
     assert_eq!(next, last.next());
-    assert!(matches!(watch.next(PATIENCE), Heard::Message(_)));
+    assert!(matches!(watch.next(WAIT_LIMIT), WatchEvent::Message(_)));
     publisher.end();
     std::fs::remove_dir_all(state).unwrap();
 }
 
-/// A controller on a copy of the stored journal, which another one wrote in term 1.
+/// A controller that runs on a copy of the stored journal, which a controller of the earlier build wrote in
+/// term 1.
 struct StoredController {
     folder: PathBuf,
     process: Child,
 }
 
 impl StoredController {
-    /// A folder with the term that the stored journal belongs to, and nothing else.
+    /// Creates a folder that holds only the file of the term that the stored journal belongs to.
     fn folder(name: &str) -> PathBuf {
-        let folder = scratch(name);
+        let folder = empty_folder(name);
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::copy(stored("controller").join("term-1"), folder.join("state/term-1")).unwrap();
         folder
@@ -122,20 +125,20 @@
         StoredController { folder, process }
     }
 
-    /// What the controller announces once it leads and is in this phase.
+    /// Waits until the controller leads in term 2 and is in the given phase, and returns its announcement.
     fn announcement(&self, phase: &str) -> Value {
-        let mut said = Value::Null;
-        wait_for("the controller speaks in a new term", || {
+        let mut reply = Value::Null;
+        wait_for("the controller leads in term 2 and is in the expected phase", || {
             let out = Command::new(PROGRAM)
                 .args(["release", "--json", "--timeout", "2", "--as", "lead", "--control"])
                 .arg(self.folder.join("control"))
                 .arg("state")
                 .output()
                 .unwrap();
-            said = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
-            said["state"]["term"] == 2 && said["state"]["news"]["phase"] == phase
+            reply = serde_json::from_slice(&out.stdout).unwrap_or(Value::Null);
+            reply["state"]["term"] == 2 && reply["state"]["news"]["phase"] == phase
         });
-        said["state"]["news"].take()
+        reply["state"]["news"].take()
     }
 
     fn end(mut self) {
@@ -145,7 +148,7 @@
     }
 }
 
-/// Moves each time of the wall clock in a journal's record.
+/// Adds the offset `by`, in microseconds, to each wall-clock time in a journal record.
 fn move_wall_times(value: &mut Value, by: u64) {
     match value {
         Value::Object(fields) => {
@@ -161,7 +164,8 @@
     }
 }
 
-/// The stored journal as the same controller would have written it if it had stopped a moment ago.
+/// Returns the stored journal with its times moved so that it ends now, as if the controller had just
+/// stopped.
 fn journal_that_ends_now() -> Vec<u8> {
     let text = std::fs::read_to_string(stored("controller").join("journal-1-0")).unwrap();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn a_stored_controllers_journal_is_gone_on_from() {
+fn a_controller_continues_from_a_stored_journal() {
     let folder = StoredController::folder("controller");
     let state = folder.join("state");
     std::fs::write(state.join("journal-1-0"), journal_that_ends_now()).unwrap();
@@ -189,8 +193,8 @@
     controller.end();
 }
 
-/// The stored plan lets its release last an hour, and the time without a controller counts towards it. The journal as
-/// it was written ended on 2026-12-02 at 13:44 UTC.
+/// The stored plan allows its release one hour, and the time without a running controller counts towards it.
+/// The stored journal ended on 2026-12-02 at 13:44 UTC, so its release is overdue.
 #[test]
 fn a_stored_release_whose_time_is_over_is_rolled_back() {
     let folder = StoredController::folder("late");
@@ -198,7 +202,7 @@
     std::fs::copy(stored("controller").join("journal-1-0"), state.join("journal-1-0")).unwrap();
     let mut replay = StateDir::open(&state).unwrap().read().unwrap().unwrap();
     assert_eq!((replay.event_count, replay.torn), (11, false));
-    assert_as_before("release.json", &serde_json::to_value(&replay.release).unwrap());
+    assert_equals_expected_file("release.json", &serde_json::to_value(&replay.release).unwrap());
     let restart_after = |span: u64| Now { wall: STORED_JOURNAL_END + span, steady: 0 };
     let mut in_time = replay.release.clone();
     in_time.on_event(restart_after(STORED_PLAN_LONGEST - 10_000_000), &Event::Started);
@@ -213,12 +217,12 @@
 
 #[test]
 fn a_stored_daemon_state_is_read_with_its_audit_log() {
-    let folder = scratch("daemon");
+    let folder = empty_folder("daemon");
     copy_to(&folder, "daemon-0.redb");
     let opened = Store::open(&folder, 0, 1_800_000_000_000_000).unwrap();
     assert_eq!((opened.boot, &opened.moved_aside), (STORED_BOOT + 1, &None));
-    assert_as_before("durable.json", &serde_json::to_value(&opened.state).unwrap());
-    assert_as_before("audit.json", &serde_json::to_value(opened.store.audit().unwrap()).unwrap());
+    assert_equals_expected_file("durable.json", &serde_json::to_value(&opened.state).unwrap());
+    assert_equals_expected_file("audit.json", &serde_json::to_value(opened.store.audit().unwrap()).unwrap());
     drop(opened);
     std::fs::remove_dir_all(folder).unwrap();
 }
@@ -233,12 +237,13 @@
     assert_eq!((report.events, report.starts), (2_180, 1));
 }
 
-/// A listener that nobody answers on: its address refuses connections once it is dropped.
+/// Returns an address that refuses connections: its listener is dropped at once.
 fn unreachable_address() -> SocketAddr {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
 }
 
-/// Writes the stored settings with these addresses; the endpoint list is at `discovery`.
+/// Writes the stored settings with these addresses. The proxy gets its endpoint list from `discovery`; its
+/// publisher is unreachable.
 fn write_settings(folder: &Path, discovery: SocketAddr, release_service: SocketAddr) -> PathBuf {
     let text = std::fs::read_to_string(stored("proxy.star")).unwrap();
     let text = text
@@ -251,7 +256,7 @@
     path
 }
 
-/// Writes the saved endpoint list with all servers at this address.
+/// Writes the endpoint list that the earlier build saved, with all servers at this address.
 fn write_saved_list(folder: &Path, servers: SocketAddr) {
     let list = std::fs::read_to_string(stored("roster-0.json")).unwrap();
     std::fs::write(folder.join("roster-0.json"), list.replace("WORLD", &servers.to_string())).unwrap();
@@ -267,24 +272,24 @@
         .unwrap()
 }
 
-/// The first line that a process prints; empty if it ends before.
+/// Returns the first line that a process prints, or an empty string if it exits before.
 fn first_line(child: &mut Child) -> String {
     let mut line = String::new();
     BufReader::new(child.stdout.as_mut().unwrap()).read_line(&mut line).unwrap();
     line
 }
 
-/// What the process says of itself on its control socket.
+/// Asks a proxy for its state on its control socket.
 fn control_state(folder: &Path) -> Value {
     let mut stream = UnixStream::connect(folder.join("control")).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(b"\"state\"\n").unwrap();
     common::fleet::answer(stream)["state"].clone()
 }
 
-/// The status of a request on a connection that closes after it.
+/// Sends a request on a connection that closes after it, and returns the status of the response.
 fn status(stream: &mut TcpStream, path: &str) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     write!(stream, "GET {path} HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n").unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
@@ -292,8 +297,8 @@
 }
 
 #[test]
-fn a_stored_configuration_and_a_saved_endpoint_list_serve_while_their_sources_are_away() {
-    let folder = scratch("proxy");
+fn a_proxy_serves_with_its_stored_configuration_and_endpoint_list_while_their_sources_are_unreachable() {
+    let folder = empty_folder("proxy");
     let servers = world();
     copy_to(&folder, "configuration-0.redb");
     write_saved_list(&folder, servers);
@@ -305,7 +310,8 @@
     let version = version_of(STORED_VERSION);
     assert_eq!(state["distributed"]["version"], serde_json::to_value(version).unwrap(), "{state}");
     assert_eq!((&state["distributed"]["routes"], &state["servers"]), (&json!(4), &json!(6)), "{state}");
-    // `/a` and `/d` come from the stored configuration, servers from the saved list; `/gone` was removed.
+    // The routes `/a` and `/d` come from the stored configuration, from which `/gone` was removed. The
+    // servers come from the saved list.
     for (path, wanted) in [("/a/1", "200"), ("/d/1", "200"), ("/b/1", "400"), ("/gone", "404")] {
         assert_eq!(status(&mut proxy.open(), path), wanted, "{path}");
     }
@@ -313,19 +319,21 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// A process of the earlier build that hands over, as far as a new one can see it.
+/// Stands in for a process of the earlier build that hands over its sockets. It covers only what the new
+/// process sees.
 struct EarlierProcess {
     stream: UnixStream,
 }
 
 impl EarlierProcess {
-    /// Waits to be asked and offers the stored module, or these bytes in its place, with descriptors.
+    /// Waits for the takeover request, then sends the stored offer, the given bytes as its module, and the
+    /// descriptors of both sockets.
     fn hand_over(control: &UnixListener, module: &[u8], listener: &TcpListener, client: &TcpStream) -> Self {
         let (mut stream, _) = control.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut question = [0; 11];
-        stream.read_exact(&mut question).unwrap();
-        assert_eq!(&question, b"\"takeover\"\n");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
+        let mut command = [0; 11];
+        stream.read_exact(&mut command).unwrap();
+        assert_eq!(&command, b"\"takeover\"\n");
         let offer = std::fs::read(stored("takeover/offer.json")).unwrap();
         let mut offer: Value = serde_json::from_slice(&offer).unwrap();
         offer["clients"] = json!(1);
@@ -342,21 +350,22 @@
         EarlierProcess { stream }
     }
 
-    /// The next line from the new process; empty if it went away.
+    /// Returns the next line from the new process, or an empty string if the process has exited.
     fn line(&mut self) -> String {
         let mut line = String::new();
-        // One that ends with bytes unread resets the connection.
+        // A process that exits with unread bytes resets the connection, so an error here also means that it
+        // has exited.
         let _ = BufReader::new(&mut self.stream).read_line(&mut line);
         line
     }
 }
 
-/// The sockets of an earlier process: its control socket, a listener, and one idle client connection.
+/// The sockets of the earlier process: its control socket, a listener, and one idle client connection.
 struct Sockets {
     control: UnixListener,
     listener: TcpListener,
     client: TcpStream,
-    /// The earlier process's side of the client connection.
+    /// The server side of the client connection, which the earlier process holds.
     accepted: TcpStream,
 }
 
@@ -374,7 +383,7 @@
 
 #[test]
 fn a_hand_over_from_the_earlier_build_loses_no_connection() {
-    let folder = scratch("takeover");
+    let folder = empty_folder("takeover");
     let servers = world();
     write_saved_list(&folder, servers);
     let settings = write_settings(&folder, servers, servers);
@@ -400,7 +409,7 @@
 
 #[test]
 fn a_module_that_cannot_be_read_is_reported_and_the_earlier_process_keeps_its_sockets() {
-    let folder = scratch("unreadable");
+    let folder = empty_folder("unreadable");
     let servers = world();
     let settings = write_settings(&folder, servers, servers);
     let Sockets { control, listener, client, accepted } = Sockets::open(&folder);
@@ -412,11 +421,11 @@
         .spawn()
         .unwrap();
     let mut earlier = EarlierProcess::hand_over(&control, &[0xff; 4_096], &listener, &accepted);
-    assert_eq!(earlier.line(), "", "it must not say that it is ready");
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    assert_eq!(earlier.line(), "", "the new process must not report that it is ready");
+    let mut errors = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut errors).unwrap();
     assert!(!child.wait().unwrap().success());
-    assert!(said.contains("takeover: module:"), "{said}");
+    assert!(errors.contains("takeover: module:"), "{errors}");
     drop((client, accepted));
     std::fs::remove_dir_all(folder).unwrap();
 }
