--- a/crates/cli/tests/distribution.rs
+++ b/crates/cli/tests/distribution.rs
@@ -1,4 +1,5 @@
-//! Distributed configuration on processes: a publisher, proxies, and relays between them that can be cut.
+//! Tests configuration distribution with processes: a publisher, proxies, and relays between them that can be
+//! cut.
 
 mod common;
 
@@ -17,23 +18,24 @@
 use std::time::{Duration, Instant};
 use violetseam_distribution::{Change, Resource, ResourceKey, Version};
 
-/// What a test waits for at most.
-const PATIENCE: Duration = Duration::from_secs(40);
-/// Proxies of the large tests; a third of them is behind the second relay.
+/// The longest time that a test waits for one condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(40);
+/// The number of proxies in the large tests. A third of them connects through the second relay.
 const PROXIES: usize = 12;
 
-/// The class of each path prefix, as published.
+/// The published request class of each path prefix.
 type Routes = BTreeMap<String, String>;
 
-fn wait_for(what: &str, mut is: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < until, "waited in vain for: {what}");
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_LIMIT;
+    while !condition() {
+        assert!(Instant::now() < until, "not reached within {WAIT_LIMIT:?}: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Forwards connections to a publisher that may change; cut, it forwards nothing and closes nothing.
+/// Forwards connections to a publisher, whose address may change. While `cut` is set, the relay forwards
+/// nothing and closes nothing.
 struct Relay {
     address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
@@ -50,10 +52,10 @@
             for caller in listener.incoming().flatten() {
                 let to = *to.lock().unwrap();
                 let Ok(called) = TcpStream::connect(to) else { continue };
-                let back = (called.try_clone().unwrap(), caller.try_clone().unwrap(), is_cut.clone());
-                let there = is_cut.clone();
-                std::thread::spawn(move || forward(caller, called, &there));
-                std::thread::spawn(move || forward(back.0, back.1, &back.2));
+                let backward = (called.try_clone().unwrap(), caller.try_clone().unwrap(), is_cut.clone());
+                let forward_cut = is_cut.clone();
+                std::thread::spawn(move || forward(caller, called, &forward_cut));
+                std::thread::spawn(move || forward(backward.0, backward.1, &backward.2));
             }
         });
         Relay { address, target, cut }
@@ -65,7 +67,7 @@
     let mut bytes = [0; 64 * 1024];
     loop {
         let read = from.read(&mut bytes);
-        // What comes while it is cut is kept until it is healed.
+        // Bytes that were read while the relay is cut are held, and forwarded once it is restored.
         while cut.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -80,8 +82,8 @@
     }
 }
 
-/// A publisher, proxies that follow it, and all that was published.
-struct Site {
+/// A publisher, the proxies that subscribe to it, and the routes of each published version.
+struct Deployment {
     name: String,
     state: PathBuf,
     publisher: PublisherProcess,
@@ -91,8 +93,8 @@
     history: BTreeMap<Version, Routes>,
 }
 
-impl Site {
-    fn start(name: &str, proxies: usize) -> Site {
+impl Deployment {
+    fn start(name: &str, proxies: usize) -> Deployment {
         let state = state_folder(&format!("distribution-{name}"));
         let publisher = publisher::start(&state, &[]);
         let relays = [Relay::start(publisher.address), Relay::start(publisher.address)];
@@ -105,45 +107,46 @@
         std::fs::write(folder.join("fleet.star"), members).unwrap();
         let fleet = Fleet { folder, daemons: Vec::new(), world: world() };
         let (routes, history) = (Routes::new(), BTreeMap::new());
-        let mut site = Site { name: name.to_owned(), state, publisher, relays, fleet, routes, history };
-        // A proxy counts as started once it serves this path.
-        site.publish(&[put_route("/x", "read"), put_route("/a", "read"), put_route("/b", "keyed")]);
+        let mut deployment =
+            Deployment { name: name.to_owned(), state, publisher, relays, fleet, routes, history };
+        // A proxy counts as started once it serves `/x`.
+        deployment.publish(&[put_route("/x", "read"), put_route("/a", "read"), put_route("/b", "keyed")]);
         for n in 0..proxies {
-            let proxy = site.start_proxy(n, proxies);
-            site.fleet.daemons.push(proxy);
+            let proxy = deployment.start_proxy(n, proxies);
+            deployment.fleet.daemons.push(proxy);
         }
-        site
+        deployment
     }
 
-    /// The last third of them is behind the second relay.
+    /// Starts proxy `n`. The last third of the proxies connects through the second relay.
     fn start_proxy(&self, n: usize, proxies: usize) -> Proxy {
         let relay = &self.relays[usize::from(proxies >= 3 && n >= proxies - proxies / 3)];
-        let sections = format!(
+        let settings = format!(
             ")\npublisher(addr = \"{}\")\n\
              request_class(name = \"keyed\", aim = \"500ms\", deadline = \"1s\", effect = \"keyed\", window = \"2s\")\n\
              route(prefix = \"/script-keyed\", to = \"keyed\"",
             relay.address
         );
         let name = format!("distribution-{}-{n}", self.name);
-        let more = format!("{}{sections}", more(&self.fleet.folder, n));
-        start_named(self.fleet.world, &format!("proxy{n}"), &name, "", &more)
+        let extra_settings = format!("{}{settings}", more(&self.fleet.folder, n));
+        start_named(self.fleet.world, &format!("proxy{n}"), &name, "", &extra_settings)
     }
 
-    fn restart_proxy(&mut self, n: usize, signal: Signal, between: impl FnOnce(&std::path::Path)) {
+    fn restart_proxy(&mut self, n: usize, signal: Signal, while_stopped: impl FnOnce(&std::path::Path)) {
         kill_process(self.fleet.daemons[n].pid(), signal).unwrap();
         self.fleet.daemons[n].child.wait().unwrap();
-        between(&self.fleet.folder.join(n.to_string()));
+        while_stopped(&self.fleet.folder.join(n.to_string()));
         self.fleet.daemons[n] = self.start_proxy(n, self.fleet.daemons.len());
     }
 
     fn publish(&mut self, changes: &[Change]) -> Version {
         let version = self.publisher.publish(changes);
-        make(&mut self.routes, changes);
+        apply_changes(&mut self.routes, changes);
         self.history.insert(version, self.routes.clone());
         version
     }
 
-    /// Starts a publisher in place of one that has ended; proxies find it behind the relays.
+    /// Starts a publisher in place of one that has exited, and points the relays to its address.
     fn start_publisher(&mut self) {
         self.publisher = publisher::start(&self.state, &[]);
         for relay in &self.relays {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// How a proxy stands with the configuration.
+    /// Returns the state of a proxy's distributed configuration, from its control socket.
     fn distributed(&self, n: usize) -> serde_json::Value {
         let mut stream = UnixStream::connect(self.fleet.control(n)).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -163,17 +166,17 @@
         serde_json::from_value(self.distributed(n)["version"].clone()).unwrap()
     }
 
-    /// Waits until these proxies have a version, and serve it.
-    fn converges(&self, proxies: impl IntoIterator<Item = usize>, version: Version) {
+    /// Waits until these proxies have the given version, and checks that they serve it.
+    fn assert_converges(&self, proxies: impl IntoIterator<Item = usize>, version: Version) {
         for n in proxies {
             wait_for(&format!("proxy {n} at version {version}"), || self.version(n) == Some(version));
-            self.serves_what_was_published(n);
+            self.assert_serves_published_routes(n);
         }
     }
 
-    /// What a proxy serves is what was published as the version that it states.
-    fn serves_what_was_published(&self, n: usize) {
-        wait_for(&format!("proxy {n} on one version while it is asked"), || {
+    /// Checks that a proxy serves the routes that were published as the version that it reports.
+    fn assert_serves_published_routes(&self, n: usize) {
+        wait_for(&format!("proxy {n} keeps one version during all requests"), || {
             let version = self.version(n).unwrap();
             let routes = &self.history[&version];
             let mut paths: Vec<&str> = ["/a/1", "/b/1", "/n1/1", "/n19", "/none"].into();
@@ -200,7 +203,7 @@
     }
 }
 
-fn make(routes: &mut Routes, changes: &[Change]) {
+fn apply_changes(routes: &mut Routes, changes: &[Change]) {
     for change in changes {
         match change {
             Change::Put(Resource::Route(route)) => {
@@ -209,13 +212,14 @@
             Change::Remove(ResourceKey::Route(key)) => {
                 routes.remove(&key.prefix);
             }
-            // Tenants are never in force.
+            // Proxies refuse tenants from the publisher, so they never take effect.
             Change::Put(Resource::Tenant(_)) | Change::Remove(ResourceKey::Tenant(_)) => {}
         }
     }
 }
 
-/// The longest prefix counts: a server's answer for `read`, a refusal for want of a key for `keyed`.
+/// The expected status by the longest matching prefix: a server's response for `read`, and a rejection for
+/// `keyed` because the request has no idempotency key.
 fn expected(routes: &Routes, path: &str) -> u16 {
     let matching = routes.iter().filter(|(prefix, _)| path.starts_with(prefix.as_str()));
     match matching.max_by_key(|(prefix, _)| prefix.len()).map(|(_, class)| class.as_str()) {
@@ -225,7 +229,7 @@
     }
 }
 
-/// The status that a request for this path gets.
+/// Sends a request for this path and returns the status of the response.
 fn status(proxy: &Proxy, path: &str) -> u16 {
     let mut stream = proxy.open();
     write!(stream, "GET {path} HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n").unwrap();
@@ -234,37 +238,39 @@
     text.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// Two prefixes exchange their classes, and a longer one comes under the first.
-fn exchange(round: usize) -> Vec<Change> {
+/// Swaps the classes of two prefixes and adds one more prefix.
+fn swap_classes(round: usize) -> Vec<Change> {
     let (left, right) = if round.is_multiple_of(2) { ("keyed", "read") } else { ("read", "keyed") };
     vec![put_route("/a", left), put_route("/b", right), put_route(&format!("/n{round}"), "read")]
 }
 
 #[test]
-fn changes_reach_all_a_third_is_cut_off_and_the_publisher_stands_still() {
-    let mut site = Site::start("cut", PROXIES);
-    site.converges(site.all(), *site.history.keys().last().unwrap());
+fn proxies_converge_after_a_third_is_cut_off_and_after_the_publisher_is_paused() {
+    let mut deployment = Deployment::start("cut", PROXIES);
+    deployment.assert_converges(deployment.all(), *deployment.history.keys().last().unwrap());
     let mut version = None;
     for round in 0..20 {
-        version = Some(site.publish(&exchange(round)));
+        version = Some(deployment.publish(&swap_classes(round)));
     }
-    site.converges(site.all(), version.unwrap());
+    deployment.assert_converges(deployment.all(), version.unwrap());
     let before = version.unwrap();
 
-    site.relays[1].cut.store(true, Ordering::SeqCst);
+    deployment.relays[1].cut.store(true, Ordering::SeqCst);
     for round in 20..25 {
-        version = Some(site.publish(&exchange(round)));
+        version = Some(deployment.publish(&swap_classes(round)));
     }
-    let (kept, cut) = (0..PROXIES - PROXIES / 3, PROXIES - PROXIES / 3..PROXIES);
-    site.converges(kept, version.unwrap());
+    let (connected, cut) = (0..PROXIES - PROXIES / 3, PROXIES - PROXIES / 3..PROXIES);
+    deployment.assert_converges(connected, version.unwrap());
     for n in cut {
-        wait_for("a watch that is given up", || site.distributed(n)["watching"] == false);
-        assert_eq!(site.version(n), Some(before));
-        site.serves_what_was_published(n);
+        wait_for("a proxy behind the cut relay closes its watch", || {
+            deployment.distributed(n)["watching"] == false
+        });
+        assert_eq!(deployment.version(n), Some(before));
+        deployment.assert_serves_published_routes(n);
     }
     let shown = Command::new(PROGRAM)
         .args(["fleet", "--fleet"])
-        .arg(site.fleet.folder.join("fleet.star"))
+        .arg(deployment.fleet.folder.join("fleet.star"))
         .arg("configuration")
         .output()
         .unwrap();
@@ -273,27 +279,29 @@
         shown.contains(&format!("newest version {}: 8 have it, 4 are behind", version.unwrap())),
         "{shown}"
     );
-    site.relays[1].cut.store(false, Ordering::SeqCst);
-    site.converges(site.all(), version.unwrap());
-
-    // Stopped for longer than a watch may be silent: all go on with what they have.
-    kill_process(site.publisher.pid(), Signal::STOP).unwrap();
-    for n in site.all() {
-        wait_for("a silent watch that is given up", || site.distributed(n)["watching"] == false);
-        site.serves_what_was_published(n);
+    deployment.relays[1].cut.store(false, Ordering::SeqCst);
+    deployment.assert_converges(deployment.all(), version.unwrap());
+
+    // The publisher is stopped for longer than a watch may be silent. All proxies keep serving what they
+    // have.
+    kill_process(deployment.publisher.pid(), Signal::STOP).unwrap();
+    for n in deployment.all() {
+        wait_for("a proxy closes its silent watch", || deployment.distributed(n)["watching"] == false);
+        deployment.assert_serves_published_routes(n);
     }
-    kill_process(site.publisher.pid(), Signal::CONT).unwrap();
-    let version = site.publish(&[remove_route("/b"), put_route("/a", "keyed")]);
-    site.converges(site.all(), version);
-    site.end();
+    kill_process(deployment.publisher.pid(), Signal::CONT).unwrap();
+    let version = deployment.publish(&[remove_route("/b"), put_route("/a", "keyed")]);
+    deployment.assert_converges(deployment.all(), version);
+    deployment.end();
 }
 
 #[test]
-fn a_publisher_killed_while_it_writes_and_one_without_its_log_lose_no_published_change() {
-    let mut site = Site::start("kill", PROXIES);
+fn no_published_change_is_lost_when_the_publisher_is_killed_while_writing_or_loses_its_store() {
+    let mut deployment = Deployment::start("kill", PROXIES);
     for life in 0..3 {
-        let client = site.publisher.client();
-        // What was answered is published; the last one may or may not be.
+        let client = deployment.publisher.client();
+        // Changes with a response are published. The last one, without a response, may or may not be
+        // published.
         let writing = std::thread::spawn(move || {
             let mut answered = Vec::new();
             for round in 0..10_000 {
@@ -303,99 +311,107 @@
                     Err(_) => return (answered, change),
                 }
             }
-            panic!("it was never killed")
+            panic!("the publisher was not killed within 10000 changes")
+        });
+        let newest = *deployment.history.keys().last().unwrap();
+        wait_for("proxy 0 has at least 20 further versions", || {
+            deployment.version(0).is_some_and(|v| v.number >= newest.number + 20)
         });
-        let newest = *site.history.keys().last().unwrap();
-        wait_for("some changes in force", || site.version(0).is_some_and(|v| v.number >= newest.number + 20));
-        site.publisher.kill_and_wait();
+        deployment.publisher.kill_and_wait();
         let (answered, last) = writing.join().unwrap();
         for (version, change) in &answered {
-            make(&mut site.routes, std::slice::from_ref(change));
-            site.history.insert(*version, site.routes.clone());
+            apply_changes(&mut deployment.routes, std::slice::from_ref(change));
+            deployment.history.insert(*version, deployment.routes.clone());
         }
-        site.start_publisher();
-        let (acknowledged, found) = (answered.last().unwrap().0, site.publisher.started_from);
+        deployment.start_publisher();
+        let (acknowledged, found) = (answered.last().unwrap().0, deployment.publisher.started_from);
         assert!(found == acknowledged || found == acknowledged.next(), "{found} after {acknowledged}");
         if found > acknowledged {
-            make(&mut site.routes, std::slice::from_ref(&last));
-            site.history.insert(found, site.routes.clone());
+            apply_changes(&mut deployment.routes, std::slice::from_ref(&last));
+            deployment.history.insert(found, deployment.routes.clone());
         }
-        let version = site.publish(&exchange(life));
-        site.converges(site.all(), version);
+        let version = deployment.publish(&swap_classes(life));
+        deployment.assert_converges(deployment.all(), version);
     }
 
-    // Its log lost, it begins a higher term, and the whole is published anew.
-    site.publisher.kill_and_wait();
-    let before = *site.history.keys().last().unwrap();
-    std::fs::remove_dir_all(&site.state).unwrap();
-    site.start_publisher();
-    let began = site.publisher.started_from;
+    // After the loss of its store the publisher begins a higher term, and the whole configuration is
+    // published again.
+    deployment.publisher.kill_and_wait();
+    let before = *deployment.history.keys().last().unwrap();
+    std::fs::remove_dir_all(&deployment.state).unwrap();
+    deployment.start_publisher();
+    let began = deployment.publisher.started_from;
     assert!(began.term > before.term);
-    site.history.insert(began, Routes::new());
-    site.routes = Routes::from([("/x".into(), "read".into()), ("/a".into(), "keyed".into())]);
+    deployment.history.insert(began, Routes::new());
+    deployment.routes = Routes::from([("/x".into(), "read".into()), ("/a".into(), "keyed".into())]);
     let whole = [Resource::route(None, "/x", "read"), Resource::route(None, "/a", "keyed")];
-    let version = site.publisher.client().publish_whole(&json_lines(&whole)).unwrap().version;
-    site.history.insert(version, site.routes.clone());
-    site.converges(site.all(), version);
-    site.end();
+    let version = deployment.publisher.client().publish_whole(&json_lines(&whole)).unwrap().version;
+    deployment.history.insert(version, deployment.routes.clone());
+    deployment.assert_converges(deployment.all(), version);
+    deployment.end();
 }
 
 #[test]
-fn a_change_that_does_not_check_is_refused_whole_and_one_that_mends_it_is_taken() {
-    let mut site = Site::start("refused", 2);
-    let sound = *site.history.keys().last().unwrap();
-    site.converges(site.all(), sound);
-    for (faulty, reason) in [
+fn an_invalid_version_is_refused_whole_and_a_change_that_corrects_it_is_applied() {
+    let mut deployment = Deployment::start("refused", 2);
+    let valid = *deployment.history.keys().last().unwrap();
+    deployment.assert_converges(deployment.all(), valid);
+    for (invalid, reason) in [
         (put_route("/c", "unknown"), "no class \"unknown\""),
         (Change::Put(Resource::tenant("someone", 3.0)), "tenants are taken from the settings alone"),
     ] {
-        // The sound half of it is not taken either.
-        let refused = site.publisher.publish(&[put_route("/a", "keyed"), faulty.clone()]);
-        for n in site.all() {
-            wait_for("a refusal", || !site.distributed(n)["refused"].is_null());
-            let distributed = site.distributed(n);
+        // The valid change of the same version is not applied either.
+        let refused = deployment.publisher.publish(&[put_route("/a", "keyed"), invalid.clone()]);
+        for n in deployment.all() {
+            wait_for("a proxy reports the refused version", || {
+                !deployment.distributed(n)["refused"].is_null()
+            });
+            let distributed = deployment.distributed(n);
             assert!(distributed["refused"]["reason"].as_str().unwrap().contains(reason), "{distributed}");
             assert_eq!(distributed["refused"]["version"]["number"], refused.number);
-            site.serves_what_was_published(n);
+            deployment.assert_serves_published_routes(n);
         }
-        wait_for("the publisher's word on it", || {
-            let status = site.publisher.client().status().unwrap();
+        wait_for("the publisher's status shows the rejection of each proxy", || {
+            let status = deployment.publisher.client().status().unwrap();
             status.subscribers.iter().all(|row| row.status.rejected.is_some())
         });
-        make(&mut site.routes, &[put_route("/a", "keyed")]);
-        let mended = site.publish(&[Change::Remove(faulty.key())]);
-        site.converges(site.all(), mended);
-        assert!(site.distributed(0)["refused"].is_null());
+        apply_changes(&mut deployment.routes, &[put_route("/a", "keyed")]);
+        let corrected = deployment.publish(&[Change::Remove(invalid.key())]);
+        deployment.assert_converges(deployment.all(), corrected);
+        assert!(deployment.distributed(0)["refused"].is_null());
     }
-    site.end();
+    deployment.end();
 }
 
 #[test]
-fn a_proxy_starts_with_its_stored_configuration_and_without_it_where_that_is_damaged() {
-    let mut site = Site::start("stored", 2);
-    let version = site.publish(&[put_route("/a", "keyed"), put_route("/b", "read")]);
-    site.converges(site.all(), version);
-    // A restart without the publisher shows what was stored.
-    for relay in &site.relays {
+fn a_proxy_starts_with_its_stored_configuration_and_from_its_settings_if_that_is_damaged() {
+    let mut deployment = Deployment::start("stored", 2);
+    let version = deployment.publish(&[put_route("/a", "keyed"), put_route("/b", "read")]);
+    deployment.assert_converges(deployment.all(), version);
+    // A proxy that restarts without a publisher serves its stored configuration.
+    for relay in &deployment.relays {
         relay.cut.store(true, Ordering::SeqCst);
     }
-    site.restart_proxy(0, Signal::TERM, |_| {});
-    wait_for("a version from the disk", || site.version(0) == Some(version));
-    assert!(site.distributed(0)["age_us"].is_null(), "nobody confirmed it since the start");
-    site.serves_what_was_published(0);
+    deployment.restart_proxy(0, Signal::TERM, |_| {});
+    wait_for("proxy 0 has the version from its store", || deployment.version(0) == Some(version));
+    assert!(
+        deployment.distributed(0)["age_us"].is_null(),
+        "the publisher has not confirmed the version since the start"
+    );
+    deployment.assert_serves_published_routes(0);
 
-    // Damaged: the routes of the settings count until a snapshot came.
-    site.restart_proxy(0, Signal::KILL, |folder| {
+    // With a damaged store, the routes of the settings apply until a snapshot has arrived.
+    deployment.restart_proxy(0, Signal::KILL, |folder| {
         std::fs::write(folder.join("configuration-0.redb"), [0x5a; 9_000]).unwrap();
     });
-    assert_eq!(site.version(0), None);
-    assert_eq!(status(&site.fleet.daemons[0], "/script-keyed"), 400);
-    let files = std::fs::read_dir(site.fleet.folder.join("0")).unwrap();
+    assert_eq!(deployment.version(0), None);
+    assert_eq!(status(&deployment.fleet.daemons[0], "/script-keyed"), 400);
+    let files = std::fs::read_dir(deployment.fleet.folder.join("0")).unwrap();
     let names: Vec<String> = files.map(|f| f.unwrap().file_name().into_string().unwrap()).collect();
     assert!(names.iter().any(|name| name.starts_with("configuration-0.damaged-")), "{names:?}");
-    for relay in &site.relays {
+    for relay in &deployment.relays {
         relay.cut.store(false, Ordering::SeqCst);
     }
-    site.converges(site.all(), version);
-    site.end();
+    deployment.assert_converges(deployment.all(), version);
+    deployment.end();
 }
