--- a/crates/cli/tests/common/publisher.rs
+++ b/crates/cli/tests/common/publisher.rs
@@ -42,7 +42,7 @@
     command
 }
 
-/// Starts a publisher on a free port and waits deadline it listens.
+/// Starts a publisher on a free port and waits until it listens.
 pub fn start(state: &Path, extra_arguments: &[&str]) -> PublisherProcess {
     let mut child = command(state, extra_arguments).stdout(Stdio::piped()).spawn().unwrap();
     let mut line = String::new();
@@ -62,7 +62,7 @@
     child.wait_with_output().unwrap()
 }
 
-/// Waits deadline a process has exited. Kills it and fails the test if it still runs after the time limit.
+/// Waits until a process has exited. Kills it and fails the test if it still runs after the time limit.
 fn wait_for_exit(child: &mut Child) -> ExitStatus {
     let deadline = Instant::now() + WAIT_LIMIT;
     loop {
@@ -89,7 +89,7 @@
         Pid::from_raw(self.child.id() as i32).unwrap()
     }
 
-    /// Kills the process, as a crash would, and waits deadline it has exited. The store is locked as long as
+    /// Kills the process, as a crash would, and waits until it has exited. The store is locked as long as
     /// the process exists.
     pub fn kill_and_wait(&mut self) {
         self.child.kill().unwrap();
@@ -111,7 +111,7 @@
         Command::new(PROGRAM).args(["publish", "--to", &to]).args(extra_arguments).output().unwrap()
     }
 
-    /// Waits deadline the publisher has exited by itself.
+    /// Waits until the publisher has exited by itself.
     pub fn wait(&mut self) -> ExitStatus {
         wait_for_exit(&mut self.child)
     }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Discards what arrives deadline the watch ends, and returns whether it ended within the given time.
+    /// Discards what arrives until the watch ends, and returns whether it ended within the given time.
     pub fn closes_within(&mut self, within: Duration) -> bool {
         let deadline = Instant::now() + within;
         while !self.ended && Instant::now() < deadline {
--- a/crates/cli/tests/publisher.rs
+++ b/crates/cli/tests/publisher.rs
@@ -412,12 +412,7 @@
 
 /// Runs a subscriber until it has received a snapshot. Returns how many calls it made, and the time from
 /// `since` until it had the snapshot.
-fn subscribe_until_snapshot(
-    publisher: SocketAddr,
-    name: &str,
-    seed: u64,
-    since: Instant,
-) -> (usize, Duration) {
+fn subscribe_until_served(publisher: SocketAddr, name: &str, seed: u64, since: Instant) -> (usize, Duration) {
     let now = || since.elapsed().as_micros() as Micros;
     let mut subscriber = Subscriber::new(now(), name, seed, None);
     let mut calls = 0;
@@ -450,7 +445,7 @@
     let resources: Vec<Change> = (0..500).map(|n| long_route(n, 200)).collect();
     publisher.publish(&resources);
     let (address, since) = (publisher.address, Instant::now());
-    let subscriber = |n: u64| move || subscribe_until_snapshot(address, &format!("proxy-{n}"), n, since);
+    let subscriber = |n: u64| move || subscribe_until_served(address, &format!("proxy-{n}"), n, since);
     let callers: Vec<_> = (0..40).map(|n| thread::spawn(subscriber(n))).collect();
     let served: Vec<(usize, Duration)> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
     let last = served.iter().map(|(_, at)| *at).max().unwrap();
@@ -468,7 +463,7 @@
 }
 
 #[test]
-fn the_size_and_the_number_of_requests_are_limited() {
+fn request_sizes_and_connections_are_limited() {
     let state = state_folder("bounds");
     let publisher = start(&state, &["--connections", "4", "--body-bytes", "100000"]);
     let watch = Watch::request(
@@ -500,7 +495,7 @@
         if watch.status == 200 {
             held.push(watch);
         }
-        assert!(Instant::now() < until, "only {} of 4 watches were accepted", held.len());
+        assert!(Instant::now() < until);
     }
     assert!(publisher.client().status().is_err(), "a fifth connection was served");
     held.pop();
