--- a/crates/cli/src/controller.rs
+++ b/crates/cli/src/controller.rs
@@ -1,6 +1,6 @@
 //! `violetseam controller`: the daemon that runs release plans.
 
-use crate::arguments::script_option;
+use crate::arguments::parse_script_option;
 use crate::logs;
 use clap::Args as ClapArgs;
 use std::path::PathBuf;
@@ -9,41 +9,41 @@
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The controller's settings: a Starlark script with controller(...)
+    /// Settings file of the controller: a Starlark script that calls controller(...)
     #[arg(long)]
     settings: PathBuf,
-    /// A value for the script's option(...): NAME=VALUE
-    #[arg(long = "set", value_parser = script_option)]
+    /// Value that option(...) returns in the script, as NAME=VALUE; may be repeated
+    #[arg(long = "set", value_parser = parse_script_option)]
     set: Vec<(String, String)>,
-    /// The folder of its durable state; those that stand by share it
+    /// Directory of the durable state; the standby controllers use the same one
     #[arg(long)]
     state: PathBuf,
-    /// What is logged: error, warn, info, debug
+    /// Minimum level of log lines: error, warn, info or debug
     #[arg(long, default_value = "info")]
     log: String,
-    /// Stop by itself after so many seconds
+    /// Stop after this many seconds
     #[arg(long)]
     stop_after: Option<u64>,
-    /// Die at a step of the Nth batch, to see what a start makes of it: decided:N, durable:N, announced:N
+    /// Abort at a step of the Nth batch, to test the next start: decided:N, durable:N or announced:N
     #[cfg(feature = "sabotage")]
-    #[arg(long, value_parser = crash_point)]
+    #[arg(long, value_parser = parse_crash_point)]
     die_at: Option<violetseam_controller::serve::CrashPoint>,
 }
 
-/// The value of `--die-at` cannot be read.
+/// The argument of `--die-at` is malformed.
 #[cfg(feature = "sabotage")]
 #[derive(Debug, thiserror::Error)]
 enum CrashPointError {
-    #[error("STEP:BATCH")]
+    #[error("expected STEP:BATCH")]
     NoSeparator,
-    #[error("{0}")]
+    #[error("the batch is not a number: {0}")]
     Batch(#[from] std::num::ParseIntError),
-    #[error("decided, durable or announced")]
+    #[error("the step must be decided, durable or announced")]
     UnknownStep,
 }
 
 #[cfg(feature = "sabotage")]
-fn crash_point(text: &str) -> Result<violetseam_controller::serve::CrashPoint, CrashPointError> {
+fn parse_crash_point(text: &str) -> Result<violetseam_controller::serve::CrashPoint, CrashPointError> {
     use violetseam_controller::serve::CrashPoint;
     let (step, batch) = text.split_once(':').ok_or(CrashPointError::NoSeparator)?;
     let batch = batch.parse::<u64>()?;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Runs a controller until it is told to stop.
+/// Runs a controller until a signal or `--stop-after` stops it.
 pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let settings = violetseam_controller::settings::read_file(&args.settings, &args.set)?;
     logs::start(&args.log)?;
@@ -68,6 +68,6 @@
     }
     let stop_after = args.stop_after.map(Duration::from_secs);
     let summary = violetseam_controller::serve::serve(settings, &args.state, stop_after, on_listening)?;
-    tracing::info!(term = summary.term, "stopped");
+    tracing::info!(term = summary.term, "controller stopped");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,6 +1,6 @@
-//! `violetseam fleet`: asks every daemon of a fleet, or tells them all.
+//! `violetseam fleet`: queries the daemons of a fleet, or sends all of them a command.
 
-use crate::arguments::{operator_name, script_option, timeout};
+use crate::arguments::{clamped_timeout, operator_name, parse_script_option};
 use crate::serve::key_files;
 use anyhow::{Context, bail};
 use clap::{Args as ClapArgs, Subcommand};
@@ -14,46 +14,46 @@
 use violetseam_operator_commands::{Action, Request, Response};
 use violetseam_settings::Identity;
 
-/// The longest pause, in seconds: a day.
+/// The longest duration of a pause, in seconds: one day.
 const MAX_PAUSE_S: f64 = 86_400.0;
 /// The bounds of `watch --every`, in seconds.
 const MIN_WATCH_INTERVAL_S: f64 = 0.1;
 const MAX_WATCH_INTERVAL_S: f64 = 3_600.0;
-/// The bounds of `--valid`, in seconds.
+/// The bounds of `--valid`, the validity of a command, in seconds.
 const MIN_VALIDITY_S: f64 = 0.1;
 const MAX_VALIDITY_S: f64 = 3_600.0;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The fleet file: a Starlark script of member(name, control, groups)
+    /// Fleet file: a Starlark script that calls member(name, control, groups) for each daemon
     #[arg(long)]
     fleet: PathBuf,
-    /// A value for the script's option(...): NAME=VALUE
-    #[arg(long = "set", value_parser = script_option)]
+    /// Value that option(...) returns in the script, as NAME=VALUE; may be repeated
+    #[arg(long = "set", value_parser = parse_script_option)]
     set: Vec<(String, String)>,
-    /// Only this member or group; may be given again
+    /// Apply to this member or group only; may be repeated
     #[arg(long)]
     only: Vec<String>,
-    /// Seconds that a daemon may take for each answer
+    /// Seconds to wait for each response of a daemon
     #[arg(long, default_value_t = 2.0)]
     timeout: f64,
-    /// Daemons that are spoken to at once
+    /// Maximum number of daemons that are contacted concurrently
     #[arg(long, default_value_t = 64)]
     parallel: usize,
-    /// Do not ask before something is changed
+    /// Send commands without asking for confirmation
     #[arg(long)]
     yes: bool,
-    /// Print JSON
+    /// Print the result as JSON
     #[arg(long)]
     json: bool,
-    /// Apply it on all or on none: prepare first, commit only if all are ready
+    /// Apply the command on all daemons or on none: prepare it on each, commit only if all are ready
     #[arg(long)]
     all_or_none: bool,
-    /// Seconds in which the command may still be applied
+    /// Seconds after which a daemon no longer applies the command
     #[arg(long, default_value_t = 30.0)]
     valid: f64,
-    /// Who issues it, for the audit log; the user's name if not given
+    /// Issuer of the command, for the audit log; defaults to the user's name
     #[arg(long)]
     issuer: Option<String>,
     #[command(subcommand)]
@@ -62,57 +62,57 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show the state of each
+    /// Show the state of each daemon
     State,
-    /// Show the state of each, again and again
+    /// Show the state of each daemon repeatedly
     Watch {
-        /// Seconds between two readings
+        /// Seconds between two queries
         #[arg(long, default_value_t = 1.0)]
         every: f64,
-        /// How often; without end if not given
+        /// Number of queries; unlimited by default
         #[arg(long)]
         count: Option<u64>,
     },
-    /// Show what each holds of the fleet's budgets, side by side
+    /// Show each daemon's share of the fleet's retry budgets
     Rights,
-    /// Show which version of the distributed configuration each has, and who is behind
+    /// Show which version of the distributed configuration each daemon has, and which daemons are behind
     Configuration,
-    /// Show name, boot number and version of each
+    /// Show the name, boot number and program version of each daemon
     Whoami,
-    /// Withhold votes on the present stage, or hold its clock
+    /// Withhold votes on the current stage, or stop its clock
     Pause {
-        /// Seconds until the pause ends by itself
+        /// Seconds until the pause ends without a further command
         #[arg(long = "for")]
-        span: f64,
+        seconds: f64,
     },
     /// End a pause
     Resume,
-    /// Vote the present build back
+    /// Vote to roll the current build back
     Back,
-    /// Answer what was taken and take nothing new
+    /// Answer the requests in flight and accept no new ones
     Drain,
-    /// Take requests again
+    /// Accept requests again
     Undrain,
-    /// Set another log filter
+    /// Change the log filter
     LogLevel {
-        /// Such as info or verdict=debug
+        /// Filter, such as info or verdict=debug
         filter: String,
     },
     /// Read the settings again
     Reload,
 }
 
-/// The action that a command asks for; `None` if it only asks for something.
-fn action(command: &Command) -> Option<Action> {
+/// Returns the action that a command requests; `None` if the command is a query, which changes nothing.
+fn requested_action(command: &Command) -> Option<Action> {
     let action = match command {
         Command::State
         | Command::Watch { .. }
         | Command::Rights
         | Command::Configuration
         | Command::Whoami => return None,
-        Command::Pause { span } => {
-            let span_us = (span.clamp(0.0, MAX_PAUSE_S) * MICROS_PER_SECOND as f64) as u64;
-            Action::Pause { until_us: wall_clock() + span_us }
+        Command::Pause { seconds } => {
+            let duration_us = (seconds.clamp(0.0, MAX_PAUSE_S) * MICROS_PER_SECOND as f64) as u64;
+            Action::Pause { until_us: wall_clock() + duration_us }
         }
         Command::Resume => Action::Resume,
         Command::Back => Action::RollBack,
@@ -126,10 +126,10 @@
 
 /// Runs a fleet command.
 pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
-    let file = violetseam_settings::read_fleet(&args.fleet, &args.set)?;
-    let members = select_members(file.members, &args.only)?;
-    let identity = file.identity.as_ref().map(client_tls).transpose()?;
-    let fleet = Fleet { members, timeout: timeout(args.timeout), parallel: args.parallel, identity };
+    let fleet_file = violetseam_settings::read_fleet(&args.fleet, &args.set)?;
+    let members = select_members(fleet_file.members, &args.only)?;
+    let identity = fleet_file.identity.as_ref().map(client_tls).transpose()?;
+    let fleet = Fleet { members, timeout: clamped_timeout(args.timeout), parallel: args.parallel, identity };
     let shows_progress = std::io::stderr().is_terminal();
     let total = fleet.members.len();
     let mut progress = |done: usize| {
@@ -148,18 +148,19 @@
     }
 }
 
-/// The TLS settings of an operator's identity; warns where its certificate ends soon.
+/// Loads the TLS client configuration of an operator's identity. Warns if its certificate expires soon.
 fn client_tls(identity: &Identity) -> anyhow::Result<Arc<rustls::ClientConfig>> {
     let now_s = (wall_clock() / MICROS_PER_SECOND) as i64;
     let files = key_files(identity);
-    let loaded = violetseam_tls_config::client_tls(&files, now_s).context("identity")?;
+    let loaded =
+        violetseam_tls_config::client_tls(&files, now_s).context("invalid identity in the fleet file")?;
     if loaded.expires_at_s - now_s < violetseam_tls_config::EXPIRY_WARNING_S {
-        eprintln!("violetseam: {} ends in under two weeks", files.cert.display());
+        eprintln!("violetseam: the certificate {} expires in less than two weeks", files.cert.display());
     }
     Ok(loaded.config)
 }
 
-/// Shows the state again and again, `count` times or for ever.
+/// Shows the state `count` times, or without end if no count is given.
 fn watch(args: &Args, fleet: &Fleet, every: f64, count: Option<u64>) -> anyhow::Result<ExitCode> {
     let interval = Duration::from_secs_f64(every.clamp(MIN_WATCH_INTERVAL_S, MAX_WATCH_INTERVAL_S));
     let mut remaining = count.unwrap_or(u64::MAX);
@@ -173,16 +174,16 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Sends a command to all daemons, once it is confirmed, and reports what became of it.
+/// Sends a command to all daemons after the operator has confirmed it, and prints the outcome on each.
 fn send(
     args: &Args,
     command: &Command,
     fleet: &Fleet,
     progress: &mut dyn FnMut(usize),
 ) -> anyhow::Result<ExitCode> {
-    let Some(action) = action(command) else { bail!("nothing to do") };
-    if !args.yes && !confirmed(action.name(), fleet.members.len())? {
-        bail!("not confirmed, nothing was sent");
+    let Some(action) = requested_action(command) else { bail!("the command is a query; nothing was sent") };
+    if !args.yes && !is_confirmed(action.name(), fleet.members.len())? {
+        bail!("the command was not confirmed; nothing was sent");
     }
     let issuer = operator_name(args.issuer.as_deref());
     let validity = Duration::from_secs_f64(args.valid.clamp(MIN_VALIDITY_S, MAX_VALIDITY_S));
@@ -197,10 +198,10 @@
     Ok(ExitCode::from(report::exit_status(&command_report).code()))
 }
 
-/// Shows the state of each daemon as a table or as JSON.
+/// Queries the state of each daemon and prints it as a table or as JSON.
 fn show(
     args: &Args,
-    table: impl Fn(&[DaemonReading]) -> String,
+    format_table: impl Fn(&[DaemonReading]) -> String,
     fleet: &Fleet,
     progress: &mut dyn FnMut(usize),
 ) -> anyhow::Result<ExitCode> {
@@ -208,13 +209,13 @@
     if args.json {
         println!("{}", report::state_json(&readings));
     } else {
-        print!("{}", table(&readings));
+        print!("{}", format_table(&readings));
     }
     let any_unanswered = readings.iter().any(|reading| reading.state.is_err());
     Ok(query_exit_code(any_unanswered))
 }
 
-/// Prints name, boot number and version of each daemon.
+/// Prints the name, boot number and program version of each daemon.
 fn whoami(args: &Args, fleet: &Fleet, progress: &mut dyn FnMut(usize)) -> anyhow::Result<ExitCode> {
     let responses = fleet.query(&|_| Some(Request::Whoami), progress);
     let any_unanswered = responses.iter().any(Result::is_err);
@@ -229,25 +230,25 @@
             Ok(Response::Whoami { name, boot, version }) => {
                 println!("{daemon}: {name}, boot {boot}, version {version}");
             }
-            Ok(other) => println!("{daemon}: answered something else: {other:?}"),
+            Ok(other) => println!("{daemon}: unexpected response: {other:?}"),
             Err(error) => println!("{daemon}: SILENT: {error}"),
         }
     }
     Ok(query_exit_code(any_unanswered))
 }
 
-/// The exit code for a request that changes nothing.
+/// Returns the exit code of a query.
 fn query_exit_code(any_unanswered: bool) -> ExitCode {
     let status = if any_unanswered { ExitStatus::Unanswered } else { ExitStatus::Success };
     ExitCode::from(status.code())
 }
 
-/// Asks the operator whether to go on.
-fn confirmed(action: &str, daemons: usize) -> anyhow::Result<bool> {
+/// Asks the operator on the terminal whether to send the command.
+fn is_confirmed(action: &str, daemon_count: usize) -> anyhow::Result<bool> {
     if !std::io::stdin().is_terminal() {
-        bail!("give --yes to change something without being asked");
+        bail!("standard input is not a terminal, so the command cannot be confirmed; pass --yes");
     }
-    eprint!("{action} on {daemons} daemons? [y/N] ");
+    eprint!("{action} on {daemon_count} daemons? [y/N] ");
     let _ = std::io::stderr().flush();
     let mut line = String::new();
     std::io::stdin().read_line(&mut line)?;
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `violetseam demo` and `violetseam lab`.
+//! `violetseam demo` and `violetseam lab`: scenarios and measurements on the simulated site.
 
 use clap::{Args, Subcommand};
 use std::fs::File;
@@ -17,116 +17,120 @@
 
 #[derive(Args)]
 pub struct DemoArgs {
-    /// Where logs and records go; a folder of the system's temporary one if not given
+    /// Directory for logs and records; defaults to a new one in the system's temporary directory
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play a day; exit 0 only if all five rules were kept
+    /// Run a scenario; exit status 0 only if no rule was violated and nothing else went wrong
     Day {
-        /// A day that comes with the program, or a file: a day of this program's or one the bench drew
+        /// Built-in scenario, or a file: a scenario of this program or one that the bench has drawn
         day: String,
-        /// Another seed for all draws
+        /// Seed of all random draws; defaults to the scenario's
         #[arg(long)]
         seed: Option<u64>,
-        /// Where logs and records go
+        /// Directory for logs and records; defaults to a new one in the system's temporary directory
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Have the stand-in desk decide on releases, not the controller
+        /// Let the simulated release service decide on releases, instead of the controller
         #[arg(long)]
         stand_in_desk: bool,
-        /// Further arguments of each proxy's `serve`; {position} stands for its number
+        /// Further arguments of `serve` for each proxy; {position} is replaced by the proxy's position
         #[arg(last = true)]
         serve: Vec<String>,
     },
-    /// The days that come with the program
+    /// List the built-in scenarios
     List,
     /// Measure the proxy against direct connections to the same servers, in one run
     Measure(MeasureArgs),
-    /// Measure how a cost grows with the size of a fleet, and fit it
+    /// Measure how a cost grows with the size of a fleet, and fit a curve to it
     Scale(scale::ScaleArgs),
-    /// Check the records of a day again
+    /// Check the records of a scenario against the rules again
     Check {
-        /// The records, as a day wrote them
+        /// Records file that a scenario run has written
         file: PathBuf,
     },
 }
 
 #[derive(Args)]
 pub struct MeasureArgs {
-    /// Rounds; medians are told
+    /// Number of rounds; medians over the rounds are reported
     #[arg(long, default_value_t = 5)]
     rounds: usize,
     /// Seconds of each part of a round
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Requests a second where times are measured
+    /// Requests per second in the parts that measure times
     #[arg(long, default_value_t = 4_000.0)]
     pace: f64,
-    /// Measure what recording costs instead
+    /// Measure the cost of recording instead
     #[arg(long)]
     recording: bool,
-    /// Measure the fleet tool over so many daemons instead
+    /// Measure the fleet tool with this many daemons instead
     #[arg(long)]
     daemons: Option<usize>,
-    /// Measure what floods of control connections and takeovers add to requests instead
+    /// Measure the latency that floods of control connections and takeovers add to requests instead
     #[arg(long)]
     disturbed: bool,
 }
 
-/// Seconds of each part of a round that may be asked for.
+/// The bounds of `--seconds`, the duration of each part of a round.
 const MIN_PART_SECONDS: f64 = 0.2;
 const MAX_PART_SECONDS: f64 = 60.0;
-/// Requests a second that may be asked for.
+/// The bounds of `--pace`, in requests per second.
 const MIN_PACE: f64 = 1.0;
 const MAX_PACE: f64 = 1e6;
-/// Daemons that may be asked for.
+/// The upper bound of `--daemons`.
 const MAX_DAEMONS: usize = 1_000;
 
 /// Why a lab command failed.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// The path of the running program, which the commands start again, is unknown.
-    #[error("the path of this program: {0}")]
+    /// The path of this program cannot be determined. The commands need it because they start the program as
+    /// a proxy, controller or daemon.
+    #[error("cannot determine the path of this program: {0}")]
     ProgramPath(#[source] std::io::Error),
-    /// A scenario is neither one that comes with the program nor a file that can be read.
-    #[error("{name:?} is no day that comes with the program ({}) and no file: {source}", NAMES.join(", "))]
+    /// A scenario is neither built in nor a file that can be read.
+    #[error(
+        "{name:?} is no day that comes with the program ({}) and cannot be read as a file: {source}",
+        NAMES.join(", ")
+    )]
     UnknownScenario {
-        /// The name.
+        /// The name that was given.
         name: String,
         /// Why it cannot be read as a file.
         #[source]
         source: std::io::Error,
     },
-    /// A file holds no scenario that can be played.
+    /// A file contains no scenario that can be run.
     #[error(transparent)]
     BenchScenario(#[from] BenchScenarioError),
-    /// A scenario could not be played to its end.
+    /// The run of a scenario failed.
     #[error(transparent)]
     Run(#[from] ScenarioRunError),
     /// A measurement failed.
     #[error(transparent)]
     Measurement(#[from] MeasurementError),
-    /// A measurement of scale failed.
+    /// A measurement of the growth of a cost failed.
     #[error(transparent)]
     Scale(#[from] ScaleError),
-    /// A file of records could not be opened.
-    #[error("{}: {source}", .path.display())]
+    /// A records file could not be opened.
+    #[error("cannot open the records file {}: {source}", .path.display())]
     OpenRecords {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// A file of records could not be read.
-    #[error("{}: {source}", .path.display())]
+    /// A records file could not be read.
+    #[error("cannot read the records file {}: {source}", .path.display())]
     ReadRecords {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the content of the file.
         #[source]
         source: RecordFileError,
     },
@@ -140,7 +144,7 @@
     if is_good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn play(
+fn run_scenario(
     scenario: &Scenario,
     out: Option<PathBuf>,
     extra_args: &[String],
@@ -162,7 +166,7 @@
     Ok(exit_code(outcome.is_good()))
 }
 
-/// Plays the demo.
+/// Runs the demo scenario.
 pub fn demo(args: &DemoArgs) -> Result<ExitCode, LabError> {
     let scenario = builtin_scenarios::demo();
     println!(
@@ -174,21 +178,21 @@
         scenario.rollout.first_build + 1,
         scenario.rollout.first_build + 2
     );
-    play(&scenario, args.out.clone(), &[], ReleaseDecider::Controller)
+    run_scenario(&scenario, args.out.clone(), &[], ReleaseDecider::Controller)
 }
 
 /// Runs a lab command.
 pub fn run(command: &Command) -> Result<ExitCode, LabError> {
     match command {
         Command::Day { day, seed, out, stand_in_desk, serve } => {
-            let mut scenario = find(day)?;
+            let mut scenario = find_scenario(day)?;
             scenario.seed = seed.unwrap_or(scenario.seed);
             let release_decider =
                 if *stand_in_desk { ReleaseDecider::Simulated } else { ReleaseDecider::Controller };
-            play(&scenario, out.clone(), serve, release_decider)
+            run_scenario(&scenario, out.clone(), serve, release_decider)
         }
         Command::List => {
-            list();
+            print_scenario_names();
             Ok(ExitCode::SUCCESS)
         }
         Command::Measure(args) => measure(args),
@@ -196,15 +200,17 @@
             scale::run(args)?;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Check { file } => check(file),
+        Command::Check { file } => check_records(file),
     }
 }
 
-fn list() {
+fn print_scenario_names() {
     for name in NAMES {
         println!("{name}");
     }
-    println!("fleet days may name their proxies, and fleet-lending its loss in percent: fleet-lending:12:20");
+    println!(
+        "a fleet day takes its number of proxies, fleet-lending also its loss in percent: fleet-lending:12:20"
+    );
 }
 
 fn measure(args: &MeasureArgs) -> Result<ExitCode, LabError> {
@@ -231,17 +237,18 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A scenario that comes with the program, or one in a file.
-fn find(name: &str) -> Result<Scenario, LabError> {
+/// Finds a built-in scenario, or else reads the file of that name, which holds a scenario of this program or
+/// of the bench.
+fn find_scenario(name: &str) -> Result<Scenario, LabError> {
     if let Some(scenario) = builtin_scenarios::named(name) {
         return Ok(scenario);
     }
-    let text =
+    let content =
         std::fs::read(name).map_err(|source| LabError::UnknownScenario { name: name.to_owned(), source })?;
-    if let Ok(scenario) = serde_json::from_slice::<Scenario>(&text) {
+    if let Ok(scenario) = serde_json::from_slice::<Scenario>(&content) {
         return Ok(scenario);
     }
-    let bench = bench_scenario::read(&text)?;
+    let bench = bench_scenario::read(&content)?;
     println!("drawn day at scale {:.2}", bench.scale);
     for note in &bench.notes {
         println!("  {note}");
@@ -249,10 +256,10 @@
     Ok(bench.scenario)
 }
 
-fn check(path: &Path) -> Result<ExitCode, LabError> {
-    let mut input =
+fn check_records(path: &Path) -> Result<ExitCode, LabError> {
+    let mut file =
         File::open(path).map_err(|source| LabError::OpenRecords { path: path.to_owned(), source })?;
-    let (rules, entries) = violetseam_invariants::record_file::read(&mut input)
+    let (rules, entries) = violetseam_invariants::record_file::read(&mut file)
         .map_err(|source| LabError::ReadRecords { path: path.to_owned(), source })?;
     let check_report = violetseam_invariants::check(&rules, &entries);
     println!("{} records; looked at by rule: {:?}", entries.len(), check_report.examined);
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines, to standard error.
+//! Set-up of the log, which is written to standard error.
 
 use clap::ValueEnum;
 use tracing_subscriber::filter::ParseError;
@@ -7,28 +7,28 @@
 use tracing_subscriber::{EnvFilter, Layer, Registry, reload};
 use violetseam_proxy::driver::SetLog;
 
-// Doc comments here would appear in the help text.
+// The variants have no doc comments because clap would add them to the help text.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogFormat {
     Text,
     Json,
 }
 
-/// A log filter cannot be read.
+/// A log filter is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum LogFilterError {
-    /// That of the command line.
+    /// The argument of `--log`.
     #[error("--log: {0}")]
     Argument(#[source] ParseError),
-    /// One that an operator sent.
+    /// The filter in an operator's command.
     #[error("no log filter: {0}")]
     Command(#[source] ParseError),
 }
 
-/// Starts the logs of a daemon that has one filter for its whole life.
+/// Starts the log of a process with a filter that cannot be changed later.
 pub fn start(filter: &str) -> Result<(), LogFilterError> {
     let filter = EnvFilter::try_new(filter).map_err(LogFilterError::Argument)?;
-    // As for `start_changeable`: a log on a full disk must not end the process.
+    // A full disk under the log must not end the process; see `start_changeable`.
     tracing_subscriber::fmt()
         .log_internal_errors(false)
         .with_env_filter(filter)
@@ -38,23 +38,24 @@
     Ok(())
 }
 
-/// Starts the logs of a daemon whose filter operators may change, and returns what changes it.
+/// Starts the log of a daemon whose filter operators may change, and returns the function that changes the
+/// filter.
 pub fn start_changeable(filter: &str, format: LogFormat) -> Result<SetLog, LogFilterError> {
     let filter = EnvFilter::try_new(filter).map_err(LogFilterError::Argument)?;
     let (filter, handle) = reload::Layer::<EnvFilter, Registry>::new(filter);
-    // A log that cannot be written is lost, and nothing else: with a full disk under it, the layer's own
-    // message about that would go to the same place, and panic there.
-    let lines = tracing_subscriber::fmt::layer()
+    // A log line that cannot be written is dropped. By default, the layer would report the failed write to
+    // standard error, too; on a full disk that write would also fail, and panic.
+    let format_layer = tracing_subscriber::fmt::layer()
         .log_internal_errors(false)
         .with_writer(std::io::stderr)
         .with_ansi(false);
-    let lines = match format {
-        LogFormat::Text => lines.boxed(),
-        LogFormat::Json => lines.json().boxed(),
+    let format_layer = match format {
+        LogFormat::Text => format_layer.boxed(),
+        LogFormat::Json => format_layer.json().boxed(),
     };
-    tracing_subscriber::registry().with(filter).with(lines).init();
-    Ok(Box::new(move |text| {
-        let filter = EnvFilter::try_new(text).map_err(LogFilterError::Command)?;
+    tracing_subscriber::registry().with(filter).with(format_layer).init();
+    Ok(Box::new(move |new_filter| {
+        let filter = EnvFilter::try_new(new_filter).map_err(LogFilterError::Command)?;
         Ok(handle.reload(filter)?)
     }))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The violetseam program. Each subcommand is a thin layer over its package.
+//! The violetseam program. Each subcommand parses its arguments and calls the package that implements it.
 
 mod arguments;
 mod controller;
@@ -16,7 +16,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Exit status where a command failed or its arguments are faulty.
+/// Exit status of a command that failed or has invalid arguments.
 const FAILED: u8 = 2;
 
 #[derive(Parser)]
@@ -28,36 +28,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day on a fleet of stand-ins: two proxies, one good release, one bad one; under a minute
+    /// Run a scenario on a simulated site in less than a minute: two proxies, a good release and a bad one
     Demo(lab::DemoArgs),
     /// Run a proxy in the foreground; SIGTERM drains it
     Serve(serve::Args),
-    /// Ask every daemon of a fleet, or tell them all
+    /// Query the daemons of a fleet, or send all of them a command
     Fleet(fleet::Args),
-    /// Release plans: check, show, compare, rehearse
+    /// Check, show, compare and simulate release plans
     #[command(subcommand)]
     Plan(plan::Command),
     /// Run a release controller in the foreground
     Controller(controller::Args),
-    /// Speak to a release controller
+    /// Query a release controller, or send it an order
     Release(release::Args),
     /// Run a configuration publisher in the foreground
     Publisher(publisher::Args),
-    /// Publish changes of the configuration, or show who has which version
+    /// Publish changes of the configuration, or show which subscriber has which version
     Publish(publisher::PublishArgs),
-    /// Settings scripts
+    /// Check settings scripts
     #[command(subcommand)]
     Settings(settings::Command),
-    /// Have a fresh decision module decide a recording again, and compare
+    /// Feed a recording to a new decision module and compare its actions with the recorded ones
     Replay(replay::Args),
-    /// Scripted days on real sockets, the rules checked from the wire
+    /// Run scenarios on real sockets and check the rules from the observed traffic, or run measurements
     #[command(subcommand)]
     Lab(lab::Command),
 }
 
 fn main() -> ExitCode {
     run(Cli::parse().command).unwrap_or_else(|error| {
-        eprintln!("violetseam: {}", describe(&error));
+        eprintln!("violetseam: {}", error_line(&error));
         ExitCode::from(FAILED)
     })
 }
@@ -78,9 +78,9 @@
     }
 }
 
-/// An error and its causes on one line. A cause that the text before it already states is left out: many
-/// errors of the packages end with the text of their source.
-fn describe(error: &anyhow::Error) -> String {
+/// Returns an error and its causes as one line. A cause whose text is already part of the line is left out,
+/// because many errors of the packages end with the text of their source.
+fn error_line(error: &anyhow::Error) -> String {
     let mut text = error.to_string();
     for cause in error.chain().skip(1).map(ToString::to_string) {
         if !text.contains(&cause) {
--- a/crates/cli/src/plan/mod.rs
+++ b/crates/cli/src/plan/mod.rs
@@ -1,8 +1,8 @@
-//! `violetseam plan`: reads, checks, shows, compares and rehearses release plans.
+//! `violetseam plan`: checks, shows, compares and simulates release plans.
 
 mod text;
 
-use crate::arguments::script_option;
+use crate::arguments::parse_script_option;
 use anyhow::{Context, anyhow};
 use clap::{Args as ClapArgs, Subcommand};
 use std::path::{Path, PathBuf};
@@ -12,49 +12,49 @@
 
 #[derive(ClapArgs)]
 pub struct Source {
-    /// The plan, a Starlark script
+    /// File of the plan: a Starlark script
     file: PathBuf,
-    /// A value for the script's option(...): NAME=VALUE
-    #[arg(long = "set", value_parser = script_option)]
+    /// Value that option(...) returns in the script, as NAME=VALUE; may be repeated
+    #[arg(long = "set", value_parser = parse_script_option)]
     set: Vec<(String, String)>,
-    /// The moment of the offer, such as 2026-12-01T08:00; now if not given
+    /// Time of submission, such as 2026-12-01T08:00; defaults to now
     #[arg(long)]
     at: Option<String>,
-    /// The time zone of that moment
+    /// IANA time zone of the time of submission
     #[arg(long, default_value = "UTC")]
     zone: String,
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Say what is wrong with a plan for a release offered at a moment, or that nothing is
+    /// Check a plan for a release that is submitted at a given time, and report all its faults
     Check(Source),
-    /// Show a plan with its windows of the next days
+    /// Show a plan and the windows in which its calendar is open
     Show {
         #[command(flatten)]
         source: Source,
-        /// Print JSON
+        /// Print the plan as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Say what differs between two plans; exit status 1 if anything does
+    /// Show the differences between two plans; the exit status is 1 if there are any
     Diff {
-        /// The plan before
+        /// File of the old plan
         before: PathBuf,
-        /// The plan after
+        /// File of the new plan
         after: PathBuf,
-        /// The moment of the offer, UTC; now if not given
+        /// Time of submission in UTC; defaults to now
         #[arg(long)]
         at: Option<String>,
     },
-    /// Play a plan on a simulated clock, with a script of events or with everybody agreeing
+    /// Simulate the release of a plan, with a script of events or with all votes and sign-offs given
     Simulate {
         #[command(flatten)]
         source: Source,
-        /// What people, proxies, places and clocks do; it says when it begins
+        /// Script of what operators, proxies, places and clocks do; it also sets the time of submission
         #[arg(long)]
         script: Option<PathBuf>,
-        /// Write a chart there (SVG)
+        /// Write a chart of the simulation to this file, as SVG
         #[arg(long)]
         chart: Option<PathBuf>,
     },
@@ -64,24 +64,26 @@
     violetseam_fleet::wall_clock()
 }
 
-fn moment(at: Option<&str>, zone: &str) -> anyhow::Result<Micros> {
+fn parse_moment(at: Option<&str>, zone: &str) -> anyhow::Result<Micros> {
     let Some(at) = at else { return Ok(now()) };
-    moment_of(at, zone).ok_or_else(|| anyhow!("{at:?} in {zone:?} is no moment: 2026-12-01T08:00, IANA zone"))
+    moment_of(at, zone).ok_or_else(|| {
+        anyhow!("{at:?} in {zone:?} is not a valid time; expected 2026-12-01T08:00, IANA zone")
+    })
 }
 
 impl Source {
-    /// The moment of the offer.
-    fn moment(&self) -> anyhow::Result<Micros> {
-        moment(self.at.as_deref(), &self.zone)
+    /// Returns the time at which the plan is submitted.
+    fn submission_time(&self) -> anyhow::Result<Micros> {
+        parse_moment(self.at.as_deref(), &self.zone)
     }
 
     fn read(&self, at: Micros) -> anyhow::Result<Plan> {
-        read(&self.file, &self.set, at)
+        read_plan(&self.file, &self.set, at)
     }
 }
 
-fn read(file: &Path, set: &[(String, String)], at: Micros) -> anyhow::Result<Plan> {
-    violetseam_plan::read_file(file, set, at).map_err(|faults| {
+fn read_plan(file: &Path, script_options: &[(String, String)], at: Micros) -> anyhow::Result<Plan> {
+    violetseam_plan::read_file(file, script_options, at).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
         let count = if lines.len() == 1 { "1 fault".to_owned() } else { format!("{} faults", lines.len()) };
         anyhow!("{count}\n{}", lines.join("\n"))
@@ -99,13 +101,13 @@
 }
 
 fn check(source: &Source) -> anyhow::Result<ExitCode> {
-    let plan = source.read(source.moment()?)?;
+    let plan = source.read(source.submission_time()?)?;
     println!("{}: build {}, {} waves, no fault found", plan.name, plan.build, plan.waves.len());
     Ok(ExitCode::SUCCESS)
 }
 
 fn show(source: &Source, json: bool) -> anyhow::Result<ExitCode> {
-    let at = source.moment()?;
+    let at = source.submission_time()?;
     let plan = source.read(at)?;
     if json {
         println!("{}", serde_json::to_string_pretty(&plan)?);
@@ -116,9 +118,9 @@
 }
 
 fn diff(before: &Path, after: &Path, at: Option<&str>) -> anyhow::Result<ExitCode> {
-    let at = moment(at, "UTC")?;
-    let before = read(before, &[], at)?;
-    let after = read(after, &[], at)?;
+    let at = parse_moment(at, "UTC")?;
+    let before = read_plan(before, &[], at)?;
+    let after = read_plan(after, &[], at)?;
     let differences = violetseam_plan::diff(&before, &after);
     for line in &differences {
         println!("{line}");
@@ -130,17 +132,17 @@
     let script = script.map(|path| violetseam_plan_simulation::read_file(path, &[])).transpose()?;
     let at = match &script {
         Some(script) => script.start,
-        None => source.moment()?,
+        None => source.submission_time()?,
     };
     let plan = source.read(at)?;
-    let build_before = plan.build.checked_sub(1).unwrap_or(1);
+    let earlier_build = plan.build.checked_sub(1).unwrap_or(1);
     let script =
-        script.unwrap_or_else(|| violetseam_plan_simulation::default_script(&plan, at, build_before));
+        script.unwrap_or_else(|| violetseam_plan_simulation::default_script(&plan, at, earlier_build));
     let run = violetseam_plan_simulation::simulate(&plan, &script, &mut |_| {});
     text::print_timeline(&run);
     if let Some(path) = chart {
         let svg = chart::draw_svg(&plan, &run)?;
-        std::fs::write(path, svg).with_context(|| path.display().to_string())?;
+        std::fs::write(path, svg).with_context(|| format!("cannot write the chart {}", path.display()))?;
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/plan/text.rs
+++ b/crates/cli/src/plan/text.rs
@@ -1,26 +1,26 @@
-//! Plans and simulated releases as text.
+//! Plain-text output of plans and simulated releases.
 
 use violetseam_plan::{Micros, Plan, Wave};
 use violetseam_plan_simulation::SimulationRun;
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// How many of the calendar's open windows are printed.
+/// The maximum number of the calendar's open windows that are printed.
 const MAX_PRINTED_WINDOWS: usize = 20;
 
-/// Prints a plan, with its windows from the moment of the offer on.
-pub fn print_plan(plan: &Plan, offered_at: Micros) {
-    println!("{}: build {}, at most {}", plan.name, plan.build, span_text(plan.longest));
+/// Prints a plan and the windows in which its calendar is open, counted from the time of submission.
+pub fn print_plan(plan: &Plan, submitted_at: Micros) {
+    println!("{}: build {}, at most {}", plan.name, plan.build, duration_text(plan.longest));
     for (stage, wave) in plan.waves.iter().enumerate() {
         print_wave(plan, stage, wave);
     }
     for permission in &plan.overrides {
         println!("  {} may {:?}", permission.who, permission.may);
     }
-    println!("  open, from the moment of the offer on:");
-    let windows = plan.calendar.open_intervals(offered_at, offered_at + plan.longest);
+    println!("  open windows, counted from the time of submission:");
+    let windows = plan.calendar.open_intervals(submitted_at, submitted_at + plan.longest);
     for window in windows.into_iter().take(MAX_PRINTED_WINDOWS) {
-        let start = span_text(window.start - offered_at);
-        let end = span_text(window.end - offered_at);
+        let start = duration_text(window.start - submitted_at);
+        let end = duration_text(window.end - submitted_at);
         println!("    +{start} to +{end}");
     }
 }
@@ -33,7 +33,7 @@
         wave.places.len(),
         plan.fleet.places,
         wave.cap,
-        span_text(wave.soak),
+        duration_text(wave.soak),
         format!("{:?}", wave.gate).to_lowercase(),
         plan.deciding_votes(wave),
         plan.votes_to_roll_back(wave),
@@ -41,27 +41,27 @@
     );
     for hold in plan.holds.iter().filter(|hold| hold.before == wave.name) {
         let limit = match hold.at_most {
-            Some(limit) => format!(", at most {}", span_text(limit)),
+            Some(limit) => format!(", at most {}", duration_text(limit)),
             None => String::new(),
         };
-        println!("    held before it, left by {:?}{limit}", hold.leave);
+        println!("    held before the wave; the hold ends by {:?}{limit}", hold.leave);
     }
     for sign_off in plan.sign_offs.iter().filter(|sign_off| sign_off.wave == wave.name) {
-        let within = span_text(sign_off.within);
-        println!("    approved by {} of {:?} within {within}", sign_off.count, sign_off.by);
+        let within = duration_text(sign_off.within);
+        println!("    sign-off by {} of {:?} within {within}", sign_off.count, sign_off.by);
     }
 }
 
-/// Prints what happened in a simulated release.
+/// Prints the timeline of a simulated release and its final status.
 pub fn print_timeline(run: &SimulationRun) {
     for entry in &run.timeline {
-        println!("+{}  {}", span_text(entry.at), entry.text);
+        println!("+{}  {}", duration_text(entry.at), entry.text);
     }
     println!("end: {}", run.final_status);
 }
 
-/// A span as hours, minutes and seconds.
-fn span_text(micros: Micros) -> String {
+/// Formats a duration as hours, minutes and seconds.
+fn duration_text(micros: Micros) -> String {
     let seconds = micros / MICROS_PER_SECOND;
     format!("{}:{:02}:{:02}", seconds / 3_600, seconds / 60 % 60, seconds % 60)
 }
--- a/crates/cli/src/publisher.rs
+++ b/crates/cli/src/publisher.rs
@@ -1,7 +1,7 @@
-//! `violetseam publisher`, the daemon that distributes the configuration, and `violetseam publish`, which
-//! speaks to it.
+//! `violetseam publisher`, the daemon that distributes the configuration, and `violetseam publish`, its
+//! client.
 
-use crate::arguments::timeout;
+use crate::arguments::clamped_timeout;
 use crate::logs;
 use anyhow::{Context, bail};
 use clap::Args as ClapArgs;
@@ -15,56 +15,56 @@
 use violetseam_publisher::protocol::{StatusReport, SubscriberRow};
 use violetseam_publisher::settings::{Bounds, Settings};
 
-/// Exit status where the publisher refused.
+/// Exit status if the publisher refused the request.
 const REFUSED: u8 = 3;
-/// Exit status where there was no answer.
+/// Exit status if no response arrived.
 const NO_ANSWER: u8 = 4;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The folder of its durable state; one publisher at a time
+    /// Directory of the durable state; only one publisher at a time may use it
     #[arg(long)]
     state: PathBuf,
-    /// Where it listens
+    /// Address to listen on
     #[arg(long)]
     listen: SocketAddr,
-    /// Go on under this term: the stored one or a higher one. A new state takes the wall clock's milliseconds
+    /// Term to publish under: the stored one or a higher one; a new state defaults to the wall clock in ms
     #[arg(long)]
     term: Option<u64>,
-    /// Connections at once; further ones are closed
+    /// Maximum number of open connections; further ones are closed
     #[arg(long, default_value_t = Bounds::CONNECTIONS)]
     connections: usize,
-    /// Bytes of changes that may wait for a subscriber that reads slowly; past it its watch is closed
+    /// Maximum bytes of unread changes per subscriber; the watch of a slower reader is closed
     #[arg(long, default_value_t = Bounds::UNREAD_BYTES)]
     unread_bytes: usize,
-    /// Seconds in which a subscriber must have read all that waits for it; else its watch is closed
+    /// Seconds in which a subscriber must read all its unread changes; otherwise its watch is closed
     #[arg(long, default_value_t = Bounds::CATCH_UP.as_secs_f64())]
     catch_up: f64,
-    /// Bytes of the longest request body
+    /// Maximum length of a request body, in bytes
     #[arg(long, default_value_t = Bounds::BODY_BYTES)]
     body_bytes: usize,
-    /// Versions that the log reaches back
+    /// Maximum number of versions in the log
     #[arg(long, default_value_t = LogLimits::default().deltas)]
     log_versions: usize,
-    /// Bytes of the log
+    /// Maximum size of the log, in bytes
     #[arg(long, default_value_t = LogLimits::default().bytes)]
     log_bytes: usize,
-    /// Snapshots that are begun a second; others are told when to come back
+    /// Maximum number of snapshots started per second; other subscribers are told when to retry
     #[arg(
         long,
         default_value_t = Bounds::SNAPSHOTS_PER_SECOND,
         value_parser = clap::value_parser!(u32).range(1..),
     )]
     snapshots_per_second: u32,
-    /// What is logged: error, warn, info, debug
+    /// Minimum level of log lines: error, warn, info or debug
     #[arg(long, default_value = "info")]
     log: String,
 }
 
 impl Args {
     fn settings(&self) -> anyhow::Result<Settings> {
-        let catch_up = Duration::try_from_secs_f64(self.catch_up).context("--catch-up")?;
+        let catch_up = Duration::try_from_secs_f64(self.catch_up).context("--catch-up is invalid")?;
         let bounds = Bounds {
             connections: self.connections,
             unread_bytes: self.unread_bytes,
@@ -75,13 +75,13 @@
         };
         let term = self.term.map(Term);
         if term.is_some_and(|term| term == Term(0) || !Version::new(term, 0).is_bounded()) {
-            bail!("--term: 1 to 2^53 - 1");
+            bail!("--term must be between 1 and 2^53 - 1");
         }
         Ok(Settings { state: self.state.clone(), listen: self.listen, term, bounds })
     }
 }
 
-/// Runs a publisher until it is told to stop.
+/// Runs a publisher until a signal stops it.
 pub fn serve(args: &Args) -> anyhow::Result<ExitCode> {
     let settings = args.settings()?;
     logs::start(&args.log)?;
@@ -93,38 +93,39 @@
 
 #[derive(ClapArgs)]
 pub struct PublishArgs {
-    /// The publisher's address
+    /// Address of the publisher
     #[arg(long)]
     to: SocketAddr,
-    /// JSON lines: changes, or with --whole all resources
+    /// File of JSON lines: the changes, or with --whole all resources
     #[arg(required_unless_present = "status", conflicts_with = "status")]
     file: Option<PathBuf>,
-    /// Replace the whole configuration; every subscriber takes a snapshot
+    /// Replace the whole configuration; every subscriber fetches a snapshot
     #[arg(long, conflicts_with = "status")]
     whole: bool,
-    /// Show who has which version, since when, and who is behind
+    /// Show which subscriber has which version, since when, and which subscribers are behind
     #[arg(long)]
     status: bool,
-    /// Of the status, only those who do not hold the newest version
+    /// Show only subscribers that do not have the newest version
     #[arg(long, requires = "status")]
     behind: bool,
-    /// Print JSON
+    /// Print the result as JSON
     #[arg(long)]
     json: bool,
-    /// Seconds to wait for the answer
+    /// Seconds to wait for the response
     #[arg(long, default_value_t = 30.0)]
     timeout: f64,
 }
 
-/// Publishes or shows the status. Exit status: 0 done, 2 faulty arguments, 3 refused, 4 no answer.
+/// Publishes a file, or shows the status. Exit status: 0 for success, 2 for invalid arguments, 3 if the
+/// publisher refused, 4 if no response arrived.
 pub fn publish(args: &PublishArgs) -> anyhow::Result<ExitCode> {
-    let client = Client { publisher: args.to, timeout: timeout(args.timeout) };
+    let client = Client { publisher: args.to, timeout: clamped_timeout(args.timeout) };
     let Some(file) = &args.file else { return show_status(args, &client) };
-    let lines = std::fs::read(file).with_context(|| file.display().to_string())?;
-    let result = if args.whole { client.publish_whole(&lines) } else { client.publish_changes(&lines) };
+    let body = std::fs::read(file).with_context(|| format!("cannot read {}", file.display()))?;
+    let result = if args.whole { client.publish_whole(&body) } else { client.publish_changes(&body) };
     let published = match result {
         Ok(published) => published,
-        Err(error) => return Ok(failed(&error)),
+        Err(error) => return Ok(report_failure(&error)),
     };
     if args.json {
         println!("{}", serde_json::to_string(&published)?);
@@ -137,12 +138,12 @@
 fn show_status(args: &PublishArgs, client: &Client) -> anyhow::Result<ExitCode> {
     let mut report = match client.status() {
         Ok(report) => report,
-        Err(error) => return Ok(failed(&error)),
+        Err(error) => return Ok(report_failure(&error)),
     };
     let newest = report.version;
-    let known = report.subscribers.len();
+    let subscriber_count = report.subscribers.len();
     let is_behind = |row: &SubscriberRow| row.status.version != Some(newest);
-    let behind = report.subscribers.iter().filter(|row| is_behind(row)).count();
+    let behind_count = report.subscribers.iter().filter(|row| is_behind(row)).count();
     if args.behind {
         report.subscribers.retain(is_behind);
     }
@@ -150,18 +151,18 @@
         println!("{}", serde_json::to_string(&report)?);
         return Ok(ExitCode::SUCCESS);
     }
-    print_heading(&report, known, behind);
+    print_heading(&report, subscriber_count, behind_count);
     for row in &report.subscribers {
         print_row(row);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_heading(report: &StatusReport, known: usize, behind: usize) {
+fn print_heading(report: &StatusReport, subscriber_count: usize, behind_count: usize) {
     println!("version {}, digest {}, {} resources", report.version, report.digest, report.resources);
-    println!("the log leads on from version {}", report.oldest_known);
+    println!("the log continues from version {}", report.oldest_known);
     println!(
-        "{behind} of {known} subscribers behind; {} watches open, {} wait for a snapshot",
+        "{behind_count} of {subscriber_count} subscribers behind; {} watches open, {} wait for a snapshot",
         report.watches, report.snapshots_waiting
     );
     if let Some(halted) = &report.halted {
@@ -170,7 +171,8 @@
     println!("{:<32} {:>22} {:>8} {:>10} {:>10}  watch", "subscriber", "version", "behind", "age", "heard");
 }
 
-/// The age is that of the version held; `heard` is when the subscriber last called or reported.
+/// Prints the line of one subscriber. The column `age` is the time since the version was acknowledged, and
+/// `heard` the time since the subscriber last sent a request or a report.
 fn print_row(row: &SubscriberRow) {
     let status = &row.status;
     let version = status.version.map_or("none".to_owned(), |version| version.to_string());
@@ -186,7 +188,7 @@
     }
 }
 
-fn failed(error: &ClientError) -> ExitCode {
+fn report_failure(error: &ClientError) -> ExitCode {
     eprintln!("violetseam: {error}");
     match error {
         ClientError::Refused(_) => ExitCode::from(REFUSED),
--- a/crates/cli/src/release.rs
+++ b/crates/cli/src/release.rs
@@ -1,6 +1,6 @@
-//! `violetseam release`: asks a release controller, or gives it an order.
+//! `violetseam release`: queries a release controller, or sends it a plan, an approval or an order.
 
-use crate::arguments::{operator_name, timeout};
+use crate::arguments::{clamped_timeout, operator_name};
 use anyhow::Context;
 use clap::{Args as ClapArgs, Subcommand};
 use std::path::{Path, PathBuf};
@@ -8,26 +8,26 @@
 use violetseam_controller::control::{Request, Response, Status, WatchCounts, send_request};
 use violetseam_release::{Order, Reply};
 
-/// Exit status where the controller refused, or the order no longer applies.
+/// Exit status if the controller refused the request, or if the order no longer applies.
 const REFUSED: u8 = 3;
-/// Exit status where there was no answer.
+/// Exit status if no response arrived.
 const NO_ANSWER: u8 = 4;
-/// The longest hold, in seconds: 90 days.
+/// The longest duration of a hold, in seconds: 90 days.
 const MAX_HOLD_S: f64 = 7_776_000.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The controller's control socket
+    /// Path of the controller's control socket
     #[arg(long)]
     control: PathBuf,
-    /// Who says it; the user's name if not given
+    /// Operator who sends the request; defaults to the user's name
     #[arg(long = "as")]
-    who: Option<String>,
-    /// Seconds to wait for the answer
+    operator: Option<String>,
+    /// Seconds to wait for the response
     #[arg(long, default_value_t = 5.0)]
     timeout: f64,
-    /// Print JSON
+    /// Print the result as JSON
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
@@ -36,44 +36,45 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show where the release stands and what it waits for
+    /// Show the state of the release and what it waits for
     State,
-    /// Offer a plan: one file, checked by the controller again
+    /// Submit a plan in one file; the controller checks it again
     Offer {
-        /// The plan
+        /// File of the plan
         file: PathBuf,
     },
-    /// Approve a wave
+    /// Sign off a wave
     Sign {
-        /// The wave
+        /// Name of the wave
         wave: String,
     },
-    /// Take an approval back
+    /// Revoke the sign-off of a wave
     Unsign {
-        /// The wave
+        /// Name of the wave
         wave: String,
     },
-    /// Stop the release for a while
+    /// Hold the release for a limited time
     Hold {
-        /// Seconds until it goes on by itself
+        /// Seconds until the release continues without a further order
         #[arg(long = "for")]
-        span: f64,
+        seconds: f64,
     },
-    /// Let it go on
+    /// End a hold
     Resume,
-    /// Send the build back
+    /// Roll the build back
     Back,
-    /// Skip what is left of a soak
+    /// Skip the rest of the current bake time
     Skip,
 }
 
-/// Sends a request to a controller. Exit status: 0 it counts, 3 refused, obsolete or faulty, 4 no answer.
+/// Sends a request to a controller. Exit status: 0 if it was accepted, 3 if it was refused, was obsolete or
+/// had faults, 4 if no response arrived.
 pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let request = request(args)?;
-    let response = match send_request(&args.control, &request, timeout(args.timeout)) {
+    let response = match send_request(&args.control, &request, clamped_timeout(args.timeout)) {
         Ok(response) => response,
         Err(error) => {
-            eprintln!("violetseam: no answer: {error}");
+            eprintln!("violetseam: no answer from the controller: {error}");
             return Ok(ExitCode::from(NO_ANSWER));
         }
     };
@@ -87,13 +88,13 @@
 }
 
 fn request(args: &Args) -> anyhow::Result<Request> {
-    let operator = operator_name(args.who.as_deref());
+    let operator = operator_name(args.operator.as_deref());
     let request = match &args.command {
         Command::State => Request::Status,
         Command::Offer { file } => plan_submission(file)?,
         Command::Sign { wave } => Request::Approve { operator, wave: wave.clone() },
         Command::Unsign { wave } => Request::RevokeApproval { operator, wave: wave.clone() },
-        Command::Hold { span } => Request::Order { operator, order: hold(*span) },
+        Command::Hold { seconds } => Request::Order { operator, order: hold_order(*seconds) },
         Command::Resume => Request::Order { operator, order: Order::Resume },
         Command::Back => Request::Order { operator, order: Order::Back },
         Command::Skip => Request::Order { operator, order: Order::Skip },
@@ -102,11 +103,11 @@
 }
 
 fn plan_submission(file: &Path) -> anyhow::Result<Request> {
-    let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
+    let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
     Ok(Request::SubmitPlan { name: file.display().to_string(), text })
 }
 
-fn hold(seconds: f64) -> Order {
+fn hold_order(seconds: f64) -> Order {
     Order::Hold((seconds.clamp(0.0, MAX_HOLD_S) * MICROS_PER_SECOND) as u64)
 }
 
@@ -117,7 +118,7 @@
 fn response_text(response: &Response) -> String {
     match response {
         Response::Status(status) => status_text(status),
-        Response::Reply(Reply::Accepted) => "it counts".to_owned(),
+        Response::Reply(Reply::Accepted) => "accepted".to_owned(),
         Response::Reply(Reply::Obsolete(reason)) => format!("moot: {reason}"),
         Response::Reply(Reply::Rejected(reason)) => format!("REFUSED: {reason}"),
         Response::InvalidPlan(faults) => format!("REFUSED, the plan has faults:\n{}", faults.join("\n")),
@@ -128,11 +129,11 @@
 fn status_text(status: &Status) -> String {
     let WatchCounts { proxies, platforms } = status.watches;
     let write_error = match &status.write_error {
-        Some(reason) => format!("\nnot kept: {reason}"),
+        Some(reason) => format!("\nthe journal cannot be written: {reason}"),
         None => String::new(),
     };
     format!(
-        "{}, term {}: {}\n{} votes stand; {proxies} proxies and {platforms} platforms watch{write_error}",
+        "{}, term {}: {}\n{} votes count; {proxies} proxies and {platforms} platforms watch{write_error}",
         status.name, status.term, status.description, status.votes
     )
 }
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,4 +1,5 @@
-//! `violetseam replay`: decides a recording again and compares.
+//! `violetseam replay`: feeds the events of a recording to a new decision module and compares its actions
+//! with the recorded ones.
 
 use clap::Args as ClapArgs;
 use std::path::PathBuf;
@@ -7,17 +8,17 @@
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The recording, as `serve --record` wrote it
+    /// Recording that `serve --record` has written
     file: PathBuf,
-    /// Print all that concerns this request
+    /// Print all events and actions of this request
     #[arg(long)]
     request: Option<u64>,
-    /// Print news, votes and findings on this build
+    /// Print the release status changes, votes and verdicts on this build
     #[arg(long)]
     build: Option<u16>,
 }
 
-/// Replays a recording. Exit status 1 if an action differs or the recording is damaged.
+/// Replays a recording. The exit status is 1 if an action differs or the recording is damaged.
 pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let filter = ReplayFilter { request: args.request, build: args.build };
     let report = violetseam_recorder::replay(&args.file, filter, &mut |line| println!("{line}"))?;
@@ -26,16 +27,18 @@
         println!("  {kind}: {count}");
     }
     if report.reached_size_limit {
-        println!("the recording ended at its bound");
+        println!("the recording ended because it reached its size limit");
     }
     if let Some(Difference { event_number, recorded, replayed }) = report.difference {
-        println!("different at event {event_number}:\n  recorded: {recorded}\n  now:      {replayed}");
+        println!(
+            "the actions differ at event {event_number}:\n  recorded: {recorded}\n  replayed: {replayed}"
+        );
         return Ok(ExitCode::FAILURE);
     }
     if let Some(error) = report.read_error {
-        println!("stopped: {error}; all before it is the same");
+        println!("the replay stopped: {error}; all actions before it are the same");
         return Ok(ExitCode::FAILURE);
     }
-    println!("every action is the same");
+    println!("all actions are the same");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -1,10 +1,10 @@
-//! `violetseam serve`: one proxy in the foreground.
+//! `violetseam serve`: runs one proxy in the foreground.
 
 mod operators;
 
 pub use operators::key_files;
 
-use crate::arguments::script_option;
+use crate::arguments::parse_script_option;
 use crate::logs::{self, LogFormat};
 use anyhow::{Context, bail};
 use clap::Args as ClapArgs;
@@ -17,37 +17,37 @@
 
 #[derive(ClapArgs)]
 pub struct Args {
-    /// The settings script
+    /// Settings script of the proxy
     #[arg(long, required_unless_present = "platform")]
     settings: Option<PathBuf>,
-    /// Serve on the platform's protocol, as the environment and PROXY_CONFIG tell; nothing else is opened
+    /// Serve the platform's protocol only, configured by environment variables and the file of PROXY_CONFIG
     #[arg(long, conflicts_with_all = ["settings", "set", "record", "time_module", "takeover", "stop_after"])]
     platform: bool,
-    /// A value for the script's option(...): NAME=VALUE
-    #[arg(long = "set", value_parser = script_option)]
+    /// Value that option(...) returns in the script, as NAME=VALUE; may be repeated
+    #[arg(long = "set", value_parser = parse_script_option)]
     set: Vec<(String, String)>,
-    /// Record every event and action there, for `replay`
+    /// Record every event and action to this path, for `replay`
     #[arg(long)]
     record: Option<PathBuf>,
-    /// The most bytes a recording may take; it ends there
+    /// Maximum size of a recording, in bytes; recording stops there
     #[arg(long, default_value_t = RecordingLimits::default().max_total_bytes)]
     record_most: u64,
-    /// How log lines are written, to standard error
+    /// Format of the log lines on standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
-    /// What is logged: error, warn, info, debug, or filters such as verdict=info
+    /// Log filter: error, warn, info, debug, or one for a target such as verdict=info
     #[arg(long, default_value = "info")]
     log: String,
-    /// Measure the time spent in the decision module and tell it at the end
+    /// Measure the time spent in the decision module and print it at the end
     #[arg(long)]
     time_module: bool,
-    /// Take the sockets and what was learned from the process that serves now, which then drains and ends
+    /// Take over the sockets and the learned state of the running process, which then drains and ends
     #[arg(long)]
     takeover: bool,
-    /// Stop by itself after so many seconds
+    /// Stop after this many seconds
     #[arg(long)]
     stop_after: Option<u64>,
-    /// Break the rules on purpose, to see the checker notice
+    /// Break a rule on purpose, to test that the rule checker reports it
     #[cfg(feature = "sabotage")]
     #[arg(long, value_enum)]
     sabotage: Option<SabotageName>,
@@ -88,21 +88,21 @@
     }
 }
 
-/// Runs a proxy until it is told to stop.
+/// Runs a proxy until a signal, a takeover or `--stop-after` stops it.
 pub fn run(args: &Args) -> anyhow::Result<ExitCode> {
     if args.platform {
-        // The platform has no operators who would change the filter.
+        // The platform has no operator commands, so the function that changes the filter is not used.
         let _set_log = logs::start_changeable(&args.log, args.log_format)?;
         return crate::platform::run();
     }
-    let file = args.settings.as_ref().context("--settings is wanted")?;
+    let file = args.settings.as_ref().context("--settings is required without --platform")?;
     let settings = read_file(file, &args.set)?;
     let set_log = logs::start_changeable(&args.log, args.log_format)?;
     let name = format!("{}-{}", settings.fleet_name, settings.decisions.position);
     let inherited = match (args.takeover, &settings.control_socket) {
         (false, _) => None,
         (true, Some(control)) => Some(inherit(control)?),
-        (true, None) => bail!("--takeover needs a control socket in the settings"),
+        (true, None) => bail!("--takeover requires a control socket in the settings"),
     };
     let operators = operators::operators(args, file, &settings, set_log)?;
     let summary = serve_operated(settings, args.options(), operators, inherited, |addresses| {
@@ -110,11 +110,11 @@
             println!("{name} takes clients on {address}");
         }
     })?;
-    Ok(report_end(args, &summary))
+    Ok(report_summary(args, &summary))
 }
 
-/// Prints what is to say at the end. Exit status 1 if requests or connections were left.
-fn report_end(args: &Args, summary: &Summary) -> ExitCode {
+/// Prints the summary of the run. The exit status is 1 if connections or requests were left open.
+fn report_summary(args: &Args, summary: &Summary) -> ExitCode {
     if args.time_module {
         let seconds = summary.module_time.as_secs_f64();
         println!("module {seconds:.3} s over {} requests", summary.counts.received);
--- a/crates/cli/src/serve/operators.rs
+++ b/crates/cli/src/serve/operators.rs
@@ -1,4 +1,5 @@
-//! What makes a proxy a daemon with operators: its durable state, its keys, and how both are read again.
+//! The durable state and the TLS keys of a proxy that operators control, and how both are loaded again on a
+//! reload or after a failed takeover.
 
 use super::Args;
 use std::path::{Path, PathBuf};
@@ -10,17 +11,18 @@
 use violetseam_settings::{ControlTls, Identity, ProxySettings, read_file};
 use violetseam_tls_config::{EXPIRY_WARNING_S, KeyFileError, KeyFiles};
 
-/// How long a takeover waits for the other process to close the store.
+/// The maximum time that a takeover waits for the other process to close the store.
 const STORE_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The keys for control over TCP cannot be used.
+/// The key files for control over TCP cannot be used.
 #[derive(Debug, thiserror::Error)]
 #[error("control_tls: {0}")]
 pub struct ControlTlsError(#[source] KeyFileError);
 
-/// What the proxy needs as a daemon, where its settings name a control socket.
+/// Prepares what the proxy needs to take operator commands. Returns `None` if its settings name no control
+/// socket.
 pub fn operators(
     args: &Args,
     file: &Path,
@@ -58,7 +60,7 @@
     }))
 }
 
-/// The files that settings name.
+/// Returns the paths of the key files of an identity.
 pub fn key_files(identity: &Identity) -> KeyFiles {
     KeyFiles {
         cert: identity.cert.clone().into(),
@@ -68,24 +70,29 @@
     }
 }
 
-/// The TLS settings of control over TCP, checked; `None` where the settings name no address for it.
+/// Loads and checks the TLS configuration of control over TCP. Returns `None` if the settings name no address
+/// for it.
 fn control_tls(settings: &ProxySettings) -> Result<Option<Arc<rustls::ServerConfig>>, ControlTlsError> {
     let Some(ControlTls { identity, .. }) = &settings.control_tls else { return Ok(None) };
     let now_s = (wall_clock() / MICROS_PER_SECOND) as i64;
     let loaded = violetseam_tls_config::server_tls(&key_files(identity), now_s).map_err(ControlTlsError)?;
     if loaded.expires_at_s - now_s < EXPIRY_WARNING_S {
-        tracing::warn!(cert = identity.cert, "the certificate for control over TCP ends in under two weeks");
+        tracing::warn!(
+            cert = identity.cert,
+            "the certificate for control over TCP expires in less than two weeks"
+        );
     }
     Ok(Some(loaded.config))
 }
 
-/// Opens the store; in a takeover the other process closes it at any moment, so it is waited for.
+/// Opens the store. With `wait`, a store that another process has open is tried again until the timeout,
+/// because that process closes it in the course of the takeover.
 fn open_store(state_dir: &Path, position: usize, wait: bool) -> Result<OpenedStore, StoreError> {
     let opened_at = wall_clock();
-    let wait_until = Instant::now() + STORE_WAIT_TIMEOUT;
+    let deadline = Instant::now() + STORE_WAIT_TIMEOUT;
     loop {
         match Store::open(state_dir, position, opened_at) {
-            Err(StoreError::InUse { .. }) if wait && Instant::now() < wait_until => {
+            Err(StoreError::InUse { .. }) if wait && Instant::now() < deadline => {
                 std::thread::sleep(STORE_RETRY_INTERVAL);
             }
             result => return result,
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,18 +1,18 @@
 //! `violetseam settings`: checks settings scripts.
 
-use crate::arguments::script_option;
+use crate::arguments::parse_script_option;
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Read a script, say what is wrong with it or that nothing is
+    /// Check a script and report its first fault, if it has one
     Check {
-        /// The script
+        /// Settings script
         file: PathBuf,
-        /// A value for the script's option(...): NAME=VALUE
-        #[arg(long = "set", value_parser = script_option)]
+        /// Value that option(...) returns in the script, as NAME=VALUE; may be repeated
+        #[arg(long = "set", value_parser = parse_script_option)]
         set: Vec<(String, String)>,
     },
 }
@@ -24,8 +24,8 @@
     }
 }
 
-fn check(file: &Path, set: &[(String, String)]) -> anyhow::Result<ExitCode> {
-    let settings = violetseam_settings::read_file(file, set)?;
+fn check(file: &Path, script_options: &[(String, String)]) -> anyhow::Result<ExitCode> {
+    let settings = violetseam_settings::read_file(file, script_options)?;
     let classes = settings.class_names.len();
     let routes = settings.routes.len();
     println!("{}: {classes} classes, {routes} routes, no fault found", file.display());
