--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! The program as a process over a world of its own: one server, one roster, one desk.
+//! Starts the program as a process against a simulated site: one server, one discovery service and one
+//! release service, all at one address.
 #![allow(dead_code)]
 
 pub mod capacity;
@@ -18,7 +19,8 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_violetseam");
 
-/// A server, a roster and a desk in one: answers by path, keeps streams open.
+/// Starts a site whose server, discovery service and release service share one address: the path of a request
+/// selects the response, and watches stay open.
 pub fn world() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
@@ -46,8 +48,8 @@
                 break;
             }
         }
-        let stream_head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        let lines = if path.starts_with("/v1/roster") {
+        let watch_head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+        let line = if path.starts_with("/v1/roster") {
             format!(
                 r#"{{"kind":"full","version":1,"servers":[{{"id":1,"addr":"{addr}","build":1,"state":"ready"}}]}}"#
             )
@@ -60,28 +62,31 @@
             }
             continue;
         };
-        let text = format!("{stream_head}{:x}\r\n{lines}\n\r\n", lines.len() + 1);
+        let text = format!("{watch_head}{:x}\r\n{line}\n\r\n", line.len() + 1);
         if stream.write_all(text.as_bytes()).is_err() {
             return;
         }
     }
 }
 
+/// A running proxy and the address at which it accepts clients.
 pub struct Proxy {
     pub child: Child,
     pub addr: SocketAddr,
 }
 
-/// Starts a proxy; `more` are further arguments of `fleet(...)`, `launch` is shell before the program.
+/// Starts a proxy against a new site. `more` is inserted as further arguments of `fleet(...)` in the
+/// settings, and `launch` is shell code that runs before the program.
 pub fn start(name: &str, launch: &str, more: &str) -> Proxy {
     start_over(world(), name, launch, more)
 }
 
+/// The same as [`start`], against an existing site.
 pub fn start_over(world: SocketAddr, name: &str, launch: &str, more: &str) -> Proxy {
     start_named(world, "test", name, launch, more)
 }
 
-/// The same as a proxy of this fleet.
+/// The same as [`start_over`], as a member of the named fleet.
 pub fn start_named(world: SocketAddr, fleet: &str, name: &str, launch: &str, more: &str) -> Proxy {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.star"));
     let text = format!(
@@ -105,12 +110,12 @@
     let proxy = Proxy { child, addr };
     let until = Instant::now() + Duration::from_secs(10);
     while !proxy.ask(Duration::from_secs(2)).is_some_and(|a| a.ends_with("ok")) {
-        assert!(Instant::now() < until, "the proxy never served");
+        assert!(Instant::now() < until, "the proxy did not answer a request within 10 s of its start");
     }
     proxy
 }
 
-/// A test that fails leaves no process behind.
+/// Kills the process, so that a failed test does not leave it running.
 impl Drop for Proxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -129,15 +134,15 @@
         stream
     }
 
-    pub fn ask(&self, patience: Duration) -> Option<String> {
+    pub fn ask(&self, timeout: Duration) -> Option<String> {
         let mut stream = self.open();
-        stream.set_read_timeout(Some(patience)).unwrap();
+        stream.set_read_timeout(Some(timeout)).unwrap();
         stream.write_all(b"GET /x HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n").unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).ok().map(|_| text)
     }
 
-    /// Drains it; it must say that nothing was left open.
+    /// Drains the proxy. Its exit status must say that it left no connection or request open.
     pub fn end(mut self) {
         kill_process(self.pid(), Signal::TERM).unwrap();
         assert!(self.child.wait().unwrap().success());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet tool against local daemons: frozen, killed, restarted, doubled, flooded.
+//! The fleet tool against local daemons that are stopped, killed, restarted, started twice or flooded.
 
 mod common;
 
-use common::fleet::{Fleet, count, more, states};
+use common::fleet::{Fleet, count_outcomes, daemon_states, more};
 use common::{PROGRAM, start_over};
 use rustix::process::{Signal, kill_process};
 use std::io::{Read, Write};
@@ -12,44 +12,48 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn twenty_daemons_one_frozen_nineteen_agree_and_the_report_does_not_wait_longer_than_its_own_time() {
+fn a_stopped_daemon_among_twenty_delays_the_report_by_no_more_than_the_timeout() {
     let fleet = Fleet::start("twenty", 20);
     kill_process(fleet.daemons[7].pid(), Signal::STOP).unwrap();
     let began = Instant::now();
-    let (code, told, _) = fleet.tool(&["--timeout", "1", "pause", "--for", "60"]);
+    let (code, report, _) = fleet.run_tool(&["--timeout", "1", "pause", "--for", "60"]);
     let took = began.elapsed();
-    assert_eq!((code, count(&told, "agreed"), count(&told, "silent")), (4, 19, 1), "{told}");
-    assert_eq!((told["build"].as_u64(), told["stage"].as_u64()), (Some(2), Some(1)));
+    assert_eq!(
+        (code, count_outcomes(&report, "agreed"), count_outcomes(&report, "silent")),
+        (4, 19, 1),
+        "{report}"
+    );
+    assert_eq!((report["build"].as_u64(), report["stage"].as_u64()), (Some(2), Some(1)));
     assert!(took < Duration::from_millis(3_500), "one frozen daemon held the report up: {took:?}");
     kill_process(fleet.daemons[7].pid(), Signal::CONT).unwrap();
-    let (code, state, _) = fleet.tool(&["state"]);
-    let paused = states(&state).iter().filter(|s| !s["paused"].is_null()).count();
+    let (code, state, _) = fleet.run_tool(&["state"]);
+    let paused = daemon_states(&state).iter().filter(|s| !s["paused"].is_null()).count();
     assert_eq!((code, paused), (0, 19), "a command that it was never sent took effect on the frozen one");
-    let (code, told, _) = fleet.tool(&["--only", "d7", "pause", "--for", "60"]);
-    assert_eq!((code, count(&told, "agreed")), (0, 1));
-    let (code, told, _) = fleet.tool(&["--only", "early", "resume"]);
-    assert_eq!((code, count(&told, "agreed")), (0, 10));
+    let (code, report, _) = fleet.run_tool(&["--only", "d7", "pause", "--for", "60"]);
+    assert_eq!((code, count_outcomes(&report, "agreed")), (0, 1));
+    let (code, report, _) = fleet.run_tool(&["--only", "early", "resume"]);
+    assert_eq!((code, count_outcomes(&report, "agreed")), (0, 10));
     fleet.end();
 }
 
 #[test]
-fn a_pause_outlives_a_kill_and_the_boot_number_counts_on() {
+fn a_pause_survives_a_kill_and_the_boot_number_increases() {
     let mut fleet = Fleet::start("kill", 1);
-    assert_eq!(fleet.tool(&["pause", "--for", "60"]).0, 0);
-    let before = states(&fleet.tool(&["state"]).1)[0].clone();
+    assert_eq!(fleet.run_tool(&["pause", "--for", "60"]).0, 0);
+    let before = daemon_states(&fleet.run_tool(&["state"]).1)[0].clone();
     fleet.restart("kill", 0);
-    let after = states(&fleet.tool(&["state"]).1)[0].clone();
+    let after = daemon_states(&fleet.run_tool(&["state"]).1)[0].clone();
     assert_eq!(after["paused"], before["paused"]);
     assert_eq!(after["boot"].as_u64(), before["boot"].as_u64().map(|b| b + 1));
-    assert_eq!(fleet.tool(&["resume"]).0, 0);
+    assert_eq!(fleet.run_tool(&["resume"]).0, 0);
     fleet.restart("kill", 0);
-    assert!(states(&fleet.tool(&["state"]).1)[0]["paused"].is_null());
-    // Two daemons on one identity: the second says so and leaves the first alone.
+    assert!(daemon_states(&fleet.run_tool(&["state"]).1)[0]["paused"].is_null());
+    // A second daemon with the same identity does not start, and does not disturb the first.
     let settings = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("kill-0.star");
     let second = Command::new(PROGRAM).args(["serve", "--settings"]).arg(settings).output().unwrap();
     let text = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(!second.status.success() && text.contains("another daemon runs under this identity"), "{text}");
-    assert_eq!(fleet.tool(&["state"]).0, 0);
+    assert_eq!(fleet.run_tool(&["state"]).0, 0);
     fleet.end();
 }
 
@@ -60,52 +64,57 @@
     fleet.daemons[0].child.wait().unwrap();
     std::fs::write(fleet.folder.join("0/daemon-0.redb"), [0x5a; 9_000]).unwrap();
     fleet.daemons[0] = start_over(fleet.world, "damage-0", "", &more(&fleet.folder, 0));
-    let state = states(&fleet.tool(&["state"]).1)[0].clone();
+    let state = daemon_states(&fleet.run_tool(&["state"]).1)[0].clone();
     assert!(state["paused"][1].as_str().unwrap().contains("damaged"), "{state}");
-    assert_eq!(fleet.tool(&["resume"]).0, 0);
+    assert_eq!(fleet.run_tool(&["resume"]).0, 0);
     fleet.end();
 }
 
 #[test]
-fn all_or_none_changes_nothing_when_one_is_frozen() {
+fn all_or_none_changes_nothing_if_a_daemon_is_stopped() {
     let fleet = Fleet::start("none", 4);
     kill_process(fleet.daemons[3].pid(), Signal::STOP).unwrap();
-    let (code, told, _) = fleet.tool(&["--timeout", "0.5", "--all-or-none", "pause", "--for", "60"]);
+    let (code, report, _) = fleet.run_tool(&["--timeout", "0.5", "--all-or-none", "pause", "--for", "60"]);
     assert_eq!(
-        (code, count(&told, "agreed"), count(&told, "refused"), count(&told, "silent")),
+        (
+            code,
+            count_outcomes(&report, "agreed"),
+            count_outcomes(&report, "refused"),
+            count_outcomes(&report, "silent")
+        ),
         (5, 0, 3, 1),
-        "{told}"
+        "{report}"
     );
     kill_process(fleet.daemons[3].pid(), Signal::CONT).unwrap();
-    assert!(states(&fleet.tool(&["state"]).1).iter().all(|s| s["paused"].is_null()));
-    let (code, told, _) = fleet.tool(&["--all-or-none", "pause", "--for", "60"]);
-    assert_eq!((code, count(&told, "agreed")), (0, 4));
+    assert!(daemon_states(&fleet.run_tool(&["state"]).1).iter().all(|s| s["paused"].is_null()));
+    let (code, report, _) = fleet.run_tool(&["--all-or-none", "pause", "--for", "60"]);
+    assert_eq!((code, count_outcomes(&report, "agreed")), (0, 4));
     fleet.end();
 }
 
 #[test]
-fn a_drained_daemon_takes_nothing_and_takes_again_when_told() {
+fn a_drained_daemon_accepts_no_connections_until_undrain() {
     let fleet = Fleet::start("drain", 1);
     let addr = fleet.daemons[0].addr;
-    assert_eq!(fleet.tool(&["drain"]).0, 0);
+    assert_eq!(fleet.run_tool(&["drain"]).0, 0);
     assert!(std::net::TcpStream::connect(addr).is_err());
-    assert_eq!(states(&fleet.tool(&["state"]).1)[0]["draining"], true);
-    assert_eq!(fleet.tool(&["undrain"]).0, 0);
-    assert_eq!(states(&fleet.tool(&["state"]).1)[0]["draining"], false);
+    assert_eq!(daemon_states(&fleet.run_tool(&["state"]).1)[0]["draining"], true);
+    assert_eq!(fleet.run_tool(&["undrain"]).0, 0);
+    assert_eq!(daemon_states(&fleet.run_tool(&["state"]).1)[0]["draining"], false);
     fleet.end();
 }
 
 #[test]
-fn a_takeover_that_fails_halfway_leaves_the_old_one_serving() {
+fn the_old_process_serves_on_if_a_takeover_fails_halfway() {
     let fleet = Fleet::start("halfway", 1);
-    assert_eq!(fleet.tool(&["pause", "--for", "60"]).0, 0);
+    assert_eq!(fleet.run_tool(&["pause", "--for", "60"]).0, 0);
     let path = fleet.folder.join("0/control");
-    for gone_at_once in [true, false] {
+    for disconnects_at_once in [true, false] {
         let mut stream = UnixStream::connect(&path).unwrap();
         stream.write_all(b"\"takeover\"\n").unwrap();
         let mut byte = [0];
         stream.read_exact(&mut byte).unwrap();
-        if !gone_at_once {
+        if !disconnects_at_once {
             stream.write_all(b"what?\n").unwrap();
             let _ = stream.read_to_end(&mut Vec::new());
         }
@@ -114,15 +123,15 @@
         while !fleet.daemons[0].ask(Duration::from_secs(2)).is_some_and(|a| a.ends_with("ok")) {
             assert!(Instant::now() < until, "the old process does not serve on");
         }
-        let state = states(&fleet.tool(&["state"]).1)[0].clone();
+        let state = daemon_states(&fleet.run_tool(&["state"]).1)[0].clone();
         assert!(!state["paused"].is_null(), "{state}");
     }
-    assert_eq!(fleet.tool(&["resume"]).0, 0, "its state is its own again");
+    assert_eq!(fleet.run_tool(&["resume"]).0, 0, "its state is its own again");
     fleet.end();
 }
 
 #[test]
-fn a_flood_of_control_connections_and_nonsense_disturbs_no_request() {
+fn a_flood_of_malformed_control_connections_disturbs_no_request() {
     let fleet = Fleet::start("flood", 1);
     let path = fleet.folder.join("0/control");
     let mut open = Vec::new();
@@ -146,10 +155,10 @@
     assert_eq!(answered, 20, "requests were not served during the flood");
     drop(open);
     let until = Instant::now() + Duration::from_secs(10);
-    while fleet.tool(&["state"]).0 != 0 {
+    while fleet.run_tool(&["state"]).0 != 0 {
         assert!(Instant::now() < until, "the control socket does not recover");
     }
-    // Mode 0600 from the start.
+    // The socket must have mode 0600.
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
     let mut stream = UnixStream::connect(&path).unwrap();
@@ -162,16 +171,16 @@
 }
 
 #[test]
-fn reload_takes_what_it_can_whole_and_refuses_the_rest_with_the_reason() {
+fn reload_applies_all_changes_or_refuses_all_with_the_reason() {
     let fleet = Fleet::start("reload", 1);
     let settings = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("reload-0.star");
-    let sound = std::fs::read_to_string(&settings).unwrap();
-    let told = |text: &str| {
+    let valid_settings = std::fs::read_to_string(&settings).unwrap();
+    let reload_with = |text: &str| {
         std::fs::write(&settings, text).unwrap();
-        let (code, told, _) = fleet.tool(&["reload"]);
-        (code, told["daemons"][0]["why"].as_str().unwrap_or("").to_owned())
+        let (code, report, _) = fleet.run_tool(&["reload"]);
+        (code, report["daemons"][0]["why"].as_str().unwrap_or("").to_owned())
     };
-    assert_eq!(told(&format!("{sound}connections(max_head = 300)\n")).0, 0);
+    assert_eq!(reload_with(&format!("{valid_settings}connections(max_head = 300)\n")).0, 0);
     let mut stream = fleet.daemons[0].open();
     stream
         .write_all(format!("GET /x HTTP/1.1\r\nhost: t\r\nx: {}\r\n\r\n", "a".repeat(400)).as_bytes())
@@ -180,15 +189,16 @@
     stream.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 431"), "{text}");
     drop(stream);
-    let (code, why) = told(&sound.replace("aim = \"500ms\"", "aim = \"400ms\""));
-    assert!(code == 3 && why.contains("decisions need a new process"), "{why}");
-    let (code, why) = told(&sound.replace("effect = \"retryable\"", "effect = \"retryable\", further = 9"));
-    assert!(code == 3 && why.contains("budgets of the fleet need a new process"), "{why}");
-    let (code, why) = told(&sound.replace("aim = \"500ms\"", "aim = 5"));
-    assert!(code == 3 && why.contains("aim: invalid type"), "{why}");
-    std::fs::write(&settings, &sound).unwrap();
-    let (code, told, _) = fleet.tool(&["log-level", "no=such=filter"]);
-    assert!(code == 3, "{told}");
-    assert_eq!(fleet.tool(&["log-level", "warn"]).0, 0);
+    let (code, reason) = reload_with(&valid_settings.replace("aim = \"500ms\"", "aim = \"400ms\""));
+    assert!(code == 3 && reason.contains("decisions need a new process"), "{reason}");
+    let (code, reason) =
+        reload_with(&valid_settings.replace("effect = \"retryable\"", "effect = \"retryable\", further = 9"));
+    assert!(code == 3 && reason.contains("budgets of the fleet need a new process"), "{reason}");
+    let (code, reason) = reload_with(&valid_settings.replace("aim = \"500ms\"", "aim = 5"));
+    assert!(code == 3 && reason.contains("aim: invalid type"), "{reason}");
+    std::fs::write(&settings, &valid_settings).unwrap();
+    let (code, report, _) = fleet.run_tool(&["log-level", "no=such=filter"]);
+    assert!(code == 3, "{report}");
+    assert_eq!(fleet.run_tool(&["log-level", "warn"]).0, 0);
     fleet.end();
 }
