--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -1,5 +1,5 @@
-//! Whole days through the program itself: the short bad day keeps all rules, and proxies that break them on
-//! purpose are caught by what crossed the sockets.
+//! Whole scenarios with the program itself: no rule is violated in them, and proxies that break a rule on
+//! purpose are found from the observed traffic.
 
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
@@ -7,16 +7,16 @@
 use violetseam_scenarios::{ReleaseDecider, ScenarioOutcome, ScenarioRunner, builtin_scenarios, report};
 use violetseam_simulated_site::scenario::Scenario;
 
-fn folder(number: u8, day: &Scenario) -> PathBuf {
+fn output_folder(number: u8, day: &Scenario) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", day.name))
 }
 
-/// Days run one after another: beside each other they would take the machine from each other, and what the
-/// rules allow for its slowness would not be the same every time.
-static ONE: Mutex<()> = Mutex::new(());
+/// Makes the scenarios run one at a time. Concurrent ones would slow each other down, and the allowance of
+/// the rules for a slow machine would vary from run to run.
+static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
-fn play(number: u8, day: &Scenario, extra: &[&str]) -> ScenarioOutcome {
-    play_under(number, day, extra, ReleaseDecider::Controller)
+fn play(number: u8, day: &Scenario, extra_args: &[&str]) -> ScenarioOutcome {
+    play_under(number, day, extra_args, ReleaseDecider::Controller)
 }
 
 fn play_under(
@@ -25,8 +25,8 @@
     extra_args: &[&str],
     release_decider: ReleaseDecider,
 ) -> ScenarioOutcome {
-    let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let out = folder(number, day);
+    let _guard = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let out = output_folder(number, day);
     let _ = std::fs::remove_dir_all(&out);
     let extra_args = extra_args.iter().map(|s| (*s).to_owned()).collect();
     let program = env!("CARGO_BIN_EXE_violetseam").into();
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn the_short_bad_day_keeps_every_rule_and_sends_the_bad_build_back() {
+fn the_short_bad_day_violates_no_rule_and_does_not_release_the_bad_build() {
     let day = builtin_scenarios::bad_day_short();
-    let flight = folder(0, &day).join("flight-{position}").display().to_string();
+    let flight = output_folder(0, &day).join("flight-{position}").display().to_string();
     let outcome = play(0, &day, &["--record", &flight]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     assert!(outcome.check_report.examined.iter().all(|n| *n > 0), "{:?}", outcome.check_report.examined);
@@ -47,9 +47,9 @@
     let was_released = build.outcome.released_at.is_some();
     assert!(build.is_defective && !was_released, "a bad build was released: {build:?}");
     assert!(report::served_weight(&outcome) > 0.6, "{}", report::served_weight(&outcome));
-    // What the proxies decided on the way can be decided again, action by action.
+    // A replay of the recordings gives the same actions.
     for position in 0..day.proxies.len() {
-        let path = folder(0, &day).join(format!("flight-{position}"));
+        let path = output_folder(0, &day).join(format!("flight-{position}"));
         let replayed = replay(&path, ReplayFilter::default(), &mut |_| {}).unwrap();
         assert!(replayed.difference.is_none() && replayed.read_error.is_none(), "{replayed:?}");
         assert!(replayed.events > 1_000, "{replayed:?}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn takeovers_under_load_lose_no_request_and_break_no_rule() {
+fn takeovers_under_load_lose_no_request_and_violate_no_rule() {
     let outcome = play(5, &builtin_scenarios::takeover_short(), &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     let attempts = outcome.clients.attempts;
@@ -65,22 +65,25 @@
 }
 
 #[test]
-fn a_controller_killed_in_the_middle_of_a_release_goes_on_with_it_and_no_rule_breaks() {
+fn a_controller_killed_during_a_release_continues_it_and_no_rule_is_violated() {
     let day = builtin_scenarios::controller_kills_short();
     let outcome = play(6, &day, &[]);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     let build = &outcome.site.builds[0];
     let was_rolled_back = build.outcome.rolled_back_at.is_some();
-    assert!(!build.is_defective && !was_rolled_back, "a good build was sent back: {build:?}");
-    let log = std::fs::read_to_string(folder(6, &day).join("controller.log")).unwrap();
-    assert!(log.matches("this controller speaks").count() == 3, "three lives: {log}");
-    // It goes on where it stood: the later lives speak of the build on its way.
-    let lives: Vec<&str> = log.lines().filter(|l| l.contains("this controller speaks")).collect();
-    assert!(lives[1..].iter().all(|l| l.contains("build 101")), "{lives:?}");
+    assert!(!build.is_defective && !was_rolled_back, "a good build was rolled back: {build:?}");
+    let log = std::fs::read_to_string(output_folder(6, &day).join("controller.log")).unwrap();
+    assert!(
+        log.matches("this controller speaks").count() == 3,
+        "the controller must have started three times: {log}"
+    );
+    // After each restart the controller continues with the build that was being released.
+    let starts: Vec<&str> = log.lines().filter(|l| l.contains("this controller speaks")).collect();
+    assert!(starts[1..].iter().all(|l| l.contains("build 101")), "{starts:?}");
 }
 
 #[test]
-fn the_stand_in_desk_still_decides_where_it_is_asked_to() {
+fn the_simulated_release_service_decides_if_it_is_selected() {
     let mut day = builtin_scenarios::quiet();
     day.length = 9_000_000;
     day.traffic.rate = 200.0;
@@ -93,12 +96,12 @@
     let outcome = play_under(7, &day, &[], ReleaseDecider::Simulated);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
     assert_eq!(outcome.site.builds.len(), 1);
-    assert!(!folder(7, &day).join("controller.log").exists());
+    assert!(!output_folder(7, &day).join("controller.log").exists());
 }
 
-/// A day for the saboteurs: servers fail, builds come, drains happen.
+/// A scenario for the proxies that break a rule: it has server faults, a release and drains.
 #[cfg(feature = "sabotage")]
-fn rough() -> Scenario {
+fn sabotage_scenario() -> Scenario {
     use violetseam_simulated_site::scenario::{Fault, FaultKind, Release};
     let mut day = builtin_scenarios::quiet();
     day.name = "rough".into();
@@ -120,24 +123,26 @@
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn a_proxy_that_sends_twice_is_caught() {
-    let outcome = play_under(1, &rough(), &["--sabotage", "double-send"], ReleaseDecider::Simulated);
+fn a_proxy_that_sends_requests_twice_is_found() {
+    let outcome =
+        play_under(1, &sabotage_scenario(), &["--sabotage", "double-send"], ReleaseDecider::Simulated);
     assert!(outcome.check_report.violation_counts[1] > 0, "{:?}", outcome.check_report.violation_counts);
     assert!(outcome.check_report.violations.iter().any(|v| v.description.contains("unsafe request")));
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn a_proxy_that_holds_its_answers_back_is_caught() {
-    let outcome = play_under(2, &rough(), &["--sabotage", "late-answer"], ReleaseDecider::Simulated);
+fn a_proxy_that_delays_its_responses_is_found() {
+    let outcome =
+        play_under(2, &sabotage_scenario(), &["--sabotage", "late-answer"], ReleaseDecider::Simulated);
     assert!(outcome.check_report.violation_counts[0] > 0, "{:?}", outcome.check_report.violation_counts);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn a_proxy_that_sends_on_to_draining_servers_is_caught() {
-    // The grace is shortened, as the machines that drain are soon gone.
-    let mut day = rough();
+fn a_proxy_that_keeps_sending_to_draining_servers_is_found() {
+    // The drain grace is shortened because the draining servers are stopped soon.
+    let mut day = sabotage_scenario();
     day.service_rules.drain_grace = 100_000;
     day.rollout.drain_time = 4_000_000;
     day.rollout.bake = 500_000;
@@ -147,7 +152,7 @@
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn the_saboteurs_day_is_kept_by_an_honest_proxy() {
-    let outcome = play_under(4, &rough(), &[], ReleaseDecider::Simulated);
+fn an_unmodified_proxy_violates_no_rule_in_the_sabotage_scenario() {
+    let outcome = play_under(4, &sabotage_scenario(), &[], ReleaseDecider::Simulated);
     assert!(outcome.is_good(), "{:?} {:?}", outcome.check_report.violations, outcome.faults);
 }
