--- a/crates/cli/tests/run_line.rs
+++ b/crates/cli/tests/run_line.rs
@@ -1,6 +1,6 @@
-//! What the platform's standing test asks of `run`, read off /proc without the bench: one process by `exec`, linked
-//! dynamically against the C library, no child, IPv4 TCP and UDP alone, no Unix socket, no io_uring, and no
-//! thread that neither waits nor ends.
+//! Checks in /proc, without the bench, what the platform's standing test requires of `run`: a single process,
+//! started by `exec` and linked dynamically against the C library; no child process; only IPv4 TCP and UDP
+//! sockets, no Unix socket; no io_uring; and no thread that neither waits nor ends.
 
 mod common;
 
@@ -13,47 +13,48 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-/// What /proc says of a process.
+/// The properties of a process, as /proc shows them.
 #[derive(Debug, Default)]
-struct Seen {
+struct ProcessInfo {
     program: String,
-    /// File names of the libraries mapped, without their versions.
+    /// The file names of the mapped libraries, without their versions.
     libraries: BTreeSet<String>,
     children: Vec<u32>,
     threads: usize,
-    /// Descriptors by kind: `tcp`, `udp`, `tcp6`, `udp6`, `unix`, `other socket`, `anon_inode:...`, `pipe`, `file`.
-    kinds: BTreeMap<String, usize>,
+    /// The number of open descriptors of each kind: `tcp`, `udp`, `tcp6`, `udp6`, `unix`, `other socket`,
+    /// `anon_inode:...`, `pipe`, `file`.
+    descriptor_counts: BTreeMap<String, usize>,
 }
 
-fn text(path: &str) -> String {
+fn read_proc_file(path: &str) -> String {
     std::fs::read_to_string(path).unwrap_or_default()
 }
 
-/// The sockets that the kernel lists in one table, by inode. In those of TCP and UDP the inode stands in the tenth
-/// column, in that of Unix sockets in the seventh.
-fn inodes(table: &str) -> BTreeSet<String> {
+/// Returns the inodes of the sockets that the kernel lists in one table. The inode is in the tenth column of
+/// the TCP and UDP tables, and in the seventh column of the table of Unix sockets.
+fn socket_inodes(table: &str) -> BTreeSet<String> {
     let column = if table == "unix" { 6 } else { 9 };
-    let lines = text(&format!("/proc/net/{table}"));
+    let lines = read_proc_file(&format!("/proc/net/{table}"));
     lines.lines().skip(1).filter_map(|l| l.split_whitespace().nth(column).map(str::to_owned)).collect()
 }
 
-fn look_at(pid: u32) -> Seen {
-    let mut seen = Seen::default();
+fn inspect(pid: u32) -> ProcessInfo {
+    let mut info = ProcessInfo::default();
     let link = |path: String| std::fs::read_link(path).map_or(String::new(), |p| p.display().to_string());
-    seen.program = link(format!("/proc/{pid}/exe"));
-    for line in text(&format!("/proc/{pid}/maps")).lines() {
+    info.program = link(format!("/proc/{pid}/exe"));
+    for line in read_proc_file(&format!("/proc/{pid}/maps")).lines() {
         let file = line.rsplit('/').next().unwrap_or("");
         if line.contains('/') && file.contains(".so") {
-            seen.libraries.insert(file.split(".so").next().unwrap_or("").to_owned());
+            info.libraries.insert(file.split(".so").next().unwrap_or("").to_owned());
         }
     }
     for task in std::fs::read_dir(format!("/proc/{pid}/task")).unwrap().flatten() {
-        seen.threads += 1;
-        let children = text(&format!("{}/children", task.path().display()));
-        seen.children.extend(children.split_whitespace().filter_map(|c| c.parse::<u32>().ok()));
+        info.threads += 1;
+        let children = read_proc_file(&format!("{}/children", task.path().display()));
+        info.children.extend(children.split_whitespace().filter_map(|c| c.parse::<u32>().ok()));
     }
     let tables: Vec<(&str, BTreeSet<String>)> =
-        ["tcp", "udp", "tcp6", "udp6", "unix"].map(|table| (table, inodes(table))).into();
+        ["tcp", "udp", "tcp6", "udp6", "unix"].map(|table| (table, socket_inodes(table))).into();
     for fd in std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten() {
         let target = link(fd.path().display().to_string());
         let kind = match target.split_once(':') {
@@ -66,93 +67,100 @@
             Some(("pipe", _)) => "pipe".to_owned(),
             _ => "file".to_owned(),
         };
-        *seen.kinds.entry(kind).or_default() += 1;
+        *info.descriptor_counts.entry(kind).or_default() += 1;
     }
-    seen
+    info
 }
 
-/// What the page allows and this is not.
-fn faults(seen: &Seen) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut fault = |is: bool, what: String| faults.extend(is.then_some(what));
-    fault(seen.program != PROGRAM, format!("it is {} and not the program", seen.program));
-    fault(!seen.libraries.contains("libc"), "not linked dynamically against the C library".into());
-    let usual = ["ld-linux-x86-64", "ld-linux-aarch64", "libc", "libm", "libgcc_s"];
-    for other in seen.libraries.iter().filter(|l| !usual.contains(&l.as_str())) {
-        fault(true, format!("a library more: {other}"));
+/// Returns a description of each property of a process that the platform does not allow.
+fn violations(info: &ProcessInfo) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut check =
+        |is_violated: bool, description: String| violations.extend(is_violated.then_some(description));
+    check(info.program != PROGRAM, format!("it is {} and not the program", info.program));
+    check(!info.libraries.contains("libc"), "not linked dynamically against the C library".into());
+    let allowed_libraries = ["ld-linux-x86-64", "ld-linux-aarch64", "libc", "libm", "libgcc_s"];
+    for other in info.libraries.iter().filter(|l| !allowed_libraries.contains(&l.as_str())) {
+        check(true, format!("unexpected library: {other}"));
     }
-    fault(!seen.children.is_empty(), format!("children: {:?}", seen.children));
-    fault(seen.threads != 1, format!("{} threads", seen.threads));
+    check(!info.children.is_empty(), format!("children: {:?}", info.children));
+    check(info.threads != 1, format!("{} threads", info.threads));
     let allowed = ["tcp", "udp", "file", "pipe", "anon_inode:[eventpoll]", "anon_inode:[eventfd]"];
     let allowed = [&allowed[..], &["anon_inode:[signalfd]", "anon_inode:[timerfd]"]].concat();
-    for (kind, count) in seen.kinds.iter().filter(|(kind, _)| !allowed.contains(&kind.as_str())) {
-        fault(true, format!("{count} x {kind}"));
+    for (kind, count) in info.descriptor_counts.iter().filter(|(kind, _)| !allowed.contains(&kind.as_str())) {
+        check(true, format!("{count} x {kind}"));
     }
-    faults
+    violations
 }
 
-/// Processor time used so far, in clock ticks: the 14th and 15th fields of `stat`, counted behind the name.
-fn ticks(pid: u32) -> u64 {
-    let stat = text(&format!("/proc/{pid}/stat"));
+/// Returns the CPU time used so far, in clock ticks. It is the sum of the 14th and 15th fields of `stat`,
+/// which are counted from the closing parenthesis of the name because the name may contain spaces.
+fn cpu_ticks(pid: u32) -> u64 {
+    let stat = read_proc_file(&format!("/proc/{pid}/stat"));
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-fn ask_some(proxy: &Proxy, from: usize) {
+fn send_requests(proxy: &Proxy, first: usize) {
     let mut client = proxy.open();
-    for n in from..from + 50 {
+    for n in first..first + 50 {
         let id = format!("n{n}");
         assert_eq!(client.ask(&look(&id, 1000)), Heard::Value(value(&id)));
     }
 }
 
 #[test]
-fn the_run_line_is_one_process_with_ipv4_sockets_alone() {
-    let one = server(|words, _| Say::Bytes(good(words)));
-    // Three peers, so that the datagrams' socket is open.
+fn the_run_line_starts_one_process_with_only_ipv4_sockets() {
+    let server = server(|words, _| Say::Bytes(good(words)));
+    // The proxy has three peers, so that its UDP socket is open.
     let peers = [(); 3].map(|()| UdpSocket::bind("127.0.0.1:0").unwrap());
-    let addr = |n: usize| peers[n].local_addr().unwrap();
+    let peer_addr = |n: usize| peers[n].local_addr().unwrap();
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let told = format!(r#""peer_listen":"{free}","peers":["{}","{}","{}"]"#, addr(0), addr(1), addr(2));
-    let text = config(discovery(&[one.addr]), pipeline().0, &[one.addr], 256)
-        .replace(r#""peers":[]"#, &told)
+    let peer_settings = format!(
+        r#""peer_listen":"{free}","peers":["{}","{}","{}"]"#,
+        peer_addr(0),
+        peer_addr(1),
+        peer_addr(2)
+    );
+    let text = config(discovery(&[server.addr]), pipeline().0, &[server.addr], 256)
+        .replace(r#""peers":[]"#, &peer_settings)
         .replace(r#""RetryAfter":true"#, r#""MayTell":true,"RetryAfter":true"#);
     let proxy = start("run-line", &text);
     let pid = proxy.child.id();
-    let before = look_at(pid);
-    assert_eq!(faults(&before), Vec::<String>::new(), "{before:?}");
-    assert!(before.kinds["udp"] == 1 && before.kinds["tcp"] >= 1, "{before:?}");
-    // The same under load, after SIGHUP, and with the same threads.
-    ask_some(&proxy, 0);
+    let before = inspect(pid);
+    assert_eq!(violations(&before), Vec::<String>::new(), "{before:?}");
+    assert!(before.descriptor_counts["udp"] == 1 && before.descriptor_counts["tcp"] >= 1, "{before:?}");
+    // The properties must be the same under load, after SIGHUP, and with the same number of threads.
+    send_requests(&proxy, 0);
     proxy.signal(rustix::process::Signal::HUP);
-    ask_some(&proxy, 50);
-    let after = look_at(pid);
-    assert_eq!(faults(&after), Vec::<String>::new(), "{after:?}");
-    // Left alone it waits: an idle second costs less than a twentieth of a core. Clock ticks are 10 ms.
-    let until = Instant::now() + PATIENCE;
+    send_requests(&proxy, 50);
+    let after = inspect(pid);
+    assert_eq!(violations(&after), Vec::<String>::new(), "{after:?}");
+    // An idle process waits: in an idle second it uses at most a twentieth of a core. A clock tick is 10 ms.
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let used = ticks(pid);
+        let used = cpu_ticks(pid);
         std::thread::sleep(Duration::from_secs(1));
-        if ticks(pid) - used <= 5 {
+        if cpu_ticks(pid) - used <= 5 {
             break;
         }
-        assert!(Instant::now() < until, "it never rests");
+        assert!(Instant::now() < deadline, "the idle process uses more than a twentieth of a core");
     }
     proxy.end();
 }
 
-/// The look at /proc sees what it is there to refuse: this very process has threads, a child, an IPv6 listener and
-/// Unix sockets, and is another program.
+/// The inspection of /proc must detect what is not allowed. The process of this test has threads, a child, an
+/// IPv6 listener and Unix sockets, and it runs another program.
 #[test]
-fn the_look_notices_what_is_not_allowed() {
-    let _six = TcpListener::bind("[::1]:0").ok();
-    let _unix = UnixStream::pair().unwrap();
+fn the_inspection_detects_what_is_not_allowed() {
+    let _ipv6_listener = TcpListener::bind("[::1]:0").ok();
+    let _unix_sockets = UnixStream::pair().unwrap();
     let mut child = std::process::Command::new("sleep").arg("30").spawn().unwrap();
-    let found = faults(&look_at(std::process::id())).join("; ");
+    let found = violations(&inspect(std::process::id())).join("; ");
     child.kill().unwrap();
     child.wait().unwrap();
-    for what in ["not the program", "children: [", " threads", "x unix"] {
-        assert!(found.contains(what), "{what:?} was not noticed: {found}");
+    for expected in ["not the program", "children: [", " threads", "x unix"] {
+        assert!(found.contains(expected), "{expected:?} was not detected: {found}");
     }
-    assert!(_six.is_none() || found.contains("x tcp6"), "{found}");
+    assert!(_ipv6_listener.is_none() || found.contains("x tcp6"), "{found}");
 }
