--- a/crates/cli/tests/run_line.rs
+++ b/crates/cli/tests/run_line.rs
@@ -8,8 +8,13 @@
 use common::platform::{
     Heard, PATIENCE, Proxy, Say, config, discovery, good, look, pipeline, server, start, value,
 };
+use rustix::io::Errno;
+use rustix::net::sockopt::{socket_domain, socket_type};
+use rustix::net::{AddressFamily, SocketType};
+use rustix::process::{Pid, PidfdFlags, PidfdGetfdFlags, pidfd_getfd, pidfd_open};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{TcpListener, UdpSocket};
+use std::os::fd::{OwnedFd, RawFd};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
@@ -30,12 +35,22 @@
     std::fs::read_to_string(path).unwrap_or_default()
 }
 
-/// Returns the inodes of the sockets that the kernel lists in one table. The inode is in the tenth column of
-/// the TCP and UDP tables, and in the seventh column of the table of Unix sockets.
-fn socket_inodes(table: &str) -> BTreeSet<String> {
-    let column = if table == "unix" { 6 } else { 9 };
-    let lines = read_proc_file(&format!("/proc/net/{table}"));
-    lines.lines().skip(1).filter_map(|l| l.split_whitespace().nth(column).map(str::to_owned)).collect()
+/// Returns the kind of a socket of another process, as the socket itself states it. The tables in /proc/net
+/// leave out a socket between `socket` and `connect`, and one that its peer has reset and that is not closed yet.
+/// `None` if the process has closed the descriptor in the meantime.
+fn socket_kind(process: &OwnedFd, descriptor: RawFd) -> Option<&'static str> {
+    let socket = match pidfd_getfd(process, descriptor, PidfdGetfdFlags::empty()) {
+        Err(Errno::BADF) => return None,
+        result => result.unwrap(),
+    };
+    Some(match (socket_domain(&socket).unwrap(), socket_type(&socket).unwrap()) {
+        (AddressFamily::INET, SocketType::STREAM) => "tcp",
+        (AddressFamily::INET, SocketType::DGRAM) => "udp",
+        (AddressFamily::INET6, SocketType::STREAM) => "tcp6",
+        (AddressFamily::INET6, SocketType::DGRAM) => "udp6",
+        (AddressFamily::UNIX, _) => "unix",
+        _ => "other socket",
+    })
 }
 
 fn inspect(pid: u32) -> ProcessInfo {
@@ -53,15 +68,14 @@
         let children = read_proc_file(&format!("{}/children", task.path().display()));
         info.children.extend(children.split_whitespace().filter_map(|c| c.parse::<u32>().ok()));
     }
-    let tables: Vec<(&str, BTreeSet<String>)> =
-        ["tcp", "udp", "tcp6", "udp6", "unix"].map(|table| (table, socket_inodes(table))).into();
+    let process = pidfd_open(Pid::from_raw(pid as i32).unwrap(), PidfdFlags::empty()).unwrap();
     for fd in std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten() {
         let target = link(fd.path().display().to_string());
         let kind = match target.split_once(':') {
-            Some(("socket", inode)) => {
-                let inode = inode.trim_matches(['[', ']']);
-                let table = tables.iter().find(|(_, of)| of.contains(inode));
-                table.map_or("other socket", |(table, _)| table).to_owned()
+            Some(("socket", _)) => {
+                let descriptor = fd.file_name().to_str().unwrap().parse().unwrap();
+                let Some(kind) = socket_kind(&process, descriptor) else { continue };
+                kind.to_owned()
             }
             Some(("anon_inode", _)) => target,
             Some(("pipe", _)) => "pipe".to_owned(),
